--- a/cli/src/council.rs
+++ b/cli/src/council.rs
@@ -3,7 +3,7 @@
 use crate::{load, Failure};
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{self, Body, Role};
-use basaltpitch_council::{agreed, Terms};
+use basaltpitch_lease::{agreed, Terms};
 use basaltpitch_planner::voter::{self, Start};
 use basaltpitch_planner::voters::Way;
 use basaltpitch_records::installation::Installation;
--- a/cli/src/roll.rs
+++ b/cli/src/roll.rs
@@ -6,7 +6,7 @@
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::session::{Links, Party};
 use basaltpitch_agent::wire::{self, Role};
-use basaltpitch_council::{agreed, Terms};
+use basaltpitch_lease::{agreed, Terms};
 use basaltpitch_planner::council::{self, Duty, Tenure, Wish};
 use basaltpitch_planner::roll::{DUTY, WISH};
 use basaltpitch_planner::voters::Way;
--- a/council/tests/drawn.rs
+++ b/lease/tests/drawn.rs
@@ -1,9 +1,9 @@
 //! Drawn runs of many members and several duties under a made-up clock: frames lost, doubled and late, clocks
 //! of different pace, members stopped and woken, cut off both ways or one, voters started again with and
 //! without what they kept, planned hand-overs. Laws at every step; a failing case prints its seed.
-use basaltpitch_council::member::{Call, Member};
-use basaltpitch_council::voter::Voter;
-use basaltpitch_council::{Answer, Note, Terms};
+use basaltpitch_lease::member::{Call, Member};
+use basaltpitch_lease::voter::Voter;
+use basaltpitch_lease::{Answer, Note, Terms};
 use std::collections::BTreeMap;
 
 const TERMS: Terms = Terms { term: 1_000_000, drift: 50_000 };
--- a/council/tests/every_state.rs
+++ b/lease/tests/every_state.rs
@@ -6,9 +6,9 @@
 //! A frame comes at once, or is one of a bounded number that are late: those come at any time after, or
 //! never. A member that does not look at the clock pauses. As voters differ in nothing, the one that starts
 //! again and the one whose clock is late is the first.
-use basaltpitch_council::member::{Call, Member};
-use basaltpitch_council::voter::Voter;
-use basaltpitch_council::{Answer, Terms};
+use basaltpitch_lease::member::{Call, Member};
+use basaltpitch_lease::voter::Voter;
+use basaltpitch_lease::{Answer, Terms};
 use pathfinding::directed::bfs::bfs_reach;
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
--- a/council/tests/holder.rs
+++ b/lease/tests/holder.rs
@@ -1,7 +1,7 @@
 //! A holder's renewals at voters that come and go.
-use basaltpitch_council::member::{Call, Member};
-use basaltpitch_council::voter::Voter;
-use basaltpitch_council::Terms;
+use basaltpitch_lease::member::{Call, Member};
+use basaltpitch_lease::voter::Voter;
+use basaltpitch_lease::Terms;
 
 const TERMS: Terms = Terms { term: 1000, drift: 50 };
 
--- a/council/tests/record.rs
+++ b/lease/tests/record.rs
@@ -2,9 +2,9 @@
 //! stated bounds: duties that change, frames lost, late, overtaken and doubled, answers that are not taken
 //! in, terms that lapse, and a voter that starts again with and without what it kept. What is told never goes back, and in
 //! every state one undisturbed question is enough for the asker to know all that the voter keeps.
-use basaltpitch_council::record::{Have, Holders, Known, Revisions, Said};
-use basaltpitch_council::voter::Kept;
-use basaltpitch_council::Note;
+use basaltpitch_lease::record::{Have, Holders, Known, Revisions, Said};
+use basaltpitch_lease::voter::Kept;
+use basaltpitch_lease::Note;
 use pathfinding::directed::bfs::bfs_reach;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/planner/src/council.rs
+++ b/planner/src/council.rs
@@ -1,14 +1,14 @@
 //! A planner's side of the council on sockets: links to the voters, the seat that it holds, the duties beside
-//! it, and the word that comes before each act. It decides nothing: `basaltpitch_council` says what to ask
+//! it, and the word that comes before each act. It decides nothing: `basaltpitch_lease` says what to ask
 //! for and what is held.
 use crate::voters::{awake, follow, member_name, Heard, Way};
 use basaltpitch_agent::link::{Clock, Order};
 use basaltpitch_agent::session::{Links, Party};
 use basaltpitch_agent::wire::{self, Body};
-use basaltpitch_council::member::{Call, Member};
-use basaltpitch_council::record::{Have, Holders, Known, Said};
-use basaltpitch_council::seats::Seats;
-use basaltpitch_council::{agreed, Answer, Note, Terms};
+use basaltpitch_lease::member::{Call, Member};
+use basaltpitch_lease::record::{Have, Holders, Known, Said};
+use basaltpitch_lease::seats::Seats;
+use basaltpitch_lease::{agreed, Answer, Note, Terms};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/planner/tests/record.rs
+++ b/planner/tests/record.rs
@@ -2,7 +2,7 @@
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Party};
 use basaltpitch_agent::wire::{self, Body, Role};
-use basaltpitch_council::Terms;
+use basaltpitch_lease::Terms;
 use basaltpitch_planner::voter;
 use basaltpitch_planner::voters::Way;
 use std::time::Duration;
