--- a/exchange/tests/drawn.rs
+++ b/gossip/tests/drawn.rs
@@ -1,8 +1,8 @@
 //! Crowds of planners under a made-up clock: up to 300 seats, frames that take their time, cuts both ways and
 //! one, planners that stop, wake, die and are succeeded. Reports how long it takes until all know, at what
 //! cost, and what cuts leave unknown.
-use basaltpitch_exchange::cost::bytes;
-use basaltpitch_exchange::{Asked, Call, Exchange, Figures, Heard, Layout, Pace, Place, Rule, Site, Told};
+use basaltpitch_gossip::cost::bytes;
+use basaltpitch_gossip::{Asked, Call, Exchange, Figures, Heard, Layout, Pace, Place, Rule, Site, Told};
 use expect_test::expect;
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/exchange/tests/every_state.rs
+++ b/gossip/tests/every_state.rs
@@ -3,7 +3,7 @@
 //! told against what is held, and zones that are told as one. At no moment does a reader hold what nobody
 //! published under the token that the council told it, go back to an older summary, or take one for younger
 //! than it is, a zone's for younger than its oldest part.
-use basaltpitch_exchange::{Asked, Call, Carried, Exchange, Figures, Heard, Pace, Place, Site, Told};
+use basaltpitch_gossip::{Asked, Call, Carried, Exchange, Figures, Heard, Pace, Place, Site, Told};
 use pathfinding::directed::bfs::bfs_reach;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
--- a/exchange/tests/wrong.rs
+++ b/gossip/tests/wrong.rs
@@ -1,6 +1,6 @@
 //! What cannot be true is dropped, with an error that names the peer and the field and what to do; what is in
 //! order beside it is taken.
-use basaltpitch_exchange::{Asked, Call, Exchange, Heard, Layout, Pace, Rule, Site, Told, Wrong};
+use basaltpitch_gossip::{Asked, Call, Exchange, Heard, Layout, Pace, Rule, Site, Told, Wrong};
 use expect_test::expect;
 
 /// The whole of a summary.
--- a/planner/src/figures.rs
+++ b/planner/src/figures.rs
@@ -1,6 +1,6 @@
 //! The figures of a planner's summary: which place has which, and back. What they mean and how those of
 //! several planners make one is the packages' to say that they come from.
-use basaltpitch_exchange::{Figures, Layout, Rule, MOST_FIGURES};
+use basaltpitch_gossip::{Figures, Layout, Rule, MOST_FIGURES};
 use basaltpitch_halls::{Fusing, OfHall, OF_HALL};
 use basaltpitch_slack::Share;
 
--- a/planner/src/peers.rs
+++ b/planner/src/peers.rs
@@ -1,5 +1,5 @@
 //! A planner's links to other planners: between the council, which tells who has which seat and where, the
-//! sockets, and the decisions of `basaltpitch_exchange`. What is heard goes in; frames, links to dial and
+//! sockets, and the decisions of `basaltpitch_gossip`. What is heard goes in; frames, links to dial and
 //! links to end come out.
 use crate::core::Core;
 use crate::council::{Duty, Tenure, Wish};
@@ -10,7 +10,7 @@
 use basaltpitch_agent::link::Order;
 use basaltpitch_agent::session::Party;
 use basaltpitch_agent::wire::Body;
-use basaltpitch_exchange::{Call, Exchange, Figures, Heard, Layout, Pace, Place, Site, Wrong};
+use basaltpitch_gossip::{Call, Exchange, Figures, Heard, Layout, Pace, Place, Site, Wrong};
 use basaltpitch_halls::{OfHall, OF_HALL};
 use basaltpitch_slack::Other;
 use serde_json::{json, Value};
--- a/planner/src/summaries.rs
+++ b/planner/src/summaries.rs
@@ -1,7 +1,7 @@
 //! What planners tell each other, as frames and back.
 use basaltpitch_agent::wire::{Body, Digest, Summaries};
-use basaltpitch_exchange::cost::{age_ms, behind, gaps, steps};
-use basaltpitch_exchange::{Asked, Call, Told, Wrong};
+use basaltpitch_gossip::cost::{age_ms, behind, gaps, steps};
+use basaltpitch_gossip::{Asked, Call, Told, Wrong};
 
 /// A question or an answer as a frame, and the link that it goes to; none for other calls.
 pub fn frame(call: &Call) -> Option<(u64, Body)> {
--- a/planner/tests/summaries.rs
+++ b/planner/tests/summaries.rs
@@ -2,8 +2,8 @@
 //! exchange believes; lists that do not fit are refused; and a summary's figures come back, of one planner
 //! and of several as one. A failing case prints its seed.
 use basaltpitch_agent::wire::{Body, Digest, Frame, Summaries};
-use basaltpitch_exchange::cost::bytes;
-use basaltpitch_exchange::{Asked, Call, Carried, Figures, Told, Wrong};
+use basaltpitch_gossip::cost::bytes;
+use basaltpitch_gossip::{Asked, Call, Carried, Figures, Told, Wrong};
 use basaltpitch_planner::figures::{layout, told, Says};
 use basaltpitch_planner::summaries;
 use basaltpitch_slack::Share;
@@ -141,7 +141,7 @@
         assert_eq!(Some(&fused.word), newest, "seed {seed}");
         assert_eq!((fused.stands, layout(halls).size()), (2, figures[0].len()));
     }
-    assert!(layout(99).size() + 2 <= basaltpitch_exchange::MOST_FIGURES && told(99) > 16);
+    assert!(layout(99).size() + 2 <= basaltpitch_gossip::MOST_FIGURES && told(99) > 16);
 }
 
 /// A planner of an earlier build told whole texts in frames of other numbers: they are of no kind that is known
