--- a/planner/src/core.rs
+++ b/planner/src/core.rs
@@ -22,13 +22,13 @@
 use basaltpitch_agent::wire::{self, Body};
 use basaltpitch_clauses::deciding::State;
 use basaltpitch_clauses::{Clause, Machine as Place, Task as Facts};
-use basaltpitch_halls::Stage;
 use basaltpitch_indices::{number_of, Lodgers};
 use basaltpitch_ledger::{
     Act, Answer, Asking, CopyState, Ending, Held, Kind, Launch, Ledger, Life, Phase, Promises, Reason,
     PROMISES,
 };
 use basaltpitch_tenants::{Change, Sweep};
+use basaltpitch_zone_failover::Stage;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
--- a/planner/src/halls.rs
+++ b/planner/src/halls.rs
@@ -1,11 +1,11 @@
 //! A planner's part in what becomes of halls: what it sees goes to whoever conducts, the conductor's word
 //! comes back with what planners tell each other, and machines of a hall that is not well are held back by
-//! it. Decides nothing itself: `basaltpitch_halls` does.
+//! it. Decides nothing itself: `basaltpitch_zone_failover` does.
 use crate::council::{Duty, Tenure, Wish};
-use basaltpitch_halls::{
+use basaltpitch_slack::middle;
+use basaltpitch_zone_failover::{
     evidence, plan, Call, Conductor, Evidence, Load, OfHall, Opinion, Pace, Stage, View, Word,
 };
-use basaltpitch_slack::middle;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use tokio::sync::mpsc;
--- a/halls/tests/every_state.rs
+++ b/zone_failover/tests/every_state.rs
@@ -1,7 +1,7 @@
 //! Every state that one hall and its conductors can reach within stated bounds: evidence of any sort at any
 //! time, words that are kept or lost, a conductor that dies between writing and recording and is succeeded.
 //! No step of the return is skipped or done twice, and the hall is never lost by what one planner sees.
-use basaltpitch_halls::{Call, Conductor, Evidence, Pace, Stage, Word};
+use basaltpitch_zone_failover::{Call, Conductor, Evidence, Pace, Stage, Word};
 use expect_test::expect;
 use pathfinding::directed::bfs::bfs_reach;
 
