--- a/cli/src/roll.rs
+++ b/cli/src/roll.rs
@@ -10,7 +10,7 @@
 use basaltpitch_planner::council::{self, Duty, Tenure, Wish};
 use basaltpitch_planner::roll::{DUTY, WISH};
 use basaltpitch_planner::voters::Way;
-use basaltpitch_rolls::{How, Plan, Progress, Stage};
+use basaltpitch_rolling_restart::{How, Plan, Progress, Stage};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
--- a/planner/src/roll.rs
+++ b/planner/src/roll.rs
@@ -1,9 +1,9 @@
 //! A planner that conducts a roll, between the council, the register and the decisions of
-//! `basaltpitch_rolls`: what is heard goes in, what is to be written and said comes out.
+//! `basaltpitch_rolling_restart`: what is heard goes in, what is to be written and said comes out.
 use crate::council::{Duty, Tenure, Wish};
 use crate::voter::LONGEST_NOTE;
 use basaltpitch_agent::wire::{self, Body, List, Readiness};
-use basaltpitch_rolls::{Call, Conductor, Listed, Pace, Plan, Progress};
+use basaltpitch_rolling_restart::{Call, Conductor, Listed, Pace, Plan, Progress};
 use std::collections::{BTreeMap, HashMap};
 use tokio::sync::mpsc;
 
--- a/planner/tests/rolls.rs
+++ b/planner/tests/rolls.rs
@@ -4,7 +4,7 @@
 use basaltpitch_planner::council::{Duty, Tenure, Wish};
 use basaltpitch_planner::roll::{Duties, Rolls, DUTY, WISH};
 use basaltpitch_planner::voters::awake;
-use basaltpitch_rolls::{Plan, Progress};
+use basaltpitch_rolling_restart::{Plan, Progress};
 use std::collections::HashMap;
 use tokio::sync::mpsc;
 
--- a/rolls/tests/drawn.rs
+++ b/rolling_restart/tests/drawn.rs
@@ -1,7 +1,7 @@
 //! Drawn rolls: conductors die or stall at any step, their words come late, writes reach some voters only,
 //! the list is late, machines restart by themselves, late, or not at all. No more than so many machines are
 //! drained at any moment, none twice, none is forgotten. A failing case names its seed.
-use basaltpitch_rolls::{Call, Conductor, How, Listed, Pace, Plan, Progress, Stage};
+use basaltpitch_rolling_restart::{Call, Conductor, How, Listed, Pace, Plan, Progress, Stage};
 use std::collections::VecDeque;
 
 const TICK: i64 = 100_000;
