--- a/slack/benches/door.rs
+++ b/admission/benches/door.rs
@@ -1,5 +1,5 @@
 //! What the door costs an asking, and what drawing the line costs, by the planners that are heard.
-use basaltpitch_slack::{Other, Own};
+use basaltpitch_admission::{Other, Own};
 use divan::{black_box, Bencher};
 
 const S: i64 = 1_000_000;
--- a/slack/tests/fleet.rs
+++ b/admission/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! A fleet under a made-up clock: planners with owners of their own, machines that all of them see, and the
 //! door by slack before each. What comes of it at 1, 1.5, 3 and 10 times the load, against no door, a door
 //! by own askings alone, and one planner that sees all.
-use basaltpitch_slack::{Other, Own, Share, Verdict};
+use basaltpitch_admission::{Other, Own, Share, Verdict};
 use expect_test::expect;
 use fastrand::Rng;
 use std::collections::VecDeque;
--- a/slack/tests/laws.rs
+++ b/admission/tests/laws.rs
@@ -1,5 +1,5 @@
 //! Laws of the line over drawn shares; a failing case prints its seed.
-use basaltpitch_slack::{Line, Other, Own, Share, Verdict, BANDS};
+use basaltpitch_admission::{Line, Other, Own, Share, Verdict, BANDS};
 use fastrand::Rng;
 
 const S: i64 = 1_000_000;
--- a/planner/src/door.rs
+++ b/planner/src/door.rs
@@ -1,9 +1,9 @@
 //! The door before the placing module: askings that are not worth starting are declined at once, by the slack
-//! that planners share. Decides nothing itself: `basaltpitch_slack` does.
+//! that planners share. Decides nothing itself: `basaltpitch_admission` does.
 use crate::core::listed;
 use crate::hands::Key;
 use basaltpitch::host::{number, Belief, Given};
-use basaltpitch_slack::{Other, Own, Share, Verdict};
+use basaltpitch_admission::{Other, Own, Share, Verdict};
 use serde_json::{json, Value};
 
 /// An asking: the task's key and the owner's number.
--- a/planner/src/figures.rs
+++ b/planner/src/figures.rs
@@ -1,7 +1,7 @@
 //! The figures of a planner's summary: which place has which, and back. What they mean and how those of
 //! several planners make one is the packages' to say that they come from.
+use basaltpitch_admission::Share;
 use basaltpitch_gossip::{Figures, Layout, Rule, MOST_FIGURES};
-use basaltpitch_slack::Share;
 use basaltpitch_zone_failover::{Fusing, OfHall, OF_HALL};
 
 /// Counts; the hall in which the planner stands; the word on halls that it goes by: token and number in parts
--- a/planner/src/halls.rs
+++ b/planner/src/halls.rs
@@ -2,7 +2,7 @@
 //! comes back with what planners tell each other, and machines of a hall that is not well are held back by
 //! it. Decides nothing itself: `basaltpitch_zone_failover` does.
 use crate::council::{Duty, Tenure, Wish};
-use basaltpitch_slack::middle;
+use basaltpitch_admission::middle;
 use basaltpitch_zone_failover::{
     evidence, plan, Call, Conductor, Evidence, Load, OfHall, Opinion, Pace, Stage, View, Word,
 };
--- a/planner/tests/summaries.rs
+++ b/planner/tests/summaries.rs
@@ -1,12 +1,12 @@
 //! What planners tell each other, as frames: drawn calls come back as they were and cost as many bytes as the
 //! exchange believes; lists that do not fit are refused; and a summary's figures come back, of one planner
 //! and of several as one. A failing case prints its seed.
+use basaltpitch_admission::Share;
 use basaltpitch_agent::wire::{Body, Digest, Frame, Summaries};
 use basaltpitch_gossip::cost::bytes;
 use basaltpitch_gossip::{Asked, Call, Carried, Figures, Told, Wrong};
 use basaltpitch_planner::figures::{layout, told, Says};
 use basaltpitch_planner::summaries;
-use basaltpitch_slack::Share;
 use fastrand::Rng;
 use prost::Message;
 
