--- a/planner/src/core/parts.rs
+++ b/planner/src/core/parts.rs
@@ -1,11 +1,11 @@
 //! The core's room for the planner's part of the fleet: between what the list, machines and tasks tell, and
-//! the decisions of `basaltpitch_aperture`. Without a part nothing here does anything: all that is listed is
+//! the decisions of `basaltpitch_subsetting`. Without a part nothing here does anything: all that is listed is
 //! linked.
 use super::*;
-use basaltpitch_aperture::deal::weight;
-use basaltpitch_aperture::part::{CLOCKS, LINKED, TICK, VISIT};
-use basaltpitch_aperture::shortage::MOST_NAMES;
-use basaltpitch_aperture::{hash, Ask, Need, Part, Role, Shortage, Terms};
+use basaltpitch_subsetting::deal::weight;
+use basaltpitch_subsetting::part::{CLOCKS, LINKED, TICK, VISIT};
+use basaltpitch_subsetting::shortage::MOST_NAMES;
+use basaltpitch_subsetting::{hash, Ask, Need, Part, Role, Shortage, Terms};
 use std::collections::HashSet;
 
 pub(super) struct Parts {
--- a/planner/tests/parts.rs
+++ b/planner/tests/parts.rs
@@ -2,9 +2,9 @@
 mod net;
 
 use basaltpitch_agent::wire::{AnswerKind, Body, Fetch};
-use basaltpitch_aperture::{hash, Terms};
 use basaltpitch_clauses::read::read;
 use basaltpitch_records::installation::load_texts;
+use basaltpitch_subsetting::{hash, Terms};
 use net::{Net, ONCE, SMALL};
 use serde_json::Value;
 use std::collections::BTreeSet;
--- a/aperture/examples/compare.rs
+++ b/subsetting/examples/compare.rs
@@ -1,8 +1,8 @@
 //! Ways to deal machines to planners, side by side: the largest, smallest and mean part, the most of one zone
 //! and kind, and how many links change when a machine or a seat joins. `cargo run --release --example compare
-//! -p basaltpitch-aperture -- SEATS MACHINES COPIES`.
-use basaltpitch_aperture::deal::{deal, weight};
-use basaltpitch_aperture::hash;
+//! -p basaltpitch-subsetting -- SEATS MACHINES COPIES`.
+use basaltpitch_subsetting::deal::{deal, weight};
+use basaltpitch_subsetting::hash;
 use std::collections::{BTreeMap, BTreeSet};
 
 type Links = BTreeSet<(u64, u64)>;
--- a/aperture/tests/deals.rs
+++ b/subsetting/tests/deals.rs
@@ -1,6 +1,6 @@
 //! Laws of the assignment on drawn fleets, and of one planner's part and its shortage, under a made-up clock.
-use basaltpitch_aperture::deal::{bounds, deal};
-use basaltpitch_aperture::{hash, Need, Part, Role, Shortage, Terms};
+use basaltpitch_subsetting::deal::{bounds, deal};
+use basaltpitch_subsetting::{hash, Need, Part, Role, Shortage, Terms};
 use std::collections::BTreeMap;
 
 const S: i64 = 1_000_000;
--- a/aperture/tests/drawn.rs
+++ b/subsetting/tests/drawn.rs
@@ -1,7 +1,7 @@
 //! 84 planners and 2,100 machines under a made-up clock: machines and seats come and go by chance, half of the
 //! planners hear of it three seconds late. Each machine that all were told of is worked all the time, and links
 //! change little.
-use basaltpitch_aperture::{hash, Part, Role, Terms};
+use basaltpitch_subsetting::{hash, Part, Role, Terms};
 use std::collections::{BTreeMap, VecDeque};
 
 const S: i64 = 1_000_000;
--- a/aperture/tests/views.rs
+++ b/subsetting/tests/views.rs
@@ -1,6 +1,6 @@
 //! Every state of two or three planners whose views of list and seats are late, that stop and wake: each
 //! machine that all were told of for long enough is worked by somebody who runs.
-use basaltpitch_aperture::{hash, Part, Role, Terms};
+use basaltpitch_subsetting::{hash, Part, Role, Terms};
 use pathfinding::directed::bfs::bfs_reach;
 use std::collections::VecDeque;
 
