--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -3,7 +3,7 @@
 use basaltpitch::host::{Host, Outcome, Readiness};
 use basaltpitch::logic::Planner;
 use basaltpitch_fields::{lay_out, names, Fields, Names};
-use basaltpitch_indices::{number_of, Door};
+use basaltpitch_interner::{number_of, Door};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::fmt::Write as _;
--- a/planner/src/core.rs
+++ b/planner/src/core.rs
@@ -22,7 +22,7 @@
 use basaltpitch_agent::wire::{self, Body};
 use basaltpitch_clauses::deciding::State;
 use basaltpitch_clauses::{Clause, Machine as Place, Task as Facts};
-use basaltpitch_indices::{number_of, Lodgers};
+use basaltpitch_interner::{number_of, Lodgers};
 use basaltpitch_ledger::{
     Act, Answer, Asking, CopyState, Ending, Held, Kind, Launch, Ledger, Life, Phase, Promises, Reason,
     PROMISES,
--- a/tenants/src/lib.rs
+++ b/tenants/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod rights;
 pub mod trust;
 
-use basaltpitch_indices::Door;
+use basaltpitch_interner::Door;
 use closure::Closure;
 use fnv::FnvHashMap;
 use roaring::RoaringBitmap;
