--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -175,10 +175,10 @@
 }
 
 /// The clauses of an installation's files with a name and place of each, or all that is wrong with them.
-fn clauses_of(found: &Installation) -> Result<Vec<(basaltpitch_clauses::Clause, String)>, Failure> {
+fn clauses_of(found: &Installation) -> Result<Vec<(basaltpitch_constraints::Clause, String)>, Failure> {
     let read =
-        basaltpitch_clauses::read::read(&found.all).map_err(|faults| wrong(&found.sources, &faults))?;
-    let placed = |c: basaltpitch_clauses::Clause| {
+        basaltpitch_constraints::read::read(&found.all).map_err(|faults| wrong(&found.sources, &faults))?;
+    let placed = |c: basaltpitch_constraints::Clause| {
         let (file, line, _) = found.sources.place(c.at);
         let words = format!("{} ({file}:{line})", c.name);
         (c, words)
--- a/clauses/benches/decision.rs
+++ b/constraints/benches/decision.rs
@@ -1,9 +1,9 @@
 //! What clauses cost a decision: asking of every machine whether it is allowed, and counting one copy more
 //! and less, by mended sets and by a plain evaluation of the clauses that bind the task. `cargo bench -p
-//! basaltpitch-clauses`.
-use basaltpitch_clauses::conflict::conflict;
-use basaltpitch_clauses::deciding::{Deciding, State};
-use basaltpitch_clauses::{By, Clause, Gone, Level, Machine, Rule, Scope, Task, Which};
+//! basaltpitch-constraints`.
+use basaltpitch_constraints::conflict::conflict;
+use basaltpitch_constraints::deciding::{Deciding, State};
+use basaltpitch_constraints::{By, Clause, Gone, Level, Machine, Rule, Scope, Task, Which};
 use divan::{black_box, Bencher};
 
 const SIZES: [(usize, usize); 9] = [
--- a/clauses/tests/plain.rs
+++ b/constraints/tests/plain.rs
@@ -1,9 +1,9 @@
 //! The compiled form beside a plain evaluator of what clauses mean, on drawn clauses, fleets and days;
 //! conflicts beside brute force on small fleets. The evaluator shares the grammar's types with the compiler
 //! and nothing else.
-use basaltpitch_clauses::conflict::conflict;
-use basaltpitch_clauses::deciding::{Deciding, State};
-use basaltpitch_clauses::{By, Clause, Gone, Level, Machine, Rule, Scope, Task, Which};
+use basaltpitch_constraints::conflict::conflict;
+use basaltpitch_constraints::deciding::{Deciding, State};
+use basaltpitch_constraints::{By, Clause, Gone, Level, Machine, Rule, Scope, Task, Which};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
--- a/clauses/tests/reading.rs
+++ b/constraints/tests/reading.rs
@@ -1,7 +1,7 @@
 //! Clauses as installations write them: what they become, and what makes no sense, with both places.
-use basaltpitch_clauses::deciding::{Deciding, State};
-use basaltpitch_clauses::read::read;
-use basaltpitch_clauses::{Machine, Task};
+use basaltpitch_constraints::deciding::{Deciding, State};
+use basaltpitch_constraints::read::read;
+use basaltpitch_constraints::{Machine, Task};
 use basaltpitch_records::installation::load_texts;
 use expect_test::{expect, Expect};
 
--- a/planner/src/bounds.rs
+++ b/planner/src/bounds.rs
@@ -1,8 +1,8 @@
 //! The installation's clauses as the placing module's hands hold them: which group each open task is in, and
-//! which copies count where. It decides nothing: `basaltpitch_clauses` does.
-use basaltpitch_clauses::conflict::conflict;
-use basaltpitch_clauses::deciding::{Deciding, State};
-use basaltpitch_clauses::{Clause, Machine, Task};
+//! which copies count where. It decides nothing: `basaltpitch_constraints` does.
+use basaltpitch_constraints::conflict::conflict;
+use basaltpitch_constraints::deciding::{Deciding, State};
+use basaltpitch_constraints::{Clause, Machine, Task};
 use basaltpitch_ledger::Launch;
 use std::rc::Rc;
 
--- a/planner/src/core.rs
+++ b/planner/src/core.rs
@@ -20,8 +20,8 @@
 use basaltpitch::logic::Planner;
 use basaltpitch_agent::dial::{Dials, Pace};
 use basaltpitch_agent::wire::{self, Body};
-use basaltpitch_clauses::deciding::State;
-use basaltpitch_clauses::{Clause, Machine as Place, Task as Facts};
+use basaltpitch_constraints::deciding::State;
+use basaltpitch_constraints::{Clause, Machine as Place, Task as Facts};
 use basaltpitch_interner::{number_of, Lodgers};
 use basaltpitch_ledger::{
     Act, Answer, Asking, CopyState, Ending, Held, Kind, Launch, Ledger, Life, Phase, Promises, Reason,
--- a/planner/src/hands.rs
+++ b/planner/src/hands.rs
@@ -1,7 +1,7 @@
 //! The placing module's hands: each of its calls goes into the ledger or becomes a wish of the planner's.
 use crate::bounds::Bounds;
 use basaltpitch::host::Host;
-use basaltpitch_clauses::Task;
+use basaltpitch_constraints::Task;
 use basaltpitch_ledger::{Act, Launch, Ledger};
 use basaltpitch_timers::Wheel;
 use std::cell::RefCell;
--- a/planner/src/service.rs
+++ b/planner/src/service.rs
@@ -14,7 +14,7 @@
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Links, Party};
 use basaltpitch_agent::wire::{Body, Role};
-use basaltpitch_clauses::Clause;
+use basaltpitch_constraints::Clause;
 use basaltpitch_directory::{Before, Directory, Fault, Seen, Swept};
 use basaltpitch_store::Store;
 use basaltpitch_subsetting::Terms;
--- a/planner/src/view.rs
+++ b/planner/src/view.rs
@@ -85,7 +85,7 @@
             if !text("tenant").is_empty() {
                 core.tenancy().may_see(core.clock_now(), login, &text("tenant"))?;
             }
-            basaltpitch_clauses::Task {
+            basaltpitch_constraints::Task {
                 framework: text("framework"),
                 tenant: text("tenant"),
                 service: asked["service"].as_u64().unwrap_or(0),
--- a/planner/tests/clauses.rs
+++ b/planner/tests/clauses.rs
@@ -4,7 +4,7 @@
 mod net;
 
 use basaltpitch_agent::wire::{self, AnswerKind, Body};
-use basaltpitch_clauses::read::read;
+use basaltpitch_constraints::read::read;
 use basaltpitch_records::installation::load_texts;
 use net::{Net, BIG, ONCE, SMALL};
 
--- a/planner/tests/parts.rs
+++ b/planner/tests/parts.rs
@@ -2,7 +2,7 @@
 mod net;
 
 use basaltpitch_agent::wire::{AnswerKind, Body, Fetch};
-use basaltpitch_clauses::read::read;
+use basaltpitch_constraints::read::read;
 use basaltpitch_records::installation::load_texts;
 use basaltpitch_subsetting::{hash, Terms};
 use net::{Net, ONCE, SMALL};
