--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -170,8 +170,8 @@
 }
 
 /// The directory that an installation's files name, or all that is wrong with it.
-fn directory_of(found: &Installation) -> Result<Option<basaltpitch_directory::Directory>, Failure> {
-    basaltpitch_directory::read_settings(&found.all).map_err(|faults| wrong(&found.sources, &faults))
+fn directory_of(found: &Installation) -> Result<Option<basaltpitch_ldap::Directory>, Failure> {
+    basaltpitch_ldap::read_settings(&found.all).map_err(|faults| wrong(&found.sources, &faults))
 }
 
 /// The clauses of an installation's files with a name and place of each, or all that is wrong with them.
--- a/cli/src/tenants.rs
+++ b/cli/src/tenants.rs
@@ -2,7 +2,7 @@
 use crate::ask::{question, show, At};
 use crate::Failure;
 use basaltpitch_agent::wire::{self, Body};
-use basaltpitch_directory::{sweep, Before, Directory};
+use basaltpitch_ldap::{sweep, Before, Directory};
 use basaltpitch_tenants::What;
 use clap::Subcommand;
 use std::time::Instant;
--- a/directory/tests/over_a_restart.rs
+++ b/ldap/tests/over_a_restart.rs
@@ -1,6 +1,6 @@
 //! The whole way on loopback: a directory is swept, remembered in a store, goes away, and a successor serves
 //! on.
-use basaltpitch_directory::{sweep, Before, Names, Source};
+use basaltpitch_ldap::{sweep, Before, Names, Source};
 use basaltpitch_standins::directory::{self, laid, Trouble};
 use basaltpitch_store::{Found, Store};
 use basaltpitch_tenants::health::{State, PACE};
--- a/directory/tests/settings.rs
+++ b/ldap/tests/settings.rs
@@ -1,5 +1,5 @@
 //! The record `directory`: what is wrong in it is named with its place, all of it at once.
-use basaltpitch_directory::read_settings;
+use basaltpitch_ldap::read_settings;
 use basaltpitch_records::installation::load_texts;
 use expect_test::{expect, Expect};
 
--- a/directory/tests/sweeps.rs
+++ b/ldap/tests/sweeps.rs
@@ -1,6 +1,6 @@
 //! Sweeps of a stand-in directory on loopback, well and with each of its troubles; entries of every kind of
 //! nonsense.
-use basaltpitch_directory::{plain_dn, read, sweep, Before, Fault, Names, Raw, Source, Swept};
+use basaltpitch_ldap::{plain_dn, read, sweep, Before, Fault, Names, Raw, Source, Swept};
 use basaltpitch_standins::directory::{self, laid, Directory, Laid, Trouble};
 use basaltpitch_tenants::trust::{Trust, CAUTION};
 use basaltpitch_tenants::{Id, Tenants, What};
--- a/directory/tests/ways.rs
+++ b/ldap/tests/ways.rs
@@ -1,6 +1,6 @@
 //! The three ways to read a directory beside each other, under random edits and cuts; TLS; two servers that
 //! disagree.
-use basaltpitch_directory::{filter_of_ids, sweep, Before, Fault, Names, Seen, Source};
+use basaltpitch_ldap::{filter_of_ids, sweep, Before, Fault, Names, Seen, Source};
 use basaltpitch_standins::directory::{self, laid, Directory, Laid, Shield, Trouble};
 use basaltpitch_tenants::health::Pace;
 use basaltpitch_tenants::keeper::Keeper;
@@ -107,9 +107,9 @@
         let raw = |(dn, attributes): Laid| {
             let text = |v: Vec<u8>| String::from_utf8(v).unwrap();
             let texts = attributes.into_iter().map(|(k, v)| (k, v.into_iter().map(text).collect()));
-            basaltpitch_directory::Raw { dn, texts: texts.collect(), bytes: Default::default() }
+            basaltpitch_ldap::Raw { dn, texts: texts.collect(), bytes: Default::default() }
         };
-        let all = self.laid().into_iter().map(|l| basaltpitch_directory::read(names, raw(l)).unwrap());
+        let all = self.laid().into_iter().map(|l| basaltpitch_ldap::read(names, raw(l)).unwrap());
         all.map(|e| (e.id, e)).collect()
     }
 }
--- a/planner/src/service.rs
+++ b/planner/src/service.rs
@@ -15,7 +15,7 @@
 use basaltpitch_agent::session::{Event, Links, Party};
 use basaltpitch_agent::wire::{Body, Role};
 use basaltpitch_constraints::Clause;
-use basaltpitch_directory::{Before, Directory, Fault, Seen, Swept};
+use basaltpitch_ldap::{Before, Directory, Fault, Seen, Swept};
 use basaltpitch_store::Store;
 use basaltpitch_subsetting::Terms;
 use basaltpitch_tenants::keeper::FORMAT;
@@ -118,7 +118,7 @@
             let answered = move || {
                 let _ = first.try_send(Heard::Answered(number));
             };
-            let swept = basaltpitch_directory::sweep(&source, server, before, answered).await;
+            let swept = basaltpitch_ldap::sweep(&source, server, before, answered).await;
             let _ = news.send(Heard::Ended(number, swept)).await;
         });
         self.under = Some((task, running));
