--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -2,8 +2,8 @@
 //! calls the planner's method for that event, and writes its calls back. It decides nothing.
 use basaltpitch::host::{Host, Outcome, Readiness};
 use basaltpitch::logic::Planner;
-use basaltpitch_fields::{lay_out, names, Fields, Names};
 use basaltpitch_interner::{number_of, Door};
+use basaltpitch_json_fields::{lay_out, names, Fields, Names};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::fmt::Write as _;
