--- a/cli/src/council.rs
+++ b/cli/src/council.rs
@@ -3,10 +3,10 @@
 use crate::{load, Failure};
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{self, Body, Role};
+use basaltpitch_config::installation::Installation;
 use basaltpitch_lease::{agreed, Terms};
 use basaltpitch_planner::voter::{self, Start};
 use basaltpitch_planner::voters::Way;
-use basaltpitch_records::installation::Installation;
 use basaltpitch_store::{Found, Store};
 use serde_json::{json, Value};
 use std::io::Write;
@@ -47,7 +47,7 @@
 pub fn council_of(found: &Installation) -> Option<(Terms, Vec<Way>)> {
     let council = found.all.get("council")?;
     let time = |field: &str| council.time(field).unwrap_or(0);
-    let text = |v: &basaltpitch_records::Settled, field: &str| v.text(field).unwrap_or("").to_owned();
+    let text = |v: &basaltpitch_config::Settled, field: &str| v.text(field).unwrap_or("").to_owned();
     let way = |v| Way { name: text(v, "name"), address: text(v, "address") };
     Some((
         Terms { term: time("term"), drift: time("drift") },
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -14,8 +14,8 @@
 mod serve;
 mod tenants;
 
-use basaltpitch_records::installation::{self, Installation};
-use basaltpitch_records::{Fault, Sources};
+use basaltpitch_config::installation::{self, Installation};
+use basaltpitch_config::{Fault, Sources};
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/cli/tests/parts.rs
+++ b/cli/tests/parts.rs
@@ -3,7 +3,7 @@
 //! only outside a part. Judged by laws: each ready machine is worked by somebody, each asking gets one answer.
 mod site;
 
-use basaltpitch_records::installation::load_texts;
+use basaltpitch_config::installation::load_texts;
 use basaltpitch_standins::drill::world;
 use basaltpitch_standins::machine::{self, Machine, Word};
 use basaltpitch_standins::register::{self, Lateness};
--- a/records/tests/records.rs
+++ b/config/tests/records.rs
@@ -1,5 +1,5 @@
 //! What the reader of records says, good and bad, as an operator sees it.
-use basaltpitch_records::installation::{load_texts, Installation, Laid, Seat};
+use basaltpitch_config::installation::{load_texts, Installation, Laid, Seat};
 use expect_test::expect;
 
 const GOOD: &str = r#"
--- a/constraints/src/lib.rs
+++ b/constraints/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod deciding;
 pub mod read;
 
-use basaltpitch_records::Span;
+use basaltpitch_config::Span;
 use serde::{Deserialize, Serialize};
 
 /// Which tasks: all parts that are given must match. Nothing given: all tasks.
--- a/constraints/src/read.rs
+++ b/constraints/src/read.rs
@@ -2,7 +2,7 @@
 //! places: names that stand for nothing, a rack of no hall, a spread of nothing, clauses that can never hold
 //! together, and one that another swallows.
 use crate::{By, Clause, Gone, Level, Rule, Scope, Which};
-use basaltpitch_records::{Fault, Settled};
+use basaltpitch_config::{Fault, Settled};
 
 /// Names that clauses may use.
 struct Known<'a> {
@@ -11,7 +11,7 @@
 }
 
 impl Known<'_> {
-    fn named(&mut self, list: &str, name: &str, at: basaltpitch_records::Span) {
+    fn named(&mut self, list: &str, name: &str, at: basaltpitch_config::Span) {
         let names: Vec<String> = match list {
             "zones" => self.all.texts(list).into_iter().map(|x| x.0).collect(),
             _ => self.all.list(list).iter().filter_map(|x| x.text("name").map(str::to_owned)).collect(),
--- a/constraints/tests/reading.rs
+++ b/constraints/tests/reading.rs
@@ -1,8 +1,8 @@
 //! Clauses as installations write them: what they become, and what makes no sense, with both places.
+use basaltpitch_config::installation::load_texts;
 use basaltpitch_constraints::deciding::{Deciding, State};
 use basaltpitch_constraints::read::read;
 use basaltpitch_constraints::{Machine, Task};
-use basaltpitch_records::installation::load_texts;
 use expect_test::{expect, Expect};
 
 const SITE: &str = r#"zones: ["hall-a", "hall-b"]
--- a/ldap/src/settings.rs
+++ b/ldap/src/settings.rs
@@ -2,7 +2,7 @@
 //! told. What types alone do not find is checked here: addresses, filters, names and paces that make no sense
 //! together.
 use crate::{Names, Source};
-use basaltpitch_records::{Fault, Settled};
+use basaltpitch_config::{Fault, Settled};
 use basaltpitch_tenants::health::Pace;
 use basaltpitch_tenants::rights::Terms;
 use basaltpitch_tenants::trust::Caution;
@@ -91,7 +91,7 @@
     }
     for (record, fields) in [("attributes", d.get("attributes")), ("classes", d.get("classes"))] {
         for (field, value) in fields.into_iter().flat_map(Settled::fields) {
-            let basaltpitch_records::Plain::Text(name) = &value.value else { continue };
+            let basaltpitch_config::Plain::Text(name) = &value.value else { continue };
             let none = field == "mark" && name.is_empty();
             if !none && !is_name(name) {
                 wrong(
--- a/ldap/tests/settings.rs
+++ b/ldap/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The record `directory`: what is wrong in it is named with its place, all of it at once.
+use basaltpitch_config::installation::load_texts;
 use basaltpitch_ldap::read_settings;
-use basaltpitch_records::installation::load_texts;
 use expect_test::{expect, Expect};
 
 const SITE: &str = "zones: [\"z\"]\nkinds: [{name: \"std\", cores: 16, memory: 32}]\n\
--- a/planner/tests/clauses.rs
+++ b/planner/tests/clauses.rs
@@ -4,8 +4,8 @@
 mod net;
 
 use basaltpitch_agent::wire::{self, AnswerKind, Body};
+use basaltpitch_config::installation::load_texts;
 use basaltpitch_constraints::read::read;
-use basaltpitch_records::installation::load_texts;
 use net::{Net, BIG, ONCE, SMALL};
 
 const S: i64 = 1_000_000;
--- a/planner/tests/parts.rs
+++ b/planner/tests/parts.rs
@@ -2,8 +2,8 @@
 mod net;
 
 use basaltpitch_agent::wire::{AnswerKind, Body, Fetch};
+use basaltpitch_config::installation::load_texts;
 use basaltpitch_constraints::read::read;
-use basaltpitch_records::installation::load_texts;
 use basaltpitch_subsetting::{hash, Terms};
 use net::{Net, ONCE, SMALL};
 use serde_json::Value;
--- a/standins/src/day.rs
+++ b/standins/src/day.rs
@@ -2,8 +2,8 @@
 use crate::machine::{Machine, Word, World};
 use crate::register::Register;
 use crate::rough::bit_of;
-use basaltpitch_records::installation::Installation;
-use basaltpitch_records::Settled;
+use basaltpitch_config::installation::Installation;
+use basaltpitch_config::Settled;
 use rand::seq::SliceRandom;
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
--- a/standins/src/drill.rs
+++ b/standins/src/drill.rs
@@ -11,8 +11,8 @@
 use basaltpitch_agent::wire::Submit;
 use basaltpitch_audit::laws::{Law, Must, Whose};
 use basaltpitch_audit::{Auditor, Breach, Framework, Spot, Tally, Terms};
-use basaltpitch_records::installation::Installation;
-use basaltpitch_records::{Plain, Settled};
+use basaltpitch_config::installation::Installation;
+use basaltpitch_config::{Plain, Settled};
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use serde::Serialize;
@@ -239,7 +239,7 @@
 
 /// The terms that an installation's text sets.
 pub fn terms_of(text: &str) -> Terms {
-    let site = basaltpitch_records::installation::load_texts(&[("site.rec", text)]);
+    let site = basaltpitch_config::installation::load_texts(&[("site.rec", text)]);
     terms(&site.map_err(|e| e.1).expect("an installation in order").all)
 }
 
--- a/standins/src/feast.rs
+++ b/standins/src/feast.rs
@@ -4,7 +4,7 @@
 use crate::directory::{self, laid, Directory, Laid, Trouble};
 use crate::machine::World;
 use basaltpitch_agent::wire::Answer;
-use basaltpitch_records::Settled;
+use basaltpitch_config::Settled;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
--- a/standins/src/how.rs
+++ b/standins/src/how.rs
@@ -1,5 +1,5 @@
 //! How a drill is run: what the drill and its processes both go by.
-use basaltpitch_records::installation::Installation;
+use basaltpitch_config::installation::Installation;
 use std::path::PathBuf;
 
 /// How a drill is run.
--- a/standins/src/rig.rs
+++ b/standins/src/rig.rs
@@ -7,7 +7,7 @@
 use crate::machine::World;
 use crate::owner::Front;
 use crate::relay::{self, Ways};
-use basaltpitch_records::Settled;
+use basaltpitch_config::Settled;
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
--- a/standins/tests/register.rs
+++ b/standins/tests/register.rs
@@ -3,7 +3,7 @@
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Party};
 use basaltpitch_agent::wire::{Body, Fetch, List, Role, Watch};
-use basaltpitch_records::installation::load_texts;
+use basaltpitch_config::installation::load_texts;
 use basaltpitch_standins::drill::{machines, world};
 use basaltpitch_standins::machine::Word;
 use basaltpitch_standins::register::{self, Lateness};
