--- a/cli/src/drill.rs
+++ b/cli/src/drill.rs
@@ -1,7 +1,7 @@
 //! `basaltpitch drill`: a scripted day of trouble, judged by the traffic.
 use crate::{load, Failure};
-use basaltpitch_standins::drill::{run, Verdict};
-use basaltpitch_standins::how::How;
+use basaltpitch_testbed::drill::{run, Verdict};
+use basaltpitch_testbed::how::How;
 use std::path::PathBuf;
 
 #[derive(clap::Args)]
--- a/cli/src/machine.rs
+++ b/cli/src/machine.rs
@@ -1,8 +1,8 @@
 //! `basaltpitch machine`: one stand-in machine, with a register of its own that lists it.
 use crate::{load, Failure};
-use basaltpitch_standins::drill::{self, world};
-use basaltpitch_standins::machine::Word;
-use basaltpitch_standins::register::{self, Lateness};
+use basaltpitch_testbed::drill::{self, world};
+use basaltpitch_testbed::machine::Word;
+use basaltpitch_testbed::register::{self, Lateness};
 use std::path::PathBuf;
 use std::rc::Rc;
 
--- a/cli/src/measure_council.rs
+++ b/cli/src/measure_council.rs
@@ -4,8 +4,8 @@
 use crate::processes::{measured, site, Process, Used};
 use crate::Failure;
 use basaltpitch_planner::council::Tenure;
-use basaltpitch_standins::relay::{self, Ways};
-use basaltpitch_standins::rig::addresses;
+use basaltpitch_testbed::relay::{self, Ways};
+use basaltpitch_testbed::rig::addresses;
 use serde_json::{json, Value};
 use std::io;
 use std::path::Path;
--- a/cli/src/measure_scale/hollow.rs
+++ b/cli/src/measure_scale/hollow.rs
@@ -3,7 +3,7 @@
 use super::site;
 use crate::serve::Serve;
 use crate::{load, Failure};
-use basaltpitch_standins::hollow::{clients, machines, register};
+use basaltpitch_testbed::hollow::{clients, machines, register};
 use clap::Parser;
 use serde_json::{json, Value};
 use std::io::{BufRead, Write};
--- a/cli/src/measure_scale/laid.rs
+++ b/cli/src/measure_scale/laid.rs
@@ -1,9 +1,9 @@
 //! A scale run as it is laid out: its processes, and what is read off them.
 use super::{progress, site, Fault, Measure, MOST_MIB};
 use crate::processes::{self, Process, Used};
-use basaltpitch_standins::hollow::traffic::{self, Traffic, Way, KINDS};
-use basaltpitch_standins::relay::{self, Ways};
-use basaltpitch_standins::rig::addresses;
+use basaltpitch_testbed::hollow::traffic::{self, Traffic, Way, KINDS};
+use basaltpitch_testbed::relay::{self, Ways};
+use basaltpitch_testbed::rig::addresses;
 use futures_util::FutureExt;
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
--- a/cli/src/measure_scale/pages.rs
+++ b/cli/src/measure_scale/pages.rs
@@ -1,7 +1,7 @@
 //! Sweeps along one axis, lines through their points, and pages that hold what was measured between marks.
 use super::{wrong, Measure};
 use crate::Failure;
-use basaltpitch_standins::hollow::fit::{line, Line};
+use basaltpitch_testbed::hollow::fit::{line, Line};
 use serde_json::{json, Map, Value};
 use std::path::Path;
 
--- a/cli/src/measure_scale/site.rs
+++ b/cli/src/measure_scale/site.rs
@@ -1,5 +1,5 @@
 //! The installation of a scale run: its regions, zones, frameworks and tenants, as text.
-use basaltpitch_standins::hollow::clients::Asked;
+use basaltpitch_testbed::hollow::clients::Asked;
 
 /// Regions with their zones.
 pub const REGIONS: [(&str, &[&str]); 3] = [
--- a/cli/src/measure_seats.rs
+++ b/cli/src/measure_seats.rs
@@ -3,7 +3,7 @@
 //! does not rise.
 use crate::processes::{measured, site, Process};
 use crate::Failure;
-use basaltpitch_standins::rig::addresses;
+use basaltpitch_testbed::rig::addresses;
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 use std::io;
--- a/cli/src/measure_tenants.rs
+++ b/cli/src/measure_tenants.rs
@@ -5,7 +5,7 @@
 use crate::ask::{question, At};
 use crate::Failure;
 use basaltpitch_agent::wire::{self, Body};
-use basaltpitch_standins::directory::{self, laid, Laid};
+use basaltpitch_testbed::directory::{self, laid, Laid};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc as channel;
 use std::time::{Duration, Instant};
--- a/cli/tests/commands.rs
+++ b/cli/tests/commands.rs
@@ -75,7 +75,7 @@
 /// A directory that is tried by `check`, and a planner that learns from it and is asked about it.
 #[test]
 fn tenants_of_a_directory() {
-    use basaltpitch_standins::directory::{self, laid};
+    use basaltpitch_testbed::directory::{self, laid};
     let (ready, address) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
--- a/cli/tests/parts.rs
+++ b/cli/tests/parts.rs
@@ -4,9 +4,9 @@
 mod site;
 
 use basaltpitch_config::installation::load_texts;
-use basaltpitch_standins::drill::world;
-use basaltpitch_standins::machine::{self, Machine, Word};
-use basaltpitch_standins::register::{self, Lateness};
+use basaltpitch_testbed::drill::world;
+use basaltpitch_testbed::machine::{self, Machine, Word};
+use basaltpitch_testbed::register::{self, Lateness};
 use serde_json::Value;
 use site::{asked, seated, Process, Relays, Site, PATIENCE};
 use std::collections::{BTreeMap, BTreeSet};
--- a/cli/tests/site/mod.rs
+++ b/cli/tests/site/mod.rs
@@ -1,6 +1,6 @@
 //! What tests of several processes share: processes of the binary, relays between them, an installation.
 #![allow(dead_code)]
-use basaltpitch_standins::relay::{self, Ways};
+use basaltpitch_testbed::relay::{self, Ways};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
--- a/ldap/tests/over_a_restart.rs
+++ b/ldap/tests/over_a_restart.rs
@@ -1,12 +1,12 @@
 //! The whole way on loopback: a directory is swept, remembered in a store, goes away, and a successor serves
 //! on.
 use basaltpitch_ldap::{sweep, Before, Names, Source};
-use basaltpitch_standins::directory::{self, laid, Trouble};
 use basaltpitch_store::{Found, Store};
 use basaltpitch_tenants::health::{State, PACE};
 use basaltpitch_tenants::keeper::{Keeper, FORMAT};
 use basaltpitch_tenants::rights::{Asks, Terms};
 use basaltpitch_tenants::trust::CAUTION;
+use basaltpitch_testbed::directory::{self, laid, Trouble};
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::task::LocalSet;
--- a/ldap/tests/sweeps.rs
+++ b/ldap/tests/sweeps.rs
@@ -1,9 +1,9 @@
 //! Sweeps of a stand-in directory on loopback, well and with each of its troubles; entries of every kind of
 //! nonsense.
 use basaltpitch_ldap::{plain_dn, read, sweep, Before, Fault, Names, Raw, Source, Swept};
-use basaltpitch_standins::directory::{self, laid, Directory, Laid, Trouble};
 use basaltpitch_tenants::trust::{Trust, CAUTION};
 use basaltpitch_tenants::{Id, Tenants, What};
+use basaltpitch_testbed::directory::{self, laid, Directory, Laid, Trouble};
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::path::PathBuf;
--- a/ldap/tests/ways.rs
+++ b/ldap/tests/ways.rs
@@ -1,11 +1,11 @@
 //! The three ways to read a directory beside each other, under random edits and cuts; TLS; two servers that
 //! disagree.
 use basaltpitch_ldap::{filter_of_ids, sweep, Before, Fault, Names, Seen, Source};
-use basaltpitch_standins::directory::{self, laid, Directory, Laid, Shield, Trouble};
 use basaltpitch_tenants::health::Pace;
 use basaltpitch_tenants::keeper::Keeper;
 use basaltpitch_tenants::trust::Caution;
 use basaltpitch_tenants::{Entry, Id};
+use basaltpitch_testbed::directory::{self, laid, Directory, Laid, Shield, Trouble};
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
--- a/standins/tests/hollow.rs
+++ b/testbed/tests/hollow.rs
@@ -2,9 +2,9 @@
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Party};
 use basaltpitch_agent::wire::{self, Body, Entry, Frame, Readiness, Role};
-use basaltpitch_standins::hollow::fit::line;
-use basaltpitch_standins::hollow::register;
-use basaltpitch_standins::hollow::traffic::{relay, Traffic, Way, KINDS};
+use basaltpitch_testbed::hollow::fit::line;
+use basaltpitch_testbed::hollow::register;
+use basaltpitch_testbed::hollow::traffic::{relay, Traffic, Way, KINDS};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/standins/tests/rough.rs
+++ b/testbed/tests/rough.rs
@@ -2,7 +2,7 @@
 use basaltpitch_agent::framing::Cutter;
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{Body, Frame, Heartbeat, Hello, Role};
-use basaltpitch_standins::rough::{carry, Knobs, Seen};
+use basaltpitch_testbed::rough::{carry, Knobs, Seen};
 use prost::Message;
 use std::cell::RefCell;
 use std::rc::Rc;
