--- a/audit/tests/forged.rs
+++ b/invariants/tests/forged.rs
@@ -3,7 +3,7 @@
     self, Answer, Body, Cancel, Entry, Hello, Inventory, Launch, LaunchId, List, Readiness, Refused, Submit,
     Yes,
 };
-use basaltpitch_audit::{Auditor, Framework, Life, Spot, Terms};
+use basaltpitch_invariants::{Auditor, Framework, Life, Spot, Terms};
 use std::collections::HashMap;
 
 const S: i64 = 1_000_000;
--- a/planner/tests/net/mod.rs
+++ b/planner/tests/net/mod.rs
@@ -6,7 +6,7 @@
 use basaltpitch_agent::holder::{Holder, Id, Say, State};
 use basaltpitch_agent::why;
 use basaltpitch_agent::wire::{self, Body, EndedHow, Entry, Launch, LaunchId, Readiness};
-use basaltpitch_audit::{Auditor, Breach, Framework, Spot, Tally, Terms};
+use basaltpitch_invariants::{Auditor, Breach, Framework, Spot, Tally, Terms};
 use basaltpitch_planner::core::{Core, Out, Who, REGISTER};
 use basaltpitch_subsetting as aperture;
 use std::collections::{BTreeMap, HashMap, VecDeque};
--- a/planner/tests/sockets.rs
+++ b/planner/tests/sockets.rs
@@ -200,7 +200,7 @@
         second.say(submit("tally", 1, "big", 2.0)).await;
         assert_eq!(second.answer().await, a);
         let (_, tally) =
-            world.auditor.replace(basaltpitch_audit::Auditor::new(drill::terms_of(SITE))).finish(0);
+            world.auditor.replace(basaltpitch_invariants::Auditor::new(drill::terms_of(SITE))).finish(0);
         assert_eq!(tally.launches, 1);
     });
 }
--- a/testbed/src/machine.rs
+++ b/testbed/src/machine.rs
@@ -9,7 +9,7 @@
 use basaltpitch_agent::session::{Event, Party};
 use basaltpitch_agent::why;
 use basaltpitch_agent::wire::{self, Body, EndedHow, Launch, LaunchId, Report, Role};
-use basaltpitch_audit::Auditor;
+use basaltpitch_invariants::Auditor;
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, VecDeque};
--- a/testbed/src/owner.rs
+++ b/testbed/src/owner.rs
@@ -6,7 +6,7 @@
 use basaltpitch_agent::link::{self, News, Order};
 use basaltpitch_agent::session::{Event, Party};
 use basaltpitch_agent::wire::{self, AnswerKind, Body, LifeHow, Role, Submit};
-use basaltpitch_audit::Life;
+use basaltpitch_invariants::Life;
 use hdrhistogram::Histogram;
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::cell::RefCell;
