--- a/cli/src/council.rs
+++ b/cli/src/council.rs
@@ -7,7 +7,7 @@
 use basaltpitch_lease::{agreed, Terms};
 use basaltpitch_planner::voter::{self, Start};
 use basaltpitch_planner::voters::Way;
-use basaltpitch_store::{Found, Store};
+use basaltpitch_snapshot_store::{Found, Store};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::path::{Path, PathBuf};
--- a/ldap/tests/over_a_restart.rs
+++ b/ldap/tests/over_a_restart.rs
@@ -1,7 +1,7 @@
 //! The whole way on loopback: a directory is swept, remembered in a store, goes away, and a successor serves
 //! on.
 use basaltpitch_ldap::{sweep, Before, Names, Source};
-use basaltpitch_store::{Found, Store};
+use basaltpitch_snapshot_store::{Found, Store};
 use basaltpitch_tenants::health::{State, PACE};
 use basaltpitch_tenants::keeper::{Keeper, FORMAT};
 use basaltpitch_tenants::rights::{Asks, Terms};
--- a/planner/src/service.rs
+++ b/planner/src/service.rs
@@ -16,7 +16,7 @@
 use basaltpitch_agent::wire::{Body, Role};
 use basaltpitch_constraints::Clause;
 use basaltpitch_ldap::{Before, Directory, Fault, Seen, Swept};
-use basaltpitch_store::Store;
+use basaltpitch_snapshot_store::Store;
 use basaltpitch_subsetting::Terms;
 use basaltpitch_tenants::keeper::FORMAT;
 use std::collections::HashMap;
--- a/planner/src/voter.rs
+++ b/planner/src/voter.rs
@@ -8,7 +8,7 @@
 use basaltpitch_lease::record::{Have, Revisions, Said};
 use basaltpitch_lease::voter::{Kept, Voter};
 use basaltpitch_lease::{Answer, Note, Terms};
-use basaltpitch_store::Store;
+use basaltpitch_snapshot_store::Store;
 use prost::Message;
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
--- a/store/tests/files.rs
+++ b/snapshot_store/tests/files.rs
@@ -1,5 +1,5 @@
 //! What becomes of a file that was cut, overwritten or never ours.
-use basaltpitch_store::{Fault, Found, Snapshot, Store};
+use basaltpitch_snapshot_store::{Fault, Found, Snapshot, Store};
 use proptest::prelude::*;
 use std::path::{Path, PathBuf};
 
