--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -2,7 +2,7 @@
 //! calls the planner's method for that event, and writes its calls back. It decides nothing.
 use basaltpitch::host::{Host, Outcome, Readiness};
 use basaltpitch::logic::Planner;
-use basaltpitch_interner::{number_of, Door};
+use basaltpitch_interner::{fnv1a_64, IdAllocator};
 use basaltpitch_json_fields::{lay_out, names, Fields, Names};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -15,9 +15,9 @@
 struct Line {
     who: u64,
     text: String,
-    tasks: Door<String>,
-    machines: Door<String>,
-    services: Door<u64>,
+    tasks: IdAllocator<String>,
+    machines: IdAllocator<String>,
+    services: IdAllocator<u64>,
     /// Per task: launches without an outcome, and whether it has had its final answer.
     out: Vec<u32>,
     over: Vec<bool>,
@@ -45,7 +45,7 @@
     }
 
     fn enter_task(&mut self, id: String, out: u32) -> usize {
-        let at = self.tasks.enter(id);
+        let at = self.tasks.intern(id);
         if at >= self.out.len() {
             self.out.resize(at + 1, 0);
             self.over.resize(at + 1, false);
@@ -59,7 +59,7 @@
     fn close(&mut self, task: usize) {
         self.over[task] = true;
         if self.out[task] == 0 {
-            self.tasks.leave(task);
+            self.tasks.release(task);
         }
     }
 }
@@ -231,14 +231,14 @@
                     "gone" => Readiness::Gone,
                     _ => return Err("field 'readiness' is none of the known states".into()),
                 };
-                let machine = p.host.machines.enter(e.text("machine")?);
+                let machine = p.host.machines.intern(e.text("machine")?);
                 let zone = e.name_of("az", "localities", &p.host.names)?.unwrap_or(0);
                 let kind = e.name_index("model", "machineTypes", &p.host.names)?;
                 let cell = e.opt("bay", Value::as_u64)?.unwrap_or(0) as usize;
                 let started = e.opt("startedAtUs", Value::as_i64)?.unwrap_or(0);
                 let left = |name| Ok::<f64, String>(e.opt(name, Value::as_f64)?.unwrap_or(0.0));
                 let left = (left("cpuLeft")?, left("memLeft")?);
-                p.machine_number(machine, number_of(p.host.machines.id(machine)));
+                p.machine_number(machine, fnv1a_64(p.host.machines.id(machine)));
                 p.machine_listed(machine, (kind, zone, cell), readiness, started, left);
             }
             p.list_ends();
@@ -251,25 +251,25 @@
             let time_left = f.whole("expiresInUs")?;
             let id = f.text("opId")?;
             let number = service;
-            let service = p.host.services.enter(service);
+            let service = p.host.services.intern(service);
             p.service_number(service, number);
             if kind == "wanted" {
                 let task = p.host.enter_task(id, 0);
                 p.wanted(task, framework, tenant, service, asks, time_left);
             } else {
-                let machine = p.host.machines.enter(f.text("machine")?);
+                let machine = p.host.machines.intern(f.text("machine")?);
                 let task = p.host.enter_task(id, 1);
                 p.found(task, framework, tenant, service, asks, machine);
             }
         }
         "expired" => {
-            if let Some(task) = p.host.tasks.find(&f.text("opId")?) {
+            if let Some(task) = p.host.tasks.index_of(&f.text("opId")?) {
                 p.expired(task);
                 p.host.close(task);
             }
         }
         "accepted" | "interim" | "resolved" => {
-            let task = p.host.tasks.find(&f.text("opId")?).ok_or("field 'opId' names no open task")?;
+            let task = p.host.tasks.index_of(&f.text("opId")?).ok_or("field 'opId' names no open task")?;
             match kind {
                 "accepted" => p.accepted(task),
                 "interim" => p.noted(task, f.whole("sort")?, f.number("level")?),
@@ -287,7 +287,7 @@
         }
         "elapsed" => p.timer_due(f.get("ref", Value::as_u64)?),
         "checked" => {
-            let machine = p.host.machines.enter(f.text("machine")?);
+            let machine = p.host.machines.intern(f.text("machine")?);
             p.probed(machine, outcome(f)?, &report(f)?);
         }
         "memo" => {}
--- a/planner/src/door.rs
+++ b/planner/src/door.rs
@@ -1,7 +1,7 @@
 //! The door before the placing module: askings that are not worth starting are declined at once, by the slack
 //! that planners share. Decides nothing itself: `basaltpitch_admission` does.
-use crate::core::listed;
 use crate::hands::Key;
+use crate::state::listed;
 use basaltpitch::host::{number, Belief, Given};
 use basaltpitch_admission::{Other, Own, Share, Verdict};
 use serde_json::{json, Value};
--- a/planner/src/lib.rs
+++ b/planner/src/lib.rs
@@ -1,9 +1,8 @@
-//! The planner service. `core` is one planner without I/O: it holds the placing module, the ledger, the
+//! The planner service. `state` is one planner without I/O: it holds the placing module, the ledger, the
 //! indices and the timers, and turns what comes from peers into calls and what is decided into frames.
 //! `service` puts it on sockets, on one thread. `told` is what the module is told, as it is recorded and
 //! replayed.
 pub mod bounds;
-pub mod core;
 pub mod council;
 pub mod door;
 pub mod figures;
@@ -14,6 +13,7 @@
 pub mod roll;
 pub mod service;
 pub mod standing;
+pub mod state;
 pub mod summaries;
 pub mod tenancy;
 pub mod told;
--- a/planner/src/peers.rs
+++ b/planner/src/peers.rs
@@ -1,10 +1,10 @@
 //! A planner's links to other planners: between the council, which tells who has which seat and where, the
 //! sockets, and the decisions of `basaltpitch_gossip`. What is heard goes in; frames, links to dial and
 //! links to end come out.
-use crate::core::Core;
 use crate::council::{Duty, Tenure, Wish};
 use crate::figures::{self, Says, COUNTS};
 use crate::halls::{Halls, Seen};
+use crate::state::Core;
 use crate::summaries;
 use basaltpitch::host::Readiness;
 use basaltpitch_admission::Other;
--- a/planner/src/service.rs
+++ b/planner/src/service.rs
@@ -1,12 +1,12 @@
 //! A planner on sockets: one thread, one actor that owns the core, a task a connection. Queues are bounded:
 //! what machines and the register say is read before what owners ask; while the actor is behind, links grant
 //! their peers nothing more. A peer that does not read is cut off, and may come back and ask again.
-use crate::core::{Core, Out, Who, REGISTER};
 use crate::council::{Duty, Tenure};
 use crate::door::Door;
 use crate::halls;
 use crate::peers::{Meeting, Peers};
 use crate::roll::{Duties, Rolls};
+use crate::state::{Core, Out, Who, REGISTER};
 use crate::tenancy::{Learnt, Task, Ways};
 use crate::view;
 use basaltpitch::host::Given;
--- a/planner/src/core.rs
+++ b/planner/src/state.rs
@@ -22,7 +22,7 @@
 use basaltpitch_agent::wire::{self, Body};
 use basaltpitch_constraints::deciding::State;
 use basaltpitch_constraints::{Clause, Machine as Place, Task as Facts};
-use basaltpitch_interner::{number_of, Lodgers};
+use basaltpitch_interner::{fnv1a_64, RefCountedIds};
 use basaltpitch_ledger::{
     Act, Answer, Asking, CopyState, Ending, Held, Kind, Launch, Ledger, Life, Phase, Promises, Reason,
     PROMISES,
@@ -112,9 +112,9 @@
     pub(crate) door: Option<Door>,
     /// Where each clause stands, in words for answers.
     clauses: Vec<String>,
-    machines: Lodgers<Rc<str>>,
+    machines: RefCountedIds<Rc<str>>,
     known: Vec<Option<Machine>>,
-    services: Lodgers<u64>,
+    services: RefCountedIds<u64>,
     /// The service of each task of the module's.
     service_of: Vec<usize>,
     dials: Dials,
@@ -226,9 +226,9 @@
             at_door: None,
             door: None,
             clauses: Vec::new(),
-            machines: Lodgers::default(),
+            machines: RefCountedIds::default(),
             known: Vec::new(),
-            services: Lodgers::default(),
+            services: RefCountedIds::default(),
             service_of: Vec::new(),
             dials,
             links: 0,
@@ -333,7 +333,7 @@
         }
         let Some(machine) = self.known[peer].as_mut() else { return self.dials.forget(peer) };
         (machine.standing.link, machine.link) = (Link::Dialling, link);
-        let (name, address) = (self.machines.door.id(peer).clone(), machine.address.clone());
+        let (name, address) = (self.machines.ids.id(peer).clone(), machine.address.clone());
         self.out.push_back(Out::Dial { peer, link, name, address });
     }
 
@@ -375,7 +375,7 @@
         let now = self.now();
         let ledger = &self.placing.host.ledger;
         let job = ledger.record(ledger.key_of(task)?)?.job.clone();
-        let s = self.services.hold(job.service, now);
+        let s = self.services.acquire(job.service, now);
         if let (Some(bounds), Some(facts)) = (&mut self.placing.host.bounds, &job.facts) {
             bounds.enter(task, facts);
         }
@@ -480,7 +480,7 @@
         tracing::debug!(
             task = &*key,
             launch = launch.number,
-            machine = &**self.machines.door.id(machine),
+            machine = &**self.machines.ids.id(machine),
             "launch"
         );
         self.out.push_back(Out::Machine { machine, body, mark: Some(launch.number) });
@@ -503,7 +503,7 @@
             Answer::Placed { machine } => {
                 self.counts.placed += 1;
                 a.kind = wire::AnswerKind::Placed as i32;
-                a.machine = self.machines.door.id(machine).to_string();
+                a.machine = self.machines.ids.id(machine).to_string();
             }
             Answer::Declined { retry_after_us, reason } => {
                 self.counts.declined += 1;
@@ -567,10 +567,10 @@
         let now = self.now();
         self.placing.host.timers.set(now + ROUND, Due::Round);
         self.placing.host.on_ledger(|l, _| l.forget());
-        while let Some(s) = self.services.leaves(now, KEEP_IDS) {
+        while let Some(s) = self.services.pop_expired(now, KEEP_IDS) {
             self.tell(Told::ServiceLeft { s });
         }
-        while let Some(m) = self.machines.leaves(now, KEEP_IDS) {
+        while let Some(m) = self.machines.pop_expired(now, KEEP_IDS) {
             self.known[m] = None;
             self.part_forgets(m);
             self.tell(Told::MachineLeft { m });
@@ -602,7 +602,7 @@
     }
 
     pub(crate) fn machine_name(&self, m: usize) -> &str {
-        self.machines.door.id(m)
+        self.machines.ids.id(m)
     }
 
     pub(crate) fn clock_now(&self) -> i64 {
--- a/planner/src/core/clauses.rs
+++ b/planner/src/state/clauses.rs
@@ -86,7 +86,7 @@
                     bounds.deciding.forbidding(g, m).into_iter().map(|c| places[c].as_str()).collect();
                 if !clauses.is_empty() {
                     broken.push(
-                        json!({"key": &**key, "machine": &**self.machines.door.id(m), "clauses": clauses}),
+                        json!({"key": &**key, "machine": &**self.machines.ids.id(m), "clauses": clauses}),
                     );
                 }
                 bounds.deciding.leave(g);
@@ -127,7 +127,7 @@
             };
             let forbidding = named(&bounds.deciding.forbidding(g, m));
             by_machine
-                .push(json!({"machine": &**self.machines.door.id(m), "state": state, "kind": facts.kind,
+                .push(json!({"machine": &**self.machines.ids.id(m), "state": state, "kind": facts.kind,
                 "hall": facts.hall, "rack": facts.rack, "labels": facts.labels, "forbidden_by": forbidding}));
         }
         let verdict = match &stands {
--- a/planner/src/core/machines.rs
+++ b/planner/src/state/machines.rs
@@ -77,7 +77,7 @@
 
     pub(super) fn take_entry(&mut self, e: wire::Entry) -> usize {
         let now = self.now();
-        let m = self.machines.see(e.machine.as_str().into(), now);
+        let m = self.machines.intern(e.machine.as_str().into(), now);
         if m >= self.known.len() {
             self.known.resize_with(m + 1, || None);
         }
@@ -106,7 +106,7 @@
         }
         if self.known[m].as_ref().is_some_and(|x| x.standing.is_wanted()) {
             if !std::mem::replace(&mut self.known[m].as_mut().expect("just seen").held, true) {
-                self.machines.hold_at(m);
+                self.machines.acquire_index(m);
             }
             self.want(m);
         } else {
@@ -147,7 +147,7 @@
         machine.standing.told = Some(ready);
         let (at, left, started) = (machine.standing.place, machine.standing.left, machine.standing.started);
         self.bound_machine(m, ready);
-        let number = number_of(self.machines.door.id(m));
+        let number = fnv1a_64(self.machines.ids.id(m));
         self.tell(Told::Machine { m, number, at, ready: ready_number(ready), started, left });
     }
 
@@ -199,7 +199,7 @@
             let Some(standing) = known.as_ref().map(|x| &x.standing) else { continue };
             if let Some(hall) = by_hall.get_mut(standing.place.1) {
                 // Those off the list have the last ranks: one that comes back to it is held until its turn.
-                hall.push((!standing.is_wanted(), number_of(self.machines.door.id(m)), m));
+                hall.push((!standing.is_wanted(), fnv1a_64(self.machines.ids.id(m)), m));
             }
         }
         for (stage, mut machines) in stages.iter().zip(by_hall) {
@@ -238,7 +238,7 @@
     /// A machine said hello: its epoch is when it last started. False: the link is of no use.
     pub fn machine_up(&mut self, now: i64, m: usize, link: u64, name: &str, epoch: u64) -> bool {
         self.set_clock(now);
-        if !self.is_current(m, link) || **self.machines.door.id(m) != *name {
+        if !self.is_current(m, link) || **self.machines.ids.id(m) != *name {
             return false;
         }
         self.dials.up(m, now);
--- a/planner/src/core/parts.rs
+++ b/planner/src/state/parts.rs
@@ -99,7 +99,7 @@
         let Some(parts) = &mut self.part else { return self.dials.want(m, now) };
         let Some(standing) = self.known[m].as_mut().map(|x| &mut x.standing) else { return };
         let (kind, zone, _) = standing.place;
-        if parts.part.listed(m, hash(self.machines.door.id(m)), zone, kind) {
+        if parts.part.listed(m, hash(self.machines.ids.id(m)), zone, kind) {
             parts.came.insert(m);
         }
         standing.outside = !parts.part.offers(m);
@@ -162,7 +162,7 @@
                 return;
             }
             // Others each time, and of other planners.
-            let draw = |m: usize| weight(hash(self.machines.door.id(m)), self.who.seed ^ ask.number);
+            let draw = |m: usize| weight(hash(self.machines.ids.id(m)), self.who.seed ^ ask.number);
             among.sort_by_cached_key(|&m| draw(m));
             among.truncate(MOST_NAMES);
         }
@@ -173,7 +173,7 @@
                 memory: ask.need.memory,
                 kind: name(&self.names.kinds, ask.need.kind),
                 zone: name(&self.names.zones, ask.need.zone),
-                among: among.into_iter().map(|m| self.machines.door.id(m).to_string()).collect(),
+                among: among.into_iter().map(|m| self.machines.ids.id(m).to_string()).collect(),
                 most: ask.most,
             };
             self.out.push_back(Out::Register(Body::Fetch(fetch)));
@@ -265,7 +265,7 @@
         let speaks_of = move |m: usize, standing: &Standing| {
             let Some(parts) = &self.part else { return true };
             if !standing.is_wanted() {
-                return parts.part.speaks_for(hash(self.machines.door.id(m)));
+                return parts.part.speaks_for(hash(self.machines.ids.id(m)));
             }
             let linked_by_now = parts.taken.get(&m).is_some_and(|at| now - at >= LINKED);
             !standing.outside && (standing.answers() || linked_by_now)
--- a/planner/src/view.rs
+++ b/planner/src/view.rs
@@ -1,5 +1,5 @@
 //! What a planner tells operators, as JSON.
-use crate::core::{kind_words, Core, MOST_ROWS};
+use crate::state::{kind_words, Core, MOST_ROWS};
 use basaltpitch::host::Readiness;
 use basaltpitch_agent::traffic::{Kind, Traffic};
 use basaltpitch_agent::wire::Body;
--- a/planner/tests/net/mod.rs
+++ b/planner/tests/net/mod.rs
@@ -7,7 +7,7 @@
 use basaltpitch_agent::why;
 use basaltpitch_agent::wire::{self, Body, EndedHow, Entry, Launch, LaunchId, Readiness};
 use basaltpitch_invariants::{Auditor, Breach, Framework, Spot, Tally, Terms};
-use basaltpitch_planner::core::{Core, Out, Who, REGISTER};
+use basaltpitch_planner::state::{Core, Out, Who, REGISTER};
 use basaltpitch_subsetting as aperture;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
--- a/planner/tests/recordings.rs
+++ b/planner/tests/recordings.rs
@@ -1,8 +1,8 @@
 //! A recording replays to the last byte, or the first call that differs is named.
 mod net;
 use basaltpitch_agent::wire::{self, Body};
-use basaltpitch_planner::core::{Core, Out, Who};
 use basaltpitch_planner::recording::{replay, Replayed};
+use basaltpitch_planner::state::{Core, Out, Who};
 use std::io::Write;
 use std::sync::mpsc::{channel, Sender};
 
--- a/tenants/src/lib.rs
+++ b/tenants/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod rights;
 pub mod trust;
 
-use basaltpitch_interner::Door;
+use basaltpitch_interner::IdAllocator;
 use closure::Closure;
 use fnv::FnvHashMap;
 use roaring::RoaringBitmap;
@@ -144,8 +144,8 @@
     mentions: FnvHashMap<String, BTreeSet<Id>>,
     by_name: FnvHashMap<String, Id>,
     by_login: FnvHashMap<String, Id>,
-    persons: Door<Id>,
-    groups: Door<Id>,
+    persons: IdAllocator<Id>,
+    groups: IdAllocator<Id>,
     /// Tenants' indices are never given to another: the module's shares and running tasks rest on them.
     tenants: Vec<Id>,
     places: FnvHashMap<Id, usize>,
@@ -231,8 +231,8 @@
         self.edits += 1;
         self.gone.remove(&id);
         let number = match entry.what {
-            What::Person => self.persons.enter(id),
-            _ => self.groups.enter(id),
+            What::Person => self.persons.intern(id),
+            _ => self.groups.intern(id),
         } as u32;
         let old = self.known.remove(&id);
         let mut was = old.as_ref().and_then(|k| k.was.clone());
@@ -298,11 +298,11 @@
             self.by_dn.remove(&k.entry.dn);
         }
         if k.entry.what == What::Person {
-            self.persons.leave(k.number as usize);
+            self.persons.release(k.number as usize);
         } else {
             self.closure.set_persons(k.number, RoaringBitmap::new());
             self.closure.set_groups(k.number, RoaringBitmap::new());
-            self.groups.leave(k.number as usize);
+            self.groups.release(k.number as usize);
         }
         if matches!(k.entry.what, What::Tenant { .. }) {
             changes.push(Change::Went { id, name: k.entry.name.clone() });
