--- a/agent/tests/golden_frames.rs
+++ b/agent/tests/golden_frames.rs
@@ -1,5 +1,6 @@
-//! The bytes of frames, as an earlier build wrote them: `golden/frames.txt` holds a line for each frame here, with
-//! the number of its kind and its bytes in hex. The file is never edited; other builds may be on the other side.
+//! The bytes of frames, as an earlier build wrote them: `golden/frames.txt` holds a line for each frame here,
+//! with the number of its kind and its bytes in hex. The file is never edited; other builds may be on the
+//! other side.
 use basaltpitch_agent::wire::{self, Body, Frame};
 use prost::Message;
 
--- a/cli/tests/golden_answers.rs
+++ b/cli/tests/golden_answers.rs
@@ -1,6 +1,7 @@
-//! The keys of what the commands print with `-o json`, as an earlier build had them: `golden/answers.txt` holds for
-//! each command a heading and the paths of all keys. The file is never edited; scripts of operators read such
-//! answers. An answer may take a moment to have all of its parts: each is asked for until it has these keys.
+//! The keys of what the commands print with `-o json`, as an earlier build had them: `golden/answers.txt`
+//! holds for each command a heading and the paths of all keys. The file is never edited; scripts of operators
+//! read such answers. An answer may take a moment to have all of its parts: each is asked for until it has
+//! these keys.
 mod site;
 mod stored;
 
--- a/cli/tests/golden_state.rs
+++ b/cli/tests/golden_state.rs
@@ -31,8 +31,8 @@
     (out.status.code(), String::from_utf8(out.stdout).unwrap())
 }
 
-/// Two of three voters start with what an earlier build kept: who holds and held what, under which tokens, and
-/// the record of a roll.
+/// Two of three voters start with what an earlier build kept: who holds and held what, under which tokens,
+/// and the record of a roll.
 #[test]
 fn voters_go_on_from_the_state_of_an_earlier_build() {
     let site = Site::new("golden-voters", 1);
--- a/cli/tests/stored/mod.rs
+++ b/cli/tests/stored/mod.rs
@@ -1,5 +1,5 @@
-//! Stored files of an earlier build, which are kept as text: the length, then a line for each 64 bytes that are not
-//! all zero, with their place and themselves in hex.
+//! Stored files of an earlier build, which are kept as text: the length, then a line for each 64 bytes that
+//! are not all zero, with their place and themselves in hex.
 use std::path::Path;
 
 fn bytes(hex: &str) -> Vec<u8> {
--- a/tenants/tests/golden_memory.rs
+++ b/tenants/tests/golden_memory.rs
@@ -1,5 +1,5 @@
-//! What is remembered of a directory over a restart, as an earlier build wrote it: `golden/memory.json` holds the
-//! bytes. The file is never edited; planners in service find such bytes in their state folder.
+//! What is remembered of a directory over a restart, as an earlier build wrote it: `golden/memory.json` holds
+//! the bytes. The file is never edited; planners in service find such bytes in their state folder.
 use basaltpitch_tenants::health::PACE;
 use basaltpitch_tenants::keeper::{Keeper, FORMAT};
 use basaltpitch_tenants::trust::CAUTION;
