--- a/cli/src/drill.rs
+++ b/cli/src/drill.rs
@@ -1,7 +1,7 @@
 //! `basaltpitch drill`: a scripted day of trouble, judged by the traffic.
 use crate::{load, Failure};
-use basaltpitch_testbed::drill::{run, Verdict};
-use basaltpitch_testbed::how::How;
+use basaltpitch_testbed::drill::{run, DrillReport};
+use basaltpitch_testbed::drill_config::DrillConfig;
 use std::path::PathBuf;
 
 #[derive(clap::Args)]
@@ -24,7 +24,8 @@
             return Err(Failure::Wrong("found no field day in these files; expected one for a drill".into()));
         }
         let binary = std::env::current_exe().map_err(|e| Failure::Failed(e.to_string()))?;
-        let how = How { installation, files: self.files, binary, seed: self.seed, record: self.record };
+        let how =
+            DrillConfig { installation, files: self.files, binary, seed: self.seed, record: self.record };
         let verdict = run(how).map_err(|e| Failure::Failed(e.to_string()))?;
         if json {
             println!("{}", serde_json::to_string(&verdict).map_err(|e| Failure::Failed(e.to_string()))?);
@@ -41,20 +42,20 @@
     }
 }
 
-fn table(v: &Verdict) -> String {
+fn table(v: &DrillReport) -> String {
     let t = &v.traffic;
     let mut text = format!(
         "seed {}: {} machines, {} planners, {} tasks wanted\n\n",
         v.seed, v.machines, v.planners, v.wanted
     );
     let rows: [(&str, String); 14] = [
-        ("askings", format!("{}", t.asks)),
+        ("askings", format!("{}", t.requests)),
         ("  placed", format!("{}", t.placed)),
         ("  declined", format!("{}", t.declined)),
         ("  aborted", format!("{}", t.aborted)),
         ("  no answer owed", format!("{}", t.excused)),
-        ("launches", format!("{} ({} seen twice)", t.launches, t.repeats)),
-        ("  accepted", format!("{}", t.yes)),
+        ("launches", format!("{} ({} seen twice)", t.launches, t.repeated_launches)),
+        ("  accepted", format!("{}", t.accepted)),
         ("  refused", format!("{}", t.refused)),
         ("tasks run", format!("{}", v.ran)),
         ("tasks done", format!("{} ({} lost on the way, {} never placed)", v.done, v.lost, v.unplaced)),
@@ -66,11 +67,11 @@
             "worth of what was asked",
             format!(
                 "{:.0}, placed {:.0}, within its latency goal {:.0}",
-                t.worth_asked, t.worth_placed, t.worth_in_goal
+                t.weight_requested, t.weight_placed, t.weight_in_objective
             ),
         ),
         ("taken in and missed", format!("{}", t.missed)),
-        ("offers to a cold machine", format!("{} in a window at most", t.most_cold_offers)),
+        ("offers to a cold machine", format!("{} in a window at most", t.max_warm_up_offers)),
     ];
     for (name, value) in rows {
         text += &format!("{name:26}{value}\n");
@@ -83,19 +84,19 @@
         "cold machines spared",
         "spread kept",
     ];
-    let clauses = v.breaches.iter().filter(|b| b.rule == 6).count();
+    let clauses = v.breaches.iter().filter(|b| b.invariant == 6).count();
     if clauses > 0 {
         text += &format!("clauses BROKEN {clauses} times\n");
     }
     for (i, rule) in rules.iter().enumerate() {
-        let broken = v.breaches.iter().filter(|b| usize::from(b.rule) == i + 1).count();
+        let broken = v.breaches.iter().filter(|b| usize::from(b.invariant) == i + 1).count();
         let word = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
         text += &format!("rule {} {rule:26}{word}\n", i + 1);
     }
-    let broken = v.breaches.iter().filter(|b| b.rule == 10).count();
+    let broken = v.breaches.iter().filter(|b| b.invariant == 10).count();
     let word = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
     text += &format!("rule 10 {:25}{word}\n", "a hall returns by steps");
-    let broken = v.breaches.iter().filter(|b| b.rule == 11).count();
+    let broken = v.breaches.iter().filter(|b| b.invariant == 11).count();
     let word = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
     text += &format!("rule 11 {:25}{word}\n", "worth more goes first");
     if v.stale_answers + v.newcomers > 0 || !v.tenant_faults.is_empty() {
@@ -108,10 +109,10 @@
         v.tenant_faults.iter().for_each(|f| text += &format!("  {f}\n"));
     }
     if let Some(seats) = &v.seats {
-        let broken = v.breaches.iter().filter(|b| b.rule == 7).count();
+        let broken = v.breaches.iter().filter(|b| b.invariant == 7).count();
         let word = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
         text += &format!("rule 7 {:26}{word}\n", "one holder acts");
-        let broken = v.breaches.iter().filter(|b| b.rule == 8).count();
+        let broken = v.breaches.iter().filter(|b| b.invariant == 8).count();
         let word = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
         text += &format!("rule 8 {:26}{word}\n", "rolls within their limit");
         let held = seats.held * 100.0;
@@ -128,7 +129,10 @@
         seats.faults.iter().for_each(|f| text += &format!("  WRONG: {f}\n"));
     }
     for b in v.breaches.iter().take(20) {
-        text += &format!("\nrule {} at {} us, {}, {}: {}", b.rule, b.at, b.planner, b.about, b.what);
+        text += &format!(
+            "\nrule {} at {} us, {}, {}: {}",
+            b.invariant, b.at_us, b.planner, b.subject, b.description
+        );
     }
     if !v.breaches.is_empty() {
         text.push('\n');
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -88,8 +88,8 @@
     /// Measure planners, voters and the register in a fleet of full size, most of it hollow
     MeasureScale(measure_scale::Measure),
     /// Hollow machines, their register, planners and clients: what `measure-scale` starts
-    #[command(hide = true, subcommand)]
-    Hollow(measure_scale::hollow::Hollow),
+    #[command(hide = true, subcommand, alias = "hollow")]
+    Simulated(measure_scale::simulated::Simulated),
     /// Tell the decisions what a recording holds and compare their calls
     Replay { file: PathBuf },
 }
@@ -138,7 +138,7 @@
         Command::MeasureSeats(measure) => measure.run(json),
         Command::MeasureCouncil(measure) => measure.run(json),
         Command::MeasureScale(measure) => measure.run(json),
-        Command::Hollow(hollow) => hollow.run(),
+        Command::Simulated(simulated) => simulated.run(),
         Command::Replay { file } => replay(&file, json),
     };
     match done {
--- a/cli/src/measure_council.rs
+++ b/cli/src/measure_council.rs
@@ -4,8 +4,8 @@
 use crate::processes::{measured, site, Process, Used};
 use crate::Failure;
 use basaltpitch_planner::council::Tenure;
-use basaltpitch_testbed::relay::{self, Ways};
-use basaltpitch_testbed::rig::addresses;
+use basaltpitch_testbed::process_harness::free_addresses;
+use basaltpitch_testbed::relay::{self, RelayControl};
 use serde_json::{json, Value};
 use std::io;
 use std::path::Path;
@@ -65,9 +65,9 @@
     }
 
     async fn measure(&self, folder: &Path, members: usize) -> io::Result<Value> {
-        let mut at = addresses(3 + members)?;
+        let mut at = free_addresses(3 + members)?;
         let listens = at.split_off(3);
-        let (ways, mut through) = (Rc::new(Ways::default()), Vec::new());
+        let (ways, mut through) = (Rc::new(RelayControl::default()), Vec::new());
         for address in &at {
             through.push(relay::start(address.clone(), ways.clone()).await?);
         }
@@ -81,7 +81,7 @@
             line(voter).await?;
         }
         // Members reach each other through relays, too, so that what they say is counted.
-        let between = Rc::new(Ways::default());
+        let between = Rc::new(RelayControl::default());
         let begun = Instant::now();
         let mut all = Vec::new();
         for (n, listens) in listens.iter().enumerate() {
--- a/cli/src/measure_scale.rs
+++ b/cli/src/measure_scale.rs
@@ -2,9 +2,9 @@
 //! loopback. A few planners are processes of their own and are what is measured; the other planners, all
 //! machines and the clients are hollow: many in one process, with the real protocol, sockets and frames.
 mod believe;
-pub mod hollow;
 mod laid;
 mod pages;
+pub mod simulated;
 mod site;
 
 use crate::processes::measured_once;
--- a/cli/src/measure_scale/believe.rs
+++ b/cli/src/measure_scale/believe.rs
@@ -5,8 +5,8 @@
 use super::{progress, site, Measure};
 use crate::processes::Process;
 use basaltpitch_agent::wire::{Entry, Readiness};
-use basaltpitch_testbed::hollow::register;
-use basaltpitch_testbed::hollow::traffic::{self, Traffic, Way, KINDS};
+use basaltpitch_testbed::scale::registry;
+use basaltpitch_testbed::scale::traffic::{self, RelayCounts, Traffic, KINDS};
 use serde_json::{json, Value};
 use std::io;
 use std::path::Path;
@@ -142,12 +142,12 @@
         process
     } else {
         let mut process =
-            Process::that_listens(&["hollow", "machines", &file, "--first", "0", "--count", &count])?;
+            Process::that_listens(&["simulated", "machines", &file, "--first", "0", "--count", &count])?;
         let all = process.line().await?;
         all["machines"].as_array().into_iter().flatten().for_each(|m| text(m, "machine", "address"));
         process
     };
-    let (way, mut lists) = (Rc::new(Way::default()), Vec::new());
+    let (way, mut lists) = (Rc::new(RelayCounts::default()), Vec::new());
     for (machine, at) in names {
         lists.push(Entry {
             machine,
@@ -161,10 +161,10 @@
             ..Entry::default()
         });
     }
-    let listener = TcpListener::bind((register::host_of(2).as_str(), 0)).await?;
+    let listener = TcpListener::bind((registry::host_of(2).as_str(), 0)).await?;
     let at = listener.local_addr()?.to_string();
     let (_words, inbox) = mpsc::channel(1);
-    tokio::task::spawn_local(register::run(listener, lists, inbox, |_| {}));
+    tokio::task::spawn_local(registry::run(listener, lists, inbox, |_| {}));
     let args = ["serve", &file, "--name", "planner-0", "--zone", zone, "--register", &at];
     let mut planner = Process::start(&[&args[..], &["--listen", "127.0.0.1:0"]].concat())?;
     let listens = planner.line().await?["listening"].as_str().unwrap_or("").to_owned();
@@ -180,7 +180,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     let (before, began, used) = (counted(), Instant::now(), planner.used()?);
     let (rate, runs) = (RATE.to_string(), RUNS_S.to_string());
-    let args = ["hollow", "clients", "--planners", &listens, "--conns", "1", "--rate", &rate];
+    let args = ["simulated", "clients", "--planners", &listens, "--conns", "1", "--rate", &rate];
     let more = ["--runs", &runs, "--tenants", "5", "--seed", "7"];
     let mut clients = Process::that_listens(&[&args[..], &more].concat())?;
     tokio::time::sleep(Duration::from_secs(ASKS_S)).await;
--- a/cli/src/measure_scale/laid.rs
+++ b/cli/src/measure_scale/laid.rs
@@ -1,9 +1,9 @@
 //! A scale run as it is laid out: its processes, and what is read off them.
 use super::{progress, site, Fault, Measure, MOST_MIB};
 use crate::processes::{self, Process, Used};
-use basaltpitch_testbed::hollow::traffic::{self, Traffic, Way, KINDS};
-use basaltpitch_testbed::relay::{self, Ways};
-use basaltpitch_testbed::rig::addresses;
+use basaltpitch_testbed::process_harness::free_addresses;
+use basaltpitch_testbed::relay::{self, RelayControl};
+use basaltpitch_testbed::scale::traffic::{self, RelayCounts, Traffic, KINDS};
 use futures_util::FutureExt;
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
@@ -40,10 +40,10 @@
     voters: Vec<Process>,
     clients: Vec<Process>,
     /// Of each planner: relays to the voters, and to the register.
-    to_voters: Vec<Rc<Way>>,
-    to_register: Vec<Rc<Way>>,
+    to_voters: Vec<Rc<RelayCounts>>,
+    to_register: Vec<Rc<RelayCounts>>,
     /// Of each planner: the relay before it that counts, and the one that may be cut.
-    before: Vec<(Rc<Way>, Rc<Ways>)>,
+    before: Vec<(Rc<RelayCounts>, Rc<RelayControl>)>,
     seats_after_s: f64,
     most_mib: f64,
     file: String,
@@ -105,7 +105,7 @@
             std::fs::write(&path, site.text(ways)).map(|()| path.display().to_string())
         };
         let (real, hollow) = (m.real + m.spares(), m.hollow());
-        let mut listens = addresses(m.voters + real + hollow)?;
+        let mut listens = free_addresses(m.voters + real + hollow)?;
         let planners = listens.split_off(m.voters);
         let (at_voters, listens) = (listens, planners);
         let file = write("site.rec", &at_voters)?;
@@ -117,7 +117,7 @@
         let mut registers = Vec::new();
         let mut at_register = Vec::new();
         for _ in 0..2 {
-            let mut register = Process::that_listens(&["hollow", "register"])?;
+            let mut register = Process::that_listens(&["simulated", "register"])?;
             let line = register.line().await?;
             at_register.push(line["register"].as_str().unwrap_or("").to_owned());
             registers.push(register);
@@ -130,7 +130,7 @@
             let others = (m.rate - m.asked_rate()).max(0.0) * count as f64 / m.machines as f64;
             let (first, count) = (first.to_string(), count.to_string());
             let (others, runs) = (others.to_string(), m.runs_s().to_string());
-            let args = ["hollow", "machines", &file, "--first", &first, "--count", &count];
+            let args = ["simulated", "machines", &file, "--first", &first, "--count", &count];
             let more = ["--register", &at_register[0], "--seed", &seed, "--restarts", &restarts];
             let rest = ["--others", &others, "--runs", &runs];
             machines.push(Process::that_listens(&[&args[..], &more, &rest].concat())?);
@@ -150,7 +150,7 @@
         }
         let (mut before, mut advertise) = (Vec::new(), Vec::new());
         for listen in &listens {
-            let (way, ways) = (Rc::new(Way::default()), Rc::new(Ways::default()));
+            let (way, ways) = (Rc::new(RelayCounts::default()), Rc::new(RelayControl::default()));
             let cuts = matches!(m.faults, Fault::Cut | Fault::OneWay);
             let to = if cuts { relay::start(listen.clone(), ways.clone()).await? } else { listen.clone() };
             advertise.push(traffic::relay(to, way.clone()).await?);
@@ -160,13 +160,13 @@
         let (mut to_voters, mut to_register, mut files, mut registered) = (vec![], vec![], vec![], vec![]);
         for n in 0..real + hollow {
             // Votes and lists are counted apart for each planner.
-            let (way, mut ways) = (Rc::new(Way::default()), Vec::new());
+            let (way, mut ways) = (Rc::new(RelayCounts::default()), Vec::new());
             for to in &at_voters {
                 ways.push(traffic::relay(to.clone(), way.clone()).await?);
             }
             files.push(write(&format!("planner-{n}.rec"), &ways)?);
             to_voters.push(way);
-            let way = Rc::new(Way::default());
+            let way = Rc::new(RelayCounts::default());
             let lists = n < real || m.hollow_links();
             registered.push(traffic::relay(at_register[usize::from(!lists)].clone(), way.clone()).await?);
             to_register.push(way);
@@ -208,7 +208,7 @@
             let each = |all: &[String]| all[from..to].join(",");
             let (register, zone) = (each(&registered), each(&laid.zones));
             let (listen, at) = (each(&laid.listens), each(&laid.advertise));
-            let mut args = vec!["hollow", "planners"];
+            let mut args = vec!["simulated", "planners"];
             args.extend(files[from..to].iter().map(String::as_str));
             let more = ["--register", &register, "--listen", &listen, "--advertise", &at, "--zone", &zone];
             let process = Process::that_listens(&[&args[..], &more].concat())?;
@@ -314,7 +314,7 @@
             let (rate, runs) = ((m.asked_rate() / 2.0).to_string(), m.runs_s().to_string());
             let (seed, tenants) = ((m.seed * 2 + n).to_string(), m.tenants.to_string());
             let (planners, conns) = (to.join(","), at.len().to_string());
-            let args = ["hollow", "clients", "--planners", &planners, "--conns", &conns, "--rate", &rate];
+            let args = ["simulated", "clients", "--planners", &planners, "--conns", &conns, "--rate", &rate];
             let more = ["--runs", &runs, "--tenants", &tenants, "--seed", &seed];
             self.clients.push(Process::that_listens(&[&args[..], &more].concat())?);
         }
@@ -470,7 +470,7 @@
         Ok(())
     }
 
-    /// Ways between planners of one region and of the others: what the one says (`from`), and what it
+    /// RelayControl between planners of one region and of the others: what the one says (`from`), and what it
     /// hears (`to`).
     fn cut(&self, from: bool, to: bool) {
         let region = |s: &Seated| site::region_of(&self.zones[s.place]) == self.measure.region;
@@ -478,7 +478,7 @@
             for dialler in self.seated.iter().filter(|d| region(d) != region(listener)) {
                 // From who dials, and back to it.
                 let cut = if region(dialler) { (from, to) } else { (to, from) };
-                self.before[listener.place].1.cut_of.borrow_mut().insert(dialler.seat.clone(), cut);
+                self.before[listener.place].1.cut_by_peer.borrow_mut().insert(dialler.seat.clone(), cut);
             }
         }
     }
--- a/cli/src/measure_scale/pages.rs
+++ b/cli/src/measure_scale/pages.rs
@@ -1,7 +1,7 @@
 //! Sweeps along one axis, lines through their points, and pages that hold what was measured between marks.
 use super::{wrong, Measure};
 use crate::Failure;
-use basaltpitch_testbed::hollow::fit::{line, Line};
+use basaltpitch_testbed::scale::linear_fit::{fit_line, LinearFit};
 use serde_json::{json, Map, Value};
 use std::path::Path;
 
@@ -108,7 +108,7 @@
     let fit = |column: &String| {
         let points: Option<Vec<(f64, f64)>> =
             rows.iter().map(|r| Some((r[axis].as_f64()?, r[column].as_f64()?))).collect();
-        let Line { slope, intercept, residual } = line(&points?)?;
+        let LinearFit { slope, intercept, residual } = fit_line(&points?)?;
         Some(json!({"figure": column, "slope": short(slope), "intercept": short(intercept),
             "residual": short(residual)}))
     };
--- a/cli/src/measure_scale/hollow.rs
+++ b/cli/src/measure_scale/simulated.rs
@@ -3,7 +3,7 @@
 use super::site;
 use crate::serve::Serve;
 use crate::{load, Failure};
-use basaltpitch_testbed::hollow::{clients, machines, register};
+use basaltpitch_testbed::scale::{clients, machines, registry};
 use clap::Parser;
 use serde_json::{json, Value};
 use std::io::{BufRead, Write};
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 
 #[derive(clap::Subcommand)]
-pub enum Hollow {
+pub enum Simulated {
     Machines(Machines),
     Register,
     Planners(Planners),
@@ -46,7 +46,7 @@
     /// The installation as each planner has it, with ways of its own to the voters
     #[arg(required = true)]
     files: Vec<String>,
-    /// Ways to the register, and all else, one for each planner
+    /// RelayControl to the register, and all else, one for each planner
     #[arg(long, value_delimiter = ',')]
     register: Vec<String>,
     #[arg(long, value_delimiter = ',')]
@@ -112,20 +112,20 @@
     tokio::task::LocalSet::new().block_on(&runtime, job).map_err(failed)
 }
 
-impl Hollow {
+impl Simulated {
     pub fn run(self) -> Result<(), Failure> {
         match self {
-            Hollow::Machines(machines) => machines.run(),
-            Hollow::Register => {
-                let words = words(|line| (line == "tell").then_some(register::Word::Tell));
+            Simulated::Machines(machines) => machines.run(),
+            Simulated::Register => {
+                let words = words(|line| (line == "tell").then_some(registry::RegistryCommand::Tell));
                 local(async {
-                    let listener = tokio::net::TcpListener::bind((register::host_of(1).as_str(), 0)).await?;
+                    let listener = tokio::net::TcpListener::bind((registry::host_of(1).as_str(), 0)).await?;
                     print(json!({"register": listener.local_addr()?.to_string()}));
-                    register::run(listener, Vec::new(), words, print).await
+                    registry::run(listener, Vec::new(), words, print).await
                 })
             }
-            Hollow::Planners(planners) => planners.run(),
-            Hollow::Clients(clients) => clients.run(),
+            Simulated::Planners(planners) => planners.run(),
+            Simulated::Clients(clients) => clients.run(),
         }
     }
 }
@@ -136,7 +136,7 @@
         let kind =
             found.all.list("kinds").first().ok_or_else(|| Failure::Wrong("kinds: found none".into()))?;
         let accepts = |field: &str, usual| found.all.number(field).unwrap_or(usual);
-        let plan = machines::Plan {
+        let plan = machines::MachinesConfig {
             first: self.first,
             count: self.count,
             zones: found.names("zones"),
@@ -152,10 +152,10 @@
         let words = words(|line| {
             let (word, of) = line.split_once(' ').unwrap_or((line, ""));
             Some(match word {
-                "tell" => machines::Word::Tell,
-                "vanish" => machines::Word::Vanish(of.to_owned()),
-                "return" => machines::Word::Return(of.to_owned()),
-                "roll" => machines::Word::Roll(of.parse().ok()?),
+                "tell" => machines::MachinesCommand::Tell,
+                "vanish" => machines::MachinesCommand::Vanish(of.to_owned()),
+                "return" => machines::MachinesCommand::Return(of.to_owned()),
+                "roll" => machines::MachinesCommand::Roll(of.parse().ok()?),
                 _ => return None,
             })
         });
@@ -200,7 +200,7 @@
 
 impl Clients {
     fn run(self) -> Result<(), Failure> {
-        let plan = clients::Plan {
+        let plan = clients::ClientsConfig {
             planners: self.planners,
             conns: self.conns,
             rate: self.rate,
@@ -213,9 +213,9 @@
         };
         let words = words(|line| {
             Some(match line {
-                "tell" => clients::Word::Tell,
-                "begin" => clients::Word::Begin,
-                "stop" => clients::Word::Stop,
+                "tell" => clients::ClientsCommand::Tell,
+                "begin" => clients::ClientsCommand::Begin,
+                "stop" => clients::ClientsCommand::Stop,
                 _ => return None,
             })
         });
--- a/cli/src/measure_scale/site.rs
+++ b/cli/src/measure_scale/site.rs
@@ -1,5 +1,5 @@
 //! The installation of a scale run: its regions, zones, frameworks and tenants, as text.
-use basaltpitch_testbed::hollow::clients::Asked;
+use basaltpitch_testbed::scale::clients::FrameworkLoad;
 
 /// Regions with their zones.
 pub const REGIONS: [(&str, &[&str]); 3] = [
@@ -22,12 +22,19 @@
 
 /// A framework: how it is asked for, and the rest of its settings.
 pub struct Framework {
-    pub asked: Asked,
+    pub asked: FrameworkLoad,
     pub settings: &'static str,
 }
 
-const fn asked(name: &'static str, part: f64, value: f64, ms: (i64, i64), cores: f64, memory: f64) -> Asked {
-    Asked { name, part, value, goal_us: ms.0 * 1000, limit_us: ms.1 * 1000, cores, memory }
+const fn asked(
+    name: &'static str,
+    part: f64,
+    value: f64,
+    ms: (i64, i64),
+    cores: f64,
+    memory: f64,
+) -> FrameworkLoad {
+    FrameworkLoad { name, part, value, goal_us: ms.0 * 1000, limit_us: ms.1 * 1000, cores, memory }
 }
 
 pub const FRAMEWORKS: [Framework; 4] = [
--- a/cli/src/measure_seats.rs
+++ b/cli/src/measure_seats.rs
@@ -3,7 +3,7 @@
 //! does not rise.
 use crate::processes::{measured, site, Process};
 use crate::Failure;
-use basaltpitch_testbed::rig::addresses;
+use basaltpitch_testbed::process_harness::free_addresses;
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 use std::io;
@@ -50,7 +50,7 @@
 
     async fn measure(&self, folder: &Path) -> io::Result<Vec<Value>> {
         let (file, state) =
-            (site(folder, "site.rec", 1, self.term, &addresses(3)?)?, folder.display().to_string());
+            (site(folder, "site.rec", 1, self.term, &free_addresses(3)?)?, folder.display().to_string());
         let voter = |n: usize| {
             let name = format!("v{n}");
             let mut args = vec!["voter", &file, "--name", &name];
--- a/cli/src/measure_tenants.rs
+++ b/cli/src/measure_tenants.rs
@@ -5,7 +5,7 @@
 use crate::ask::{question, At};
 use crate::Failure;
 use basaltpitch_agent::wire::{self, Body};
-use basaltpitch_testbed::directory::{self, laid, Laid};
+use basaltpitch_testbed::ldap_server::{self, ldap_entry, LdapEntry};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc as channel;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 const DEEP: usize = 5;
 
 /// People in tenants, each through groups nested `DEEP` deep. `version` renames the last tenant.
-fn entries(people: usize, version: u32) -> Vec<Laid> {
+fn entries(people: usize, version: u32) -> Vec<LdapEntry> {
     let person = |n: usize| format!("uid=p{n},dc=x");
     let mut all = Vec::new();
     let mut put = |dn: &str, id: usize, stamp: &str, of: &[(&str, &[&str])]| {
@@ -23,7 +23,7 @@
         let mut with: Vec<(&str, &[&str])> = of.to_vec();
         let (ids, stamps) = ([id.as_str()], [stamp]);
         with.extend([("entryUUID", &ids[..]), ("modifyTimestamp", &stamps[..])]);
-        all.push(laid(dn, &with));
+        all.push(ldap_entry(dn, &with));
     };
     let old = "20261201000000Z";
     for n in 0..people {
@@ -53,7 +53,7 @@
 /// A directory on a thread of its own; each number that comes is the version of its entries from then on.
 fn there(people: usize, ready: channel::Sender<String>, versions: channel::Receiver<u32>) {
     local(async move {
-        let there = directory::start("s").await.expect("a port");
+        let there = ldap_server::start("s").await.expect("a port");
         *there.entries.borrow_mut() = entries(people, 0);
         let _ = ready.send(there.address.clone());
         loop {
--- a/cli/tests/commands.rs
+++ b/cli/tests/commands.rs
@@ -75,15 +75,15 @@
 /// A directory that is tried by `check`, and a planner that learns from it and is asked about it.
 #[test]
 fn tenants_of_a_directory() {
-    use basaltpitch_testbed::directory::{self, laid};
+    use basaltpitch_testbed::ldap_server::{self, ldap_entry};
     let (ready, address) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let there = directory::start("open sesame").await.unwrap();
+            let there = ldap_server::start("open sesame").await.unwrap();
             let stamp: (&str, &[&str]) = ("modifyTimestamp", &["20261201120000Z"]);
             *there.entries.borrow_mut() = vec![
-                laid(
+                ldap_entry(
                     "uid=asha,dc=x",
                     &[
                         ("objectClass", &["inetOrgPerson"]),
@@ -92,7 +92,7 @@
                         ("entryUUID", &["00000000-0000-0000-0000-000000000001"]),
                     ],
                 ),
-                laid(
+                ldap_entry(
                     "cn=orders,dc=x",
                     &[
                         ("objectClass", &["basaltpitchTenant"]),
--- a/cli/tests/council.rs
+++ b/cli/tests/council.rs
@@ -108,12 +108,14 @@
         [(false, true, 3), (true, false, 3), (true, true, 3), (true, true, 2)];
     for (to, back, voters) in cuts {
         all[holder].0.turn(move |ways| {
-            ways[..voters].iter().for_each(|w| (w.cut_to.set(to), w.cut_back.set(back)).1);
+            ways[..voters].iter().for_each(|w| (w.cut_forward.set(to), w.cut_backward.set(back)).1);
         });
         let (next, line) = seated(&processes);
         assert_ne!(next, holder, "cut to {to}, back {back}, {voters} voters: the other has it");
         assert!(line["epoch"].as_u64() > at["epoch"].as_u64(), "{at} {line}");
-        all[holder].0.turn(|ways| ways.iter().for_each(|w| (w.cut_to.set(false), w.cut_back.set(false)).1));
+        all[holder]
+            .0
+            .turn(|ways| ways.iter().for_each(|w| (w.cut_forward.set(false), w.cut_backward.set(false)).1));
         (holder, at) = (next, line);
     }
 }
@@ -211,7 +213,7 @@
     assert!(begun["roll"].as_u64() > Some(0), "{begun}");
     roll_until(&site.file, |s| count(s, "drains") == 1);
     let (relays, conductor) = all.remove(holder);
-    relays.turn(|ways| ways.iter().for_each(|w| (w.cut_to.set(true), w.cut_back.set(true)).1));
+    relays.turn(|ways| ways.iter().for_each(|w| (w.cut_forward.set(true), w.cut_backward.set(true)).1));
     let again = ["roll", &site.file, "--zone", "hall-a"];
     let out = Command::new(env!("CARGO_BIN_EXE_basaltpitch")).args(again).output().unwrap();
     let said = String::from_utf8_lossy(&out.stderr).into_owned();
--- a/cli/tests/exchange.rs
+++ b/cli/tests/exchange.rs
@@ -98,7 +98,7 @@
     all_hear(&seated_now.iter().chain([&successor]).collect::<Vec<_>>());
 }
 
-/// Ways between planners fail while voters and machines are well: nobody loses a seat, who is cut off knows
+/// RelayControl between planners fail while voters and machines are well: nobody loses a seat, who is cut off knows
 /// that it hears nobody, the others go on hearing each other, and all is as before once the ways are healed.
 #[test]
 fn ways_between_planners_are_cut_slow_and_healed() {
@@ -117,29 +117,29 @@
         relays.turn(move |ways| {
             for (n, way) in ways.iter().enumerate().filter(|w| w.0 != process) {
                 assert_ne!(n, process);
-                way.cut_of.borrow_mut().insert(name.clone(), (to, back));
+                way.cut_by_peer.borrow_mut().insert(name.clone(), (to, back));
             }
-            (ways[process].cut_to.set(back), ways[process].cut_back.set(to)).1
+            (ways[process].cut_forward.set(back), ways[process].cut_backward.set(to)).1
         });
         others.iter().for_each(|reader| drop(until(reader, &alone.name, unheard)));
         others.iter().for_each(|of| drop(until(alone, &of.name, unheard)));
         all_hear(&others);
         relays.turn(|ways| {
             for way in ways {
-                way.cut_of.borrow_mut().clear();
-                (way.cut_to.set(false), way.cut_back.set(false)).1
+                way.cut_by_peer.borrow_mut().clear();
+                (way.cut_forward.set(false), way.cut_backward.set(false)).1
             }
         });
         all_hear(&three.iter().collect::<Vec<_>>());
     }
     // Every frame half a second late: all are heard, and taken for as old as they may be.
-    relays.turn(|ways| ways.iter().for_each(|w| w.late.set(std::time::Duration::from_millis(500))));
+    relays.turn(|ways| ways.iter().for_each(|w| w.delay.set(std::time::Duration::from_millis(500))));
     for reader in &three {
         for of in three.iter().filter(|of| of.name != reader.name) {
             until(reader, &of.name, |r| hears(r) && r["age_ms"].as_u64() > Some(1000));
         }
     }
-    relays.turn(|ways| ways.iter().for_each(|w| w.late.set(std::time::Duration::ZERO)));
+    relays.turn(|ways| ways.iter().for_each(|w| w.delay.set(std::time::Duration::ZERO)));
     for reader in &three {
         for of in three.iter().filter(|of| of.name != reader.name) {
             until(reader, &of.name, |r| hears(r) && r["age_ms"].as_u64() < Some(1000));
@@ -205,14 +205,14 @@
         for (n, way) in ways.iter().enumerate() {
             let others = if n < 2 { &west_names } else { &east_names };
             let cut = if n < 2 { (true, false) } else { (false, true) };
-            way.cut_of.borrow_mut().extend(others.iter().map(|name| (name.clone(), cut)));
+            way.cut_by_peer.borrow_mut().extend(others.iter().map(|name| (name.clone(), cut)));
         }
     });
     for reader in &four {
         until_zone(reader, &|z| z["state"] == "unheard");
         until(reader, &four[reader.process ^ 1].name, hears);
     }
-    relays.turn(|ways| ways.iter().for_each(|w| w.cut_of.borrow_mut().clear()));
+    relays.turn(|ways| ways.iter().for_each(|w| w.cut_by_peer.borrow_mut().clear()));
     for reader in &four {
         until_zone(reader, &whole);
     }
--- a/cli/tests/parts.rs
+++ b/cli/tests/parts.rs
@@ -4,9 +4,9 @@
 mod site;
 
 use basaltpitch_config::installation::load_texts;
-use basaltpitch_testbed::drill::world;
-use basaltpitch_testbed::machine::{self, Machine, Word};
-use basaltpitch_testbed::register::{self, Lateness};
+use basaltpitch_testbed::drill::context;
+use basaltpitch_testbed::machine::{self, MachineCommand, SimulatedMachine};
+use basaltpitch_testbed::registry::{self, RegistryDelays};
 use serde_json::Value;
 use site::{asked, seated, Process, Relays, Site, PATIENCE};
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,7 +36,7 @@
     )
 }
 
-type Order = Box<dyn Fn(&[Rc<Machine>]) + Send>;
+type Order = Box<dyn Fn(&[Rc<SimulatedMachine>]) + Send>;
 
 /// Stand-in machines of all halls and kinds and their register, on a thread of their own.
 struct Fleet {
@@ -52,7 +52,7 @@
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             tokio::task::LocalSet::new().block_on(&runtime, async {
                 let site = load_texts(&[("site.rec", &text)]).map_err(|e| format!("{:?}", e.1)).unwrap();
-                let world = world(&site, Rc::default());
+                let world = context(&site, Rc::default());
                 let mut fleet = Vec::new();
                 for hall in HALLS {
                     for (kind, count, size) in [("std", STD, (16.0, 32.0)), ("large", LARGE, (256.0, 512.0))]
@@ -65,8 +65,8 @@
                         }
                     }
                 }
-                let late = Lateness { notice_us: 0, silent_notice_us: 1_000_000, period_us: 200_000 };
-                let register = register::start(world, fleet.clone(), late).await.unwrap();
+                let late = RegistryDelays { notice_us: 0, silent_notice_us: 1_000_000, period_us: 200_000 };
+                let register = registry::start(world, fleet.clone(), late).await.unwrap();
                 found.send(register.address.clone()).unwrap();
                 while let Some(order) = inbox.recv().await {
                     order(&fleet);
@@ -76,8 +76,8 @@
         Fleet { register: register.recv().unwrap(), orders }
     }
 
-    fn tell(&self, hall: &'static str, word: Word) {
-        let order = move |all: &[Rc<Machine>]| {
+    fn tell(&self, hall: &'static str, word: MachineCommand) {
+        let order = move |all: &[Rc<SimulatedMachine>]| {
             all.iter().filter(|m| m.zone == hall).for_each(|m| m.tell(word.clone()));
         };
         assert!(self.orders.send(Box::new(order)).is_ok());
@@ -193,18 +193,18 @@
     assert!(parts.iter().all(|p| p["listed"] == ALL && p["worked"].as_u64() < Some(ALL as u64)), "{parts:?}");
 
     // Half of them hear of it three seconds late, when a hall is lost and comes back.
-    town.late.turn(|ways| ways[0].late.set(Duration::from_secs(3)));
-    town.fleet.tell("hall-a", Word::Down);
+    town.late.turn(|ways| ways[0].delay.set(Duration::from_secs(3)));
+    town.fleet.tell("hall-a", MachineCommand::Down);
     town.stays(&[], Duration::from_secs(6), |w| elsewhere(w, "hall-a"));
-    town.fleet.tell("hall-a", Word::Up);
+    town.fleet.tell("hall-a", MachineCommand::Up);
     town.until(&[], "the hall is back", covered);
     town.stays(&[], Duration::from_secs(4), covered);
-    town.late.turn(|ways| ways[0].late.set(Duration::ZERO));
+    town.late.turn(|ways| ways[0].delay.set(Duration::ZERO));
 
     // One is stopped past its term while the list changes: the others have its machines, and it wakes.
     let stopped = town.seats.values().next().unwrap().clone();
     town.all[stopped.process].signal("-STOP");
-    town.fleet.tell("hall-b", Word::Restart);
+    town.fleet.tell("hall-b", MachineCommand::Restart);
     town.until(&[stopped.process], "the others have all", covered);
     town.until(&[stopped.process], "in two parts", |w| covered(w) && w.values().all(|n| *n >= 2));
     town.all[stopped.process].signal("-CONT");
--- a/cli/tests/site/mod.rs
+++ b/cli/tests/site/mod.rs
@@ -1,6 +1,6 @@
 //! What tests of several processes share: processes of the binary, relays between them, an installation.
 #![allow(dead_code)]
-use basaltpitch_testbed::relay::{self, Ways};
+use basaltpitch_testbed::relay::{self, RelayControl};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
@@ -53,7 +53,7 @@
 }
 
 /// What is done to the links of one process to the voters, by their numbers.
-pub type Turn = Box<dyn Fn(&[Rc<Ways>]) + Send>;
+pub type Turn = Box<dyn Fn(&[Rc<RelayControl>]) + Send>;
 
 /// Relays to the voters for one process, on a thread of their own; knobs are turned by word.
 pub struct Relays {
@@ -68,7 +68,7 @@
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             tokio::task::LocalSet::new().block_on(&runtime, async {
-                let ways: Vec<Rc<Ways>> = to.iter().map(|_| Rc::default()).collect();
+                let ways: Vec<Rc<RelayControl>> = to.iter().map(|_| Rc::default()).collect();
                 let mut at = Vec::new();
                 for (to, ways) in to.into_iter().zip(&ways) {
                     at.push(relay::start(to, ways.clone()).await.unwrap());
@@ -82,7 +82,7 @@
         Relays { addresses: addresses.recv().unwrap(), turns }
     }
 
-    pub fn turn(&self, turn: impl Fn(&[Rc<Ways>]) + Send + 'static) {
+    pub fn turn(&self, turn: impl Fn(&[Rc<RelayControl>]) + Send + 'static) {
         assert!(self.turns.send(Box::new(turn)).is_ok());
     }
 }
--- a/invariants/src/lib.rs
+++ b/invariants/src/lib.rs
@@ -3,47 +3,47 @@
 //! that of the process in which all stand-ins live. A link to a machine may hold frames back, so each frame
 //! counts when it matters: what a planner does, when it is on the machine's socket; what it can know, when
 //! that is written there; what a machine does and knows, when the machine itself says or hears it.
-pub mod laws;
-mod worth;
+pub mod placement;
+mod priority;
 
-use crate::laws::{Law, Standing};
+use crate::placement::{PlacedAttempt, PlacementInvariant};
 use basaltpitch_agent::wire::{self, AnswerKind, Body, Launch, List, Readiness, Submit};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// A planner's life: name and epoch.
-pub type Life = (String, u64);
+pub type Incarnation = (String, u64);
 
 /// What the traffic is judged by.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    pub answer_grace: i64,
-    pub drain_grace: i64,
-    pub cold: i64,
-    pub cold_window: i64,
-    pub cold_offers: usize,
+pub struct InvariantConfig {
+    pub answer_grace_us: i64,
+    pub drain_grace_us: i64,
+    pub warm_up_us: i64,
+    pub offer_window_us: i64,
+    pub max_offers: usize,
     /// Frames on two sockets can be seen in another order than they were sent in, by this much.
-    pub slack: i64,
+    pub reorder_tolerance_us: i64,
     pub frameworks: HashMap<String, Framework>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Framework {
     /// repeatable, keyed or once-only
-    pub kind: String,
+    pub repeats: String,
     /// keyed: all, zone or cell
     pub group: String,
-    pub window: i64,
+    pub window_us: i64,
     /// none, machine, cell or zone
     pub spread: String,
-    pub most: usize,
-    pub worth: f64,
-    pub goal: i64,
+    pub max_together: usize,
+    pub priority_weight: f64,
+    pub latency_objective_us: i64,
 }
 
 /// Where a machine is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Spot {
+pub struct Location {
     pub zone: String,
     pub cell: u32,
     pub kind: String,
@@ -52,33 +52,44 @@
 
 /// A rule that was not kept: which task, when, and the frames that show it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Breach {
-    pub rule: u8,
-    pub at: i64,
+pub struct Violation {
+    #[serde(rename = "rule")]
+    pub invariant: u8,
+    #[serde(rename = "at")]
+    pub at_us: i64,
     pub planner: String,
-    pub about: String,
-    pub what: String,
+    #[serde(rename = "about")]
+    pub subject: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Tally {
-    pub asks: usize,
+pub struct TrafficTotals {
+    #[serde(rename = "asks")]
+    pub requests: usize,
     pub placed: usize,
     pub declined: usize,
     pub aborted: usize,
     /// Asks whose planner died, whose connection broke or whose owner withdrew: no answer is owed.
     pub excused: usize,
     pub launches: usize,
-    pub repeats: usize,
-    pub yes: usize,
+    #[serde(rename = "repeats")]
+    pub repeated_launches: usize,
+    #[serde(rename = "yes")]
+    pub accepted: usize,
     pub refused: usize,
-    pub most_cold_offers: usize,
+    #[serde(rename = "most_cold_offers")]
+    pub max_warm_up_offers: usize,
     /// Declined for want of room when over half of its time had gone: taken in, and not worth it.
     pub missed: usize,
     /// Worth of all tasks asked for, of those placed, and of those placed within their latency goal.
-    pub worth_asked: f64,
-    pub worth_placed: f64,
-    pub worth_in_goal: f64,
+    #[serde(rename = "worth_asked")]
+    pub weight_requested: f64,
+    #[serde(rename = "worth_placed")]
+    pub weight_placed: f64,
+    #[serde(rename = "worth_in_goal")]
+    pub weight_in_objective: f64,
 }
 
 #[derive(Debug, Default)]
@@ -136,7 +147,7 @@
     anew: BTreeMap<String, i64>,
 }
 
-type AskId = (Life, String, u64);
+type AskId = (Incarnation, String, u64);
 
 /// Of a hall that returns, until so long after it was back: the part of its machines that are launched on.
 const RETURN: [(i64, f64); 4] = [(2_000_000, 0.0), (5_000_000, 0.1), (8_000_000, 0.3), (11_000_000, 0.6)];
@@ -144,23 +155,23 @@
 /// One that must be with others counts those that stood so long ago.
 const STOOD_JUST_NOW: i64 = 2_000_000;
 
-pub struct Auditor {
-    terms: Terms,
-    laws: Vec<Law>,
-    tasks: HashMap<(Life, u64), Launch>,
+pub struct InvariantChecker {
+    config: InvariantConfig,
+    laws: Vec<PlacementInvariant>,
+    tasks: HashMap<(Incarnation, u64), Launch>,
     asks: BTreeMap<AskId, Ask>,
     launches: BTreeMap<AskId, Vec<Sent>>,
-    by_id: HashMap<(Life, u64), AskId>,
-    spots: HashMap<String, Spot>,
+    by_id: HashMap<(Incarnation, u64), AskId>,
+    spots: HashMap<String, Location>,
     /// When a planner was told that a machine drains or is gone, by the register and by the machine itself:
     /// each takes back its own word only.
-    told: HashMap<(Life, String), [Option<i64>; 2]>,
-    listed: HashMap<Life, HashSet<String>>,
+    told: HashMap<(Incarnation, String), [Option<i64>; 2]>,
+    listed: HashMap<Incarnation, HashSet<String>>,
     started: HashMap<String, i64>,
     offers: HashMap<String, Vec<i64>>,
-    killed: HashMap<Life, i64>,
+    killed: HashMap<Incarnation, i64>,
     /// Lives whose process is stopped: it cannot answer, so it need not in time.
-    stopped: HashSet<Life>,
+    stopped: HashSet<Incarnation>,
     /// By planner's name and machine: the highest epoch that the machine was greeted with, and when first.
     greeted: HashMap<(String, String), (u64, i64)>,
     /// By zone that all planners said to be lost: when it came back, and the machines launched on since.
@@ -170,18 +181,18 @@
     /// By planner's name: the highest epoch under which anything was launched, and when first.
     acted: HashMap<String, (u64, i64)>,
     /// From a planner's death to the first launch of its successor, in microseconds.
-    successions: Vec<i64>,
+    takeover_times_us: Vec<i64>,
     on_conn: HashMap<u64, Vec<(AskId, usize)>>,
     /// Launches by planner and machine since its last inventory, and those that it held then.
-    open_on: HashMap<(Life, String), Vec<(AskId, usize)>>,
-    breaches: Vec<Breach>,
-    tally: Tally,
+    open_on: HashMap<(Incarnation, String), Vec<(AskId, usize)>>,
+    breaches: Vec<Violation>,
+    totals: TrafficTotals,
 }
 
-impl Auditor {
-    pub fn new(terms: Terms) -> Self {
-        Auditor {
-            terms,
+impl InvariantChecker {
+    pub fn new(config: InvariantConfig) -> Self {
+        InvariantChecker {
+            config,
             laws: Vec::new(),
             tasks: HashMap::new(),
             asks: BTreeMap::new(),
@@ -198,27 +209,33 @@
             returns: HashMap::new(),
             roll: None,
             acted: HashMap::new(),
-            successions: Vec::new(),
+            takeover_times_us: Vec::new(),
             on_conn: HashMap::new(),
             open_on: HashMap::new(),
             breaches: Vec::new(),
-            tally: Tally::default(),
+            totals: TrafficTotals::default(),
         }
     }
 
-    fn breach(&mut self, rule: u8, at: i64, life: &Life, about: &str, what: String) {
+    fn breach(&mut self, rule: u8, at: i64, life: &Incarnation, about: &str, what: String) {
         let planner = format!("{} epoch {}", life.0, life.1);
-        self.breaches.push(Breach { rule, at, planner, about: about.to_owned(), what });
+        self.breaches.push(Violation {
+            invariant: rule,
+            at_us: at,
+            planner,
+            subject: about.to_owned(),
+            description: what,
+        });
     }
 
     /// Clauses to be judged, as rule 6.
-    pub fn judge_by(&mut self, laws: Vec<Law>) {
+    pub fn set_placement_invariants(&mut self, laws: Vec<PlacementInvariant>) {
         self.laws = laws;
     }
 
     // Facts.
 
-    pub fn machine_is(&mut self, machine: &str, spot: Spot) {
+    pub fn set_location(&mut self, machine: &str, spot: Location) {
         self.spots.insert(machine.to_owned(), spot);
     }
 
@@ -245,9 +262,9 @@
     }
 
     /// What was asked of a planner and is not overdue need not be answered in time any more.
-    fn excuse(&mut self, at: i64, life: &Life) {
+    fn excuse(&mut self, at: i64, life: &Incarnation) {
         for (_, ask) in self.asks.iter_mut().filter(|(id, a)| id.0 == *life && a.answers.is_empty()) {
-            ask.excused |= ask.limit_at + self.terms.answer_grace >= at;
+            ask.excused |= ask.limit_at + self.config.answer_grace_us >= at;
         }
     }
 
@@ -258,30 +275,30 @@
         self.stopped.insert(life);
     }
 
-    pub fn planner_woke(&mut self, name: &str, epoch: u64) {
+    pub fn planner_resumed(&mut self, name: &str, epoch: u64) {
         self.stopped.remove(&(name.to_owned(), epoch));
     }
 
     /// A machine fell over.
-    pub fn machine_fell(&mut self, at: i64, machine: &str) {
+    pub fn machine_overloaded(&mut self, at: i64, machine: &str) {
         let life = (String::from("all planners"), 0);
         self.breach(4, at, &life, machine, "the cold machine fell over".into());
     }
 
     /// The machines of a zone are back, after all planners had said that it is lost.
-    pub fn hall_back(&mut self, at: i64, zone: &str) {
+    pub fn zone_recovered(&mut self, at: i64, zone: &str) {
         self.returns.insert(zone.to_owned(), (at, HashSet::new()));
     }
 
     /// Operators begin a roll of a zone's machines.
-    pub fn roll_begins(&mut self, at: i64, at_once: usize, zone: &str) {
+    pub fn rolling_restart_started(&mut self, at: i64, at_once: usize, zone: &str) {
         let of_zone = self.spots.iter().filter(|(_, spot)| spot.zone == zone);
         let machines = of_zone.map(|(m, _)| m.clone()).collect();
         self.roll = Some(Roll { at_once, since: at, machines, ..Roll::default() });
     }
 
     /// A machine took a roll's word. Rule 8: no more than so many are drained at once, and none twice.
-    pub fn roll_said(&mut self, at: i64, machine: &str, on: bool) {
+    pub fn rolling_restart_drained(&mut self, at: i64, machine: &str, on: bool) {
         let Some(roll) = &mut self.roll else { return };
         if !on {
             roll.drained.remove(machine);
@@ -303,25 +320,25 @@
     }
 
     /// Machines of the roll that have not restarted since it began.
-    pub fn roll_lacks(&self) -> Vec<String> {
+    pub fn machines_not_restarted(&self) -> Vec<String> {
         let Some(roll) = &self.roll else { return Vec::new() };
         roll.machines.iter().filter(|m| !roll.anew.contains_key(*m)).cloned().collect()
     }
 
     /// From the roll's beginning to the last restart that it was to bring, in microseconds.
-    pub fn roll_took(&self) -> Option<i64> {
+    pub fn rolling_restart_us(&self) -> Option<i64> {
         let roll = self.roll.as_ref()?;
         Some(roll.anew.values().max()? - roll.since)
     }
 
     /// From each planner's death to the first launch of its successor, in microseconds.
-    pub fn successions(&self) -> &[i64] {
-        &self.successions
+    pub fn takeover_times_us(&self) -> &[i64] {
+        &self.takeover_times_us
     }
 
     // What owners saw.
 
-    pub fn owner_sent(&mut self, at: i64, life: &Life, s: &Submit) {
+    pub fn client_sent(&mut self, at: i64, life: &Incarnation, s: &Submit) {
         let id = (life.clone(), s.key.clone(), s.ask);
         let ask = self.asks.entry(id).or_default();
         if ask.submits == 0 {
@@ -329,24 +346,24 @@
             (ask.asked_at, ask.cores) = (at, s.cores);
             ask.framework = s.framework.clone();
             ask.excused = self.stopped.contains(life);
-            self.tally.asks += 1;
+            self.totals.requests += 1;
         }
         ask.submits += 1;
     }
 
     /// An owner took its asking back: no answer is owed, though one may come.
-    pub fn owner_withdrew(&mut self, life: &Life, key: &str, ask: u64) {
+    pub fn client_withdrew(&mut self, life: &Incarnation, key: &str, ask: u64) {
         if let Some(ask) = self.asks.get_mut(&(life.clone(), key.to_owned(), ask)) {
             ask.excused = true;
         }
     }
 
     /// An owner's connection ended before the answer came.
-    pub fn owner_cut(&mut self, life: &Life, key: &str, ask: u64) {
-        self.owner_withdrew(life, key, ask);
+    pub fn client_disconnected(&mut self, life: &Incarnation, key: &str, ask: u64) {
+        self.client_withdrew(life, key, ask);
     }
 
-    pub fn owner_got(&mut self, at: i64, life: &Life, body: &Body) {
+    pub fn client_received(&mut self, at: i64, life: &Incarnation, body: &Body) {
         let Body::Answer(a) = body else { return };
         let id = (life.clone(), a.key.clone(), a.ask);
         let Some(ask) = self.asks.get_mut(&id) else {
@@ -366,7 +383,7 @@
             let what = format!("asking {}: answer {answers} of kind {} to {submits} submits; the first, of kind {}, came at {}", a.ask, a.kind, first.1, first.0);
             self.breach(1, at, life, &a.key, what);
         }
-        if answers == 1 && !excused && at > limit_at + self.terms.answer_grace {
+        if answers == 1 && !excused && at > limit_at + self.config.answer_grace_us {
             let late = (at - limit_at) / 1000;
             self.breach(
                 1,
@@ -378,16 +395,16 @@
         }
         if answers == 1 {
             match AnswerKind::try_from(a.kind) {
-                Ok(AnswerKind::Placed) => self.tally.placed += 1,
-                Ok(AnswerKind::Declined) => self.tally.declined += 1,
-                _ => self.tally.aborted += 1,
+                Ok(AnswerKind::Placed) => self.totals.placed += 1,
+                Ok(AnswerKind::Declined) => self.totals.declined += 1,
+                _ => self.totals.aborted += 1,
             }
         }
     }
 
     // What the register and machines said to a planner.
 
-    pub fn register_sent(&mut self, at: i64, life: &Life, list: &List) {
+    pub fn registry_sent(&mut self, at: i64, life: &Incarnation, list: &List) {
         let mut there = HashSet::new();
         for e in &list.entries {
             let of = (life.clone(), e.machine.clone());
@@ -408,20 +425,20 @@
     }
 
     /// What one of the two said last; the first time of a word that is repeated counts.
-    fn say(&mut self, of: (Life, String), source: usize, drains_since: Option<i64>) {
+    fn say(&mut self, of: (Incarnation, String), source: usize, drains_since: Option<i64>) {
         let word = &mut self.told.entry(of).or_default()[source];
         *word = drains_since.map(|at| word.unwrap_or(at));
     }
 
     /// A frame of a machine's, where nothing holds any back: said and told in one.
-    pub fn machine_sent(&mut self, at: i64, machine: &str, life: &Life, body: &Body) {
-        self.machine_said(at, machine, life, body);
-        self.machine_told(at, machine, life, body);
+    pub fn machine_sent_and_delivered(&mut self, at: i64, machine: &str, life: &Incarnation, body: &Body) {
+        self.machine_sent(at, machine, life, body);
+        self.machine_frame_delivered(at, machine, life, body);
     }
 
     /// A frame of a machine's is on the socket: the planner can know of it. What it does before that rests
     /// on less, whatever the machine has long decided.
-    pub fn machine_told(&mut self, at: i64, machine: &str, life: &Life, body: &Body) {
+    pub fn machine_frame_delivered(&mut self, at: i64, machine: &str, life: &Incarnation, body: &Body) {
         match body {
             Body::Drain(d) => self.say((life.clone(), machine.to_owned()), 1, d.on.then_some(at)),
             Body::Inventory(i) => {
@@ -442,7 +459,7 @@
     }
 
     /// A frame that a machine said to a planner, though it may still be held back.
-    pub fn machine_said(&mut self, at: i64, machine: &str, life: &Life, body: &Body) {
+    pub fn machine_sent(&mut self, at: i64, machine: &str, life: &Incarnation, body: &Body) {
         match body {
             Body::Inventory(i) => {
                 self.judge_greeting(at, machine, life);
@@ -464,12 +481,12 @@
                 }
             }
             Body::Yes(x) => {
-                self.tally.yes += 1;
+                self.totals.accepted += 1;
                 self.judge_fence(at, machine, life, x.id);
                 self.at_launch(life, x.id, |s| s.said_yes = true);
             }
             Body::Refused(x) => {
-                self.tally.refused += 1;
+                self.totals.refused += 1;
                 self.at_launch(life, x.id, |s| (s.over, s.over_at) = (true, at));
             }
             Body::Failed(wire::Failed { id, .. }) | Body::Ended(wire::Ended { id, .. }) => {
@@ -480,7 +497,7 @@
     }
 
     /// A frame that a machine heard from a planner.
-    pub fn machine_heard(&mut self, at: i64, machine: &str, life: &Life, body: &Body) {
+    pub fn machine_received(&mut self, at: i64, machine: &str, life: &Incarnation, body: &Body) {
         if let Body::Hello(_) = body {
             let newest = self.greeted.entry((life.0.clone(), machine.to_owned())).or_default();
             if life.1 > newest.0 {
@@ -489,7 +506,7 @@
         }
     }
 
-    fn at_launch(&mut self, life: &Life, id: Option<wire::LaunchId>, change: impl Fn(&mut Sent)) {
+    fn at_launch(&mut self, life: &Incarnation, id: Option<wire::LaunchId>, change: impl Fn(&mut Sent)) {
         let Some(id) = id else { return };
         let of = (life.0.clone(), id.epoch);
         let Some(ask) = self.by_id.get(&(of, id.number)) else { return };
@@ -500,7 +517,7 @@
     }
 
     /// A connection between a planner and a machine ended: what was out on it may have run.
-    pub fn machine_cut(&mut self, at: i64, conn: u64) {
+    pub fn machine_disconnected(&mut self, at: i64, conn: u64) {
         for (ask, number) in self.on_conn.remove(&conn).unwrap_or_default() {
             let all = self.launches.get_mut(&ask).expect("kept together");
             let sent = &mut all[number];
@@ -509,7 +526,15 @@
     }
 
     /// A frame of a planner's is on a machine's socket. `late`: nothing had been read there for a while.
-    pub fn machine_got(&mut self, at: i64, machine: &str, conn: u64, life: &Life, body: &Body, late: bool) {
+    pub fn machine_socket_read(
+        &mut self,
+        at: i64,
+        machine: &str,
+        conn: u64,
+        life: &Incarnation,
+        body: &Body,
+        late: bool,
+    ) {
         match body {
             Body::Launch(l) => self.launched(at, machine, conn, life, l, late),
             Body::Cancel(x) => self.at_launch(life, x.id, |s| s.end = s.end.or(Some((at, End::MayHaveRun)))),
@@ -518,13 +543,13 @@
         }
     }
 
-    fn launched(&mut self, at: i64, machine: &str, conn: u64, life: &Life, l: &Launch, late: bool) {
+    fn launched(&mut self, at: i64, machine: &str, conn: u64, life: &Incarnation, l: &Launch, late: bool) {
         let Some(id) = l.id else { return };
         if self.by_id.contains_key(&(life.clone(), id.number)) {
-            self.tally.repeats += 1;
+            self.totals.repeated_launches += 1;
             return;
         }
-        self.tally.launches += 1;
+        self.totals.launches += 1;
         let ask = (life.clone(), l.key.clone(), l.ask);
         self.by_id.insert((life.clone(), id.number), ask.clone());
         self.tasks.insert((life.clone(), id.number), l.clone());
@@ -549,7 +574,7 @@
         let newest = self.acted.entry(life.0.clone()).or_default();
         if life.1 > newest.0 {
             let died = self.killed.get(&(life.0.clone(), newest.0));
-            self.successions.extend(died.map(|died| at - died));
+            self.takeover_times_us.extend(died.map(|died| at - died));
             *newest = (life.1, at);
         }
         self.open_on.entry((life.clone(), machine.to_owned())).or_default().push((ask.clone(), number));
@@ -557,22 +582,22 @@
     }
 
     /// Rule 7: a machine takes a planner in under no epoch that is lower than one it was greeted with before.
-    fn judge_greeting(&mut self, at: i64, machine: &str, life: &Life) {
+    fn judge_greeting(&mut self, at: i64, machine: &str, life: &Incarnation) {
         let newest = self.greeted.get(&(life.0.clone(), machine.to_owned())).copied().unwrap_or_default();
-        if life.1 < newest.0 && at > newest.1 + self.terms.slack {
+        if life.1 < newest.0 && at > newest.1 + self.config.reorder_tolerance_us {
             let what = format!("taken in {} ms after epoch {} was", (at - newest.1) / 1000, newest.0);
             self.breach(7, at, life, machine, what);
         }
     }
 
     /// Rule 7: what an older holder of a planner's name launches after its successor acted takes no effect.
-    fn judge_fence(&mut self, at: i64, machine: &str, life: &Life, id: Option<wire::LaunchId>) {
+    fn judge_fence(&mut self, at: i64, machine: &str, life: &Incarnation, id: Option<wire::LaunchId>) {
         let Some(id) = id else { return };
         let of = (life.0.clone(), id.epoch);
         let Some((newest, since)) = self.acted.get(&of.0).copied().filter(|n| id.epoch < n.0) else { return };
         let ask = self.by_id.get(&(of.clone(), id.number));
         let sent = ask.and_then(|ask| self.launches.get(ask)?.iter().find(|s| s.number == id.number));
-        if let Some(sent) = sent.filter(|s| !s.late && s.at > since + self.terms.slack) {
+        if let Some(sent) = sent.filter(|s| !s.late && s.at > since + self.config.reorder_tolerance_us) {
             let (number, after) = (sent.number, (sent.at - since) / 1000);
             let what =
                 format!("launch {number} taken on {machine}, sent {after} ms after epoch {newest} acted");
@@ -581,12 +606,14 @@
     }
 
     /// Rule 3.
-    fn judge_drain(&mut self, at: i64, machine: &str, life: &Life, l: &Launch, late: bool) {
+    fn judge_drain(&mut self, at: i64, machine: &str, life: &Incarnation, l: &Launch, late: bool) {
         let told = self
             .told
             .get(&(life.clone(), machine.to_owned()))
             .and_then(|t| t.iter().flatten().min().copied());
-        if let Some(told) = told.filter(|t| !late && at > t + self.terms.drain_grace + self.terms.slack) {
+        if let Some(told) =
+            told.filter(|t| !late && at > t + self.config.drain_grace_us + self.config.reorder_tolerance_us)
+        {
             let what = format!(
                 "launched on {machine} {} ms after the planner was told that it drains or is gone",
                 (at - told) / 1000
@@ -596,20 +623,20 @@
     }
 
     /// Rule 4: all planners together.
-    fn judge_cold(&mut self, at: i64, machine: &str, life: &Life) {
+    fn judge_cold(&mut self, at: i64, machine: &str, life: &Incarnation) {
         let Some(&started) = self.started.get(machine) else { return };
-        if at >= started + self.terms.cold {
+        if at >= started + self.config.warm_up_us {
             return;
         }
-        let from = at - self.terms.cold_window;
+        let from = at - self.config.offer_window_us;
         let offers = self.offers.entry(machine.to_owned()).or_default();
         offers.push(at);
         let within = offers.iter().rev().take_while(|&&o| o > from).count();
-        self.tally.most_cold_offers = self.tally.most_cold_offers.max(within);
-        if within > self.terms.cold_offers {
+        self.totals.max_warm_up_offers = self.totals.max_warm_up_offers.max(within);
+        if within > self.config.max_offers {
             let what = format!(
                 "{within} offers within {} ms, {} ms after its start",
-                self.terms.cold_window / 1000,
+                self.config.offer_window_us / 1000,
                 (at - started) / 1000
             );
             self.breach(4, at, life, machine, what);
@@ -618,10 +645,12 @@
 
     /// Rule 10: launches go to no more of a returned hall's machines than its step allows. How far the return
     /// is at the most follows from when the hall came back; it may be slower.
-    fn judge_return(&mut self, at: i64, machine: &str, life: &Life) {
+    fn judge_return(&mut self, at: i64, machine: &str, life: &Incarnation) {
         let Some(zone) = self.spots.get(machine).map(|s| s.zone.clone()) else { return };
         let Some((back, seen)) = self.returns.get_mut(&zone) else { return };
-        let Some((_, part)) = RETURN.iter().find(|(until, _)| at < *back + until - self.terms.slack) else {
+        let Some((_, part)) =
+            RETURN.iter().find(|(until, _)| at < *back + until - self.config.reorder_tolerance_us)
+        else {
             return;
         };
         seen.insert(machine.to_owned());
@@ -637,8 +666,8 @@
     }
 
     /// Rule 5: this planner's tasks of a service in one place, this launch included.
-    fn judge_spread(&mut self, at: i64, machine: &str, life: &Life, l: &Launch) {
-        let Some(f) = self.terms.frameworks.get(&l.framework).filter(|f| f.spread != "none") else { return };
+    fn judge_spread(&mut self, at: i64, machine: &str, life: &Incarnation, l: &Launch) {
+        let Some(f) = self.config.frameworks.get(&l.framework).filter(|f| f.spread != "none") else { return };
         let spot = self.spots.get(machine).cloned().unwrap_or_default();
         let near = |other: &str| {
             let there = self.spots.get(other).cloned().unwrap_or_default();
@@ -653,7 +682,7 @@
         let of_service =
             |s: &&Sent| self.tasks.get(&(life.clone(), s.number)).is_some_and(|x| x.service == l.service);
         let together = 1 + mine.flat_map(|(_, all)| all).filter(|s| counts(s)).filter(of_service).count();
-        let most = f.most;
+        let most = f.max_together;
         if together > most {
             let what = format!(
                 "{together} tasks of service {} in one {} with {machine}; at most {most}",
@@ -665,20 +694,20 @@
 
     /// Clauses, by what stands of this planner's tasks now. One that must be with others may have been sent
     /// while they still stood.
-    fn judge_laws(&mut self, at: i64, machine: &str, life: &Life, l: &Launch) {
+    fn judge_laws(&mut self, at: i64, machine: &str, life: &Incarnation, l: &Launch) {
         if self.laws.is_empty() {
             return;
         }
-        let nowhere = Spot::default();
+        let nowhere = Location::default();
         let spot = self.spots.get(machine).unwrap_or(&nowhere);
         let mine = self.launches.iter().filter(|(id, _)| id.0 == *life).flat_map(|(_, all)| all);
         let standing = |s: &Sent| s.stands(at) || (s.over && at < s.over_at + STOOD_JUST_NOW);
-        let all: Vec<Standing> = mine
+        let all: Vec<PlacedAttempt> = mine
             .filter(|s| standing(s))
             .filter_map(|s| {
                 let task = self.tasks.get(&(life.clone(), s.number))?;
                 let spot = self.spots.get(&s.machine).unwrap_or(&nowhere);
-                Some(Standing { task, machine: &s.machine, spot, stands: !s.over })
+                Some(PlacedAttempt { task, machine: &s.machine, spot, stands: !s.over })
             })
             .collect();
         let broken: Vec<String> = self
@@ -692,13 +721,13 @@
     }
 
     /// The day is over: what can only be judged from the whole is judged now.
-    pub fn finish(mut self, now: i64) -> (Vec<Breach>, Tally) {
+    pub fn finish(mut self, now: i64) -> (Vec<Violation>, TrafficTotals) {
         let asks = std::mem::take(&mut self.asks);
         for ((life, key, ask), a) in &asks {
             if a.excused && a.answers.is_empty() {
-                self.tally.excused += 1;
+                self.totals.excused += 1;
             }
-            if a.answers.is_empty() && !a.excused && now > a.limit_at + self.terms.answer_grace {
+            if a.answers.is_empty() && !a.excused && now > a.limit_at + self.config.answer_grace_us {
                 self.breach(1, a.limit_at, life, key, format!("asking {ask}: no answer"));
             }
         }
@@ -709,15 +738,15 @@
                 self.judge_task(id, ask, sent);
             }
         }
-        self.breaches.sort_by_key(|b| b.at);
-        (self.breaches, self.tally)
+        self.breaches.sort_by_key(|b| b.at_us);
+        (self.breaches, self.totals)
     }
 
     /// Rules 1 and 2 over all launches of one asking.
     fn judge_task(&mut self, (life, key, number): &AskId, ask: &Ask, sent: &[Sent]) {
-        let slack = self.terms.slack;
+        let slack = self.config.reorder_tolerance_us;
         let answered = ask.answers.first();
-        let Some(f) = self.terms.frameworks.get(&ask.framework).cloned() else { return };
+        let Some(f) = self.config.frameworks.get(&ask.framework).cloned() else { return };
         for (i, s) in sent.iter().enumerate() {
             if let Some(&(at, _)) = answered.filter(|a| !s.late && s.at > a.0 + slack) {
                 let what = format!(
@@ -747,7 +776,7 @@
                 }
             }
         }
-        let harmless = f.kind == "repeatable" || (f.kind == "keyed" && f.group == "all");
+        let harmless = f.repeats == "repeatable" || (f.repeats == "keyed" && f.group == "all");
         let declined = answered.filter(|a| a.1 == AnswerKind::Declined as i32);
         if let (Some(&(at, _)), false) = (declined, harmless) {
             let doubt = sent.iter().find(|s| s.end.is_none_or(|e| e.1 == End::MayHaveRun));
@@ -764,7 +793,7 @@
     /// A further launch after one that may have run.
     fn judge_repeat(
         &mut self,
-        (life, key, number): (&Life, &str, u64),
+        (life, key, number): (&Incarnation, &str, u64),
         f: &Framework,
         before: &Sent,
         s: &Sent,
@@ -776,10 +805,10 @@
             "zone" => a.zone == b.zone,
             _ => a == b,
         };
-        let why = match f.kind.as_str() {
+        let why = match f.repeats.as_str() {
             "repeatable" => return,
             "keyed" if !in_group => "outside the group that drops its repeats",
-            "keyed" if !s.late && s.at > before.at + f.window + self.terms.slack => {
+            "keyed" if !s.late && s.at > before.at + f.window_us + self.config.reorder_tolerance_us => {
                 "after the window in which repeats are known"
             }
             "keyed" => return,
--- a/invariants/src/worth.rs
+++ b/invariants/src/priority.rs
@@ -1,6 +1,6 @@
 //! What was placed by its worth, and law 11: nothing of less worth is placed while the same needs of more
 //! worth are declined for want of room, beyond the age of what planners share.
-use crate::{Ask, AskId, Auditor};
+use crate::{Ask, AskId, InvariantChecker};
 use basaltpitch_agent::wire::AnswerKind;
 use std::collections::{BTreeMap, HashMap};
 
@@ -21,7 +21,7 @@
     }
 }
 
-impl Auditor {
+impl InvariantChecker {
     pub(crate) fn judge_worth(&mut self, asks: &BTreeMap<AskId, Ask>) {
         self.tally_worth(asks);
         let mut sorts: HashMap<Sort, Vec<(i64, bool)>> = HashMap::new();
@@ -34,12 +34,16 @@
         sorts.values_mut().for_each(|fates| fates.sort_unstable());
         let mut all: Vec<(Sort, Vec<(i64, bool)>)> = sorts.into_iter().collect();
         all.sort_unstable_by_key(|s| s.0);
-        let worth = |s: &Sort| self.terms.frameworks.get(s.0).map_or(0.0, |f| f.worth) / s.1.max(1) as f64;
+        let worth =
+            |s: &Sort| self.config.frameworks.get(s.0).map_or(0.0, |f| f.priority_weight) / s.1.max(1) as f64;
         let mut broken = Vec::new();
         for (more, declined) in &all {
             // Keyed and once-only tasks are bound to places of their own, and so are those with a spread.
             let free = |s: &Sort| {
-                self.terms.frameworks.get(s.0).is_some_and(|f| f.kind == "repeatable" && f.spread == "none")
+                self.config
+                    .frameworks
+                    .get(s.0)
+                    .is_some_and(|f| f.repeats == "repeatable" && f.spread == "none")
             };
             let lesser = |s: &Sort| free(more) && free(s) && s.1 >= more.1 && worth(more) > 2.0 * worth(s);
             for (less, fates) in all.iter().filter(|s| lesser(&s.0)) {
@@ -66,19 +70,19 @@
         // By task: was it placed, and within its goal?
         let mut tasks: BTreeMap<&str, (f64, bool, bool)> = BTreeMap::new();
         for ((_, key, _), ask) in asks {
-            let Some(f) = self.terms.frameworks.get(&ask.framework) else { continue };
-            let task = tasks.entry(key).or_insert((f.worth, false, false));
+            let Some(f) = self.config.frameworks.get(&ask.framework) else { continue };
+            let task = tasks.entry(key).or_insert((f.priority_weight, false, false));
             let Some(&(at, kind)) = ask.answers.first() else { continue };
             let placed = kind == AnswerKind::Placed as i32;
             task.1 |= placed;
-            task.2 |= placed && at <= ask.asked_at + f.goal;
+            task.2 |= placed && at <= ask.asked_at + f.latency_objective_us;
             let half = (ask.limit_at - ask.asked_at) / 2;
-            self.tally.missed += usize::from(fate(ask) == Some(false) && at > ask.asked_at + half);
+            self.totals.missed += usize::from(fate(ask) == Some(false) && at > ask.asked_at + half);
         }
         for (worth, placed, in_goal) in tasks.into_values() {
-            self.tally.worth_asked += worth;
-            self.tally.worth_placed += if placed { worth } else { 0.0 };
-            self.tally.worth_in_goal += if in_goal { worth } else { 0.0 };
+            self.totals.weight_requested += worth;
+            self.totals.weight_placed += if placed { worth } else { 0.0 };
+            self.totals.weight_in_objective += if in_goal { worth } else { 0.0 };
         }
     }
 }
--- a/invariants/tests/forged.rs
+++ b/invariants/tests/forged.rs
@@ -3,44 +3,44 @@
     self, Answer, Body, Cancel, Entry, Hello, Inventory, Launch, LaunchId, List, Readiness, Refused, Submit,
     Yes,
 };
-use basaltpitch_invariants::{Auditor, Framework, Life, Spot, Terms};
+use basaltpitch_invariants::{Framework, Incarnation, InvariantChecker, InvariantConfig, Location};
 use std::collections::HashMap;
 
 const S: i64 = 1_000_000;
 
-fn auditor() -> Auditor {
+fn auditor() -> InvariantChecker {
     let framework = |kind: &str, group: &str, spread: &str| Framework {
-        kind: kind.into(),
+        repeats: kind.into(),
         group: group.into(),
-        window: 6 * S,
+        window_us: 6 * S,
         spread: spread.into(),
-        most: 2,
-        worth: 1.0,
-        goal: S,
+        max_together: 2,
+        priority_weight: 1.0,
+        latency_objective_us: S,
     };
     let frameworks = HashMap::from([
         ("small".to_owned(), framework("repeatable", "all", "none")),
         ("big".to_owned(), framework("keyed", "zone", "none")),
         ("once".to_owned(), framework("once-only", "all", "machine")),
-        ("dear".to_owned(), Framework { worth: 5.0, ..framework("repeatable", "all", "none") }),
+        ("dear".to_owned(), Framework { priority_weight: 5.0, ..framework("repeatable", "all", "none") }),
     ]);
-    let terms = Terms {
-        answer_grace: S / 4,
-        drain_grace: S,
-        cold: 8 * S,
-        cold_window: S,
-        cold_offers: 3,
-        slack: 0,
+    let terms = InvariantConfig {
+        answer_grace_us: S / 4,
+        drain_grace_us: S,
+        warm_up_us: 8 * S,
+        offer_window_us: S,
+        max_offers: 3,
+        reorder_tolerance_us: 0,
         frameworks,
     };
-    let mut a = Auditor::new(terms);
+    let mut a = InvariantChecker::new(terms);
     for (machine, zone) in [("m0", "a"), ("m1", "b"), ("m2", "a")] {
-        a.machine_is(machine, Spot { zone: zone.into(), cell: 1, ..Spot::default() });
+        a.set_location(machine, Location { zone: zone.into(), cell: 1, ..Location::default() });
     }
     a
 }
 
-fn life() -> Life {
+fn life() -> Incarnation {
     ("p".into(), 1)
 }
 
@@ -48,7 +48,7 @@
     Some(LaunchId { epoch: 1, number })
 }
 
-fn asks(a: &mut Auditor, at: i64, framework: &str) {
+fn asks(a: &mut InvariantChecker, at: i64, framework: &str) {
     let submit = Submit {
         key: "k".into(),
         ask: 1,
@@ -60,10 +60,10 @@
         runs_for_us: S,
         time_left_us: 9 * S,
     };
-    a.owner_sent(at, &life(), &submit);
+    a.client_sent(at, &life(), &submit);
 }
 
-fn launch(a: &mut Auditor, at: i64, framework: &str, number: u64, machine: &str) {
+fn launch(a: &mut InvariantChecker, at: i64, framework: &str, number: u64, machine: &str) {
     let launch = Launch {
         id: id(number),
         key: "k".into(),
@@ -79,26 +79,26 @@
         tenant_id: String::new(),
     };
     let conn = machine.bytes().map(u64::from).sum();
-    a.machine_got(at, machine, conn, &life(), &Body::Launch(launch), false);
+    a.machine_socket_read(at, machine, conn, &life(), &Body::Launch(launch), false);
 }
 
-fn answer(a: &mut Auditor, at: i64, kind: i32) {
+fn answer(a: &mut InvariantChecker, at: i64, kind: i32) {
     let answer = Answer { key: "k".into(), ask: 1, kind, ..Answer::default() };
-    a.owner_got(at, &life(), &Body::Answer(answer));
+    a.client_received(at, &life(), &Body::Answer(answer));
 }
 
-fn refused(a: &mut Auditor, at: i64, number: u64, machine: &str) {
+fn refused(a: &mut InvariantChecker, at: i64, number: u64, machine: &str) {
     let refused = Refused { id: id(number), key: "k".into(), why: 1, report: None };
-    a.machine_sent(at, machine, &life(), &Body::Refused(refused));
+    a.machine_sent_and_delivered(at, machine, &life(), &Body::Refused(refused));
 }
 
-fn cancel(a: &mut Auditor, at: i64, number: u64, machine: &str) {
-    a.machine_got(at, machine, 1, &life(), &Body::Cancel(Cancel { id: id(number) }), false);
+fn cancel(a: &mut InvariantChecker, at: i64, number: u64, machine: &str) {
+    a.machine_socket_read(at, machine, 1, &life(), &Body::Cancel(Cancel { id: id(number) }), false);
 }
 
 /// The rules that were broken, by the end of the day.
-fn broken(a: Auditor) -> Vec<u8> {
-    a.finish(100 * S).0.iter().map(|b| b.rule).collect()
+fn broken(a: InvariantChecker) -> Vec<u8> {
+    a.finish(100 * S).0.iter().map(|b| b.invariant).collect()
 }
 
 #[test]
@@ -197,9 +197,9 @@
     };
     for (at, back, want) in [(2 * S, false, vec![]), (2 * S + 1, false, vec![3]), (3 * S, true, vec![])] {
         let mut a = auditor();
-        a.register_sent(S, &life(), &list(Readiness::Draining));
+        a.registry_sent(S, &life(), &list(Readiness::Draining));
         if back {
-            a.register_sent(S, &life(), &list(Readiness::Ready));
+            a.registry_sent(S, &life(), &list(Readiness::Ready));
         }
         asks(&mut a, 0, "small");
         launch(&mut a, at, "small", 1, "m0");
@@ -229,7 +229,12 @@
         let mut a = auditor();
         for n in 0..2 {
             launch(&mut a, S, "once", n, "m0");
-            a.machine_sent(S, "m0", &life(), &Body::Yes(Yes { id: id(n), key: "k".into(), report: None }));
+            a.machine_sent_and_delivered(
+                S,
+                "m0",
+                &life(),
+                &Body::Yes(Yes { id: id(n), key: "k".into(), report: None }),
+            );
         }
         launch(&mut a, 2 * S, "once", 3, machine);
         assert_eq!(broken(a), want, "the third on {machine}");
@@ -237,11 +242,11 @@
 }
 
 /// A name's older holder, epoch 1, and its successor, epoch 2.
-fn greeted(a: &mut Auditor, at: i64, machine: &str, epoch: u64, taken: bool) {
-    let of: Life = ("p".into(), epoch);
-    a.machine_heard(at, machine, &of, &Body::Hello(Hello { epoch, ..Hello::default() }));
+fn greeted(a: &mut InvariantChecker, at: i64, machine: &str, epoch: u64, taken: bool) {
+    let of: Incarnation = ("p".into(), epoch);
+    a.machine_received(at, machine, &of, &Body::Hello(Hello { epoch, ..Hello::default() }));
     if taken {
-        a.machine_sent(at + 1, machine, &of, &Body::Inventory(Inventory::default()));
+        a.machine_sent_and_delivered(at + 1, machine, &of, &Body::Inventory(Inventory::default()));
     }
 }
 
@@ -265,21 +270,21 @@
 fn rule_7_what_a_stalled_machine_has_not_heard_is_nothing_to_it() {
     // The successor's hello is on the socket long before the machine hears it.
     let hello = |epoch| Body::Hello(Hello { epoch, ..Hello::default() });
-    let (older, newer): (Life, Life) = (("p".into(), 1), ("p".into(), 2));
+    let (older, newer): (Incarnation, Incarnation) = (("p".into(), 1), ("p".into(), 2));
     for (heard_newer_at, want) in [(4 * S + 2, vec![]), (2 * S, vec![7])] {
         let mut a = auditor();
-        a.machine_got(S, "m0", 1, &older, &hello(1), false);
-        a.machine_got(2 * S, "m0", 2, &newer, &hello(2), false);
+        a.machine_socket_read(S, "m0", 1, &older, &hello(1), false);
+        a.machine_socket_read(2 * S, "m0", 2, &newer, &hello(2), false);
         if heard_newer_at < 4 * S {
-            a.machine_heard(heard_newer_at, "m0", &newer, &hello(2));
+            a.machine_received(heard_newer_at, "m0", &newer, &hello(2));
         }
-        a.machine_heard(4 * S, "m0", &older, &hello(1));
-        a.machine_said(4 * S + 1, "m0", &older, &Body::Inventory(Inventory::default()));
+        a.machine_received(4 * S, "m0", &older, &hello(1));
+        a.machine_sent(4 * S + 1, "m0", &older, &Body::Inventory(Inventory::default()));
         if heard_newer_at > 4 * S {
-            a.machine_heard(heard_newer_at, "m0", &newer, &hello(2));
+            a.machine_received(heard_newer_at, "m0", &newer, &hello(2));
         }
         // Held back once more, the inventory says nothing of when the machine took the planner in.
-        a.machine_told(9 * S, "m0", &older, &Body::Inventory(Inventory::default()));
+        a.machine_frame_delivered(9 * S, "m0", &older, &Body::Inventory(Inventory::default()));
         assert_eq!(broken(a), want, "the newer hello heard at {heard_newer_at}");
     }
 }
@@ -291,13 +296,13 @@
         asks(&mut a, 0, "small");
         launch(&mut a, S, "small", 1, "m0");
         let refused = Body::Refused(Refused { id: id(1), key: "k".into(), why: 1, report: None });
-        a.machine_said(S, "m0", &life(), &refused);
+        a.machine_sent(S, "m0", &life(), &refused);
         if told_at < 3 * S {
-            a.machine_told(told_at, "m0", &life(), &refused);
+            a.machine_frame_delivered(told_at, "m0", &life(), &refused);
         }
         launch(&mut a, 3 * S, "small", 2, "m1");
         if told_at > 3 * S {
-            a.machine_told(told_at, "m0", &life(), &refused);
+            a.machine_frame_delivered(told_at, "m0", &life(), &refused);
         }
         answer(&mut a, 5 * S, 1);
         assert_eq!(broken(a), want, "refused at {S}, told at {told_at}");
@@ -310,9 +315,9 @@
         let mut a = auditor();
         asks(&mut a, 0, "small");
         let drain = Body::Drain(wire::Drain { machine: "m0".into(), on: true, ..wire::Drain::default() });
-        a.machine_said(2 * S, "m0", &life(), &drain);
+        a.machine_sent(2 * S, "m0", &life(), &drain);
         if told_at < 5 * S {
-            a.machine_told(told_at, "m0", &life(), &drain);
+            a.machine_frame_delivered(told_at, "m0", &life(), &drain);
         }
         launch(&mut a, 5 * S, "small", 1, "m0");
         answer(&mut a, 6 * S, 1);
@@ -328,7 +333,9 @@
             wire::Launch { id: Some(LaunchId { epoch: 2, number: 7 }), ..wire::Launch::default() },
             ("p".into(), 2),
         );
-        let acts = |a: &mut Auditor| a.machine_got(2 * S, "m0", 2, &new, &Body::Launch(task.clone()), false);
+        let acts = |a: &mut InvariantChecker| {
+            a.machine_socket_read(2 * S, "m0", 2, &new, &Body::Launch(task.clone()), false)
+        };
         if at > 2 * S {
             acts(&mut a);
         }
@@ -338,7 +345,12 @@
         }
         if accepted {
             // The successor's link is the newest by now: the word goes there.
-            a.machine_sent(4 * S, "m1", &new, &Body::Yes(Yes { id: id(1), key: "k".into(), report: None }));
+            a.machine_sent_and_delivered(
+                4 * S,
+                "m1",
+                &new,
+                &Body::Yes(Yes { id: id(1), key: "k".into(), report: None }),
+            );
         }
         assert_eq!(broken(a), want, "sent at {at}, accepted: {accepted}");
     }
@@ -355,7 +367,7 @@
         (S, vec!["m1"], vec![]),
     ] {
         let mut a = auditor();
-        a.hall_back(0, "a");
+        a.zone_recovered(0, "a");
         for (n, machine) in machines.iter().enumerate() {
             launch(&mut a, at, "small", n as u64, machine);
             refused(&mut a, at, n as u64, machine);
@@ -387,17 +399,17 @@
                     time_left_us: 9 * S,
                     ..Submit::default()
                 };
-                a.owner_sent(at, &life(), &submit);
+                a.client_sent(at, &life(), &submit);
                 let reason = reason.to_owned();
                 let answer = Answer { key, ask: 1, kind, reason, ..Answer::default() };
-                a.owner_got(at + 1, &life(), &Body::Answer(answer));
+                a.client_received(at + 1, &life(), &Body::Answer(answer));
             }
         }
         let (breaches, tally) = a.finish(100 * S);
-        let rules: Vec<u8> = breaches.iter().map(|b| b.rule).collect();
+        let rules: Vec<u8> = breaches.iter().map(|b| b.invariant).collect();
         assert_eq!(rules, want, "{gap} us, {reason}, placed {placed:?}: {breaches:?}");
         let dear = if placed.is_some() { 5.0 } else { 0.0 };
-        let worth = (tally.worth_asked, tally.worth_placed, tally.worth_in_goal, tally.missed);
+        let worth = (tally.weight_requested, tally.weight_placed, tally.weight_in_objective, tally.missed);
         assert_eq!(worth, (96.0, 16.0 + dear, 16.0 + dear, 0));
     }
 }
@@ -408,7 +420,7 @@
         let mut a = auditor();
         a.planner_stopped(0, "p", 1);
         asks(&mut a, 0, "small");
-        a.planner_woke("p", 1);
+        a.planner_resumed("p", 1);
         kinds.iter().for_each(|&kind| answer(&mut a, 20 * S, kind));
         assert_eq!(broken(a), want, "answers {kinds:?}");
     }
@@ -426,16 +438,16 @@
     ];
     for (words, want) in cases {
         let mut a = auditor();
-        a.roll_begins(0, 1, "a");
+        a.rolling_restart_started(0, 1, "a");
         for (n, &(machine, word)) in words.iter().enumerate() {
             let at = S * (n as i64 + 1);
             match word {
                 "anew" => a.machine_started(at, machine),
-                word => a.roll_said(at, machine, word == "on"),
+                word => a.rolling_restart_drained(at, machine, word == "on"),
             }
         }
         let anew = words.iter().filter(|w| w.1 == "anew").count();
-        assert_eq!(a.roll_lacks().len(), 2 - anew, "two of zone a, {words:?}");
+        assert_eq!(a.machines_not_restarted().len(), 2 - anew, "two of zone a, {words:?}");
         assert_eq!(broken(a), want, "{words:?}");
     }
 }
--- a/ldap/tests/over_a_restart.rs
+++ b/ldap/tests/over_a_restart.rs
@@ -6,7 +6,7 @@
 use basaltpitch_tenants::keeper::{Keeper, FORMAT};
 use basaltpitch_tenants::rights::{Asks, Terms};
 use basaltpitch_tenants::trust::CAUTION;
-use basaltpitch_testbed::directory::{self, laid, Trouble};
+use basaltpitch_testbed::ldap_server::{self, ldap_entry, DirectoryFault};
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::task::LocalSet;
@@ -25,10 +25,10 @@
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("secret"), "s").unwrap();
-        let there = directory::start("s").await.unwrap();
+        let there = ldap_server::start("s").await.unwrap();
         let stamp: (&str, &[&str]) = ("modifyTimestamp", &["20261201120000Z"]);
         *there.entries.borrow_mut() = vec![
-            laid(
+            ldap_entry(
                 "uid=asha,dc=x",
                 &[
                     ("objectClass", &["inetOrgPerson"]),
@@ -37,7 +37,7 @@
                     stamp,
                 ],
             ),
-            laid(
+            ldap_entry(
                 "cn=orders,dc=x",
                 &[
                     ("objectClass", &["basaltpitchTenant"]),
@@ -73,7 +73,7 @@
             let (at, bytes) = k.memory().unwrap();
             store.put("tenants", FORMAT, at, &bytes).unwrap();
         }
-        there.trouble.set(Trouble::Stalls);
+        there.fault.set(DirectoryFault::Stalls);
         let (store, found) = Store::open(&path).unwrap();
         assert_eq!(found, Found::Ours);
         let kept = store.get("tenants", FORMAT).unwrap().unwrap();
@@ -82,7 +82,7 @@
         k.swept(401 * S, sweep(&source, 0, Before::default(), || ()).await.ok().map(|s| s.sweep));
         let r = k.rule(401 * S, &terms, "asha", asks);
         assert_eq!((r.may, r.stale, k.state(401 * S)), (true, true, State::Stale));
-        there.trouble.set(Trouble::None);
+        there.fault.set(DirectoryFault::None);
         let at = k.next_at();
         assert_eq!(k.next(at), Some(0));
         assert_eq!(
--- a/ldap/tests/sweeps.rs
+++ b/ldap/tests/sweeps.rs
@@ -3,7 +3,7 @@
 use basaltpitch_ldap::{plain_dn, read, sweep, Before, Fault, Names, Raw, Source, Swept};
 use basaltpitch_tenants::trust::{Trust, CAUTION};
 use basaltpitch_tenants::{Id, Tenants, What};
-use basaltpitch_testbed::directory::{self, laid, Directory, Laid, Trouble};
+use basaltpitch_testbed::ldap_server::{self, ldap_entry, DirectoryFault, LdapEntry, LdapServer};
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -20,7 +20,7 @@
     format!("00000000-0000-0000-0000-{n:012x}")
 }
 
-fn entries() -> Vec<Laid> {
+fn entries() -> Vec<LdapEntry> {
     let mut all = Vec::new();
     let stamp = "20261201120000Z";
     let person = |n: u32| format!("uid=p{n},ou=people,dc=campus");
@@ -32,7 +32,7 @@
             ("entryUUID", &[&id]),
             ("modifyTimestamp", &[stamp]),
         ];
-        all.push(laid(&person(n), &of));
+        all.push(ldap_entry(&person(n), &of));
     }
     for t in 0..4 {
         let (id, name) = (uuid(t + 1), format!("team {t}"));
@@ -46,14 +46,14 @@
             ("member", &members),
             ("basaltpitchShare", &["0.25"]),
         ];
-        all.push(laid(&format!("cn={name}, ou=tenants, dc=campus"), &of));
+        all.push(ldap_entry(&format!("cn={name}, ou=tenants, dc=campus"), &of));
     }
     all
 }
 
 /// A directory with those entries, and how it is asked. The name keeps the tests' secrets apart.
-async fn begin(name: &str) -> (Rc<Directory>, Source) {
-    let there = directory::start("open sesame").await.unwrap();
+async fn begin(name: &str) -> (Rc<LdapServer>, Source) {
+    let there = ldap_server::start("open sesame").await.unwrap();
     *there.entries.borrow_mut() = entries();
     let password = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.secret"));
     std::fs::write(&password, "open sesame\n").unwrap();
@@ -103,7 +103,7 @@
         };
         assert_eq!(take(sweep(&source, 0, Before::default(), || ()).await.unwrap()), 4);
         for most in 0..44 {
-            there.trouble.set(Trouble::CutsAfter(most));
+            there.fault.set(DirectoryFault::CutsAfter(most));
             match sweep(&source, 0, Before::default(), || ()).await {
                 Ok(swept) => {
                     assert!(!swept.sweep.complete, "cut after {most}: {:?}", swept.lacks);
@@ -119,20 +119,20 @@
 fn each_trouble_has_its_word() {
     on_sockets(async {
         let (there, mut source) = begin("words").await;
-        there.trouble.set(Trouble::SizeLimit(20));
+        there.fault.set(DirectoryFault::SizeLimit(20));
         let swept = sweep(&source, 0, Before::default(), || ()).await.unwrap();
         assert_eq!(swept.lacks, ["the search ended with result 4 (); expected 0"]);
-        there.trouble.set(Trouble::Stalls);
+        there.fault.set(DirectoryFault::Stalls);
         let said = sweep(&source, 0, Before::default(), || ()).await.unwrap_err().to_string();
         assert!(said.contains("the search broke off"), "{said}");
-        there.trouble.set(Trouble::Refuses);
+        there.fault.set(DirectoryFault::Refuses);
         assert!(matches!(sweep(&source, 0, Before::default(), || ()).await, Err(Fault::Connect { .. })));
-        there.trouble.set(Trouble::Slow(20));
+        there.fault.set(DirectoryFault::Slow(20));
         assert!(
             sweep(&source, 0, Before::default(), || ()).await.unwrap().sweep.complete,
             "slow, and all of it"
         );
-        there.trouble.set(Trouble::None);
+        there.fault.set(DirectoryFault::None);
         *there.password.borrow_mut() = "changed".into();
         let said = sweep(&source, 0, Before::default(), || ()).await.unwrap_err().to_string();
         assert!(
@@ -153,7 +153,7 @@
 fn one_entry_of_nonsense_leaves_the_others_and_is_named() {
     on_sockets(async {
         let (there, source) = begin("nonsense").await;
-        let bad = laid(
+        let bad = ldap_entry(
             "cn=odd,dc=campus",
             &[
                 ("objectClass", &["groupOfNames"]),
--- a/ldap/tests/ways.rs
+++ b/ldap/tests/ways.rs
@@ -5,7 +5,9 @@
 use basaltpitch_tenants::keeper::Keeper;
 use basaltpitch_tenants::trust::Caution;
 use basaltpitch_tenants::{Entry, Id};
-use basaltpitch_testbed::directory::{self, laid, Directory, Laid, Shield, Trouble};
+use basaltpitch_testbed::ldap_server::{
+    self, ldap_entry, DirectoryFault, LdapEntry, LdapServer, TransportSecurity,
+};
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -84,7 +86,7 @@
         }
     }
 
-    fn laid(&self) -> Vec<Laid> {
+    fn laid(&self) -> Vec<LdapEntry> {
         let entry = |(n, (clock, name, members)): (&u32, &(u32, String, Vec<u32>))| {
             let class = if *n < 4 { "basaltpitchTenant" } else { "inetOrgPerson" };
             let (id, stamp) = (format!("{n:032x}"), format!("2026{clock:010}Z"));
@@ -98,13 +100,13 @@
                 ("modifyTimestamp", &[&stamp]),
                 ("member", &members),
             ];
-            laid(&format!("cn={name},dc=campus"), &of)
+            ldap_entry(&format!("cn={name},dc=campus"), &of)
         };
         self.all.iter().map(entry).collect()
     }
 
     fn entries(&self, names: &Names) -> BTreeMap<Id, Entry> {
-        let raw = |(dn, attributes): Laid| {
+        let raw = |(dn, attributes): LdapEntry| {
             let text = |v: Vec<u8>| String::from_utf8(v).unwrap();
             let texts = attributes.into_iter().map(|(k, v)| (k, v.into_iter().map(text).collect()));
             basaltpitch_ldap::Raw { dn, texts: texts.collect(), bytes: Default::default() }
@@ -153,7 +155,7 @@
 /// Random edits, cuts and lost cookies: after each whole answer both agree; a cut one loses nobody that is
 /// there.
 async fn same_under_edits(sync: bool, seed: u64) {
-    let there = directory::start("s").await.unwrap();
+    let there = ldap_server::start("s").await.unwrap();
     let mut source = source(&format!("edits {sync}"), vec![format!("ldap://{}", there.address)]);
     source.sync = sync;
     let (mut chance, mut reference, mut ours) =
@@ -166,17 +168,19 @@
         *there.entries.borrow_mut() = reference.laid();
         there_were += reference.all.len() as u32;
         let trouble = match chance.random_range(0..8) {
-            0 => Trouble::CutsAfter(chance.random_range(0..12)),
-            1 if sync => Trouble::NamesPresent,
-            2 if sync => Trouble::ForgetsCookies,
-            3 => Trouble::SizeLimit(chance.random_range(0..12)),
-            _ => Trouble::None,
+            0 => DirectoryFault::CutsAfter(chance.random_range(0..12)),
+            1 if sync => DirectoryFault::NamesPresent,
+            2 if sync => DirectoryFault::ForgetsCookies,
+            3 => DirectoryFault::SizeLimit(chance.random_range(0..12)),
+            _ => DirectoryFault::None,
         };
-        there.trouble.set(trouble);
+        there.fault.set(trouble);
         let before = ours.entries();
         let fault = ours.sweep(&source).await.err();
-        let broke =
-            matches!(trouble, Trouble::CutsAfter(_) | Trouble::SizeLimit(_) | Trouble::ForgetsCookies);
+        let broke = matches!(
+            trouble,
+            DirectoryFault::CutsAfter(_) | DirectoryFault::SizeLimit(_) | DirectoryFault::ForgetsCookies
+        );
         let (got, want) = (ours.entries(), reference.entries(&source.names));
         let place = format!("seed {seed}, round {round}, {trouble:?}, {fault:?}");
         if !broke {
@@ -210,7 +214,7 @@
 #[test]
 fn a_cookie_survives_a_restart() {
     on_sockets(async {
-        let there = directory::start("s").await.unwrap();
+        let there = ldap_server::start("s").await.unwrap();
         let mut source = source("cookie", vec![format!("ldap://{}", there.address)]);
         source.sync = true;
         let (mut reference, mut ours) = (There::new(), Ours::new(&source));
@@ -239,7 +243,7 @@
 fn a_page_cut_at_each_byte_loses_no_tenant() {
     on_sockets(async {
         for sync in [false, true] {
-            let there = directory::start("s").await.unwrap();
+            let there = ldap_server::start("s").await.unwrap();
             let mut source = source("bytes", vec![format!("ldap://{}", there.address)]);
             (source.sync, source.page) = (sync, 3);
             let mut reference = There::new();
@@ -252,7 +256,7 @@
             let all = there.bytes.get();
             for most in 0..all {
                 there.bytes.set(0);
-                there.trouble.set(Trouble::CutsAtByte(most));
+                there.fault.set(DirectoryFault::CutsAtByte(most));
                 let swept = sweep(&source, 0, Before::default(), || ()).await;
                 let whole = swept.as_ref().is_ok_and(|s| s.sweep.complete);
                 assert!(!whole, "byte {most} of {all}, synchronised: {sync}");
@@ -270,13 +274,13 @@
 fn of_two_servers_that_disagree_the_older_takes_nothing_back() {
     on_sockets(async {
         for mark in [false, true] {
-            let servers = [directory::start("s").await.unwrap(), directory::start("s").await.unwrap()];
+            let servers = [ldap_server::start("s").await.unwrap(), ldap_server::start("s").await.unwrap()];
             let urls = servers.iter().map(|d| format!("ldap://{}", d.address)).collect();
             let mut source = source("two", urls);
             source.names.mark = mark.then(|| "contextCSN".into());
-            let lay = |d: &Rc<Directory>, t: &There, at: u32| {
+            let lay = |d: &Rc<LdapServer>, t: &There, at: u32| {
                 let csn = format!("2026{at:010}.000000Z#000000#001#000000");
-                let base = laid(
+                let base = ldap_entry(
                     "dc=campus",
                     &[
                         ("objectClass", &["groupOfNames"]),
@@ -295,7 +299,7 @@
             lay(&servers[0], &reference, 6);
             ours.sweep(&source).await.unwrap();
             let seen = ours.entries();
-            servers[0].trouble.set(Trouble::Refuses);
+            servers[0].fault.set(DirectoryFault::Refuses);
             assert!(ours.sweep(&source).await.is_err());
             ours.sweep(&source).await.unwrap();
             assert_eq!(ours.entries(), seen, "mark {mark}");
@@ -329,8 +333,12 @@
     on_sockets(async {
         let ((one, pem), (_, stranger)) = (shield(), shield());
         for starttls in [false, true] {
-            let shield = if starttls { Shield::StartTls(one.clone()) } else { Shield::Tls(one.clone()) };
-            let there = directory::start_with("s", shield).await.unwrap();
+            let shield = if starttls {
+                TransportSecurity::StartTls(one.clone())
+            } else {
+                TransportSecurity::Tls(one.clone())
+            };
+            let there = ldap_server::start_with_security("s", shield).await.unwrap();
             *there.entries.borrow_mut() = There::new().laid();
             let scheme = if starttls { "ldap" } else { "ldaps" };
             let mut source = source("tls", vec![format!("{scheme}://{}", there.address)]);
@@ -347,7 +355,7 @@
             assert!(said.contains("found no certificate; expected at least one in PEM"), "{said}");
         }
         // A server that wants TLS gets no password without it.
-        let there = directory::start_with("s", Shield::StartTls(one)).await.unwrap();
+        let there = ldap_server::start_with_security("s", TransportSecurity::StartTls(one)).await.unwrap();
         let source = source("clear", vec![format!("ldap://{}", there.address)]);
         let said = sweep(&source, 0, Before::default(), || ()).await.unwrap_err().to_string();
         assert!(said.contains("found result 13"), "{said}");
--- a/planner/tests/net/mod.rs
+++ b/planner/tests/net/mod.rs
@@ -6,7 +6,9 @@
 use basaltpitch_agent::holder::{Holder, Id, Say, State};
 use basaltpitch_agent::why;
 use basaltpitch_agent::wire::{self, Body, EndedHow, Entry, Launch, LaunchId, Readiness};
-use basaltpitch_invariants::{Auditor, Breach, Framework, Spot, Tally, Terms};
+use basaltpitch_invariants::{
+    Framework, InvariantChecker, InvariantConfig, Location, TrafficTotals, Violation,
+};
 use basaltpitch_planner::state::{Core, Out, Who, REGISTER};
 use basaltpitch_subsetting as aperture;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -35,23 +37,23 @@
     pairs.map(|(name, text)| (name.to_owned(), value(text))).collect()
 }
 
-pub fn terms() -> Terms {
+pub fn terms() -> InvariantConfig {
     let framework = |kind: &str, group: &str, window, spread: &str| Framework {
-        kind: kind.into(),
+        repeats: kind.into(),
         group: group.into(),
-        window,
+        window_us: window,
         spread: spread.into(),
-        most: 2,
-        worth: 1.0,
-        goal: 1_000_000,
+        max_together: 2,
+        priority_weight: 1.0,
+        latency_objective_us: 1_000_000,
     };
-    Terms {
-        answer_grace: 0,
-        drain_grace: 0,
-        cold: 8_000_000,
-        cold_window: 1_000_000,
-        cold_offers: 4,
-        slack: 0,
+    InvariantConfig {
+        answer_grace_us: 0,
+        drain_grace_us: 0,
+        warm_up_us: 8_000_000,
+        offer_window_us: 1_000_000,
+        max_offers: 4,
+        reorder_tolerance_us: 0,
         frameworks: HashMap::from([
             (SMALL.into(), framework("repeatable", "all", 0, "none")),
             (BIG.into(), framework("keyed", "zone", 6_000_000, "none")),
@@ -94,7 +96,7 @@
     pub epoch: u64,
     pub machines: Vec<Mac>,
     pub index: HashMap<usize, usize>,
-    pub auditor: Auditor,
+    pub auditor: InvariantChecker,
     pub answers: HashMap<(u64, String, u64), Vec<(i64, i32)>>,
     pub log: String,
     /// Starts of once-only copies that have not ended, by key.
@@ -155,7 +157,7 @@
             epoch: 1,
             machines: (0..machines).map(of).collect(),
             index: HashMap::new(),
-            auditor: Auditor::new(terms()),
+            auditor: InvariantChecker::new(terms()),
             answers: HashMap::new(),
             log: String::new(),
             standing: HashMap::new(),
@@ -172,8 +174,8 @@
             starts: HashMap::new(),
         };
         for m in &net.machines {
-            let spot = Spot { zone: m.zone.to_string(), cell: 0, ..Spot::default() };
-            net.auditor.machine_is(&m.name, spot);
+            let spot = Location { zone: m.zone.to_string(), cell: 0, ..Location::default() };
+            net.auditor.set_location(&m.name, spot);
         }
         net.carry();
         net
@@ -214,7 +216,7 @@
         };
         let entries = self.machines.iter().enumerate().filter(|x| of(x.0)).map(|x| entry(x.1)).collect();
         let list = wire::List { whole, stamp: 0, entries, question };
-        self.auditor.register_sent(self.now, &self.life(), &list);
+        self.auditor.registry_sent(self.now, &self.life(), &list);
         if question == 0 {
             (0..self.machines.len()).for_each(|m| self.start_heard(m));
             self.core.register_up(self.now);
@@ -264,7 +266,7 @@
                                 self.note(format!("launch {} of {} on {name}", l.id.unwrap().number, l.key));
                             }
                             let (now, life) = (self.now, self.life());
-                            self.auditor.machine_got(now, &name, conn(m, link), &life, &body, false);
+                            self.auditor.machine_socket_read(now, &name, conn(m, link), &life, &body, false);
                         }
                         (None, Some(number)) => self.core.launch_unsent(self.now, number),
                         _ => {}
@@ -274,7 +276,7 @@
                 Out::Remember { at, all } => self.memories.push((at, all)),
                 Out::Conn { body, .. } => {
                     let (now, life) = (self.now, self.life());
-                    self.auditor.owner_got(now, &life, &body);
+                    self.auditor.client_received(now, &life, &body);
                     match body {
                         Body::Answer(a) => {
                             self.heard.push(a.clone());
@@ -340,9 +342,9 @@
             // To the auditor: a launch that no machine ever reads is one that it refused.
             let refused = wire::Refused { id: id(number), key: String::new(), why: 0, report: None };
             let (now, life, name) = (self.now, self.life(), self.machines[m].name.clone());
-            self.auditor.machine_sent(now, &name, &life, &Body::Refused(refused));
+            self.auditor.machine_sent_and_delivered(now, &name, &life, &Body::Refused(refused));
         }
-        self.auditor.machine_cut(self.now, conn(m, link));
+        self.auditor.machine_disconnected(self.now, conn(m, link));
         let peer = self.peer(m);
         self.core.machine_down(self.now, peer, link, &numbers);
         self.carry();
@@ -457,7 +459,7 @@
         }
         let Some(body) = w.to_planner.pop_front() else { return };
         let (now, life) = (self.now, self.life());
-        self.auditor.machine_sent(now, &name, &life, &body);
+        self.auditor.machine_sent_and_delivered(now, &name, &life, &body);
         self.core.machine_frame(now, peer, link, body).expect("a frame in order");
         self.carry();
     }
@@ -544,7 +546,7 @@
         for m in 0..self.machines.len() {
             let links: Vec<u64> = self.machines[m].links.keys().copied().collect();
             for link in links {
-                self.auditor.machine_cut(self.now, conn(m, link));
+                self.auditor.machine_disconnected(self.now, conn(m, link));
             }
             // Link numbers start anew with the epoch; what was in the air is gone with its sockets.
             self.machines[m].links.clear();
@@ -567,7 +569,7 @@
         };
         self.note(format!("{key} asking {ask}"));
         let life = self.life();
-        self.auditor.owner_sent(self.now, &life, &submit);
+        self.auditor.client_sent(self.now, &life, &submit);
         self.core.conn_frame(self.now, 1, Body::Submit(submit)).expect("a submit in order");
         self.carry();
     }
@@ -581,7 +583,7 @@
 
     pub fn withdraw(&mut self, key: &str, ask: u64) {
         let life = self.life();
-        self.auditor.owner_withdrew(&life, key, ask);
+        self.auditor.client_withdrew(&life, key, ask);
         let w = wire::Withdraw { key: key.into(), ask };
         self.core.conn_frame(self.now, 1, Body::Withdraw(w)).expect("a withdrawal in order");
         self.carry();
@@ -614,7 +616,7 @@
         }
     }
 
-    pub fn finish(self) -> (Vec<Breach>, Tally) {
+    pub fn finish(self) -> (Vec<Violation>, TrafficTotals) {
         self.auditor.finish(self.now)
     }
 }
--- a/planner/tests/sockets.rs
+++ b/planner/tests/sockets.rs
@@ -8,8 +8,8 @@
 use basaltpitch_planner::service::{serve, Start};
 use basaltpitch_planner::state::Who;
 use basaltpitch_testbed::drill;
-use basaltpitch_testbed::machine::{self, World};
-use basaltpitch_testbed::register::{self, Lateness};
+use basaltpitch_testbed::machine::{self, TestbedContext};
+use basaltpitch_testbed::registry::{self, RegistryDelays};
 use std::io::{self, Write};
 use std::rc::Rc;
 use std::time::Duration;
@@ -29,17 +29,17 @@
 "#;
 
 /// Starts two machines, a register and a planner; gives the planner's address.
-async fn start(record: Option<Box<dyn Write + Send>>) -> (String, Rc<World>) {
+async fn start(record: Option<Box<dyn Write + Send>>) -> (String, Rc<TestbedContext>) {
     let site = load_texts(&[("site.rec", SITE)]).map_err(|e| e.1).unwrap();
-    let world = drill::world(&site, Rc::default());
+    let world = drill::context(&site, Rc::default());
     let mut fleet = Vec::new();
     for n in 0..2 {
         let at = ("hall-a".to_owned(), 0);
         let made = machine::start(world.clone(), format!("m{n}"), at, "std".into(), (16.0, 32.0), n).await;
         fleet.push(made.unwrap());
     }
-    let late = Lateness { notice_us: 0, silent_notice_us: 100_000, period_us: 20_000 };
-    let register = register::start(world.clone(), fleet, late).await.unwrap();
+    let late = RegistryDelays { notice_us: 0, silent_notice_us: 100_000, period_us: 20_000 };
+    let register = registry::start(world.clone(), fleet, late).await.unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let seat = Seat { number: 0, planners: 1, zone: "hall-a".into() };
@@ -199,8 +199,10 @@
         let mut second = Talk::to(&address, Role::Owner).await;
         second.say(submit("tally", 1, "big", 2.0)).await;
         assert_eq!(second.answer().await, a);
-        let (_, tally) =
-            world.auditor.replace(basaltpitch_invariants::Auditor::new(drill::terms_of(SITE))).finish(0);
+        let (_, tally) = world
+            .checker
+            .replace(basaltpitch_invariants::InvariantChecker::new(drill::invariant_config_of(SITE)))
+            .finish(0);
         assert_eq!(tally.launches, 1);
     });
 }
--- a/testbed/src/owner.rs
+++ b/testbed/src/client.rs
@@ -1,12 +1,12 @@
 //! Stand-in owners: they ask for tasks, wait as long as they said, ask again after a refusal or a loss, make
 //! sure before they ask again for what must not run twice, and turn to another planner when theirs does not
 //! answer.
-use crate::machine::World;
-use crate::rough::{self, Knobs, Seen};
+use crate::faulty_link::{self, FaultInjection, LinkObservation};
+use crate::machine::TestbedContext;
 use basaltpitch_agent::link::{self, News, Order};
 use basaltpitch_agent::session::{Event, Party};
 use basaltpitch_agent::wire::{self, AnswerKind, Body, LifeHow, Role, Submit};
-use basaltpitch_invariants::Life;
+use basaltpitch_invariants::Incarnation;
 use hdrhistogram::Histogram;
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::cell::RefCell;
@@ -17,7 +17,7 @@
 
 /// A task that an owner wants.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct SubmitPlan {
     pub submit: Submit,
     /// As the day's file names it.
     pub tenant: String,
@@ -27,7 +27,7 @@
 }
 
 /// What all owners of a day saw.
-pub struct Seens {
+pub struct ClientTotals {
     pub placed_us: Histogram<u64>,
     pub done: u64,
     pub lost: u64,
@@ -36,15 +36,15 @@
     pub unplaced: u64,
 }
 
-impl Default for Seens {
+impl Default for ClientTotals {
     fn default() -> Self {
         let placed_us = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are in order");
-        Seens { placed_us, done: 0, lost: 0, given_up: 0, asked: 0, unplaced: 0 }
+        ClientTotals { placed_us, done: 0, lost: 0, given_up: 0, asked: 0, unplaced: 0 }
     }
 }
 
 /// Where planners are reached now.
-pub type Front = Rc<RefCell<Vec<String>>>;
+pub type PlannerAddresses = Rc<RefCell<Vec<String>>>;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
@@ -56,44 +56,44 @@
 }
 
 struct Work {
-    wish: Wish,
+    wish: SubmitPlan,
     asked_at: i64,
     tries: u32,
     phase: Phase,
     /// Was asked of this life of a planner.
-    of: Option<Life>,
+    of: Option<Incarnation>,
 }
 
-struct Owner {
+struct SimulatedClient {
     number: u64,
     login: String,
-    world: Rc<World>,
-    front: Front,
-    seens: Rc<RefCell<Seens>>,
+    world: Rc<TestbedContext>,
+    front: PlannerAddresses,
+    seens: Rc<RefCell<ClientTotals>>,
     chance: StdRng,
     settle_us: i64,
     planner: usize,
     fails: u32,
     conn: u64,
     orders: Option<mpsc::Sender<Order>>,
-    life: Rc<RefCell<Option<Life>>>,
+    life: Rc<RefCell<Option<Incarnation>>>,
     retry_at: i64,
     works: BTreeMap<String, Work>,
 }
 
 /// Starts an owner, known by a login, that first turns to the planner of its number.
 pub fn start(
-    world: Rc<World>,
+    world: Rc<TestbedContext>,
     login: &str,
-    front: Front,
-    seens: Rc<RefCell<Seens>>,
+    front: PlannerAddresses,
+    seens: Rc<RefCell<ClientTotals>>,
     number: u64,
     seed: u64,
     settle_us: i64,
-) -> mpsc::Sender<Wish> {
+) -> mpsc::Sender<SubmitPlan> {
     let (wishes, inbox) = mpsc::channel(4096);
     let planner = number as usize % front.borrow().len();
-    let owner = Owner {
+    let owner = SimulatedClient {
         number,
         login: login.to_owned(),
         world,
@@ -113,8 +113,8 @@
     wishes
 }
 
-impl Owner {
-    async fn run(mut self, mut inbox: mpsc::Receiver<Wish>) {
+impl SimulatedClient {
+    async fn run(mut self, mut inbox: mpsc::Receiver<SubmitPlan>) {
         let (news, mut heard) = mpsc::channel::<(u64, News)>(1024);
         let mut tick = tokio::time::interval(std::time::Duration::from_millis(10));
         loop {
@@ -135,7 +135,7 @@
         self.world.clock.now()
     }
 
-    fn want(&mut self, wish: Wish) {
+    fn want(&mut self, wish: SubmitPlan) {
         let key = wish.submit.key.clone();
         let work = Work { tries: wish.tries, wish, asked_at: 0, phase: Phase::Resting(0), of: None };
         self.works.insert(key.clone(), work);
@@ -149,7 +149,7 @@
         let Some(work) = self.works.get_mut(key) else { return };
         work.wish.submit.ask += 1;
         work.wish.submit.time_left_us = work.wish.limit_us;
-        if let Some(feast) = &*self.world.feast.borrow() {
+        if let Some(feast) = &*self.world.directory.borrow() {
             work.wish.submit.tenant = feast.called(&work.wish.tenant);
         }
         if orders.try_send(Order::Send(Body::Submit(work.wish.submit.clone()), None)).is_ok() {
@@ -190,7 +190,9 @@
                 let _ = orders.try_send(Order::Send(Body::Withdraw(body), None));
             }
             // No connection, so no answer can come.
-            (None, Some(life)) => self.world.auditor.borrow_mut().owner_cut(life, key, work.wish.submit.ask),
+            (None, Some(life)) => {
+                self.world.checker.borrow_mut().client_disconnected(life, key, work.wish.submit.ask)
+            }
             (None, None) => {}
         }
         self.seens.borrow_mut().given_up += 1;
@@ -215,7 +217,7 @@
         let within = std::time::Duration::from_millis(100);
         let Ok(Ok(stream)) = tokio::time::timeout(within, TcpStream::connect(&address)).await else {
             self.fails += 1;
-            if self.fails >= self.world.manners.front_tries {
+            if self.fails >= self.world.behaviour.front_tries {
                 // The front gives a planner up that does not answer.
                 (self.planner, self.fails) = ((self.planner + 1) % self.front.borrow().len(), 0);
             }
@@ -228,17 +230,26 @@
         let (outer, inner) = tokio::io::duplex(64 * 1024);
         let (orders, inbox) = mpsc::channel(4096);
         let world = self.world.clone();
-        let show = move |hello: &wire::Hello, seen: Seen| {
+        let show = move |hello: &wire::Hello, seen: LinkObservation| {
             let life = (hello.name.clone(), hello.epoch);
-            let (mut auditor, now) = (world.auditor.borrow_mut(), world.clock.now());
+            let (mut checker, now) = (world.checker.borrow_mut(), world.clock.now());
             match seen {
-                Seen::Wrote { body: Body::Submit(s) } => auditor.owner_sent(now, &life, s),
-                Seen::Wrote { body: Body::Withdraw(w) } => auditor.owner_withdrew(&life, &w.key, w.ask),
-                Seen::Read { body, .. } => auditor.owner_got(now, &life, body),
+                LinkObservation::Wrote { body: Body::Submit(s) } => checker.client_sent(now, &life, s),
+                LinkObservation::Wrote { body: Body::Withdraw(w) } => {
+                    checker.client_withdrew(&life, &w.key, w.ask)
+                }
+                LinkObservation::Read { body, .. } => checker.client_received(now, &life, body),
                 _ => {}
             }
         };
-        tokio::task::spawn_local(rough::carry(stream, inner, conn, Rc::new(Knobs::default()), clock, show));
+        tokio::task::spawn_local(faulty_link::carry(
+            stream,
+            inner,
+            conn,
+            Rc::new(FaultInjection::default()),
+            clock,
+            show,
+        ));
         let me = Party {
             role: Role::Owner,
             name: format!("owner-{}", self.number),
@@ -266,7 +277,7 @@
 
     /// A planner answers. What was asked of the same life of it is asked for again under the same number;
     /// what was asked of another may run, and is asked anew once that is sure.
-    fn meet(&mut self, life: Life) {
+    fn meet(&mut self, life: Incarnation) {
         *self.life.borrow_mut() = Some(life.clone());
         let now = self.now();
         let keys: Vec<String> = self.works.keys().cloned().collect();
@@ -282,7 +293,7 @@
                 }
                 Phase::Asking(_) if !same => {
                     if let Some(of) = &work.of {
-                        self.world.auditor.borrow_mut().owner_cut(of, &key, work.wish.submit.ask);
+                        self.world.checker.borrow_mut().client_disconnected(of, &key, work.wish.submit.ask);
                     }
                     let wait = if work.wish.repeatable { 0 } else { self.settle_us };
                     self.again(&key, wait);
@@ -304,7 +315,7 @@
         if !matches!(work.phase, Phase::Asking(_)) {
             return;
         }
-        if let Some(feast) = &*self.world.feast.borrow() {
+        if let Some(feast) = &*self.world.directory.borrow() {
             feast.judge(work.asked_at, &self.login, &a);
         }
         match AnswerKind::try_from(a.kind) {
--- a/testbed/src/feast.rs
+++ b/testbed/src/directory_scenario.rs
@@ -1,8 +1,8 @@
 //! The directory's part of a day: stand-in servers with tenants in them, what goes wrong there, and whether
 //! answers told the truth about it: no owner who was a member all along is turned away, and what rests on old
 //! knowledge says so.
-use crate::directory::{self, laid, Directory, Laid, Trouble};
-use crate::machine::World;
+use crate::ldap_server::{self, ldap_entry, DirectoryFault, LdapEntry, LdapServer};
+use crate::machine::TestbedContext;
 use basaltpitch_agent::wire::Answer;
 use basaltpitch_config::Settled;
 use std::cell::{Cell, RefCell};
@@ -28,8 +28,8 @@
 }
 
 /// The directory of a day, as everybody there knows it.
-pub struct Feast {
-    pub servers: Vec<Rc<Directory>>,
+pub struct DirectoryScenario {
+    pub servers: Vec<Rc<LdapServer>>,
     tenants: RefCell<Vec<Tenant>>,
     people: RefCell<Vec<String>>,
     changes: Cell<u32>,
@@ -47,8 +47,8 @@
     faults: RefCell<Vec<String>>,
 }
 
-impl Feast {
-    pub async fn start(day: &Settled, owners: u64, now: i64) -> io::Result<Option<Rc<Feast>>> {
+impl DirectoryScenario {
+    pub async fn start(day: &Settled, owners: u64, now: i64) -> io::Result<Option<Rc<DirectoryScenario>>> {
         let Some(d) = day.get("directory") else { return Ok(None) };
         let people: Vec<String> = (0..owners).map(|n| format!("owner-{n}")).collect();
         let tenant = |(n, t): (usize, &Settled)| Tenant {
@@ -61,9 +61,9 @@
         let tenants = d.list("tenants").iter().enumerate().map(tenant).collect();
         let mut servers = Vec::new();
         for _ in 0..d.number("servers").unwrap_or(1.0) as usize {
-            servers.push(directory::start("feast").await?);
+            servers.push(ldap_server::start("feast").await?);
         }
-        let feast = Rc::new(Feast {
+        let feast = Rc::new(DirectoryScenario {
             servers,
             tenants: RefCell::new(tenants),
             people: RefCell::new(people),
@@ -103,13 +103,13 @@
         Ok(file)
     }
 
-    fn entries(&self) -> Vec<Laid> {
+    fn entries(&self) -> Vec<LdapEntry> {
         let stamp = |n: u32| format!("2026{n:010}Z");
         let person = |login: &str| format!("uid={login},dc=campus");
         let mut all = Vec::new();
         for (n, login) in self.people.borrow().iter().enumerate() {
             let (id, changed) = (format!("{:032x}", 0x1_0000 + n), stamp(0));
-            all.push(laid(
+            all.push(ldap_entry(
                 &person(login),
                 &[
                     ("objectClass", &["inetOrgPerson"]),
@@ -123,7 +123,7 @@
             let (share, changed) = (t.share.to_string(), stamp(t.changed));
             let members: Vec<String> = t.members.iter().map(|m| person(m)).collect();
             let members: Vec<&str> = members.iter().map(String::as_str).collect();
-            all.push(laid(
+            all.push(ldap_entry(
                 &format!("cn={},dc=campus", t.name),
                 &[
                     ("objectClass", &["basaltpitchTenant"]),
@@ -155,19 +155,19 @@
         self.called.borrow().get(name).cloned().unwrap_or_else(|| name.to_owned())
     }
 
-    fn troubled(&self, trouble: Trouble) {
-        self.servers.iter().for_each(|s| s.trouble.set(trouble));
+    fn troubled(&self, trouble: DirectoryFault) {
+        self.servers.iter().for_each(|s| s.fault.set(trouble));
     }
 
     /// Plays a trouble of the directory's.
-    pub async fn play(&self, what: &str, lasts: Duration, world: &World) {
+    pub async fn play(&self, what: &str, lasts: Duration, world: &TestbedContext) {
         let now = || world.clock.now();
         match what {
             "directory_away" => {
                 self.away_since.set(now());
-                self.troubled(Trouble::Refuses);
+                self.troubled(DirectoryFault::Refuses);
                 tokio::time::sleep(lasts / 2).await;
-                self.troubled(Trouble::Stalls);
+                self.troubled(DirectoryFault::Stalls);
                 // Someone joins all tenants while nobody can hear of it.
                 self.people.borrow_mut().push(NEWCOMER.into());
                 self.change(|tenants, n| {
@@ -178,7 +178,7 @@
                 });
                 self.lay(0);
                 tokio::time::sleep(lasts / 2).await;
-                self.troubled(Trouble::None);
+                self.troubled(DirectoryFault::None);
                 self.unsure_until.set(now() + RECOVERS);
                 self.away_since.set(0);
                 self.joined.set(lasts.as_micros() as i64 > self.fresh_us + self.every_us + TRAVELS);
@@ -204,14 +204,15 @@
                 self.change(|tenants, n| tenants.iter_mut().for_each(|t| t.changed = n));
                 self.lay(1);
                 tokio::time::sleep(Duration::from_micros(self.every_us as u64 * 2)).await;
-                self.servers[0].trouble.set(Trouble::Refuses);
+                self.servers[0].fault.set(DirectoryFault::Refuses);
                 tokio::time::sleep(lasts).await;
-                self.servers[0].trouble.set(Trouble::None);
+                self.servers[0].fault.set(DirectoryFault::None);
                 self.lay(0);
                 self.unsure_until.set(now() + RECOVERS);
             }
             "directory_lacks" => {
-                let few: Vec<Laid> = self.entries().into_iter().filter(|e| e.0.starts_with("uid=")).collect();
+                let few: Vec<LdapEntry> =
+                    self.entries().into_iter().filter(|e| e.0.starts_with("uid=")).collect();
                 self.servers.iter().for_each(|s| s.entries.borrow_mut().clone_from(&few));
                 tokio::time::sleep(lasts).await;
                 self.lay(0);
--- a/testbed/src/drill.rs
+++ b/testbed/src/drill.rs
@@ -1,18 +1,20 @@
 //! A drill: planners as processes of their own, stand-ins for all else in this one, a scripted day of
 //! trouble, and a verdict by the traffic on the sockets.
-use crate::day::{self, Load, Planners, Stage};
-use crate::feast::{Feast, NEWCOMER};
-use crate::how::How;
-use crate::machine::{self, Manners, World};
-use crate::owner::{self, Front, Seens, Wish};
-use crate::register::{self, Lateness};
-use crate::rig::{Rig, Seats};
+use crate::client::{self, ClientTotals, PlannerAddresses, SubmitPlan};
+use crate::directory_scenario::{DirectoryScenario, NEWCOMER};
+use crate::drill_config::DrillConfig;
+use crate::fault_scenario::{self, FaultTargets, LoadModifiers, PlannerControl};
+use crate::machine::{self, MachineBehaviour, TestbedContext};
+use crate::process_harness::{ProcessHarness, SlotReport};
+use crate::registry::{self, RegistryDelays};
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::Submit;
 use basaltpitch_config::installation::Installation;
 use basaltpitch_config::{Plain, Settled};
-use basaltpitch_invariants::laws::{Law, Must, Whose};
-use basaltpitch_invariants::{Auditor, Breach, Framework, Spot, Tally, Terms};
+use basaltpitch_invariants::placement::{PlacementInvariant, PlacementRequirement, TaskSelector};
+use basaltpitch_invariants::{
+    Framework, InvariantChecker, InvariantConfig, Location, TrafficTotals, Violation,
+};
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use serde::Serialize;
@@ -32,7 +34,7 @@
 
 /// What came of it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Verdict {
+pub struct DrillReport {
     pub seed: u64,
     pub machines: usize,
     pub planners: usize,
@@ -44,15 +46,15 @@
     pub unplaced: u64,
     pub ran: u64,
     pub placed_ms: Percentiles,
-    pub traffic: Tally,
-    pub breaches: Vec<Breach>,
+    pub traffic: TrafficTotals,
+    pub breaches: Vec<Violation>,
     /// Of a day with a directory: answers that rested on old knowledge, answers to a newcomer that were not
     /// "not allowed", and what was wrong.
     pub stale_answers: u64,
     pub newcomers: u64,
     pub tenant_faults: Vec<String>,
     /// Of a day with seats.
-    pub seats: Option<Seats>,
+    pub seats: Option<SlotReport>,
 }
 
 #[derive(Clone, Copy, Debug, Default, Serialize)]
@@ -75,11 +77,11 @@
 }
 
 struct Processes {
-    how: Rc<How>,
+    how: Rc<DrillConfig>,
     register: String,
     zones: Vec<String>,
-    world: Rc<World>,
-    front: Front,
+    world: Rc<TestbedContext>,
+    front: PlannerAddresses,
     all: Vec<Process>,
     lives: Cell<u32>,
     /// Of a day with a directory: what planners read beside the files, and where they keep what outlives
@@ -118,7 +120,7 @@
     }
 }
 
-impl Planners for Processes {
+impl PlannerControl for Processes {
     fn count(&self) -> usize {
         self.all.len()
     }
@@ -132,7 +134,7 @@
             let child = self.all[planner].child.borrow_mut().take();
             if let Some(mut child) = child {
                 let (now, epoch) = (self.world.clock.now(), self.all[planner].epoch.get());
-                self.world.auditor.borrow_mut().planner_killed(now, &format!("planner-{planner}"), epoch);
+                self.world.checker.borrow_mut().planner_killed(now, &format!("planner-{planner}"), epoch);
                 let _ = child.kill().await;
             }
         })
@@ -147,30 +149,30 @@
     }
 }
 
-fn terms(all: &Settled) -> Terms {
+fn terms(all: &Settled) -> InvariantConfig {
     let time = |path: &str| all.time(path).unwrap_or(0);
     let framework = |f: &Settled| Framework {
-        kind: f.text("repeat").unwrap_or("").to_owned(),
+        repeats: f.text("repeat").unwrap_or("").to_owned(),
         group: f.text("group").unwrap_or("all").to_owned(),
-        window: f.time("window").unwrap_or(0),
+        window_us: f.time("window").unwrap_or(0),
         spread: f.text("spread").unwrap_or("none").to_owned(),
-        most: f.number("most").unwrap_or(1.0) as usize,
-        worth: f.number("value").unwrap_or(1.0),
-        goal: f.time("goal").unwrap_or(0),
+        max_together: f.number("most").unwrap_or(1.0) as usize,
+        priority_weight: f.number("value").unwrap_or(1.0),
+        latency_objective_us: f.time("goal").unwrap_or(0),
     };
     let named = |f: &Settled| (f.text("name").unwrap_or("").to_owned(), framework(f));
-    Terms {
-        answer_grace: time("rules.answer_grace"),
-        drain_grace: time("rules.drain_grace"),
-        cold: time("rules.cold"),
-        cold_window: time("rules.cold_window"),
-        cold_offers: all.number("rules.cold_offers").unwrap_or(1.0) as usize,
-        slack: 250_000,
+    InvariantConfig {
+        answer_grace_us: time("rules.answer_grace"),
+        drain_grace_us: time("rules.drain_grace"),
+        warm_up_us: time("rules.cold"),
+        offer_window_us: time("rules.cold_window"),
+        max_offers: all.number("rules.cold_offers").unwrap_or(1.0) as usize,
+        reorder_tolerance_us: 250_000,
         frameworks: all.list("frameworks").iter().map(named).collect(),
     }
 }
 
-fn manners(all: &Settled, day: &Settled) -> Manners {
+fn manners(all: &Settled, day: &Settled) -> MachineBehaviour {
     let by_framework = |field: &str| -> HashMap<String, String> {
         let of = |f: &Settled| Some((f.text("name")?.to_owned(), f.text(field)?.to_owned()));
         all.list("frameworks").iter().filter_map(of).collect()
@@ -178,7 +180,7 @@
     let priority =
         |f: &Settled| (f.text("name").unwrap_or("").to_owned(), f.number("priority").unwrap_or(0.0) as i64);
     let count = |path: &str| day.number(path).unwrap_or(1.0) as usize;
-    Manners {
+    MachineBehaviour {
         look_us: day.time("look").unwrap_or(3_000),
         start_us: day.time("start").unwrap_or(30_000),
         cold_start: day.number("cold_start").unwrap_or(8.0),
@@ -206,15 +208,20 @@
 }
 
 /// The clauses that a drill judges, read anew from the records: hard ones, skews aside.
-fn laws(all: &Settled) -> Vec<Law> {
+fn laws(all: &Settled) -> Vec<PlacementInvariant> {
     let whose = |s: Option<&Settled>| {
         let text = |f: &str| s.and_then(|s| s.text(f)).unwrap_or("").to_owned();
         let service = s.and_then(|s| s.number("service")).map(|n| n as u64);
-        Whose { framework: text("framework"), tenant: text("tenant"), service, task: text("task") }
+        TaskSelector { framework: text("framework"), tenant: text("tenant"), service, task: text("task") }
     };
     let be = |w: &Settled, inside| {
         let list = |l: &str| texts(w, l);
-        Must::Be { kinds: list("kinds"), halls: list("halls"), labels: list("labels"), inside }
+        PlacementRequirement::Be {
+            kinds: list("kinds"),
+            halls: list("halls"),
+            labels: list("labels"),
+            inside,
+        }
     };
     let law = |c: &Settled| {
         let near = |s: &Settled, f: &str| s.text(f).unwrap_or("hall").to_owned();
@@ -223,36 +230,36 @@
         } else if let Some(w) = c.get("not_in") {
             be(w, false)
         } else if let Some(s) = c.get("with") {
-            Must::With { whose: whose(Some(s)), near: near(s, "within") }
+            PlacementRequirement::With { whose: whose(Some(s)), near: near(s, "within") }
         } else if let Some(s) = c.get("apart") {
-            Must::Apart { whose: whose(Some(s)), near: near(s, "within") }
+            PlacementRequirement::Apart { whose: whose(Some(s)), near: near(s, "within") }
         } else {
             let s = c.get("spread")?;
             let by_service = s.text("by") != Some("all");
-            Must::Most { near: near(s, "over"), by_service, most: s.number("most")? as usize }
+            PlacementRequirement::Most { near: near(s, "over"), by_service, most: s.number("most")? as usize }
         };
         let name = c.text("name").unwrap_or("").to_owned();
-        Some(Law { name, of: whose(c.get("of")), must })
+        Some(PlacementInvariant { name, of: whose(c.get("of")), must })
     };
     all.list("clauses").iter().filter(|c| c.text("how") != Some("prefer")).filter_map(law).collect()
 }
 
 /// The terms that an installation's text sets.
-pub fn terms_of(text: &str) -> Terms {
+pub fn invariant_config_of(text: &str) -> InvariantConfig {
     let site = basaltpitch_config::installation::load_texts(&[("site.rec", text)]);
     terms(&site.map_err(|e| e.1).expect("an installation in order").all)
 }
 
 /// What the stand-ins of an installation share.
-pub fn world(installation: &Installation, load: Rc<Load>) -> Rc<World> {
+pub fn context(installation: &Installation, load: Rc<LoadModifiers>) -> Rc<TestbedContext> {
     let all = &installation.all;
-    Rc::new(World {
+    Rc::new(TestbedContext {
         clock: Clock::start(),
-        auditor: RefCell::new(Auditor::new(terms(all))),
-        manners: manners(all, all.get("day").unwrap_or(all)),
+        checker: RefCell::new(InvariantChecker::new(terms(all))),
+        behaviour: manners(all, all.get("day").unwrap_or(all)),
         standing: RefCell::new(HashMap::new()),
-        uses: RefCell::new(day::uses(installation, load)),
-        feast: RefCell::new(None),
+        uses: RefCell::new(fault_scenario::uses(installation, load)),
+        directory: RefCell::new(None),
     })
 }
 
@@ -260,7 +267,7 @@
 static PANICKED: AtomicBool = AtomicBool::new(false);
 
 /// Runs a drill to its end.
-pub fn run(how: How) -> io::Result<Verdict> {
+pub fn run(how: DrillConfig) -> io::Result<DrillReport> {
     std::panic::set_hook(Box::new(|info| {
         PANICKED.store(true, Ordering::Relaxed);
         eprintln!("a stand-in failed: {info}");
@@ -269,40 +276,40 @@
     LocalSet::new().block_on(&runtime, play(how))
 }
 
-async fn play(how: How) -> io::Result<Verdict> {
+async fn play(how: DrillConfig) -> io::Result<DrillReport> {
     let all = how.installation.all.clone();
     let Some(day) = all.get("day").cloned() else { return Err(io::Error::other("the files hold no day")) };
     let seed = how.seed.unwrap_or(day.number("seed").unwrap_or(1.0) as u64);
     let mut chance = StdRng::seed_from_u64(seed);
-    let load = Rc::new(Load::default());
-    let world = world(&how.installation, load.clone());
-    world.auditor.borrow_mut().judge_by(laws(&all));
+    let load = Rc::new(LoadModifiers::default());
+    let world = context(&how.installation, load.clone());
+    world.checker.borrow_mut().set_placement_invariants(laws(&all));
     let fleet = start_fleet(&all, &day, &world, &mut chance).await?;
     let time = |path: &str| day.time(path).unwrap_or(0);
-    let late = Lateness {
+    let late = RegistryDelays {
         notice_us: time("notice"),
         silent_notice_us: time("silent_notice"),
         period_us: time("period"),
     };
-    let register = register::start(world.clone(), fleet.clone(), late).await?;
+    let register = registry::start(world.clone(), fleet.clone(), late).await?;
     let planners = all.number("planners").unwrap_or(1.0) as usize;
     let owners = day.number("owners").unwrap_or(1.0) as u64;
-    let feast = Feast::start(&day, owners, world.clock.now()).await?;
+    let feast = DirectoryScenario::start(&day, owners, world.clock.now()).await?;
     let folder = std::env::temp_dir().join(format!("basaltpitch-drill-{}", std::process::id()));
     let mut more = None;
     if let Some(feast) = &feast {
         std::fs::create_dir_all(&folder)?;
         more = Some((feast.file(&day, &folder)?, folder.join("state")));
-        *world.feast.borrow_mut() = Some(feast.clone());
+        *world.directory.borrow_mut() = Some(feast.clone());
     }
     let _gone = Gone(folder.clone());
-    let front: Front = Rc::new(RefCell::new(vec![String::new(); planners]));
+    let front: PlannerAddresses = Rc::new(RefCell::new(vec![String::new(); planners]));
     let how = Rc::new(how);
     let rig = match day.get("seats") {
         Some(_) => {
             std::fs::create_dir_all(&folder)?;
             let (front, register) = (front.clone(), &register.address);
-            Some(Rig::new(how.clone(), &day, world.clone(), front, register, &folder).await?)
+            Some(ProcessHarness::new(how.clone(), &day, world.clone(), front, register, &folder).await?)
         }
         None => None,
     };
@@ -324,7 +331,7 @@
         }
     }
     // The day begins once every planner has a link to every machine.
-    let linked = |m: &Rc<machine::Machine>| m.conns.get() >= planners as u64;
+    let linked = |m: &Rc<machine::SimulatedMachine>| m.conns.get() >= planners as u64;
     for _ in 0..200 {
         let heard = feast.as_ref().is_none_or(|f| f.servers[0].searches.get() >= planners as u32);
         if heard && fleet.iter().all(linked) {
@@ -332,14 +339,14 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let seens = Rc::new(RefCell::new(Seens::default()));
+    let seens = Rc::new(RefCell::new(ClientTotals::default()));
     let settle_us = all.time("rules.settle").unwrap_or(3_000_000);
     let own = |n: u64, login: &str| {
-        owner::start(world.clone(), login, front.clone(), seens.clone(), n, seed ^ n, settle_us)
+        client::start(world.clone(), login, front.clone(), seens.clone(), n, seed ^ n, settle_us)
     };
     let newcomer = feast.as_ref().map(|_| own(owners, NEWCOMER));
     let owners: Vec<_> = (0..owners).map(|n| own(n, &format!("owner-{n}"))).collect();
-    let stage = Rc::new(Stage {
+    let stage = Rc::new(FaultTargets {
         world: world.clone(),
         fleet: fleet.clone(),
         register,
@@ -350,7 +357,7 @@
         },
         tenants: processes.how.installation.names("tenants"),
     });
-    for (i, trouble) in day::troubles(&day).into_iter().enumerate() {
+    for (i, trouble) in fault_scenario::troubles(&day).into_iter().enumerate() {
         tokio::task::spawn_local(stage.clone().play(trouble, seed.wrapping_mul(1000) + i as u64));
     }
     let wanted = ask_all(&all, &day, &load, &owners, newcomer.as_ref(), &mut chance).await;
@@ -373,11 +380,11 @@
         return Err(io::Error::other("a stand-in failed, so the day proves nothing"));
     }
     let ran = fleet.iter().map(|m| m.ran.get()).sum();
-    let auditor = world.auditor.replace(Auditor::new(terms(&all)));
-    let (breaches, traffic) = auditor.finish(now);
+    let checker = world.checker.replace(InvariantChecker::new(terms(&all)));
+    let (breaches, traffic) = checker.finish(now);
     let seens = seens.borrow();
     let ms = |q: f64| seens.placed_us.value_at_quantile(q) as f64 / 1000.0;
-    Ok(Verdict {
+    Ok(DrillReport {
         seed,
         machines: fleet.len(),
         planners,
@@ -413,13 +420,13 @@
 }
 
 /// Stand-in machines of one kind in one zone.
-pub async fn machines(
+pub async fn start_machines(
     all: &Settled,
-    world: &Rc<World>,
+    world: &Rc<TestbedContext>,
     kind: &str,
     zone: &str,
     count: usize,
-) -> io::Result<Vec<Rc<machine::Machine>>> {
+) -> io::Result<Vec<Rc<machine::SimulatedMachine>>> {
     let mut fleet = Vec::new();
     for i in 0..count {
         let place = (zone.to_owned(), i as u32 / 4);
@@ -434,9 +441,9 @@
 async fn start_fleet(
     all: &Settled,
     day: &Settled,
-    world: &Rc<World>,
+    world: &Rc<TestbedContext>,
     chance: &mut StdRng,
-) -> io::Result<Vec<Rc<machine::Machine>>> {
+) -> io::Result<Vec<Rc<machine::SimulatedMachine>>> {
     let mut fleet = Vec::new();
     let cell_of = day.number("cell").unwrap_or(4.0) as usize;
     let mut cells: HashMap<String, u32> = HashMap::new();
@@ -452,8 +459,8 @@
             let place = (zone.to_owned(), cells[zone]);
             let name = format!("machine-{}", fleet.len());
             let labels = texts(group, "labels");
-            let spot = Spot { zone: zone.to_owned(), cell: place.1, kind: kind.to_owned(), labels };
-            world.auditor.borrow_mut().machine_is(&name, spot);
+            let spot = Location { zone: zone.to_owned(), cell: place.1, kind: kind.to_owned(), labels };
+            world.checker.borrow_mut().set_location(&name, spot);
             let seed = chance.random();
             let machine = machine::start(world.clone(), name, place, kind.to_owned(), size, seed).await?;
             *machine.labels.borrow_mut() = texts(group, "labels");
@@ -467,9 +474,9 @@
 async fn ask_all(
     all: &Settled,
     day: &Settled,
-    load: &Load,
-    owners: &[tokio::sync::mpsc::Sender<Wish>],
-    newcomer: Option<&tokio::sync::mpsc::Sender<Wish>>,
+    load: &LoadModifiers,
+    owners: &[tokio::sync::mpsc::Sender<SubmitPlan>],
+    newcomer: Option<&tokio::sync::mpsc::Sender<SubmitPlan>>,
     chance: &mut StdRng,
 ) -> u64 {
     let number = |s: &Settled| match s.value {
@@ -513,7 +520,7 @@
         };
         let tries = day.number("tries").unwrap_or(3.0) as u32;
         let tenant = submit.tenant.clone();
-        let wish = Wish { submit, tenant, limit_us, repeatable, tries };
+        let wish = SubmitPlan { submit, tenant, limit_us, repeatable, tries };
         let owner = &owners[chance.random_range(0..owners.len())];
         // One task in twenty is the newcomer's.
         let owner = newcomer.filter(|_| wanted % 20 == 0).unwrap_or(owner);
--- a/testbed/src/how.rs
+++ b/testbed/src/drill_config.rs
@@ -1,15 +1,15 @@
-//! How a drill is run: what the drill and its processes both go by.
+//! DrillConfig a drill is run: what the drill and its processes both go by.
 use basaltpitch_config::installation::Installation;
 use std::path::PathBuf;
 
-/// How a drill is run.
-pub struct How {
+/// DrillConfig a drill is run.
+pub struct DrillConfig {
     pub installation: Installation,
     /// The files that the installation was read from; planners read them too.
     pub files: Vec<PathBuf>,
     /// The binary that has `serve`.
     pub binary: PathBuf,
     pub seed: Option<u64>,
-    /// Planners write recordings into this folder.
+    /// PlannerControl write recordings into this folder.
     pub record: Option<PathBuf>,
 }
--- a/testbed/src/day.rs
+++ b/testbed/src/fault_scenario.rs
@@ -1,7 +1,7 @@
 //! A scripted day of trouble: what is asked for, and what goes wrong when.
-use crate::machine::{Machine, Word, World};
-use crate::register::Register;
-use crate::rough::bit_of;
+use crate::faulty_link::bit_of;
+use crate::machine::{MachineCommand, SimulatedMachine, TestbedContext};
+use crate::registry::SimulatedRegistry;
 use basaltpitch_config::installation::Installation;
 use basaltpitch_config::Settled;
 use rand::seq::SliceRandom;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
-pub struct Trouble {
+pub struct ScheduledFault {
     pub what: String,
     pub at_us: i64,
     pub for_us: i64,
@@ -25,8 +25,8 @@
 }
 
 /// The troubles of a day, in the order of the file; one that comes several times, each time.
-pub fn troubles(day: &Settled) -> Vec<Trouble> {
-    let one = |t: &Settled| Trouble {
+pub fn troubles(day: &Settled) -> Vec<ScheduledFault> {
+    let one = |t: &Settled| ScheduledFault {
         what: t.text("what").unwrap_or("").to_owned(),
         at_us: t.time("at").unwrap_or(0),
         for_us: t.time("for").unwrap_or(0),
@@ -38,7 +38,7 @@
     let of = |t: &Settled| {
         let (times, every) = (t.number("times").unwrap_or(1.0) as i64, t.time("every").unwrap_or(0));
         let first = one(t);
-        (0..times).map(move |n| Trouble { at_us: first.at_us + n * every, ..first.clone() })
+        (0..times).map(move |n| ScheduledFault { at_us: first.at_us + n * every, ..first.clone() })
     };
     day.list("troubles").iter().flat_map(of).collect()
 }
@@ -50,9 +50,9 @@
     all
 }
 
-/// How the load is bent by troubles.
+/// DrillConfig the load is bent by troubles.
 #[derive(Default)]
-pub struct Load {
+pub struct LoadModifiers {
     pub burst: Cell<f64>,
     pub tenant: RefCell<Option<(String, f64)>>,
     pub hot: RefCell<HashSet<u64>>,
@@ -60,8 +60,8 @@
     pub heavy: Cell<(f64, f64)>,
 }
 
-/// Planners as processes that can be killed and come back.
-pub trait Planners {
+/// PlannerControl as processes that can be killed and come back.
+pub trait PlannerControl {
     fn count(&self) -> usize;
     /// The zone that a planner is in.
     fn zone(&self, planner: usize) -> String;
@@ -75,7 +75,7 @@
     /// Plays a trouble that only planners and voters have; false where it is none of theirs.
     fn strikes<'a>(
         &'a self,
-        _t: &'a Trouble,
+        _t: &'a ScheduledFault,
         _chance: &'a mut StdRng,
     ) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
         Box::pin(async { false })
@@ -83,22 +83,22 @@
 }
 
 /// All that a trouble can strike.
-pub struct Stage {
-    pub world: Rc<World>,
-    pub fleet: Vec<Rc<Machine>>,
-    pub register: Rc<Register>,
-    pub load: Rc<Load>,
-    pub planners: Rc<dyn Planners>,
+pub struct FaultTargets {
+    pub world: Rc<TestbedContext>,
+    pub fleet: Vec<Rc<SimulatedMachine>>,
+    pub register: Rc<SimulatedRegistry>,
+    pub load: Rc<LoadModifiers>,
+    pub planners: Rc<dyn PlannerControl>,
     pub tenants: Vec<String>,
 }
 
-impl Stage {
+impl FaultTargets {
     /// Machines that a trouble strikes: the named one, those of a zone, or a drawn part of all.
-    fn struck(&self, t: &Trouble, chance: &mut StdRng) -> Vec<Rc<Machine>> {
-        let right = |m: &&Rc<Machine>| {
+    fn struck(&self, t: &ScheduledFault, chance: &mut StdRng) -> Vec<Rc<SimulatedMachine>> {
+        let right = |m: &&Rc<SimulatedMachine>| {
             t.machine.as_ref().is_none_or(|n| *n == m.name) && t.zone.as_ref().is_none_or(|z| *z == m.zone)
         };
-        let mut all: Vec<Rc<Machine>> = self.fleet.iter().filter(right).cloned().collect();
+        let mut all: Vec<Rc<SimulatedMachine>> = self.fleet.iter().filter(right).cloned().collect();
         if t.machine.is_none() {
             all = drawn(all, t.part, chance);
         }
@@ -106,7 +106,7 @@
     }
 
     /// Plays one trouble from its start to its end.
-    pub async fn play(self: Rc<Self>, t: Trouble, seed: u64) {
+    pub async fn play(self: Rc<Self>, t: ScheduledFault, seed: u64) {
         let mut chance = StdRng::seed_from_u64(seed);
         tokio::time::sleep(Duration::from_micros(t.at_us as u64)).await;
         let last = Duration::from_micros(t.for_us as u64);
@@ -120,7 +120,7 @@
                     struck.iter().for_each(|m| m.leaked.set(0.05 * f64::from(step) * t.size.min(2.0)));
                     tokio::time::sleep(last / 10).await;
                 }
-                struck.iter().for_each(|m| m.tell(Word::Restart));
+                struck.iter().for_each(|m| m.tell(MachineCommand::Restart));
             }
             "balancer_crash" | "planner_kill" => {
                 let n = if t.what == "planner_kill" {
@@ -160,14 +160,14 @@
                 self.load.heavy.set((0.0, 1.0));
             }
             "crash" => {
-                struck.iter().for_each(|m| m.tell(Word::Down));
+                struck.iter().for_each(|m| m.tell(MachineCommand::Down));
                 tokio::time::sleep(last).await;
-                struck.iter().for_each(|m| m.tell(Word::Up));
+                struck.iter().for_each(|m| m.tell(MachineCommand::Up));
             }
             "hall_lost" => {
                 let zone = t.zone.clone().unwrap_or_else(|| self.fleet[0].zone.clone());
-                let hall: Vec<&Rc<Machine>> = self.fleet.iter().filter(|m| m.zone == zone).collect();
-                hall.iter().for_each(|m| m.tell(Word::Down));
+                let hall: Vec<&Rc<SimulatedMachine>> = self.fleet.iter().filter(|m| m.zone == zone).collect();
+                hall.iter().for_each(|m| m.tell(MachineCommand::Down));
                 tokio::time::sleep(last).await;
                 // On a slow machine it takes longer until all know; back before that, it was never lost.
                 let mut tries = 0;
@@ -179,8 +179,8 @@
                     self.planners.wrong(format!("{zone}: not said to be lost by all planners"));
                 }
                 let now = self.world.clock.now();
-                self.world.auditor.borrow_mut().hall_back(now, &zone);
-                hall.iter().for_each(|m| m.tell(Word::Up));
+                self.world.checker.borrow_mut().zone_recovered(now, &zone);
+                hall.iter().for_each(|m| m.tell(MachineCommand::Up));
             }
             "vanish" => {
                 struck.iter().for_each(|m| {
@@ -189,53 +189,53 @@
                 });
                 tokio::time::sleep(last).await;
                 struck.iter().for_each(|m| {
-                    m.tell(Word::Restart);
+                    m.tell(MachineCommand::Restart);
                     m.vanished.set(false);
                 });
             }
-            "mass_restart" => struck.iter().for_each(|m| m.tell(Word::Restart)),
+            "mass_restart" => struck.iter().for_each(|m| m.tell(MachineCommand::Restart)),
             "restart" => {
                 // The links of before stay open and say nothing: they still look alive.
                 struck.iter().for_each(|m| {
                     m.knobs.dead_up_to.set(m.conns.get());
-                    m.tell(Word::Restart);
+                    m.tell(MachineCommand::Restart);
                 });
                 tokio::time::sleep(last).await;
             }
             "half_open" => struck.iter().for_each(|m| m.knobs.dead_up_to.set(m.conns.get())),
             "deploy" => {
                 let waves = (1.0 / t.part).ceil().max(1.0) as usize;
-                let mut all: Vec<Rc<Machine>> = self.fleet.clone();
+                let mut all: Vec<Rc<SimulatedMachine>> = self.fleet.clone();
                 all.shuffle(&mut chance);
                 for wave in all.chunks(all.len().div_ceil(waves)) {
-                    wave.iter().for_each(|m| m.tell(Word::Drain(true)));
+                    wave.iter().for_each(|m| m.tell(MachineCommand::Drain(true)));
                     tokio::time::sleep(last / waves as u32).await;
                     wave.iter().for_each(|m| {
-                        m.tell(Word::SendAway);
-                        m.tell(Word::Restart);
+                        m.tell(MachineCommand::SendAway);
+                        m.tell(MachineCommand::Restart);
                     });
                 }
             }
             "drain" => {
-                struck.iter().for_each(|m| m.tell(Word::Drain(true)));
+                struck.iter().for_each(|m| m.tell(MachineCommand::Drain(true)));
                 tokio::time::sleep(last).await;
-                struck.iter().for_each(|m| m.tell(Word::Drain(false)));
+                struck.iter().for_each(|m| m.tell(MachineCommand::Drain(false)));
             }
             "drain_offline" => {
                 struck.iter().for_each(|m| {
                     m.knobs.held_until.set(until);
-                    m.tell(Word::Drain(true));
+                    m.tell(MachineCommand::Drain(true));
                 });
                 tokio::time::sleep(2 * last).await;
-                struck.iter().for_each(|m| m.tell(Word::Drain(false)));
+                struck.iter().for_each(|m| m.tell(MachineCommand::Drain(false)));
             }
             "fast_errors" => {
                 struck.iter().for_each(|m| m.fails.set(t.size.min(1.0)));
                 tokio::time::sleep(last).await;
                 struck.iter().for_each(|m| m.fails.set(0.0));
             }
-            "flush" => struck.iter().for_each(|m| m.tell(Word::Flush)),
-            "preempt" => struck.iter().for_each(|m| m.tell(Word::PushOut(t.size.min(1.0)))),
+            "flush" => struck.iter().for_each(|m| m.tell(MachineCommand::Flush)),
+            "preempt" => struck.iter().for_each(|m| m.tell(MachineCommand::PushOut(t.size.min(1.0)))),
             "report_late" => {
                 struck.iter().for_each(|m| m.late_reports_us.set((t.size * 1e6) as i64));
                 tokio::time::sleep(last).await;
@@ -275,7 +275,7 @@
             }
             _ if self.planners.strikes(&t, &mut chance).await => {}
             what => {
-                let feast = self.world.feast.borrow().clone();
+                let feast = self.world.directory.borrow().clone();
                 if let Some(feast) = feast {
                     feast.play(what, last, &self.world).await;
                 }
@@ -286,7 +286,7 @@
 }
 
 /// What a task uses: the usual share of its ask, with the day's troubles laid over it.
-pub fn uses(installation: &Installation, load: Rc<Load>) -> crate::machine::Uses {
+pub fn uses(installation: &Installation, load: Rc<LoadModifiers>) -> crate::machine::TaskUsage {
     let day = installation.all.get("day").cloned();
     let tasks: Vec<(String, f64)> = day
         .iter()
--- a/testbed/src/rough.rs
+++ b/testbed/src/faulty_link.rs
@@ -1,5 +1,5 @@
 //! A rough link: it carries bytes between a socket and a stand-in's conversation, and spoils them on command.
-//! What comes and goes is shown to the auditor frame by frame, twice each way: while bytes are held back, a
+//! What comes and goes is shown to the checker frame by frame, twice each way: while bytes are held back, a
 //! frame is on the socket at one time and with the stand-in at another.
 use basaltpitch_agent::framing::Cutter;
 use basaltpitch_agent::link::Clock;
@@ -11,7 +11,7 @@
 
 /// What is wrong with the links of one stand-in. Times are the clock's, in microseconds; 0: nothing.
 #[derive(Debug, Default)]
-pub struct Knobs {
+pub struct FaultInjection {
     /// Until then bytes of both directions are held back; then they come all at once.
     pub held_until: Cell<i64>,
     /// Only links to planners whose name has this number are held, where it is set.
@@ -28,7 +28,7 @@
 }
 
 /// Something seen on a link.
-pub enum Seen<'a> {
+pub enum LinkObservation<'a> {
     /// Read from the socket: the peer has sent it. `late`: nothing had been read there for a while.
     Read {
         body: &'a Body,
@@ -60,9 +60,9 @@
     mut socket: TcpStream,
     mut inner: DuplexStream,
     conn: u64,
-    knobs: Rc<Knobs>,
+    knobs: Rc<FaultInjection>,
     clock: Clock,
-    show: impl Fn(&Hello, Seen),
+    show: impl Fn(&Hello, LinkObservation),
 ) {
     let (mut reads, mut writes) = (Cutter::default(), Cutter::default());
     let (mut to_inner, mut to_socket): (Vec<u8>, Vec<u8>) = (Vec::new(), Vec::new());
@@ -89,13 +89,19 @@
             if !to_inner.is_empty() && inner.write_all(&std::mem::take(&mut to_inner)).await.is_err() {
                 break;
             }
-            unheard.drain(..).zip(peer.iter().cycle()).for_each(|(b, p)| show(p, Seen::Heard { body: &b }));
+            unheard
+                .drain(..)
+                .zip(peer.iter().cycle())
+                .for_each(|(b, p)| show(p, LinkObservation::Heard { body: &b }));
             if !to_socket.is_empty() && socket.write_all(&std::mem::take(&mut to_socket)).await.is_err() {
                 break;
             }
-            unsent.drain(..).zip(peer.iter().cycle()).for_each(|(b, p)| show(p, Seen::Sent { body: &b }));
+            unsent
+                .drain(..)
+                .zip(peer.iter().cycle())
+                .for_each(|(b, p)| show(p, LinkObservation::Sent { body: &b }));
         }
-        // Knobs are turned at any time: a look every few milliseconds is often enough.
+        // FaultInjection are turned at any time: a look every few milliseconds is often enough.
         let look = tokio::time::sleep(std::time::Duration::from_millis(5));
         let (mut reader, mut writer) = socket.split();
         tokio::select! {
@@ -112,7 +118,7 @@
                     }
                     if let (Some(peer), Some(body)) = (&peer, &body) {
                         let late = deaf_before > 0 && clock.now() < deaf_before + 500_000;
-                        show(peer, Seen::Read { body, late });
+                        show(peer, LinkObservation::Read { body, late });
                     }
                     unheard.extend(body);
                 }
@@ -136,7 +142,7 @@
                     }
                     to_socket.extend_from_slice(&bytes);
                     if let (Some(peer), Some(body), false) = (&peer, &body, dead) {
-                        show(peer, Seen::Wrote { body });
+                        show(peer, LinkObservation::Wrote { body });
                         unsent.push(body.clone());
                     }
                 }
@@ -146,10 +152,13 @@
         }
     }
     if let Some(peer) = &peer {
-        show(peer, Seen::Gone);
+        show(peer, LinkObservation::Gone);
     }
     // What was read before the end still comes in, however late: the receiver must cope with it.
     if inner.write_all(&to_inner).await.is_ok() {
-        unheard.iter().zip(peer.iter().cycle()).for_each(|(body, p)| show(p, Seen::Heard { body }));
+        unheard
+            .iter()
+            .zip(peer.iter().cycle())
+            .for_each(|(body, p)| show(p, LinkObservation::Heard { body }));
     }
 }
--- a/testbed/src/directory.rs
+++ b/testbed/src/ldap_server.rs
@@ -19,11 +19,11 @@
 use uuid::Uuid;
 
 /// An entry: its distinguished name, and attributes with their values.
-pub type Laid = (String, Vec<(String, Vec<Vec<u8>>)>);
+pub type LdapEntry = (String, Vec<(String, Vec<Vec<u8>>)>);
 
 /// What is wrong with the directory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Trouble {
+pub enum DirectoryFault {
     #[default]
     None,
     /// Connections are closed as soon as they are made.
@@ -45,10 +45,10 @@
 }
 
 #[derive(Default)]
-pub struct Directory {
+pub struct LdapServer {
     pub address: String,
-    pub entries: RefCell<Vec<Laid>>,
-    pub trouble: Cell<Trouble>,
+    pub entries: RefCell<Vec<LdapEntry>>,
+    pub fault: Cell<DirectoryFault>,
     pub password: RefCell<String>,
     pub searches: Cell<u32>,
     /// Entries that were sent with attributes beyond their id and stamp.
@@ -56,12 +56,12 @@
     /// Bytes of answers to searches since this was last set.
     pub bytes: Cell<usize>,
     /// What each cookie stands for.
-    states: RefCell<Vec<Vec<Laid>>>,
+    states: RefCell<Vec<Vec<LdapEntry>>>,
 }
 
 /// How connections are protected.
 #[derive(Clone, Default)]
-pub enum Shield {
+pub enum TransportSecurity {
     #[default]
     Clear,
     Tls(TlsAcceptor),
@@ -69,32 +69,37 @@
 }
 
 /// Starts a directory on a loopback port of its own.
-pub async fn start(password: &str) -> std::io::Result<Rc<Directory>> {
-    start_with(password, Shield::Clear).await
+pub async fn start(password: &str) -> std::io::Result<Rc<LdapServer>> {
+    start_with_security(password, TransportSecurity::Clear).await
 }
 
-pub async fn start_with(password: &str, shield: Shield) -> std::io::Result<Rc<Directory>> {
+pub async fn start_with_security(
+    password: &str,
+    shield: TransportSecurity,
+) -> std::io::Result<Rc<LdapServer>> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
     let me =
-        Rc::new(Directory { address, password: RefCell::new(password.to_owned()), ..Directory::default() });
+        Rc::new(LdapServer { address, password: RefCell::new(password.to_owned()), ..LdapServer::default() });
     let there = me.clone();
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
-            if there.trouble.get() == Trouble::Refuses {
+            if there.fault.get() == DirectoryFault::Refuses {
                 continue;
             }
             let (there, shield) = (there.clone(), shield.clone());
             tokio::task::spawn_local(async move {
                 match &shield {
-                    Shield::Tls(tls) => {
+                    TransportSecurity::Tls(tls) => {
                         if let Ok(stream) = tls.accept(stream).await {
                             serve(there, Box::new(stream), None).await;
                         }
                     }
-                    Shield::StartTls(tls) => serve(there, Box::new(stream), Some(tls.clone())).await,
-                    Shield::Clear => serve(there, Box::new(stream), None).await,
+                    TransportSecurity::StartTls(tls) => {
+                        serve(there, Box::new(stream), Some(tls.clone())).await
+                    }
+                    TransportSecurity::Clear => serve(there, Box::new(stream), None).await,
                 }
             });
         }
@@ -110,11 +115,11 @@
     LdapResult { code, matcheddn: String::new(), message: String::new(), referral: Vec::new() }
 }
 
-fn values<'a>(entry: &'a Laid, attribute: &str) -> &'a [Vec<u8>] {
+fn values<'a>(entry: &'a LdapEntry, attribute: &str) -> &'a [Vec<u8>] {
     entry.1.iter().find(|a| a.0.eq_ignore_ascii_case(attribute)).map_or(&[], |a| &a.1)
 }
 
-fn matches(filter: &LdapFilter, entry: &Laid) -> bool {
+fn matches(filter: &LdapFilter, entry: &LdapEntry) -> bool {
     match filter {
         LdapFilter::And(all) => all.iter().all(|f| matches(f, entry)),
         LdapFilter::Or(any) => any.iter().any(|f| matches(f, entry)),
@@ -126,13 +131,13 @@
 }
 
 /// An entry's id; entries without one are not synchronised.
-fn id(entry: &Laid) -> Option<Uuid> {
+fn id(entry: &LdapEntry) -> Option<Uuid> {
     Uuid::parse_str(std::str::from_utf8(values(entry, "entryUUID").first()?).ok()?).ok()
 }
 
 /// A search's message number, and where its answers go.
 struct Answers<'a> {
-    me: &'a Directory,
+    me: &'a LdapServer,
     wire: &'a mut Wire,
     msgid: i32,
     attributes: Vec<String>,
@@ -147,7 +152,7 @@
         let mut bytes = BytesMut::new();
         LdapCodec::default().encode(msg, &mut bytes).ok()?;
         let before = self.me.bytes.replace(self.me.bytes.get() + bytes.len());
-        if let Trouble::CutsAtByte(most) = self.me.trouble.get() {
+        if let DirectoryFault::CutsAtByte(most) = self.me.fault.get() {
             bytes.truncate(most.saturating_sub(before));
         }
         let whole = before + bytes.len() == self.me.bytes.get();
@@ -159,7 +164,7 @@
         self.say(LdapOp::SearchResultDone(result(code)), ctrl).await
     }
 
-    async fn entry(&mut self, (dn, attributes): Laid, ctrl: Vec<LdapControl>) -> Option<()> {
+    async fn entry(&mut self, (dn, attributes): LdapEntry, ctrl: Vec<LdapControl>) -> Option<()> {
         let asked =
             |a: &str| self.attributes.is_empty() || self.attributes.iter().any(|x| x.eq_ignore_ascii_case(a));
         let attributes = attributes.into_iter().filter(|a| asked(&a.0));
@@ -170,15 +175,15 @@
     }
 
     /// What changed since a cookie, or everything.
-    async fn synchronise(&mut self, found: Vec<Laid>, cookie: Option<Vec<u8>>) -> Option<()> {
+    async fn synchronise(&mut self, found: Vec<LdapEntry>, cookie: Option<Vec<u8>>) -> Option<()> {
         let known: Option<usize> = cookie.and_then(|c| String::from_utf8(c).ok()?.parse().ok());
         let before = known.and_then(|n| self.me.states.borrow().get(n).cloned());
-        if known.is_some() && (before.is_none() || self.me.trouble.get() == Trouble::ForgetsCookies) {
+        if known.is_some() && (before.is_none() || self.me.fault.get() == DirectoryFault::ForgetsCookies) {
             return self.done(LdapResultCode::EsyncRefreshRequired, Vec::new()).await;
         }
-        let names_present = before.is_none() || self.me.trouble.get() == Trouble::NamesPresent;
+        let names_present = before.is_none() || self.me.fault.get() == DirectoryFault::NamesPresent;
         let old = before.unwrap_or_default();
-        let ids = |of: &[Laid]| of.iter().filter_map(id).collect::<Vec<_>>();
+        let ids = |of: &[LdapEntry]| of.iter().filter_map(id).collect::<Vec<_>>();
         let (now, then) = (ids(&found), ids(&old));
         let syncuuids: Vec<Uuid> = if names_present {
             found.iter().filter(|e| old.contains(e)).filter_map(id).collect()
@@ -192,7 +197,7 @@
         };
         self.say(LdapOp::IntermediateResponse(set), Vec::new()).await?;
         for (n, entry) in found.iter().filter(|e| !old.contains(e)).enumerate() {
-            if matches!(self.me.trouble.get(), Trouble::CutsAfter(most) if n >= most) {
+            if matches!(self.me.fault.get(), DirectoryFault::CutsAfter(most) if n >= most) {
                 return None;
             }
             let Some(entry_uuid) = id(entry) else { continue };
@@ -209,15 +214,15 @@
     async fn search(&mut self, search: LdapSearchRequest, ctrl: Vec<LdapControl>) -> Option<()> {
         let me = self.me;
         me.searches.set(me.searches.get() + 1);
-        match me.trouble.get() {
-            Trouble::Stalls => return Some(()),
-            Trouble::Slow(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
+        match me.fault.get() {
+            DirectoryFault::Stalls => return Some(()),
+            DirectoryFault::Slow(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
             _ => {}
         }
         let there = me.entries.borrow().clone();
         let (filter, base) = (&search.filter, &search.base);
         let of_base = search.scope == LdapSearchScope::Base;
-        let found: Vec<Laid> = there
+        let found: Vec<LdapEntry> = there
             .into_iter()
             .filter(|e| matches(filter, e) && if of_base { e.0 == *base } else { e.0.ends_with(base) })
             .collect();
@@ -232,12 +237,12 @@
                 _ => {}
             }
         }
-        let page: Vec<Laid> = found.iter().skip(from).take(size).cloned().collect();
+        let page: Vec<LdapEntry> = found.iter().skip(from).take(size).cloned().collect();
         let next = from + page.len();
         for (n, entry) in page.into_iter().enumerate() {
-            match me.trouble.get() {
-                Trouble::CutsAfter(most) if from + n >= most => return None,
-                Trouble::SizeLimit(most) if from + n >= most => {
+            match me.fault.get() {
+                DirectoryFault::CutsAfter(most) if from + n >= most => return None,
+                DirectoryFault::SizeLimit(most) if from + n >= most => {
                     return self.done(LdapResultCode::SizeLimitExceeded, Vec::new()).await
                 }
                 _ => {}
@@ -249,7 +254,7 @@
     }
 }
 
-async fn serve(me: Rc<Directory>, stream: Box<dyn Stream>, mut starttls: Option<TlsAcceptor>) {
+async fn serve(me: Rc<LdapServer>, stream: Box<dyn Stream>, mut starttls: Option<TlsAcceptor>) {
     let mut wire: Wire = Framed::new(stream, LdapCodec::default());
     while let Some(Ok(LdapMsg { msgid, op, ctrl })) = wire.next().await {
         let mut answers = Answers { me: &me, wire: &mut wire, msgid, attributes: Vec::new() };
@@ -289,7 +294,7 @@
 }
 
 /// An entry with text attributes.
-pub fn laid(dn: &str, attributes: &[(&str, &[&str])]) -> Laid {
+pub fn ldap_entry(dn: &str, attributes: &[(&str, &[&str])]) -> LdapEntry {
     let values = |v: &[&str]| v.iter().map(|s| s.as_bytes().to_vec()).collect();
     (dn.to_owned(), attributes.iter().map(|(k, v)| ((*k).to_owned(), values(v))).collect())
 }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -2,15 +2,15 @@
 //! nothing of the planner's insides. `rough` spoils their links, `day` plays a scripted day of trouble,
 //! `drill` starts planners as processes of their own and judges the day by the traffic; `rig` has voters,
 //! seats and spares for it, with `relay`s between them.
-pub mod day;
-pub mod directory;
+pub mod client;
+pub mod directory_scenario;
 pub mod drill;
-pub mod feast;
-pub mod hollow;
-pub mod how;
+pub mod drill_config;
+pub mod fault_scenario;
+pub mod faulty_link;
+pub mod ldap_server;
 pub mod machine;
-pub mod owner;
-pub mod register;
+pub mod process_harness;
+pub mod registry;
 pub mod relay;
-pub mod rig;
-pub mod rough;
+pub mod scale;
--- a/testbed/src/machine.rs
+++ b/testbed/src/machine.rs
@@ -2,14 +2,14 @@
 //! starts a few tasks at once, slowly where it has not the program, keeps programs for a while, evicts when
 //! memory runs out, pushes out for higher priority, drops repeats of a keyed task in its hall, and falls over
 //! if pushed while cold.
-use crate::feast::Feast;
-use crate::rough::{self, Knobs, Seen};
+use crate::directory_scenario::DirectoryScenario;
+use crate::faulty_link::{self, FaultInjection, LinkObservation};
 use basaltpitch_agent::holder::{Holder, Id, Say, State};
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Party};
 use basaltpitch_agent::why;
 use basaltpitch_agent::wire::{self, Body, EndedHow, Launch, LaunchId, Report, Role};
-use basaltpitch_invariants::Auditor;
+use basaltpitch_invariants::InvariantChecker;
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -19,7 +19,7 @@
 
 /// What stand-in machines are like.
 #[derive(Clone, Debug)]
-pub struct Manners {
+pub struct MachineBehaviour {
     pub look_us: i64,
     pub start_us: i64,
     pub cold_start: f64,
@@ -43,22 +43,22 @@
 }
 
 /// What a launch uses when it runs: cores, memory, and microseconds.
-pub type Uses = Box<dyn Fn(&Launch) -> (f64, f64, i64)>;
+pub type TaskUsage = Box<dyn Fn(&Launch) -> (f64, f64, i64)>;
 
 /// What the whole fleet of stand-ins shares.
-pub struct World {
+pub struct TestbedContext {
     pub clock: Clock,
-    pub auditor: RefCell<Auditor>,
-    pub manners: Manners,
+    pub checker: RefCell<InvariantChecker>,
+    pub behaviour: MachineBehaviour,
     /// Copies of keyed tasks that stand, by group of machines and key.
     pub standing: RefCell<HashMap<(String, String), u32>>,
-    pub uses: RefCell<Uses>,
+    pub uses: RefCell<TaskUsage>,
     /// The directory of the day, if it has one.
-    pub feast: RefCell<Option<Rc<Feast>>>,
+    pub directory: RefCell<Option<Rc<DirectoryScenario>>>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
+pub enum MachineCommand {
     Drain(bool),
     /// A roll's drain, for a machine of this start.
     Rolls {
@@ -78,11 +78,11 @@
 #[derive(Debug)]
 enum In {
     Conn(u64, News),
-    Offer(Word),
+    Offer(MachineCommand),
 }
 
 /// A machine as the drill sees it.
-pub struct Machine {
+pub struct SimulatedMachine {
     pub name: String,
     pub address: String,
     pub kind: String,
@@ -91,7 +91,7 @@
     pub cores: f64,
     pub memory: f64,
     pub labels: RefCell<Vec<String>>,
-    pub knobs: Rc<Knobs>,
+    pub knobs: Rc<FaultInjection>,
     pub started: Cell<i64>,
     pub draining: Cell<bool>,
     pub up: Cell<bool>,
@@ -107,8 +107,8 @@
     orders: mpsc::Sender<In>,
 }
 
-impl Machine {
-    pub fn tell(&self, say: Word) {
+impl SimulatedMachine {
+    pub fn tell(&self, say: MachineCommand) {
         let _ = self.orders.try_send(In::Offer(say));
     }
 }
@@ -135,8 +135,8 @@
 }
 
 struct Inside {
-    me: Rc<Machine>,
-    world: Rc<World>,
+    me: Rc<SimulatedMachine>,
+    world: Rc<TestbedContext>,
     chance: StdRng,
     holder: Holder<String, Launch>,
     links: BTreeMap<String, (u64, mpsc::Sender<Order>)>,
@@ -157,16 +157,16 @@
 /// Starts a machine on a loopback port of its own.
 #[allow(clippy::too_many_arguments)]
 pub async fn start(
-    world: Rc<World>,
+    world: Rc<TestbedContext>,
     name: String,
     place: (String, u32),
     kind: String,
     size: (f64, f64),
     seed: u64,
-) -> std::io::Result<Rc<Machine>> {
+) -> std::io::Result<Rc<SimulatedMachine>> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let (orders, inbox) = mpsc::channel(1024);
-    let me = Rc::new(Machine {
+    let me = Rc::new(SimulatedMachine {
         name,
         address: listener.local_addr()?.to_string(),
         kind,
@@ -175,7 +175,7 @@
         cores: size.0,
         memory: size.1,
         labels: RefCell::default(),
-        knobs: Rc::new(Knobs::default()),
+        knobs: Rc::new(FaultInjection::default()),
         started: Cell::new(world.clock.now() - 60_000_000),
         draining: Cell::new(false),
         up: Cell::new(true),
@@ -259,20 +259,22 @@
         let (orders, inbox) = mpsc::channel(4096);
         self.conns.insert(conn, (orders, None));
         let (world, name, clock) = (self.world.clone(), self.me.name.clone(), self.world.clock);
-        // The auditor's number for a connection is the machine's own with the machine's name mixed in.
+        // The checker's number for a connection is the machine's own with the machine's name mixed in.
         let seen_as = seen_number(&name, conn);
-        let show = move |hello: &wire::Hello, seen: Seen| {
+        let show = move |hello: &wire::Hello, seen: LinkObservation| {
             let life = (hello.name.clone(), hello.epoch);
-            let (mut auditor, now) = (world.auditor.borrow_mut(), world.clock.now());
+            let (mut checker, now) = (world.checker.borrow_mut(), world.clock.now());
             match seen {
-                Seen::Read { body, late } => auditor.machine_got(now, &name, seen_as, &life, body, late),
-                Seen::Heard { body } => auditor.machine_heard(now, &name, &life, body),
-                Seen::Wrote { body } => auditor.machine_said(now, &name, &life, body),
-                Seen::Sent { body } => auditor.machine_told(now, &name, &life, body),
-                Seen::Gone => auditor.machine_cut(now, seen_as),
+                LinkObservation::Read { body, late } => {
+                    checker.machine_socket_read(now, &name, seen_as, &life, body, late)
+                }
+                LinkObservation::Heard { body } => checker.machine_received(now, &name, &life, body),
+                LinkObservation::Wrote { body } => checker.machine_sent(now, &name, &life, body),
+                LinkObservation::Sent { body } => checker.machine_frame_delivered(now, &name, &life, body),
+                LinkObservation::Gone => checker.machine_disconnected(now, seen_as),
             }
         };
-        tokio::task::spawn_local(rough::carry(stream, inner, conn, self.me.knobs.clone(), clock, show));
+        tokio::task::spawn_local(faulty_link::carry(stream, inner, conn, self.me.knobs.clone(), clock, show));
         let me = Party {
             role: Role::Machine,
             name: self.me.name.clone(),
@@ -396,7 +398,7 @@
         }
         let of = (planner, id);
         self.pushed();
-        if self.line.len() >= self.world.manners.line {
+        if self.line.len() >= self.world.behaviour.line {
             return self.refuse(&of, why::LONG_LINE);
         }
         self.line.push_back(of);
@@ -405,7 +407,7 @@
 
     /// Counts offers while cold; far too many within a window push the machine over.
     fn pushed(&mut self) {
-        let (now, m) = (self.now(), &self.world.manners);
+        let (now, m) = (self.now(), &self.world.behaviour);
         if now >= self.me.started.get() + m.cold_us {
             return self.offers.clear();
         }
@@ -414,15 +416,15 @@
             self.offers.pop_front();
         }
         if self.offers.len() > 2 * m.cold_offers {
-            self.world.auditor.borrow_mut().machine_fell(now, &self.me.name);
-            self.told(Word::Down);
+            self.world.checker.borrow_mut().machine_overloaded(now, &self.me.name);
+            self.told(MachineCommand::Down);
         }
     }
 
     fn look(&mut self) {
         if !self.looking && !self.line.is_empty() {
             self.looking = true;
-            self.later(self.world.manners.look_us, At::Look);
+            self.later(self.world.behaviour.look_us, At::Look);
         }
     }
 
@@ -440,7 +442,7 @@
     }
 
     fn group(&self, framework: &str) -> String {
-        match self.world.manners.groups.get(framework).map(String::as_str) {
+        match self.world.behaviour.groups.get(framework).map(String::as_str) {
             Some("zone") => self.me.zone.clone(),
             Some("cell") => format!("{} {}", self.me.zone, self.me.cell),
             _ => "all".into(),
@@ -448,7 +450,7 @@
     }
 
     fn judge(&mut self, l: &Launch) -> Result<(), u32> {
-        let m = &self.world.manners;
+        let m = &self.world.behaviour;
         let kind = m.kinds.get(&l.framework);
         if self.me.draining.get() || kind.is_some_and(|k| *k != self.me.kind) {
             return Err(why::NOT_HERE);
@@ -468,7 +470,7 @@
                 return Ok(());
             }
             let lower =
-                |r: &Run| self.world.manners.priorities.get(&r.framework).copied().unwrap_or(0) < priority;
+                |r: &Run| self.world.behaviour.priorities.get(&r.framework).copied().unwrap_or(0) < priority;
             let victim = self.tasks.iter().find(|(_, r)| lower(r)).map(|(of, _)| of.clone());
             let Some(of) = victim else {
                 return Err(if no_cores { why::NO_CORES } else { why::NO_MEMORY });
@@ -506,7 +508,7 @@
             running: false,
         };
         self.tasks.insert(of.clone(), run);
-        if !self.world.manners.yes_when_running {
+        if !self.world.behaviour.yes_when_running {
             self.say(&of.0, of.1, l.key, Say::Yes);
         }
         self.waits.push_back(of);
@@ -514,13 +516,13 @@
     }
 
     fn starts(&mut self) {
-        while self.starting < self.world.manners.starts {
+        while self.starting < self.world.behaviour.starts {
             let Some(of) = self.waits.pop_front() else { return };
             let Some(run) = self.tasks.get(&of) else { continue };
             let service = run.service;
             let there = self.kept.contains(&service)
                 || self.tasks.values().any(|r| r.running && r.service == service);
-            let m = &self.world.manners;
+            let m = &self.world.behaviour;
             let age = (self.now() - self.me.started.get()) as f64 / m.cold_us.max(1) as f64;
             let pace = age.clamp(0.2, 1.0);
             let slow = if there { 1.0 } else { m.cold_start };
@@ -540,7 +542,7 @@
             self.me.ran.set(self.me.ran.get() + 1);
             self.holder.set(&of.0, of.1, State::Running);
             let key = self.holder.with(&of.0, of.1).map(|l| l.key.clone()).unwrap_or_default();
-            if self.world.manners.yes_when_running {
+            if self.world.behaviour.yes_when_running {
                 self.say(&of.0, of.1, key.clone(), Say::Yes);
             }
             let id = wire_id(of.1);
@@ -570,7 +572,7 @@
         }
         self.kept.retain(|&s| s != run.service);
         self.kept.push_back(run.service);
-        while self.kept.len() > self.world.manners.keeps {
+        while self.kept.len() > self.world.behaviour.keeps {
             self.kept.pop_front();
         }
     }
@@ -599,16 +601,16 @@
                 }
             }
             At::Second => self.refresh(),
-            At::Back => self.told(Word::Up),
+            At::Back => self.told(MachineCommand::Up),
         }
     }
 
     /// Refreshes the report, evicts where memory ran out, and tells of the task that is served worst.
     fn refresh(&mut self) {
-        let every = self.world.manners.report_every;
+        let every = self.world.behaviour.report_every;
         self.later(every, At::Second);
         while self.used().1 > self.me.memory {
-            let priority = |r: &Run| self.world.manners.priorities.get(&r.framework).copied().unwrap_or(0);
+            let priority = |r: &Run| self.world.behaviour.priorities.get(&r.framework).copied().unwrap_or(0);
             let over = |r: &Run| (r.memory / r.asks.1.max(0.001) * 1000.0) as i64;
             let running = self.tasks.iter().filter(|(_, r)| r.running);
             let Some(of) = running.min_by_key(|(_, r)| (priority(r), -over(r))).map(|(of, _)| of.clone())
@@ -638,7 +640,7 @@
 
     /// The machine's own updater: it waits until the machine is drained and empty, and not for ever.
     fn update(&mut self) {
-        let Some((most, away)) = self.world.manners.updater.filter(|_| self.me.up.get()) else { return };
+        let Some((most, away)) = self.world.behaviour.updater.filter(|_| self.me.up.get()) else { return };
         let now = self.now();
         self.drained_at = if self.me.draining.get() { self.drained_at.or(Some(now)) } else { None };
         let Some(since) = self.drained_at else { return };
@@ -646,24 +648,24 @@
         // A launch may be on its way.
         let quiet = now >= since + 2_000_000;
         if (empty && quiet) || now >= since + most {
-            self.told(Word::SendAway);
-            self.told(Word::Down);
+            self.told(MachineCommand::SendAway);
+            self.told(MachineCommand::Down);
             self.drained_at = None;
             self.later(away, At::Back);
         }
     }
 
-    fn told(&mut self, say: Word) {
+    fn told(&mut self, say: MachineCommand) {
         match say {
-            Word::Rolls { on, started } => {
+            MachineCommand::Rolls { on, started } => {
                 let me = &self.me;
                 if !me.up.get() || (on && started != me.started.get()) {
                     return;
                 }
-                self.world.auditor.borrow_mut().roll_said(self.now(), &self.me.name, on);
-                self.told(Word::Drain(on));
+                self.world.checker.borrow_mut().rolling_restart_drained(self.now(), &self.me.name, on);
+                self.told(MachineCommand::Drain(on));
             }
-            Word::Drain(on) => {
+            MachineCommand::Drain(on) => {
                 self.me.draining.set(on);
                 let machine = self.me.name.clone();
                 let planners: Vec<String> = self.links.keys().cloned().collect();
@@ -674,22 +676,22 @@
                     );
                 }
             }
-            Word::Restart => {
+            MachineCommand::Restart => {
                 self.stop();
                 self.begin();
             }
-            Word::Down => {
+            MachineCommand::Down => {
                 self.stop();
                 self.me.up.set(false);
             }
-            Word::Up => {
+            MachineCommand::Up => {
                 if !self.me.up.get() {
                     self.me.up.set(true);
                     self.begin();
                 }
             }
-            Word::Flush => self.kept.clear(),
-            Word::PushOut(part) => {
+            MachineCommand::Flush => self.kept.clear(),
+            MachineCommand::PushOut(part) => {
                 let all: Vec<Of> = self.tasks.keys().cloned().collect();
                 for of in all {
                     if self.chance.random_bool(part.clamp(0.0, 1.0)) {
@@ -697,7 +699,7 @@
                     }
                 }
             }
-            Word::SendAway => {
+            MachineCommand::SendAway => {
                 let all: Vec<Of> = self.tasks.keys().cloned().collect();
                 all.iter().for_each(|of| self.ends(of, EndedHow::EndedSentAway));
             }
@@ -725,7 +727,7 @@
         let now = self.now();
         self.me.started.set(now);
         self.offers.clear();
-        self.world.auditor.borrow_mut().machine_started(now, &self.me.name);
+        self.world.checker.borrow_mut().machine_started(now, &self.me.name);
     }
 }
 
--- a/testbed/src/rig.rs
+++ b/testbed/src/process_harness.rs
@@ -2,11 +2,11 @@
 //! through relays of its own, and others reach each planner through one; processes are killed, stopped,
 //! woken and told to stop, their links cut. What each prints says who is seated, so the time that a seat
 //! stands without a planner is known from outside.
-use crate::day::{drawn, Planners, Trouble};
-use crate::how::How;
-use crate::machine::World;
-use crate::owner::Front;
-use crate::relay::{self, Ways};
+use crate::client::PlannerAddresses;
+use crate::drill_config::DrillConfig;
+use crate::fault_scenario::{drawn, PlannerControl, ScheduledFault};
+use crate::machine::TestbedContext;
+use crate::relay::{self, RelayControl};
 use basaltpitch_config::Settled;
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
@@ -25,16 +25,16 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// How seats went from process to process.
+/// DrillConfig seats went from process to process.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Seats {
+pub struct SlotReport {
     pub hand_overs: u64,
     /// Share of the time of all seats in which a planner that nothing had struck stood under them.
     pub held: f64,
     /// By trouble: from its strike to the line of the successor, in terms.
-    pub by_trouble: Vec<HandOvers>,
+    pub by_trouble: Vec<TakeoverTimes>,
     /// From a holder's death to the first launch of its successor.
-    pub first_launch: Option<HandOvers>,
+    pub first_launch: Option<TakeoverTimes>,
     /// From the beginning of the roll to the last machine's restart.
     pub roll_s: Option<f64>,
     /// What must not be: an epoch that did not rise, a seat that nobody has at the end, a process that ended.
@@ -42,7 +42,7 @@
 }
 
 #[derive(Clone, Debug, Serialize)]
-pub struct HandOvers {
+pub struct TakeoverTimes {
     pub trouble: String,
     pub count: u64,
     pub median_terms: f64,
@@ -69,9 +69,9 @@
     ends: Cell<bool>,
     /// Of planners: the seat that it last said it has, and under which epoch.
     seat: Cell<Option<(usize, u64)>>,
-    ways: Vec<Rc<Ways>>,
+    ways: Vec<Rc<RelayControl>>,
     /// Of planners: the way to it of other planners.
-    between: Rc<Ways>,
+    between: Rc<RelayControl>,
     /// Of voters: where it keeps what it voted.
     state: Option<PathBuf>,
 }
@@ -87,12 +87,12 @@
     without: Cell<i64>,
 }
 
-pub struct Rig {
-    me: std::rc::Weak<Rig>,
-    how: Rc<How>,
+pub struct ProcessHarness {
+    me: std::rc::Weak<ProcessHarness>,
+    how: Rc<DrillConfig>,
     zones: Vec<String>,
-    world: Rc<World>,
-    front: Front,
+    world: Rc<TestbedContext>,
+    front: PlannerAddresses,
     term_us: i64,
     /// The installation's files, with the voters' own addresses: operators are not cut off.
     files: Vec<String>,
@@ -100,7 +100,7 @@
     /// Those that were seated first and the spares; then the voters.
     planners: Vec<Process>,
     voters: Vec<Process>,
-    /// Seats that the others are cut off from, and whether those hear the others all the same.
+    /// SlotReport that the others are cut off from, and whether those hear the others all the same.
     apart: RefCell<Option<(BTreeSet<usize>, bool)>>,
     /// Processes that `kill` ended and `start` brings back, by the seat that was struck.
     dead: RefCell<BTreeMap<usize, usize>>,
@@ -123,7 +123,7 @@
 
 /// Loopback addresses of this process's own for voters and planners, each another: a port that was free a
 /// moment ago on the usual one may go to another process before its owner has it.
-pub fn addresses(count: usize) -> io::Result<Vec<String>> {
+pub fn free_addresses(count: usize) -> io::Result<Vec<String>> {
     let id = std::process::id();
     let host = format!("127.{}.{}.{}", 64 + id / 65_536 % 32, id / 256 % 256, id % 254 + 1);
     let bound = |_| std::net::TcpListener::bind((host.as_str(), 0));
@@ -136,16 +136,16 @@
     Histogram::new_with_bounds(1, 600_000_000, 3).expect("bounds that are in order")
 }
 
-impl Rig {
+impl ProcessHarness {
     /// Lays out voters and planners of `day.seats`; nothing is started yet.
     pub async fn new(
-        how: Rc<How>,
+        how: Rc<DrillConfig>,
         day: &Settled,
-        world: Rc<World>,
-        front: Front,
+        world: Rc<TestbedContext>,
+        front: PlannerAddresses,
         register: &str,
         folder: &Path,
-    ) -> io::Result<Rc<Rig>> {
+    ) -> io::Result<Rc<ProcessHarness>> {
         let seats = day.get("seats").ok_or_else(|| io::Error::other("the day has no seats"))?;
         if how.installation.all.get("council").is_some() {
             let why =
@@ -156,15 +156,15 @@
         let (count, voters) = (front.borrow().len(), number("voters"));
         let zones = how.installation.names("zones");
         // Asked for in one go: a second time could bring a voter's port once more, and whoever came later ended.
-        let mut at = addresses(voters + count + number("spares"))?;
+        let mut at = free_addresses(voters + count + number("spares"))?;
         let listens = at.split_off(voters);
         let mut files: Vec<String> = how.files.iter().map(|f| f.display().to_string()).collect();
         let mut all = Vec::new();
         for n in 0..voters + count + number("spares") {
             let name = if n < voters { format!("voter-{n}") } else { format!("process-{}", n - voters) };
-            let (mut ways, mut through, between) = (Vec::new(), Vec::new(), Rc::new(Ways::default()));
+            let (mut ways, mut through, between) = (Vec::new(), Vec::new(), Rc::new(RelayControl::default()));
             for (v, address) in at.iter().enumerate() {
-                let way = Rc::new(Ways::default());
+                let way = Rc::new(RelayControl::default());
                 let itself = n == v;
                 through.push(match itself {
                     true => address.clone(),
@@ -199,7 +199,7 @@
         }
         files.push(council_file(folder, "operators", seats, &at)?.display().to_string());
         let planners = all.split_off(voters);
-        Ok(Rc::new_cyclic(|me| Rig {
+        Ok(Rc::new_cyclic(|me| ProcessHarness {
             me: me.clone(),
             how,
             zones,
@@ -277,7 +277,7 @@
         seat.epoch.set(line.epoch);
         seat.holder.set(Some(planner));
         self.planners[planner].seat.set(Some((n, line.epoch)));
-        // Seats stay on their side of a cut, whichever process has them.
+        // SlotReport stay on their side of a cut, whichever process has them.
         self.cut_between();
         self.front.borrow_mut()[n] = line.listening;
     }
@@ -318,7 +318,7 @@
     async fn end(&self, process: &Process, signal: Signal) {
         if let Some((n, epoch)) = process.seat.take() {
             let (now, name) = (self.world.clock.now(), format!("planner-{n}"));
-            self.world.auditor.borrow_mut().planner_killed(now, &name, epoch);
+            self.world.checker.borrow_mut().planner_killed(now, &name, epoch);
         }
         self.signal(process, signal);
         let child = process.child.borrow_mut().take();
@@ -345,7 +345,7 @@
 
     /// The processes that a trouble strikes, with the seats that they have: the conductor, or the holders of
     /// a drawn part of the seats, one at least.
-    async fn struck(&self, t: &Trouble, chance: &mut StdRng) -> Vec<(usize, Option<(usize, u64)>)> {
+    async fn struck(&self, t: &ScheduledFault, chance: &mut StdRng) -> Vec<(usize, Option<(usize, u64)>)> {
         let processes = if t.what.starts_with("conductor") {
             self.conductor("roll").await.into_iter().collect()
         } else if t.what.starts_with("halls") {
@@ -388,11 +388,11 @@
     }
 
     /// Operators begin a roll of a zone, so many machines at once.
-    async fn roll(&self, t: &Trouble) {
+    async fn roll(&self, t: &ScheduledFault) {
         let zone = t.zone.clone().unwrap_or_else(|| self.zones[0].clone());
         let at_once = t.size as usize;
         let now = self.world.clock.now();
-        self.world.auditor.borrow_mut().roll_begins(now, at_once, &zone);
+        self.world.checker.borrow_mut().rolling_restart_started(now, at_once, &zone);
         let at_once = at_once.to_string();
         let times = ["--empty-within", "4", "--restart-within", "6"];
         let begun =
@@ -403,7 +403,7 @@
     }
 
     /// Processes die, or are told to stop, and come back as spares.
-    async fn lose(&self, t: &Trouble, chance: &mut StdRng, signal: Signal) {
+    async fn lose(&self, t: &ScheduledFault, chance: &mut StdRng, signal: Signal) {
         let gone = self.struck(t, chance).await;
         for &(p, _) in &gone {
             self.signal(&self.planners[p], signal);
@@ -415,12 +415,12 @@
         gone.iter().for_each(|&(p, _)| self.back(&self.planners[p], Some(p)));
     }
 
-    async fn stop(&self, t: &Trouble, chance: &mut StdRng) {
+    async fn stop(&self, t: &ScheduledFault, chance: &mut StdRng) {
         let stopped = self.struck(t, chance).await;
         for &(p, seat) in &stopped {
             if let Some((n, life)) = seat {
                 let now = self.world.clock.now();
-                self.world.auditor.borrow_mut().planner_stopped(now, &format!("planner-{n}"), life);
+                self.world.checker.borrow_mut().planner_stopped(now, &format!("planner-{n}"), life);
             }
             self.signal(&self.planners[p], Signal::STOP);
         }
@@ -429,22 +429,25 @@
         tokio::time::sleep(Duration::from_micros(self.term_us as u64)).await;
         for (p, seat) in stopped {
             let Some((n, life)) = seat else { continue };
-            self.world.auditor.borrow_mut().planner_woke(&format!("planner-{n}"), life);
+            self.world.checker.borrow_mut().planner_resumed(&format!("planner-{n}"), life);
             self.healed(n, p, life).await;
         }
     }
 
-    /// Ways to the voters are cut: so many of them, this direction or that.
-    async fn cut(&self, t: &Trouble, chance: &mut StdRng, (to, back): (bool, bool), voters: usize) {
+    /// RelayControl to the voters are cut: so many of them, this direction or that.
+    async fn cut(&self, t: &ScheduledFault, chance: &mut StdRng, (to, back): (bool, bool), voters: usize) {
         let cut = self.struck(t, chance).await;
         for &(p, _) in &cut {
             for way in self.planners[p].ways.iter().take(voters) {
-                (way.cut_to.set(to), way.cut_back.set(back)).1
+                (way.cut_forward.set(to), way.cut_backward.set(back)).1
             }
         }
         tokio::time::sleep(Duration::from_micros(t.for_us as u64)).await;
         for &(p, _) in &cut {
-            self.planners[p].ways.iter().for_each(|w| (w.cut_to.set(false), w.cut_back.set(false)).1);
+            self.planners[p]
+                .ways
+                .iter()
+                .for_each(|w| (w.cut_forward.set(false), w.cut_backward.set(false)).1);
         }
         for (p, seat) in cut {
             if let Some((n, life)) = seat {
@@ -458,7 +461,7 @@
     fn cut_between(&self) {
         let apart = self.apart.borrow();
         for process in &self.planners {
-            let mut cut = process.between.cut_of.borrow_mut();
+            let mut cut = process.between.cut_by_peer.borrow_mut();
             cut.clear();
             let (Some((apart, hear)), Some((seat, _))) = (&*apart, process.seat.get()) else { continue };
             for other in (0..self.seats.len()).filter(|o| apart.contains(o) != apart.contains(&seat)) {
@@ -471,7 +474,7 @@
     }
 
     /// A drawn part of the seats is cut off from the other planners for a while.
-    async fn set_apart(&self, t: &Trouble, chance: &mut StdRng, hear: bool) {
+    async fn set_apart(&self, t: &ScheduledFault, chance: &mut StdRng, hear: bool) {
         let all = drawn((0..self.seats.len()).collect::<Vec<usize>>(), t.part, chance);
         *self.apart.borrow_mut() = Some((all.into_iter().collect(), hear));
         self.cut_between();
@@ -481,7 +484,7 @@
     }
 
     /// A part of all processes dies at once, voters among them, and is back after the trouble's time.
-    async fn kill_many(&self, t: &Trouble, chance: &mut StdRng) {
+    async fn kill_many(&self, t: &ScheduledFault, chance: &mut StdRng) {
         let planners = self.planners.iter().enumerate().map(|(p, x)| (x, Some(p)));
         let all = planners.chain(self.voters.iter().map(|v| (v, None))).collect();
         let all: Vec<_> = drawn(all, t.part, chance);
@@ -499,7 +502,7 @@
     }
 
     /// So many voters die at once and start again, this many of them without what they kept.
-    async fn lose_voters(&self, t: &Trouble, chance: &mut StdRng, count: usize, lost: usize) {
+    async fn lose_voters(&self, t: &ScheduledFault, chance: &mut StdRng, count: usize, lost: usize) {
         let mut struck: Vec<&Process> = self.voters.iter().collect();
         struck.shuffle(chance);
         struck.truncate(count);
@@ -513,12 +516,12 @@
         struck.into_iter().for_each(|voter| self.back(voter, None));
     }
 
-    fn all_ways(&self) -> impl Iterator<Item = &Rc<Ways>> {
+    fn all_ways(&self) -> impl Iterator<Item = &Rc<RelayControl>> {
         self.planners.iter().chain(&self.voters).flat_map(|p| &p.ways)
     }
 
     /// Ends all processes; how the seats fared.
-    pub async fn finish(&self) -> Seats {
+    pub async fn finish(&self) -> SlotReport {
         let now = self.world.clock.now();
         self.planners.iter().chain(&self.voters).for_each(|process| self.look(process));
         let mut faults = self.faults.take();
@@ -528,7 +531,7 @@
                 seat.without.set(seat.without.get() + now - at);
             }
         }
-        for machine in self.world.auditor.borrow().roll_lacks() {
+        for machine in self.world.checker.borrow().machines_not_restarted() {
             faults.push(format!("{machine}: not restarted by the roll"));
         }
         for process in self.planners.iter().chain(&self.voters) {
@@ -541,7 +544,7 @@
         let without: i64 = self.seats.iter().map(|s| s.without.get()).sum();
         let terms = |us: u64| (us as f64 / self.term_us as f64 * 100.0).round() / 100.0;
         let gaps = self.gaps.take();
-        let figures = |trouble: &str, h: &Histogram<u64>| HandOvers {
+        let figures = |trouble: &str, h: &Histogram<u64>| TakeoverTimes {
             trouble: trouble.to_owned(),
             count: h.len(),
             median_terms: terms(h.value_at_quantile(0.5)),
@@ -550,20 +553,20 @@
         };
         let by_trouble = gaps.iter().map(|(trouble, h)| figures(trouble, h));
         let mut launches = new_histogram();
-        let auditor = self.world.auditor.borrow();
-        auditor.successions().iter().for_each(|&us| launches.saturating_record(us.max(1) as u64));
-        Seats {
+        let checker = self.world.checker.borrow();
+        checker.takeover_times_us().iter().for_each(|&us| launches.saturating_record(us.max(1) as u64));
+        SlotReport {
             hand_overs: gaps.values().map(Histogram::len).sum(),
             held: 1.0 - without as f64 / all.max(1) as f64,
             by_trouble: by_trouble.collect(),
-            roll_s: auditor.roll_took().map(|us| us as f64 / 1e6),
+            roll_s: checker.rolling_restart_us().map(|us| us as f64 / 1e6),
             first_launch: (!launches.is_empty()).then(|| figures("first launch", &launches)),
             faults,
         }
     }
 }
 
-impl Planners for Rig {
+impl PlannerControl for ProcessHarness {
     fn count(&self) -> usize {
         self.seats.len()
     }
@@ -612,7 +615,7 @@
 
     fn strikes<'a>(
         &'a self,
-        t: &'a Trouble,
+        t: &'a ScheduledFault,
         chance: &'a mut StdRng,
     ) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
         Box::pin(async move {
@@ -632,14 +635,14 @@
                 "voter_lost" => self.lose_voters(t, chance, 1, 1).await,
                 "two_voters" => self.lose_voters(t, chance, 2, 1).await,
                 "votes_late" => {
-                    self.all_ways().for_each(|w| w.late.set(Duration::from_secs_f64(t.size)));
+                    self.all_ways().for_each(|w| w.delay.set(Duration::from_secs_f64(t.size)));
                     tokio::time::sleep(last).await;
-                    self.all_ways().for_each(|w| w.late.set(Duration::ZERO));
+                    self.all_ways().for_each(|w| w.delay.set(Duration::ZERO));
                 }
                 "planners_apart" => self.set_apart(t, chance, false).await,
                 "planners_mute" => self.set_apart(t, chance, true).await,
                 "planners_late" => {
-                    let late = |d| self.planners.iter().for_each(|p| p.between.late.set(d));
+                    let late = |d| self.planners.iter().for_each(|p| p.between.delay.set(d));
                     late(Duration::from_secs_f64(t.size));
                     tokio::time::sleep(last).await;
                     late(Duration::ZERO);
