--- a/testbed/src/register.rs
+++ b/testbed/src/registry.rs
@@ -1,6 +1,6 @@
 //! A stand-in register of machines: late, later still about machines that fell silent, and silent on command.
-use crate::machine::{Machine, Word, World};
-use crate::rough::{self, Knobs, Seen};
+use crate::faulty_link::{self, FaultInjection, LinkObservation};
+use crate::machine::{MachineCommand, SimulatedMachine, TestbedContext};
 use basaltpitch_agent::link::{self, News, Order};
 use basaltpitch_agent::session::{Event, Party};
 use basaltpitch_agent::wire::{self, Body, Entry, Readiness, Role};
@@ -12,15 +12,15 @@
 use tokio::sync::mpsc;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Lateness {
+pub struct RegistryDelays {
     pub notice_us: i64,
     pub silent_notice_us: i64,
     pub period_us: i64,
 }
 
-pub struct Register {
+pub struct SimulatedRegistry {
     pub address: String,
-    pub knobs: Rc<Knobs>,
+    pub knobs: Rc<FaultInjection>,
     /// Added to its lateness.
     pub stale_us: Cell<i64>,
 }
@@ -28,13 +28,17 @@
 type Entries = BTreeMap<String, Entry>;
 
 /// Two entries of a ready machine that differ in its room alone: a brief watch leaves such changes out.
-pub fn differ_in_room(a: &Entry, b: &Entry) -> bool {
+pub fn differ_in_capacity_only(a: &Entry, b: &Entry) -> bool {
     let alike = Entry { cores_left: b.cores_left, memory_left: b.memory_left, ..a.clone() };
     alike == *b && b.readiness() == Readiness::Ready
 }
 
 /// What answers a question: ready machines with room, drawn anew for each, so that askers don't crowd one.
-pub fn with_room<'a>(all: impl Iterator<Item = &'a Entry>, conn: u64, fetch: &wire::Fetch) -> Vec<Entry> {
+pub fn with_capacity_for<'a>(
+    all: impl Iterator<Item = &'a Entry>,
+    conn: u64,
+    fetch: &wire::Fetch,
+) -> Vec<Entry> {
     let named = |wanted: &str, is: &str| wanted.is_empty() || wanted == is;
     let fits = |e: &&Entry| {
         e.readiness() == Readiness::Ready
@@ -58,10 +62,10 @@
 }
 
 struct Inside {
-    me: Rc<Register>,
-    world: Rc<World>,
-    fleet: Vec<Rc<Machine>>,
-    late: Lateness,
+    me: Rc<SimulatedRegistry>,
+    world: Rc<TestbedContext>,
+    fleet: Vec<Rc<SimulatedMachine>>,
+    late: RegistryDelays,
     /// What was so, and when, the newest last.
     past: VecDeque<(i64, Entries)>,
     silent_since: HashMap<String, i64>,
@@ -74,13 +78,17 @@
 
 /// Starts a register on a loopback port of its own.
 pub async fn start(
-    world: Rc<World>,
-    fleet: Vec<Rc<Machine>>,
-    late: Lateness,
-) -> std::io::Result<Rc<Register>> {
+    world: Rc<TestbedContext>,
+    fleet: Vec<Rc<SimulatedMachine>>,
+    late: RegistryDelays,
+) -> std::io::Result<Rc<SimulatedRegistry>> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
-    let me = Rc::new(Register { address, knobs: Rc::new(Knobs::default()), stale_us: Cell::new(0) });
+    let me = Rc::new(SimulatedRegistry {
+        address,
+        knobs: Rc::new(FaultInjection::default()),
+        stale_us: Cell::new(0),
+    });
     let inside = Inside {
         me: me.clone(),
         world,
@@ -122,13 +130,13 @@
         let (orders, inbox) = mpsc::channel(1024);
         self.watchers.insert(conn, Watcher { orders, watches: false, brief: false, knows: Entries::new() });
         let (world, clock) = (self.world.clone(), self.world.clock);
-        let show = move |hello: &wire::Hello, seen: Seen| {
-            if let Seen::Sent { body: Body::List(list) } = seen {
+        let show = move |hello: &wire::Hello, seen: LinkObservation| {
+            if let LinkObservation::Sent { body: Body::List(list) } = seen {
                 let life = (hello.name.clone(), hello.epoch);
-                world.auditor.borrow_mut().register_sent(world.clock.now(), &life, list);
+                world.checker.borrow_mut().registry_sent(world.clock.now(), &life, list);
             }
         };
-        tokio::task::spawn_local(rough::carry(stream, inner, conn, self.me.knobs.clone(), clock, show));
+        tokio::task::spawn_local(faulty_link::carry(stream, inner, conn, self.me.knobs.clone(), clock, show));
         let me = Party {
             role: Role::Register,
             name: "register".into(),
@@ -152,7 +160,7 @@
             News::Session(Event::Frame(Body::Drain(drain))) => {
                 if let Some(machine) = self.fleet.iter().find(|m| m.name == drain.machine).cloned() {
                     if drain.token == 0 {
-                        return machine.tell(Word::Drain(drain.on));
+                        return machine.tell(MachineCommand::Drain(drain.on));
                     }
                     self.of_roll(&machine, &drain);
                 }
@@ -165,7 +173,7 @@
     }
 
     /// A conductor's word: refused if it is older than one that was taken.
-    fn of_roll(&mut self, machine: &Machine, drain: &wire::Drain) {
+    fn of_roll(&mut self, machine: &SimulatedMachine, drain: &wire::Drain) {
         let (of, last) = ((drain.token, drain.number), self.words.entry(machine.name.clone()).or_default());
         let late = drain.token < self.fence || (of.0 == last.0 && of <= *last);
         if late {
@@ -173,7 +181,7 @@
             return;
         }
         (self.fence, *last) = (drain.token, of);
-        machine.tell(Word::Rolls { on: drain.on, started: drain.started_us });
+        machine.tell(MachineCommand::Rolls { on: drain.on, started: drain.started_us });
     }
 
     /// Writes down how things are, and tells watchers how they were.
@@ -217,7 +225,7 @@
 
     fn offer(&mut self, conn: u64, fetch: &wire::Fetch) {
         let Some(shown) = self.shown() else { return };
-        let entries = with_room(shown.values(), conn, fetch);
+        let entries = with_capacity_for(shown.values(), conn, fetch);
         self.stamp += 1;
         let list = wire::List { whole: false, stamp: self.stamp, entries, question: fetch.question };
         if let Some(w) = self.watchers.get(&conn) {
@@ -236,7 +244,7 @@
         let stamp = self.stamp;
         let Some(w) = self.watchers.get_mut(&conn) else { return };
         let brief = w.brief;
-        let same = |known: &Entry, e: &Entry| known == e || brief && differ_in_room(known, e);
+        let same = |known: &Entry, e: &Entry| known == e || brief && differ_in_capacity_only(known, e);
         let knows = |name: &String, e: &Entry| w.knows.get(name).is_some_and(|known| same(known, e));
         let news = shown.iter().filter(|(name, e)| whole || !knows(name, e));
         let entries: Vec<Entry> = news.map(|(_, e)| e.clone()).collect();
--- a/testbed/src/relay.rs
+++ b/testbed/src/relay.rs
@@ -16,14 +16,14 @@
 
 /// What is wrong with the way. All may be turned at any time.
 #[derive(Debug, Default)]
-pub struct Ways {
+pub struct RelayControl {
     /// Nothing gets through from who connected, or back to it. What was sent meanwhile comes later.
-    pub cut_to: Cell<bool>,
-    pub cut_back: Cell<bool>,
+    pub cut_forward: Cell<bool>,
+    pub cut_backward: Cell<bool>,
     /// The same for connections of who says hello under a name.
-    pub cut_of: RefCell<BTreeMap<String, (bool, bool)>>,
+    pub cut_by_peer: RefCell<BTreeMap<String, (bool, bool)>>,
     /// What gets through is so late.
-    pub late: Cell<Duration>,
+    pub delay: Cell<Duration>,
     /// A count that resets all connections when it goes up.
     pub resets: Cell<u64>,
     /// New connections are closed at once.
@@ -32,13 +32,13 @@
     pub carried: Cell<u64>,
 }
 
-/// Knobs are turned at any time: a look every few milliseconds is often enough.
+/// FaultInjection are turned at any time: a look every few milliseconds is often enough.
 const LOOKS: Duration = Duration::from_millis(5);
 /// Reads that may be on their way at once.
 const LINE: usize = 256;
 
 /// Listens on a loopback port of its own, which it returns, and relays to `to`.
-pub async fn start(to: String, ways: Rc<Ways>) -> io::Result<String> {
+pub async fn start(to: String, ways: Rc<RelayControl>) -> io::Result<String> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
     tokio::task::spawn_local(async move {
@@ -51,7 +51,7 @@
     Ok(address)
 }
 
-async fn carry(near: TcpStream, to: String, ways: Rc<Ways>) {
+async fn carry(near: TcpStream, to: String, ways: Rc<RelayControl>) {
     let Ok(far) = TcpStream::connect(to).await else { return };
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
@@ -74,10 +74,10 @@
             *first = None;
         }
     };
-    let of = || ways.cut_of.borrow().get(&*who.borrow()).copied().unwrap_or_default();
+    let of = || ways.cut_by_peer.borrow().get(&*who.borrow()).copied().unwrap_or_default();
     tokio::select! {
-        () = one_way(near_in, far_out, hears, || ways.cut_to.get() || of().0, &ways) => {}
-        () = one_way(far_in, near_out, |_| {}, || ways.cut_back.get() || of().1, &ways) => {}
+        () = one_way(near_in, far_out, hears, || ways.cut_forward.get() || of().0, &ways) => {}
+        () = one_way(far_in, near_out, |_| {}, || ways.cut_backward.get() || of().1, &ways) => {}
         () = reset => {}
     }
 }
@@ -88,7 +88,7 @@
     mut to: OwnedWriteHalf,
     hears: impl Fn(&[u8]),
     cut: impl Fn() -> bool,
-    ways: &Ways,
+    ways: &RelayControl,
 ) {
     // What is late does not hold up what comes after it: a long way, not a narrow one.
     let (on_its_way, mut comes) = mpsc::channel::<(Instant, Vec<u8>)>(LINE);
@@ -98,7 +98,7 @@
             let n = from.read(&mut bytes).await.unwrap_or(0);
             ways.carried.set(ways.carried.get() + n as u64);
             hears(&bytes[..n]);
-            let at = Instant::now() + ways.late.get();
+            let at = Instant::now() + ways.delay.get();
             if on_its_way.send((at, bytes[..n].to_vec())).await.is_err() || n == 0 {
                 return std::future::pending::<()>().await;
             }
--- a/testbed/src/hollow.rs
+++ b/testbed/src/scale.rs
@@ -3,7 +3,7 @@
 //! spoil nothing and prove nothing by themselves: a hollow one is believed where it was laid beside a real
 //! one. What they carry is counted by kind of frame.
 pub mod clients;
-pub mod fit;
+pub mod linear_fit;
 pub mod machines;
-pub mod register;
+pub mod registry;
 pub mod traffic;
--- a/testbed/src/hollow/clients.rs
+++ b/testbed/src/scale/clients.rs
@@ -1,6 +1,6 @@
 //! Clients of an open load: requests come by the clock, whatever became of those before, and a wait before
 //! sending counts. Each connection asks one planner, and turns to the next when it does not answer.
-use super::traffic::{Counted, Traffic};
+use super::traffic::{CountingStream, Traffic};
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Party};
 use basaltpitch_agent::wire::{self, AnswerKind, Body, LifeHow, Role, Submit};
@@ -15,7 +15,7 @@
 
 /// A framework that is asked for: its part of all tasks, what one is worth, and its times in microseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct FrameworkLoad {
     pub name: &'static str,
     pub part: f64,
     pub value: f64,
@@ -26,14 +26,14 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ClientsConfig {
     /// Where planners listen, and how many of them are asked at first, each on a connection of its own.
     pub planners: Vec<String>,
     pub conns: usize,
     /// Of all tasks together, a second; and how long a task runs on average, in seconds.
     pub rate: f64,
     pub runs_s: f64,
-    pub frameworks: Vec<Asked>,
+    pub frameworks: Vec<FrameworkLoad>,
     pub tenants: usize,
     /// One request in so many is for `many` tasks at once.
     pub one_in: u32,
@@ -42,7 +42,7 @@
 }
 
 #[derive(Debug)]
-pub enum Word {
+pub enum ClientsCommand {
     Tell,
     /// What was measured before is forgotten: the window begins.
     Begin,
@@ -106,7 +106,7 @@
 }
 
 struct Load {
-    plan: Plan,
+    plan: ClientsConfig,
     clock: Clock,
     chance: fastrand::Rng,
     conns: Vec<Conn>,
@@ -125,7 +125,7 @@
 const REMEMBERS: usize = 200_000;
 
 /// Asks until `words` ends; answers go to `out`.
-pub async fn run(plan: Plan, mut words: mpsc::Receiver<Word>, out: impl Fn(Value)) {
+pub async fn run(plan: ClientsConfig, mut words: mpsc::Receiver<ClientsCommand>, out: impl Fn(Value)) {
     let clock = Clock::start();
     let (news, mut heard) = mpsc::channel(4096);
     for c in 0..plan.conns {
@@ -160,9 +160,9 @@
         let wake = if asks { due } else { clock.now() + 3_600_000_000 };
         tokio::select! {
             word = words.recv() => match word {
-                Some(Word::Tell) => out(load.view()),
-                Some(Word::Begin) => load.begin(),
-                Some(Word::Stop) => asks = false,
+                Some(ClientsCommand::Tell) => out(load.view()),
+                Some(ClientsCommand::Begin) => load.begin(),
+                Some(ClientsCommand::Stop) => asks = false,
                 None => return,
             },
             Some(news) = heard.recv() => load.hear(news),
@@ -398,7 +398,7 @@
             if news.send(In::Up(c, link, orders, traffic.clone())).await.is_err() {
                 return;
             }
-            let stream = Counted::new(stream, Rc::new(Cell::new(false)), traffic);
+            let stream = CountingStream::new(stream, Rc::new(Cell::new(false)), traffic);
             link::run(stream, me, clock, inbox, news.clone(), move |n| In::News(c, link, n)).await;
         }
         tokio::time::sleep(Duration::from_millis(AGAIN)).await;
--- a/testbed/src/hollow/machines.rs
+++ b/testbed/src/scale/machines.rs
@@ -1,9 +1,9 @@
-//! Hollow machines: many in one process, each with a port, links and a holder of launches of its own. A
+//! MachineProcess machines: many in one process, each with a port, links and a holder of launches of its own. A
 //! machine takes what fits, starts it after a drawn time, runs it as long as the launch says, and says what a
 //! stand-in machine says. What is spoilt comes by word or by a schedule from the seed: restarts, and zones
 //! that vanish as when their power is lost.
-use super::register::host_of;
-use super::traffic::{Counted, Traffic};
+use super::registry::host_of;
+use super::traffic::{CountingStream, Traffic};
 use basaltpitch_agent::holder::{Holder, Id, Say, State};
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Party};
@@ -34,7 +34,7 @@
 
 /// The part of the fleet that one process has.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct MachinesConfig {
     pub first: usize,
     pub count: usize,
     pub zones: Vec<String>,
@@ -53,7 +53,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
+pub enum MachinesCommand {
     Tell,
     /// The machines of a zone answer nobody any more; until they are back, started anew.
     Vanish(String),
@@ -115,8 +115,8 @@
 }
 
 /// The machines of one process.
-pub struct Hollow {
-    plan: Plan,
+pub struct MachineProcess {
+    plan: MachinesConfig,
     clock: Clock,
     chance: fastrand::Rng,
     machines: Vec<Machine>,
@@ -149,7 +149,7 @@
 }
 
 /// Starts the machines, each on a port of its own.
-pub async fn start(plan: Plan) -> io::Result<Hollow> {
+pub async fn start(plan: MachinesConfig) -> io::Result<MachineProcess> {
     let clock = Clock::start();
     let (news, inbox) = mpsc::channel(4096);
     let host = host_of(0);
@@ -196,7 +196,7 @@
     }
     let numbers = machines.iter().enumerate().map(|(m, x)| (x.name.clone(), m)).collect();
     let chance = fastrand::Rng::with_seed(plan.seed ^ (plan.first as u64) << 32);
-    let mut hollow = Hollow {
+    let mut hollow = MachineProcess {
         plan,
         clock,
         chance,
@@ -224,7 +224,7 @@
     Ok(hollow)
 }
 
-impl Hollow {
+impl MachineProcess {
     /// Each machine's entry in the register's list.
     pub fn entries(&self) -> Vec<Entry> {
         (0..self.machines.len()).map(|m| self.entry(m)).collect()
@@ -255,7 +255,7 @@
     pub async fn run(
         mut self,
         register: Option<String>,
-        mut words: mpsc::Receiver<Word>,
+        mut words: mpsc::Receiver<MachinesCommand>,
         out: impl Fn(Value),
     ) {
         if let Some(address) = register {
@@ -268,7 +268,7 @@
             let wake = self.times.keys().next().map_or(i64::MAX, |k| k.0);
             tokio::select! {
                 word = words.recv() => match word {
-                    Some(Word::Tell) => out(self.view()),
+                    Some(MachinesCommand::Tell) => out(self.view()),
                     Some(word) => self.told(word),
                     None => return,
                 },
@@ -348,7 +348,7 @@
         let (orders, inbox) = mpsc::channel(1024);
         let traffic = Rc::new(RefCell::new(Traffic::default()));
         let x = &mut self.machines[m];
-        let stream = Counted::new(stream, x.still.clone(), traffic.clone());
+        let stream = CountingStream::new(stream, x.still.clone(), traffic.clone());
         let me = Party {
             role: Role::Machine,
             name: x.name.clone(),
@@ -573,26 +573,26 @@
         self.changed.insert(m);
     }
 
-    fn told(&mut self, word: Word) {
+    fn told(&mut self, word: MachinesCommand) {
         let of = |zone: &str, all: &[Machine]| -> Vec<usize> {
             (0..all.len()).filter(|&m| all[m].zone == zone).collect()
         };
         match word {
-            Word::Tell => {}
-            Word::Vanish(zone) => {
+            MachinesCommand::Tell => {}
+            MachinesCommand::Vanish(zone) => {
                 for m in of(&zone, &self.machines) {
                     self.machines[m].still.set(true);
                     self.later(m, SILENT, At::Gone);
                 }
             }
-            Word::Return(zone) => {
+            MachinesCommand::Return(zone) => {
                 for m in of(&zone, &self.machines) {
                     self.stop(m);
                     self.machines[m].still.set(false);
                     self.begin(m);
                 }
             }
-            Word::Roll(at_once) => {
+            MachinesCommand::Roll(at_once) => {
                 self.rolls = (0..self.machines.len()).collect();
                 self.at_once = at_once;
                 (0..at_once).for_each(|_| self.roll_next());
--- a/testbed/src/hollow/register.rs
+++ b/testbed/src/scale/registry.rs
@@ -1,8 +1,8 @@
 //! A register for thousands of hollow machines and many watchers: processes of machines tell it their
 //! entries, and it tells each watcher what changed since it was told last. Entries are numbered as they
 //! change, so that a watcher costs a number here, not a copy of the list.
-use super::traffic::{Counted, Traffic};
-use crate::register::{differ_in_room, with_room};
+use super::traffic::{CountingStream, Traffic};
+use crate::registry::{differ_in_capacity_only, with_capacity_for};
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Party};
 use basaltpitch_agent::wire::{self, Body, Entry, Readiness, Role};
@@ -25,7 +25,7 @@
 }
 
 #[derive(Debug)]
-pub enum Word {
+pub enum RegistryCommand {
     /// Say what was carried.
     Tell,
 }
@@ -50,7 +50,7 @@
 }
 
 #[derive(Default)]
-struct Register {
+struct RegistryState {
     rows: BTreeMap<String, Row>,
     changes: u64,
     stamp: u64,
@@ -66,19 +66,19 @@
 pub async fn run(
     listener: TcpListener,
     lists: Vec<Entry>,
-    mut words: mpsc::Receiver<Word>,
+    mut words: mpsc::Receiver<RegistryCommand>,
     out: impl Fn(Value),
 ) -> io::Result<()> {
     let clock = Clock::start();
     let (news, mut heard) = mpsc::channel::<(u64, News)>(4096);
     let mut period = tokio::time::interval(std::time::Duration::from_micros(PERIOD));
-    let mut register = Register::default();
+    let mut register = RegistryState::default();
     lists.into_iter().for_each(|e| register.takes(0, e));
     let mut count = 0;
     loop {
         tokio::select! {
             word = words.recv() => match word {
-                Some(Word::Tell) => out(register.view()),
+                Some(RegistryCommand::Tell) => out(register.view()),
                 None => return Ok(()),
             },
             _ = period.tick() => register.look(),
@@ -91,11 +91,11 @@
     }
 }
 
-impl Register {
+impl RegistryState {
     fn accept(&mut self, stream: TcpStream, conn: u64, clock: Clock, news: mpsc::Sender<(u64, News)>) {
         let (orders, inbox) = mpsc::channel(1024);
         let traffic = Rc::new(RefCell::new(Traffic::default()));
-        let stream = Counted::new(stream, Rc::new(Cell::new(false)), traffic.clone());
+        let stream = CountingStream::new(stream, Rc::new(Cell::new(false)), traffic.clone());
         self.conns.insert(conn, Conn { orders, party: None, watches: false, brief: false, told: 0, traffic });
         let (name, login) = ("register".into(), String::new());
         let me = Party { role: Role::Register, name, epoch: 1, link: conn, login };
@@ -108,7 +108,7 @@
         }
         self.changes += 1;
         let changed = self.changes;
-        let before = self.rows.get(&entry.machine).filter(|r| differ_in_room(&r.entry, &entry));
+        let before = self.rows.get(&entry.machine).filter(|r| differ_in_capacity_only(&r.entry, &entry));
         let other = before.map_or(changed, |r| r.other);
         self.rows.insert(entry.machine.clone(), Row { entry, changed, other, by });
     }
@@ -133,7 +133,7 @@
                 self.send(conn, true);
             }
             News::Session(Event::Frame(Body::Fetch(fetch))) if fetch.question > 0 => {
-                let entries = with_room(self.rows.values().map(|r| &r.entry), conn, &fetch);
+                let entries = with_capacity_for(self.rows.values().map(|r| &r.entry), conn, &fetch);
                 self.stamp += 1;
                 let list = wire::List { whole: false, stamp: self.stamp, entries, question: fetch.question };
                 if let Some(c) = self.conns.get(&conn) {
--- a/testbed/src/hollow/traffic.rs
+++ b/testbed/src/scale/traffic.rs
@@ -1,6 +1,6 @@
 //! Bytes and frames by kind, as the sockets carry them: read off the length and the first field of each
 //! frame, so that counting decodes nothing. And a relay that counts both ways of what it carries.
-use super::register::host_of;
+use super::registry::host_of;
 use basaltpitch_agent::framing::Cutter;
 use basaltpitch_agent::wire::Body;
 use serde_json::{json, Value};
@@ -126,7 +126,7 @@
 }
 
 /// A stream that counts what it carries, and is still while `still` is set: nothing comes and nothing goes.
-pub struct Counted {
+pub struct CountingStream {
     stream: TcpStream,
     still: Rc<Cell<bool>>,
     traffic: Rc<RefCell<Traffic>>,
@@ -134,14 +134,14 @@
     outs: Frames,
 }
 
-impl Counted {
+impl CountingStream {
     pub fn new(stream: TcpStream, still: Rc<Cell<bool>>, traffic: Rc<RefCell<Traffic>>) -> Self {
         let _ = stream.set_nodelay(true);
-        Counted { stream, still, traffic, ins: Frames::default(), outs: Frames::default() }
+        CountingStream { stream, still, traffic, ins: Frames::default(), outs: Frames::default() }
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -153,7 +153,7 @@
         }
         let before = to.filled().len();
         let done = Pin::new(&mut self.stream).poll_read(cx, to);
-        let Counted { ins, traffic, .. } = &mut *self;
+        let CountingStream { ins, traffic, .. } = &mut *self;
         ins.feed(&to.filled()[before..], |kind, bytes| {
             let count = &mut traffic.borrow_mut().0[kind];
             count.bytes_in += bytes;
@@ -163,14 +163,14 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         if self.still.get() {
             return Poll::Pending;
         }
         let done = Pin::new(&mut self.stream).poll_write(cx, bytes);
         if let Poll::Ready(Ok(n)) = done {
-            let Counted { outs, traffic, .. } = &mut *self;
+            let CountingStream { outs, traffic, .. } = &mut *self;
             outs.feed(&bytes[..n], |kind, bytes| {
                 let count = &mut traffic.borrow_mut().0[kind];
                 count.bytes_out += bytes;
@@ -194,7 +194,7 @@
 
 /// What a relay counts. `in` is what goes to the address behind it.
 #[derive(Debug, Default)]
-pub struct Way {
+pub struct RelayCounts {
     pub traffic: RefCell<Traffic>,
     /// The same by the name under which who dialled said hello.
     pub by: RefCell<BTreeMap<String, Traffic>>,
@@ -203,7 +203,7 @@
 }
 
 /// Listens on a loopback port of its own, which it returns, relays to `to`, and counts both ways by kind.
-pub async fn relay(to: String, way: Rc<Way>) -> io::Result<String> {
+pub async fn relay(to: String, way: Rc<RelayCounts>) -> io::Result<String> {
     let listener = TcpListener::bind((host_of(7).as_str(), 0)).await?;
     let address = listener.local_addr()?.to_string();
     tokio::task::spawn_local(async move {
@@ -229,7 +229,7 @@
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     goes_in: bool,
-    way: &Way,
+    way: &RelayCounts,
     who: &RefCell<Option<String>>,
 ) {
     let (mut frames, mut bytes, mut first) = (Frames::default(), vec![0; 16 * 1024], Cutter::default());
--- a/testbed/tests/rough.rs
+++ b/testbed/tests/faulty_link.rs
@@ -2,7 +2,7 @@
 use basaltpitch_agent::framing::Cutter;
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{Body, Frame, Heartbeat, Hello, Role};
-use basaltpitch_testbed::rough::{carry, Knobs, Seen};
+use basaltpitch_testbed::faulty_link::{carry, FaultInjection, LinkObservation};
 use prost::Message;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -36,17 +36,17 @@
         let mut planner = TcpStream::connect(at).await.expect("a connection");
         let (socket, _) = listener.accept().await.expect("the other end");
         let (outer, mut machine) = tokio::io::duplex(4096);
-        let (knobs, clock) = (Rc::new(Knobs::default()), Clock::start());
+        let (knobs, clock) = (Rc::new(FaultInjection::default()), Clock::start());
         knobs.held_until.set(i64::MAX);
         let seen: Rc<RefCell<Vec<String>>> = Rc::default();
         let shown = seen.clone();
-        let show = move |peer: &Hello, seen: Seen| {
+        let show = move |peer: &Hello, seen: LinkObservation| {
             let word = match seen {
-                Seen::Read { .. } => "read",
-                Seen::Heard { .. } => "heard",
-                Seen::Wrote { .. } => "wrote",
-                Seen::Sent { .. } => "sent",
-                Seen::Gone => "gone",
+                LinkObservation::Read { .. } => "read",
+                LinkObservation::Heard { .. } => "heard",
+                LinkObservation::Wrote { .. } => "wrote",
+                LinkObservation::Sent { .. } => "sent",
+                LinkObservation::Gone => "gone",
             };
             shown.borrow_mut().push(format!("{word} {}", peer.epoch));
         };
--- a/testbed/tests/hollow.rs
+++ b/testbed/tests/scale.rs
@@ -1,10 +1,10 @@
-//! Hollow stand-ins: counting of frames by kind, a line through points, and a register.
+//! Hollow stand-ins: counting of frames by kind, a fit_line through points, and a register.
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Party};
 use basaltpitch_agent::wire::{self, Body, Entry, Frame, Readiness, Role};
-use basaltpitch_testbed::hollow::fit::line;
-use basaltpitch_testbed::hollow::register;
-use basaltpitch_testbed::hollow::traffic::{relay, Traffic, Way, KINDS};
+use basaltpitch_testbed::scale::linear_fit::fit_line;
+use basaltpitch_testbed::scale::registry;
+use basaltpitch_testbed::scale::traffic::{relay, RelayCounts, Traffic, KINDS};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -45,7 +45,7 @@
         for seed in 0..20 {
             let mut chance = fastrand::Rng::with_seed(seed);
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-            let way = Rc::new(Way::default());
+            let way = Rc::new(RelayCounts::default());
             let through = relay(listener.local_addr().unwrap().to_string(), way.clone()).await.unwrap();
             let mut near = TcpStream::connect(through).await.unwrap();
             let (mut far, _) = listener.accept().await.unwrap();
@@ -89,25 +89,25 @@
     });
 }
 
-/// Points on a line leave nothing over; others leave what they lie beside it; one place of the axis has none.
+/// Points on a fit_line leave nothing over; others leave what they lie beside it; one place of the axis has none.
 #[test]
 fn a_line_is_drawn_through_points() {
     let on: Vec<(f64, f64)> = (1..6).map(|x| (f64::from(x) * 100.0, f64::from(x) * 50.0 + 7.0)).collect();
-    let found = line(&on).unwrap();
+    let found = fit_line(&on).unwrap();
     assert!((found.slope - 0.5).abs() < 1e-9 && (found.intercept - 7.0).abs() < 1e-9, "{found:?}");
     assert!(found.residual < 1e-9, "{found:?}");
     let beside = [(0.0, 1.0), (1.0, -1.0), (2.0, -1.0), (3.0, 1.0)];
-    let found = line(&beside).unwrap();
+    let found = fit_line(&beside).unwrap();
     assert!(found.slope.abs() < 1e-9 && found.intercept.abs() < 1e-9, "{found:?}");
     assert!((found.residual - 1.0).abs() < 1e-9, "{found:?}");
-    assert_eq!(line(&[(2.0, 1.0), (2.0, 3.0)]), None);
-    assert_eq!(line(&[]), None);
-    // A draw of noise: no other line leaves less over.
+    assert_eq!(fit_line(&[(2.0, 1.0), (2.0, 3.0)]), None);
+    assert_eq!(fit_line(&[]), None);
+    // A draw of noise: no other fit_line leaves less over.
     for seed in 0..50 {
         let mut chance = fastrand::Rng::with_seed(seed);
         let points: Vec<(f64, f64)> =
             (0..chance.usize(4..9)).map(|x| (x as f64, chance.f64() * 10.0)).collect();
-        let found = line(&points).unwrap();
+        let found = fit_line(&points).unwrap();
         let left = |slope: f64, intercept: f64| {
             let each = points.iter().map(|p| (p.1 - intercept - slope * p.0).powi(2)).sum::<f64>();
             (each / points.len() as f64).sqrt()
@@ -172,7 +172,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap().to_string();
         let (_words, inbox) = mpsc::channel(1);
-        tokio::task::spawn_local(register::run(listener, Vec::new(), inbox, |_| {}));
+        tokio::task::spawn_local(registry::run(listener, Vec::new(), inbox, |_| {}));
         let entry = |n: usize| Entry {
             machine: format!("machine-{n}"),
             cores_left: 16.0,
