--- a/cli/src/council.rs
+++ b/cli/src/council.rs
@@ -5,8 +5,8 @@
 use basaltpitch_agent::wire::{self, Body, Role};
 use basaltpitch_config::installation::Installation;
 use basaltpitch_lease::{agreed, Terms};
-use basaltpitch_planner::voter::{self, Start};
-use basaltpitch_planner::voters::Way;
+use basaltpitch_planner::voter_links::VoterEndpoint;
+use basaltpitch_planner::voter_server::{self, VoterConfig};
 use basaltpitch_snapshot_store::{Found, Store};
 use serde_json::{json, Value};
 use std::io::Write;
@@ -44,11 +44,11 @@
 }
 
 /// How long votes bind, and the ways to the voters, where an installation has a council.
-pub fn council_of(found: &Installation) -> Option<(Terms, Vec<Way>)> {
+pub fn council_of(found: &Installation) -> Option<(Terms, Vec<VoterEndpoint>)> {
     let council = found.all.get("council")?;
     let time = |field: &str| council.time(field).unwrap_or(0);
     let text = |v: &basaltpitch_config::Settled, field: &str| v.text(field).unwrap_or("").to_owned();
-    let way = |v| Way { name: text(v, "name"), address: text(v, "address") };
+    let way = |v| VoterEndpoint { name: text(v, "name"), address: text(v, "address") };
     Some((
         Terms { term: time("term"), drift: time("drift") },
         council.list("voters").iter().map(way).collect(),
@@ -64,7 +64,7 @@
     (0..planners).map(|n| format!("{SEATS}{n}").into()).collect()
 }
 
-pub fn needed(found: &Installation) -> Result<(Terms, Vec<Way>), Failure> {
+pub fn needed(found: &Installation) -> Result<(Terms, Vec<VoterEndpoint>), Failure> {
     let none = || Failure::Wrong("council: found none in these files; expected its voters".into());
     council_of(found).ok_or_else(none)
 }
@@ -113,8 +113,8 @@
                 println!("{} listens on {address}", self.name);
             }
             let _ = std::io::stdout().flush();
-            let start = Start { name: self.name, terms, voters, me, store };
-            voter::serve(listener, start, told_to_stop()).await;
+            let start = VoterConfig { name: self.name, terms, voters, me, store };
+            voter_server::serve(listener, start, told_to_stop()).await;
             Ok(())
         })
     }
@@ -124,8 +124,8 @@
 type ByVoter<T> = Vec<(String, Result<T, String>)>;
 
 /// What each voter answers to a frame, by its name; a voter that does not is named with the reason.
-pub fn ask_all(voters: &[Way], body: &Body) -> Result<ByVoter<Body>, Failure> {
-    let one = |way: &Way| {
+pub fn ask_all(voters: &[VoterEndpoint], body: &Body) -> Result<ByVoter<Body>, Failure> {
+    let one = |way: &VoterEndpoint| {
         let at = At { planner: way.address.clone(), login: String::new() };
         match ask(&at, Role::Operator, body.clone(), Duration::from_secs(2)) {
             Ok(body) => Ok((way.name.clone(), Ok(body))),
@@ -137,7 +137,7 @@
 }
 
 /// What each voter keeps; notes and who held what only where asked for.
-pub fn records(voters: &[Way], brief: bool) -> Result<ByVoter<wire::Kept>, Failure> {
+pub fn records(voters: &[VoterEndpoint], brief: bool) -> Result<ByVoter<wire::Kept>, Failure> {
     let kept = |(name, answer): (String, Result<Body, String>)| match answer {
         Ok(Body::Kept(kept)) => (name, Ok(kept)),
         Ok(_) => (name, Err("another answer than was asked for".into())),
@@ -148,7 +148,7 @@
 }
 
 /// The holder that most voters have of a duty, and its token.
-fn holder(voters: &[Way], duty: &str) -> Result<Option<(String, u64)>, Failure> {
+fn holder(voters: &[VoterEndpoint], duty: &str) -> Result<Option<(String, u64)>, Failure> {
     let all = records(voters, true)?;
     let kept = all.iter().filter_map(|r| r.1.as_ref().ok()).flat_map(|k| &k.duties);
     let out = kept.filter(|d| d.duty == duty && d.left_us > 0).map(|d| (d.holder.clone(), d.token));
@@ -167,7 +167,7 @@
 }
 
 /// Who holds what, as each voter has it.
-fn standing(voters: &[Way], as_json: bool) -> Result<(), Failure> {
+fn standing(voters: &[VoterEndpoint], as_json: bool) -> Result<(), Failure> {
     let mut rows = Vec::new();
     for (voter, kept) in records(voters, true)? {
         let row = |duty: &str, holder: &str, token: u64, left_us: i64, state: &str| {
@@ -192,7 +192,7 @@
 }
 
 /// Who held what since when: each holder once, from the first voter that has it.
-fn history(voters: &[Way], as_json: bool) -> Result<(), Failure> {
+fn history(voters: &[VoterEndpoint], as_json: bool) -> Result<(), Failure> {
     let mut all = std::collections::BTreeMap::new();
     for (voter, kept) in records(voters, false)? {
         let kept = kept.unwrap_or_else(|why| {
@@ -218,7 +218,7 @@
 /// Passes the wish on to the holder, and waits until most voters have another.
 fn hand_on(
     terms: &Terms,
-    voters: &[Way],
+    voters: &[VoterEndpoint],
     duty: &str,
     to: Option<String>,
     as_json: bool,
--- a/cli/src/measure_council.rs
+++ b/cli/src/measure_council.rs
@@ -3,7 +3,7 @@
 //! binary on loopback, each under a seat; and what the look at the term costs a launch.
 use crate::processes::{measured, site, Process, Used};
 use crate::Failure;
-use basaltpitch_planner::council::Tenure;
+use basaltpitch_planner::lease_client::LeaseDeadline;
 use basaltpitch_testbed::process_harness::free_addresses;
 use basaltpitch_testbed::relay::{self, RelayControl};
 use serde_json::{json, Value};
@@ -56,9 +56,9 @@
             }
             Ok(rows)
         })?;
-        let (tenure, looks) = (Tenure::default(), 1_000_000u32);
+        let (tenure, looks) = (LeaseDeadline::default(), 1_000_000u32);
         let begun = Instant::now();
-        let held = (0..looks).filter(|_| std::hint::black_box(&tenure).holds()).count();
+        let held = (0..looks).filter(|_| std::hint::black_box(&tenure).is_held()).count();
         let look_ns = (begun.elapsed() / looks).as_nanos();
         crate::ask::show(&json!({"look_ns": look_ns, "held": held}), as_json);
         Ok(())
--- a/cli/src/roll.rs
+++ b/cli/src/roll.rs
@@ -7,9 +7,9 @@
 use basaltpitch_agent::session::{Links, Party};
 use basaltpitch_agent::wire::{self, Role};
 use basaltpitch_lease::{agreed, Terms};
-use basaltpitch_planner::council::{self, Duty, Tenure, Wish};
-use basaltpitch_planner::roll::{DUTY, WISH};
-use basaltpitch_planner::voters::Way;
+use basaltpitch_planner::lease_client::{self, LeaseClientConfig, LeaseCommand, LeaseDeadline, LeaseEvent};
+use basaltpitch_planner::rolling_restart::{PLAN_LEASE, RESTART_LEASE};
+use basaltpitch_planner::voter_links::VoterEndpoint;
 use basaltpitch_rolling_restart::{How, Plan, Progress, Stage};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -49,14 +49,14 @@
 }
 
 /// The note of a duty that a majority of the voters keeps.
-fn kept(voters: &[Way], answers: &[wire::Kept], duty: &str) -> Option<Vec<u8>> {
+fn kept(voters: &[VoterEndpoint], answers: &[wire::Kept], duty: &str) -> Option<Vec<u8>> {
     let all = answers.iter().flat_map(|k| &k.duties).filter(|d| d.duty == duty && !d.note.is_empty());
     let note = agreed(voters.len(), all.map(|d| (d.note_token, d.note_number, &d.note)));
     note.map(|n| n.2.clone())
 }
 
 /// What operators want, and how far it is, as a majority of the voters keeps it.
-fn record(voters: &[Way]) -> Result<(Option<Plan>, Option<Progress<String>>), Failure> {
+fn record(voters: &[VoterEndpoint]) -> Result<(Option<Plan>, Option<Progress<String>>), Failure> {
     let (mut answers, mut faults) = (Vec::new(), Vec::new());
     for (voter, kept) in records(voters, false)? {
         match kept {
@@ -70,46 +70,53 @@
         return Err(Failure::Failed(format!("found {found} of {of} voters; expected most of them ({why})")));
     }
     let sense = |e: serde_json::Error| Failure::Failed(format!("the record of the roll: {e}"));
-    let wish = kept(voters, &answers, WISH).map(|n| serde_json::from_slice(&n)).transpose().map_err(sense)?;
-    let far = kept(voters, &answers, DUTY).map(|n| serde_json::from_slice(&n)).transpose().map_err(sense)?;
+    let wish =
+        kept(voters, &answers, PLAN_LEASE).map(|n| serde_json::from_slice(&n)).transpose().map_err(sense)?;
+    let far = kept(voters, &answers, RESTART_LEASE)
+        .map(|n| serde_json::from_slice(&n))
+        .transpose()
+        .map_err(sense)?;
     Ok((wish, far))
 }
 
 /// Leaves a plan in the record, once a majority keeps it.
-async fn leave(terms: Terms, voters: Vec<Way>, plan: Plan) -> Result<Plan, Failure> {
+async fn leave(terms: Terms, voters: Vec<VoterEndpoint>, plan: Plan) -> Result<Plan, Failure> {
     let epoch = Clock::start().now() as u64;
     let name = format!("command-{}", std::process::id());
     let me = Party { role: Role::Planner, name, epoch, link: 0, login: String::new() };
     let (acts, mut duties) = mpsc::channel(16);
-    let start = council::Start {
-        peers: None,
-        words: Vec::new(),
-        terms,
+    let start = LeaseClientConfig {
+        slot_prefix: None,
+        announced: Vec::new(),
+        lease_config: terms,
         voters,
-        seats: Vec::new(),
-        duties: vec![WISH.into()],
-        follows: Vec::new(),
-        acts: Some(acts),
-        me,
+        slots: Vec::new(),
+        leases: vec![PLAN_LEASE.into()],
+        followed: Vec::new(),
+        events: Some(acts),
+        identity: me,
         links: Links::default(),
         seed: epoch,
     };
     let ((words, _words), (wishes, wishes_in)) = (mpsc::channel(1), mpsc::channel(4));
-    let council = tokio::task::spawn_local(council::run(start, Tenure::default(), words, wishes_in));
+    let council =
+        tokio::task::spawn_local(lease_client::run(start, LeaseDeadline::default(), words, wishes_in));
     let within = Duration::from_micros(3 * terms.wait() as u64) + Duration::from_secs(2);
     let done = tokio::time::timeout(within, async {
         let mut plan = plan;
         while let Some(word) = duties.recv().await {
             match word {
-                Duty::Seats(_) | Duty::Held(_) => {}
-                Duty::Won { token, .. } => {
+                LeaseEvent::Records(_) | LeaseEvent::HeldSlots(_) => {}
+                LeaseEvent::Acquired { token, .. } => {
                     // A new roll is named by the token: it rises from one to the next.
                     plan.id = if plan.id == 0 { token } else { plan.id };
                     let text = serde_json::to_vec(&plan).map_err(|e| Failure::Failed(e.to_string()))?;
-                    let _ = wishes.send(Wish::Write { duty: WISH.into(), token, text }).await;
+                    let _ = wishes
+                        .send(LeaseCommand::WriteMetadata { lease: PLAN_LEASE.into(), token, metadata: text })
+                        .await;
                 }
-                Duty::Recorded { .. } => return Ok(plan),
-                Duty::Lost { .. } | Duty::Noted { .. } => {}
+                LeaseEvent::MetadataRecorded { .. } => return Ok(plan),
+                LeaseEvent::Lost { .. } | LeaseEvent::MetadataChanged { .. } => {}
             }
         }
         Err(Failure::Failed("the council's task ended".into()))
@@ -118,7 +125,7 @@
         let why = "no majority of voters kept it in time; it may still come to be kept: ask for --status";
         Err(Failure::Failed(why.into()))
     });
-    let _ = wishes.send(Wish::Leave).await;
+    let _ = wishes.send(LeaseCommand::ReleaseAll).await;
     let _ = council.await;
     done
 }
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -6,10 +6,10 @@
 use basaltpitch_agent::wire::Role;
 use basaltpitch_config::installation::{Installation, Laid, Seat};
 use basaltpitch_config::Settled;
-use basaltpitch_planner::council::{self, Tenure, Wish, Word};
 use basaltpitch_planner::halls;
+use basaltpitch_planner::lease_client::{self, LeaseClientConfig, LeaseCommand, LeaseDeadline, SlotEvent};
 use basaltpitch_planner::peers::Meeting;
-use basaltpitch_planner::roll::{self, Duties};
+use basaltpitch_planner::rolling_restart::{self, RollingRestartConfig};
 use basaltpitch_planner::service::{self, Start};
 use basaltpitch_planner::state::Who;
 use basaltpitch_subsetting::{hash, Terms};
@@ -75,8 +75,8 @@
 
 /// What a life under a seat has beside its name.
 struct Under {
-    tenure: Tenure,
-    duties: Duties,
+    tenure: LeaseDeadline,
+    duties: RollingRestartConfig,
     /// All seats, in order.
     seats: Vec<Rc<str>>,
 }
@@ -141,19 +141,21 @@
                 let name = format!("process-{}", std::process::id());
                 let me = Party { role: Role::Planner, name, epoch: started, link: 0, login: String::new() };
                 let seed = self.seed.unwrap_or(started);
-                let (duties, follows) =
-                    (vec![roll::DUTY.into(), halls::DUTY.into()], vec![roll::WISH.into()]);
+                let (duties, follows) = (
+                    vec![rolling_restart::RESTART_LEASE.into(), halls::DUTY.into()],
+                    vec![rolling_restart::PLAN_LEASE.into()],
+                );
                 let (peers, words) = (Some(SEATS.into()), vec![halls::DUTY.into()]);
-                let start = council::Start {
-                    terms,
+                let start = LeaseClientConfig {
+                    lease_config: terms,
                     voters,
-                    seats: may,
-                    duties,
-                    follows,
-                    peers,
-                    words,
-                    acts: None,
-                    me,
+                    slots: may,
+                    leases: duties,
+                    followed: follows,
+                    slot_prefix: peers,
+                    announced: words,
+                    events: None,
+                    identity: me,
                     links: links.clone(),
                     seed,
                 };
@@ -178,13 +180,14 @@
         &self,
         installation: &Installation,
         all: &[Rc<str>],
-        start: council::Start,
+        start: LeaseClientConfig,
         json: bool,
     ) -> Result<(), Failure> {
         let links = start.links.clone();
         let (tenure, (words_out, mut words), (wishes, wishes_in)) =
-            (Tenure::default(), mpsc::channel(16), mpsc::channel(16));
-        let council = tokio::task::spawn_local(council::run(start, tenure.clone(), words_out, wishes_in));
+            (LeaseDeadline::default(), mpsc::channel(16), mpsc::channel(16));
+        let council =
+            tokio::task::spawn_local(lease_client::run(start, tenure.clone(), words_out, wishes_in));
         let stopped = told_to_stop();
         tokio::pin!(stopped);
         tracing::info!("waiting for a seat");
@@ -192,9 +195,9 @@
             let (seat, token, heard) = tokio::select! {
                 () = &mut stopped => break Ok(()),
                 word = words.recv() => match word {
-                    Some(Word::Seated { seat, token, duties }) => (seat, token, duties),
-                    Some(Word::Unseated) => {
-                        let _ = wishes.send(Wish::Again).await;
+                    Some(SlotEvent::Acquired { slot, token, lease_events }) => (slot, token, lease_events),
+                    Some(SlotEvent::Lost) => {
+                        let _ = wishes.send(LeaseCommand::SeekSlot).await;
                         continue;
                     }
                     None => break Err(Failure::Failed("the council's task ended".into())),
@@ -203,7 +206,12 @@
             let number = all.iter().position(|s| *s == seat).unwrap_or(0);
             let sizes = sizes(installation);
             let grace = installation.all.time("rules.drain_grace").unwrap_or(0);
-            let duties = Duties { heard, wishes: wishes.clone(), sizes, grace };
+            let duties = RollingRestartConfig {
+                lease_events: heard,
+                lease_commands: wishes.clone(),
+                machine_sizes: sizes,
+                drain_grace_us: grace,
+            };
             let under = Some(Under { tenure: tenure.clone(), duties, seats: all.to_vec() });
             let links = links.clone();
             let life = Life { name: seat.to_string(), number, epoch: token, under, links };
@@ -219,10 +227,10 @@
                 break lived;
             }
             tracing::warn!(seat = &*seat, "no planner any more; waiting for a seat as a spare");
-            let _ = wishes.send(Wish::Again).await;
+            let _ = wishes.send(LeaseCommand::SeekSlot).await;
         };
         // Nothing acts under the seat any more: a spare can have it at once.
-        let _ = wishes.send(Wish::Leave).await;
+        let _ = wishes.send(LeaseCommand::ReleaseAll).await;
         let _ = council.await;
         done
     }
@@ -290,7 +298,7 @@
             // All addresses of a machine are no address that another could dial.
             let listens = Some(at.to_string()).filter(|_| !at.ip().is_unspecified());
             let address = self.advertise.clone().or(listens);
-            let (tenure, wishes) = (under.tenure.clone(), under.duties.wishes.clone());
+            let (tenure, wishes) = (under.tenure.clone(), under.duties.lease_commands.clone());
             let regions = installation.regions();
             let region =
                 |zone: usize| regions.iter().position(|(_, zones)| zones.contains(&zone)).unwrap_or(0);
--- a/planner/src/halls.rs
+++ b/planner/src/halls.rs
@@ -1,7 +1,7 @@
 //! A planner's part in what becomes of halls: what it sees goes to whoever conducts, the conductor's word
 //! comes back with what planners tell each other, and machines of a hall that is not well are held back by
 //! it. Decides nothing itself: `basaltpitch_zone_failover` does.
-use crate::council::{Duty, Tenure, Wish};
+use crate::lease_client::{LeaseCommand, LeaseDeadline, LeaseEvent};
 use basaltpitch_admission::middle;
 use basaltpitch_zone_failover::{
     evidence, plan, Call, Conductor, Evidence, Load, OfHall, Opinion, Pace, Stage, View, Word,
@@ -36,14 +36,14 @@
 
 struct Conducting {
     token: u64,
-    tenure: Tenure,
+    tenure: LeaseDeadline,
     number: u64,
     conductor: Conductor,
 }
 
 pub struct Halls {
     names: Vec<String>,
-    wishes: mpsc::Sender<Wish>,
+    wishes: mpsc::Sender<LeaseCommand>,
     known: Known,
     conducting: Option<Conducting>,
     /// Of each hall, as all that are heard see it.
@@ -79,16 +79,16 @@
 }
 
 impl Halls {
-    pub fn new(names: Vec<String>, wishes: mpsc::Sender<Wish>) -> Self {
+    pub fn new(names: Vec<String>, wishes: mpsc::Sender<LeaseCommand>) -> Self {
         let known = Known { stages: vec![Stage::Well; names.len()], ..Known::default() };
         let (evidence, used) = (vec![Evidence::CutOff; names.len()], vec![0.0; names.len()]);
         Halls { names, wishes, known, conducting: None, evidence, cores: used.clone(), used }
     }
 
     /// A word of the council about the duty.
-    pub fn hear(&mut self, now: i64, word: Duty) {
+    pub fn hear(&mut self, now: i64, word: LeaseEvent) {
         match (word, &mut self.conducting) {
-            (Duty::Won { token, note, tenure, .. }, _) => {
+            (LeaseEvent::Acquired { token, metadata: note, deadline: tenure, .. }, _) => {
                 let left = match note.is_empty() {
                     true => None,
                     false => match serde_json::from_slice::<Noted>(&note) {
@@ -104,8 +104,8 @@
                 self.conducting = Some(Conducting { token, tenure, number: 1, conductor });
                 self.told(token, 1, stages);
             }
-            (Duty::Lost { .. }, _) => self.conducting = None,
-            (Duty::Recorded { .. }, Some(c)) => {
+            (LeaseEvent::Lost { .. }, _) => self.conducting = None,
+            (LeaseEvent::MetadataRecorded { .. }, Some(c)) => {
                 c.conductor.recorded(now);
                 c.number += 1;
                 let (token, number) = (c.token, c.number);
@@ -180,12 +180,12 @@
                 c.conductor.goes(hall, launched, wrong);
             }
         }
-        let Some(c) = self.conducting.as_mut().filter(|c| c.tenure.holds()) else { return };
+        let Some(c) = self.conducting.as_mut().filter(|c| c.tenure.is_held()) else { return };
         c.conductor.clock(now);
         while let Some(Call::Write(word)) = c.conductor.next_call() {
             let noted = Noted { number: c.number + 1, word };
             let text = serde_json::to_vec(&noted).expect("plain figures");
-            let write = Wish::Write { duty: DUTY.into(), token: c.token, text };
+            let write = LeaseCommand::WriteMetadata { lease: DUTY.into(), token: c.token, metadata: text };
             if self.wishes.try_send(write).is_err() {
                 // Who cannot write does not conduct on what is not kept: its successor does.
                 tracing::error!("the council takes no word on halls");
--- a/planner/src/council.rs
+++ b/planner/src/lease_client.rs
@@ -1,7 +1,7 @@
 //! A planner's side of the council on sockets: links to the voters, the seat that it holds, the duties beside
 //! it, and the word that comes before each act. It decides nothing: `basaltpitch_lease` says what to ask
 //! for and what is held.
-use crate::voters::{awake, follow, member_name, Heard, Way};
+use crate::voter_links::{awake, follow, process_name, Heard, VoterEndpoint};
 use basaltpitch_agent::link::{Clock, Order};
 use basaltpitch_agent::session::{Links, Party};
 use basaltpitch_agent::wire::{self, Body};
@@ -18,93 +18,126 @@
 const INBOX: usize = 256;
 
 /// What a process brings to the council.
-pub struct Start {
-    pub terms: Terms,
-    pub voters: Vec<Way>,
-    /// The seats that it may take.
-    pub seats: Vec<Rc<str>>,
-    /// The duties that it takes beside a seat, and those whose notes it follows while it holds one.
-    pub duties: Vec<Rc<str>>,
-    pub follows: Vec<Rc<str>>,
-    /// What the names of all seats begin with, for a process that is to know of the others while it is
-    /// seated.
-    pub peers: Option<Rc<str>>,
-    /// The duties whose notes it is to know of while it is seated.
-    pub words: Vec<Rc<str>>,
-    /// Where what comes of these is told, for a process that wants them without a seat.
-    pub acts: Option<mpsc::Sender<Duty>>,
+pub struct LeaseClientConfig {
+    /// How long votes bind.
+    pub lease_config: Terms,
+    /// All voters.
+    pub voters: Vec<VoterEndpoint>,
+    /// The slots that it may take.
+    pub slots: Vec<Rc<str>>,
+    /// The leases that it acquires beside a slot.
+    pub leases: Vec<Rc<str>>,
+    /// The leases whose metadata it follows while it holds one of `leases`.
+    pub followed: Vec<Rc<str>>,
+    /// What the names of all slots begin with, for a process that is to know of the others while it has a slot.
+    pub slot_prefix: Option<Rc<str>>,
+    /// The leases whose metadata it is to know of while it has a slot.
+    pub announced: Vec<Rc<str>>,
+    /// Where events of leases go, for a process that wants them without a slot.
+    pub events: Option<mpsc::Sender<LeaseEvent>>,
     /// Who it is: a name of its own and the time of its start.
-    pub me: Party,
+    pub identity: Party,
     /// What its links to voters share with the others of the process.
     pub links: Links,
+    /// Where chance starts from.
     pub seed: u64,
 }
 
 /// Until when a seat or duty is held, by the clock that runs on in suspension. To be asked before each act.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tenure(Rc<Cell<i64>>);
+pub struct LeaseDeadline(Rc<Cell<i64>>);
 
-impl Tenure {
+impl LeaseDeadline {
     /// Held until then, in microseconds of `awake`.
-    pub fn until(at: i64) -> Tenure {
-        Tenure(Rc::new(Cell::new(at)))
+    pub fn at_us(at: i64) -> LeaseDeadline {
+        LeaseDeadline(Rc::new(Cell::new(at)))
     }
 
-    pub fn holds(&self) -> bool {
+    pub fn is_held(&self) -> bool {
         awake() < self.0.get()
     }
 }
 
 /// What the council tells the process.
 #[derive(Debug)]
-pub enum Word {
-    /// What comes of other duties while it is seated is told by `duties`.
-    Seated {
-        seat: Rc<str>,
+pub enum SlotEvent {
+    /// A slot is held from now on. What comes of other leases meanwhile is received from `lease_events`.
+    Acquired {
+        /// The slot's name.
+        slot: Rc<str>,
+        /// Its fencing token.
         token: u64,
-        duties: mpsc::Receiver<Duty>,
+        /// Events of the leases beside the slot, until it is lost.
+        lease_events: mpsc::Receiver<LeaseEvent>,
     },
-    Unseated,
+    /// The slot is held no more.
+    Lost,
 }
 
-/// What becomes of the duties beside a seat.
+/// What a voter keeps of one lease that its holder announced.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Duty {
-    /// It is held from now on, for as long as the tenure says, with the note that its last holder left.
-    Won {
-        duty: Rc<str>,
+pub struct LeaseRecord {
+    /// The lease's name.
+    pub lease: Rc<str>,
+    /// The token of its holder, or the one under which the metadata was written.
+    pub token: u64,
+    /// What the holder has written, if anything.
+    pub metadata: Option<Vec<u8>>,
+}
+
+/// What becomes of the leases beside a slot.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum LeaseEvent {
+    /// It is held from now on, until the deadline passes.
+    Acquired {
+        /// The lease's name.
+        lease: Rc<str>,
+        /// Its fencing token.
         token: u64,
-        note: Vec<u8>,
-        tenure: Tenure,
+        /// What its last holder left.
+        metadata: Vec<u8>,
+        /// Until when its holder may act.
+        deadline: LeaseDeadline,
     },
+    /// It is held no more.
     Lost {
-        duty: Rc<str>,
+        /// The lease's name.
+        lease: Rc<str>,
     },
-    /// A majority keeps the last note that was written.
-    Recorded {
-        duty: Rc<str>,
+    /// A majority keeps the metadata that was last written.
+    MetadataRecorded {
+        /// The lease's name.
+        lease: Rc<str>,
     },
-    /// The note of another duty, as a majority keeps it.
-    Noted {
-        duty: Rc<str>,
-        note: Vec<u8>,
+    /// The metadata of a followed lease, as a majority keeps it.
+    MetadataChanged {
+        /// The lease's name.
+        lease: Rc<str>,
+        /// What its holder has written.
+        metadata: Vec<u8>,
     },
-    /// A voter tells of all seats who has them: under which token, and what its holder has written there;
-    /// and of words, by which token they were written.
-    Seats(Vec<(Rc<str>, u64, Option<Vec<u8>>)>),
-    /// All seats that are held now, as a voter that tells all of them keeps it.
-    Held(Vec<Rc<str>>),
+    /// Slots and announced leases that changed, as one voter keeps them.
+    Records(Vec<LeaseRecord>),
+    /// All slots that are held now, as one voter keeps them.
+    HeldSlots(Vec<Rc<str>>),
 }
 
-/// What the process asks of the council.
+/// What the process asks of its lease client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wish {
-    /// What acted under the seat has stopped: it is given back, and none is wanted any more.
-    Leave,
-    /// What acted under a seat that was lost has stopped: another may be taken.
-    Again,
-    /// A note is to be kept by a majority, if the duty is held under this token.
-    Write { duty: Rc<str>, token: u64, text: Vec<u8> },
+pub enum LeaseCommand {
+    /// What acted under the slot has stopped: it is released, and none is wanted any more.
+    ReleaseAll,
+    /// What acted under a slot that was lost has stopped: another may be taken.
+    SeekSlot,
+    /// Metadata is to be kept by a majority, if the lease is held under this token.
+    WriteMetadata {
+        /// The lease's name.
+        lease: Rc<str>,
+        /// The token under which it is held.
+        token: u64,
+        /// What is to be kept.
+        metadata: Vec<u8>,
+    },
 }
 
 struct Actor {
@@ -113,8 +146,8 @@
     seats: Seats<Rc<str>>,
     me: Rc<str>,
     voters: Vec<Option<mpsc::Sender<Order>>>,
-    tenure: Tenure,
-    words: mpsc::Sender<Word>,
+    tenure: LeaseDeadline,
+    words: mpsc::Sender<SlotEvent>,
     seated: Option<Rc<str>>,
     /// Whether a seat is wanted at all.
     seeks: bool,
@@ -130,21 +163,37 @@
     holders: Holders<Rc<str>>,
     /// Of the duties beside the seat that are held: token and tenure, and the number of the last note
     /// written.
-    held: BTreeMap<Rc<str>, (u64, Tenure, u64)>,
+    held: BTreeMap<Rc<str>, (u64, LeaseDeadline, u64)>,
     /// Where what comes of them is told, while it is seated.
-    acts: Option<mpsc::Sender<Duty>>,
+    acts: Option<mpsc::Sender<LeaseEvent>>,
     /// By followed duty and voter: the note that it keeps. And what was last told of each.
     notes: BTreeMap<(Rc<str>, usize), Note>,
     noted: BTreeMap<Rc<str>, (u64, u64)>,
-    /// Duties that are handed on, and to whom; and when what was handed on is wanted again.
+    /// RollingRestartConfig that are handed on, and to whom; and when what was handed on is wanted again.
     handing: BTreeMap<Rc<str>, String>,
     rests: BTreeMap<Rc<str>, i64>,
 }
 
 /// Takes a seat when one is free, holds it, and says when it is lost; until `wishes` ends or says to leave.
-pub async fn run(start: Start, tenure: Tenure, words: mpsc::Sender<Word>, mut wishes: mpsc::Receiver<Wish>) {
-    let Start { terms, voters, seats, duties, follows, peers, words: of_words, acts, me, links, seed } =
-        start;
+pub async fn run(
+    start: LeaseClientConfig,
+    tenure: LeaseDeadline,
+    words: mpsc::Sender<SlotEvent>,
+    mut wishes: mpsc::Receiver<LeaseCommand>,
+) {
+    let LeaseClientConfig {
+        lease_config: terms,
+        voters,
+        slots: seats,
+        leases: duties,
+        followed: follows,
+        slot_prefix: peers,
+        announced: of_words,
+        events: acts,
+        identity: me,
+        links,
+        seed,
+    } = start;
     let clock = Clock::start();
     let (heard_out, mut heard) = mpsc::channel(INBOX);
     for (v, way) in voters.iter().enumerate() {
@@ -154,7 +203,7 @@
         term: terms.term,
         member: Member::new(terms, voters.len(), seed, me.epoch),
         seats: Seats::new(seats, voters.len(), seed),
-        me: member_name(&me.name, me.epoch),
+        me: process_name(&me.name, me.epoch),
         voters: vec![None; voters.len()],
         tenure,
         words,
@@ -188,9 +237,9 @@
         tokio::select! {
             biased;
             wish = wishes.recv() => match wish {
-                Some(Wish::Again) => a.again(),
-                Some(Wish::Write { duty, token, text }) => a.write(duty, token, text),
-                Some(Wish::Leave) | None => {
+                Some(LeaseCommand::SeekSlot) => a.again(),
+                Some(LeaseCommand::WriteMetadata { lease, token, metadata }) => a.write(lease, token, metadata),
+                Some(LeaseCommand::ReleaseAll) | None => {
                     a.leave();
                     a.carry_out().await;
                     // The links' tasks hand the last frames over.
@@ -256,21 +305,31 @@
         let held = |d: &&wire::KeptDuty| d.duty.starts_with(&**prefix) && d.renewed && !d.holder.is_empty();
         let is_word =
             |d: &&wire::KeptDuty| !d.note.is_empty() && self.of_words.iter().any(|w| **w == *d.duty);
-        type Told = (Rc<str>, u64, Option<Vec<u8>>);
-        let word = |d: &wire::KeptDuty| -> ((u64, u64), Told) {
-            ((d.note_token, d.note_number), (Rc::from(d.duty.as_str()), d.note_token, Some(d.note.clone())))
+        let word = |d: &wire::KeptDuty| -> ((u64, u64), LeaseRecord) {
+            (
+                (d.note_token, d.note_number),
+                LeaseRecord {
+                    lease: Rc::from(d.duty.as_str()),
+                    token: d.note_token,
+                    metadata: Some(d.note.clone()),
+                },
+            )
         };
-        let seat = |d: &wire::KeptDuty| -> ((u64, u64), Told) {
+        let seat = |d: &wire::KeptDuty| -> ((u64, u64), LeaseRecord) {
             let note = (d.note_token == d.token && !d.note.is_empty()).then(|| d.note.clone());
             let number = note.as_ref().map_or(0, |_| d.note_number);
-            ((d.token, number), (Rc::from(d.duty.as_str()), d.token, note))
+            (
+                (d.token, number),
+                LeaseRecord { lease: Rc::from(d.duty.as_str()), token: d.token, metadata: note },
+            )
         };
         let words = kept.duties.iter().filter(is_word).map(word);
         let all = kept.duties.iter().filter(held).map(seat).chain(words);
-        let all = all.filter(|(of, told)| self.known.is_news(&told.0, *of));
-        let (news, all): (Vec<_>, Vec<Told>) = all.map(|(of, told)| ((told.0.clone(), of), told)).unzip();
+        let all = all.filter(|(of, told)| self.known.is_news(&told.lease, *of));
+        let (news, all): (Vec<_>, Vec<LeaseRecord>) =
+            all.map(|(of, told)| ((told.lease.clone(), of), told)).unzip();
         // Not taken, it is told at one of the next looks; who holds what goes by the same revision.
-        if !all.is_empty() && acts.try_send(Duty::Seats(all)).is_err() {
+        if !all.is_empty() && acts.try_send(LeaseEvent::Records(all)).is_err() {
             return;
         }
         self.known.took(v, &part, &said, news);
@@ -279,7 +338,7 @@
             let lasts = |d: &wire::KeptDuty| d.renewed && !d.holder.is_empty() && d.left_us > 0;
             let seats = kept.duties.iter().filter(is_seat).map(|d| (Rc::from(d.duty.as_str()), lasts(d)));
             self.holders.told(v, &said, seats);
-            let _ = acts.try_send(Duty::Held(self.holders.of(v).cloned().collect()));
+            let _ = acts.try_send(LeaseEvent::HeldSlots(self.holders.of(v).cloned().collect()));
         }
     }
 
@@ -351,7 +410,7 @@
             return;
         }
         // Not taken, it is no harm: the operator asks again.
-        if is_seat && self.words.try_send(Word::Unseated).is_err() {
+        if is_seat && self.words.try_send(SlotEvent::Lost).is_err() {
             return;
         }
         tracing::info!(duty = &*duty, to, "handed on at an operator's word");
@@ -397,7 +456,7 @@
             let Some(note) = agreed(self.voters.len(), kept) else { continue };
             let of = (note.token, note.number);
             if self.noted.get(duty) != Some(&of) {
-                let word = Duty::Noted { duty: duty.clone(), note: note.text.clone() };
+                let word = LeaseEvent::MetadataChanged { lease: duty.clone(), metadata: note.text.clone() };
                 // Not taken, it is told at the next look.
                 if self.acts.as_ref().is_some_and(|acts| acts.try_send(word).is_ok()) {
                     self.noted.insert(duty.clone(), of);
@@ -417,7 +476,7 @@
     }
 
     /// Tells of a duty beside the seat. Who does not take it does not act on it: others shall have it.
-    fn tell(&mut self, word: Duty) {
+    fn tell(&mut self, word: LeaseEvent) {
         if self.acts.as_ref().is_some_and(|acts| acts.try_send(word).is_err()) {
             self.leave_duties();
         }
@@ -468,10 +527,15 @@
                 Call::Won { duty, token, note } if self.duties.contains(&duty) => {
                     tracing::info!(duty = &*duty, token, "the duty is held");
                     let now = awake();
-                    let tenure = Tenure::until(now + self.member.left(now, &duty));
+                    let tenure = LeaseDeadline::at_us(now + self.member.left(now, &duty));
                     self.held.insert(duty.clone(), (token, tenure.clone(), 0));
                     self.noted.clear();
-                    self.tell(Duty::Won { duty, token, note: note.text, tenure });
+                    self.tell(LeaseEvent::Acquired {
+                        lease: duty,
+                        token,
+                        metadata: note.text,
+                        deadline: tenure,
+                    });
                 }
                 Call::Won { duty, token, .. } => {
                     tracing::info!(seat = &*duty, token, "seated");
@@ -480,7 +544,10 @@
                     self.holders = Holders::default();
                     let (acts, duties) = mpsc::channel(INBOX);
                     self.acts = Some(acts);
-                    let _ = self.words.send(Word::Seated { seat: duty, token, duties }).await;
+                    let _ = self
+                        .words
+                        .send(SlotEvent::Acquired { slot: duty, token, lease_events: duties })
+                        .await;
                     let (now, all) = (awake(), self.duties.clone());
                     all.into_iter().for_each(|duty| self.member.want(now, duty));
                     // Before its first machine is linked it is to know what is said of halls.
@@ -491,7 +558,7 @@
                     if let Some((_, tenure, _)) = self.held.remove(&duty) {
                         tenure.0.set(0);
                     }
-                    self.tell(Duty::Lost { duty });
+                    self.tell(LeaseEvent::Lost { lease: duty });
                 }
                 Call::Lost { duty, token } => {
                     tracing::warn!(seat = &*duty, token, "the seat is lost");
@@ -500,11 +567,11 @@
                     self.leave_duties();
                     self.member.leave(&duty);
                     self.seats.unseated();
-                    let _ = self.words.send(Word::Unseated).await;
+                    let _ = self.words.send(SlotEvent::Lost).await;
                 }
                 Call::Recorded { duty, number } => {
                     if self.held.get(&duty).is_some_and(|h| h.2 == number) {
-                        self.tell(Duty::Recorded { duty });
+                        self.tell(LeaseEvent::MetadataRecorded { lease: duty });
                     }
                 }
             }
--- a/planner/src/lib.rs
+++ b/planner/src/lib.rs
@@ -3,14 +3,14 @@
 //! `service` puts it on sockets, on one thread. `told` is what the module is told, as it is recorded and
 //! replayed.
 pub mod bounds;
-pub mod council;
 pub mod door;
 pub mod figures;
 pub mod halls;
 pub mod hands;
+pub mod lease_client;
 pub mod peers;
 pub mod recording;
-pub mod roll;
+pub mod rolling_restart;
 pub mod service;
 pub mod standing;
 pub mod state;
@@ -18,5 +18,5 @@
 pub mod tenancy;
 pub mod told;
 pub mod view;
-pub mod voter;
-pub mod voters;
+pub mod voter_links;
+pub mod voter_server;
--- a/planner/src/peers.rs
+++ b/planner/src/peers.rs
@@ -1,9 +1,9 @@
 //! A planner's links to other planners: between the council, which tells who has which seat and where, the
 //! sockets, and the decisions of `basaltpitch_gossip`. What is heard goes in; frames, links to dial and
 //! links to end come out.
-use crate::council::{Duty, Tenure, Wish};
 use crate::figures::{self, Says, COUNTS};
 use crate::halls::{Halls, Seen};
+use crate::lease_client::{LeaseCommand, LeaseDeadline, LeaseEvent};
 use crate::state::Core;
 use crate::summaries;
 use basaltpitch::host::Readiness;
@@ -40,8 +40,8 @@
     pub bytes_a_second: Option<f64>,
     /// What others say is not weighed in what is declined here.
     pub alone: bool,
-    pub tenure: Tenure,
-    pub wishes: mpsc::Sender<Wish>,
+    pub tenure: LeaseDeadline,
+    pub wishes: mpsc::Sender<LeaseCommand>,
 }
 
 /// The other planners, as this one knows them.
@@ -71,7 +71,11 @@
             // Where it listens, and where it stands, is the note of its seat.
             let hall = meeting.halls.get(meeting.stands).map_or("", String::as_str);
             let (duty, text) = (meeting.seats[meeting.me].clone(), format!("{address} {hall}").into_bytes());
-            if meeting.wishes.try_send(Wish::Write { duty, token, text }).is_err() {
+            if meeting
+                .wishes
+                .try_send(LeaseCommand::WriteMetadata { lease: duty, token, metadata: text })
+                .is_err()
+            {
                 tracing::error!("the council takes no note of the address: other planners do not link here");
             }
         }
@@ -83,7 +87,7 @@
     }
 
     /// A word of the council on the duty of who conducts halls.
-    pub fn conducts(&mut self, now: i64, core: &mut Core, word: Duty) {
+    pub fn conducts(&mut self, now: i64, core: &mut Core, word: LeaseEvent) {
         self.halls.hear(now, word);
         // Who conducts goes by its own word as soon as it is kept: others may have it, and count on it.
         core.hold_halls(now, self.halls.stages());
@@ -105,7 +109,7 @@
             self.publishes_at = now + PUBLISHES;
             self.fade(core);
             self.see_halls(now, core);
-            if self.meeting.tenure.holds() {
+            if self.meeting.tenure.is_held() {
                 if let Err(e) = self.exchange.publish(now, self.share(now, core)) {
                     tracing::error!(error = %e, "what this planner would say of itself cannot be true");
                 }
--- a/planner/src/service.rs
+++ b/planner/src/service.rs
@@ -1,11 +1,11 @@
 //! A planner on sockets: one thread, one actor that owns the core, a task a connection. Queues are bounded:
 //! what machines and the register say is read before what owners ask; while the actor is behind, links grant
 //! their peers nothing more. A peer that does not read is cut off, and may come back and ask again.
-use crate::council::{Duty, Tenure};
 use crate::door::Door;
 use crate::halls;
+use crate::lease_client::{LeaseDeadline, LeaseEvent, LeaseRecord};
 use crate::peers::{Meeting, Peers};
-use crate::roll::{Duties, Rolls};
+use crate::rolling_restart::{RollingRestartConfig, RollingRestartCoordinator};
 use crate::state::{Core, Out, Who, REGISTER};
 use crate::tenancy::{Learnt, Task, Ways};
 use crate::view;
@@ -64,9 +64,9 @@
     /// What outlives this planner.
     pub store: Option<Store>,
     /// The seat that it serves under, where there is a council.
-    pub tenure: Option<Tenure>,
+    pub tenure: Option<LeaseDeadline>,
     /// What it does beside placing, under a seat.
-    pub duties: Option<Duties>,
+    pub duties: Option<RollingRestartConfig>,
     /// Whether askings that are not worth starting are declined at once.
     pub weighs: bool,
     /// How it meets the other planners, under a seat.
@@ -189,8 +189,8 @@
     first: mpsc::Sender<(From, News)>,
     sweeps: Option<Sweeps>,
     memories: Option<std::sync::mpsc::SyncSender<(i64, Option<Vec<u8>>)>>,
-    tenure: Option<Tenure>,
-    rolls: Option<Rolls>,
+    tenure: Option<LeaseDeadline>,
+    rolls: Option<RollingRestartCoordinator>,
     peers: Option<Peers>,
     /// All seats in the installation's order, where the planner works a part.
     seats: Vec<Rc<str>>,
@@ -199,8 +199,8 @@
 }
 
 /// The next word of the council, where there is one.
-async fn word(rolls: &mut Option<Rolls>) -> Option<Duty> {
-    rolls.as_mut()?.next().await
+async fn word(rolls: &mut Option<RollingRestartCoordinator>) -> Option<LeaseEvent> {
+    rolls.as_mut()?.next_lease_event().await
 }
 
 async fn actor(listener: TcpListener, start: Start, stop: impl std::future::Future<Output = ()>) {
@@ -234,7 +234,7 @@
     });
     let memories = store.map(writer);
     let (linked, conns) = (HashMap::new(), HashMap::new());
-    let rolls = duties.map(Rolls::new);
+    let rolls = duties.map(RollingRestartCoordinator::new);
     let others = meeting.map(|meeting| Peers::new(clock.now(), meeting, epoch, seed));
     let mut a = Actor {
         core,
@@ -257,7 +257,7 @@
     tokio::pin!(stop);
     loop {
         a.carry_out();
-        let roll_at = a.rolls.as_ref().map_or(i64::MAX, Rolls::next_at);
+        let roll_at = a.rolls.as_ref().map_or(i64::MAX, RollingRestartCoordinator::next_wakeup_us);
         let peers_at = a.peers.as_ref().map_or(i64::MAX, Peers::next_at);
         let wake = clock.at(a.core.next_at().min(roll_at).min(peers_at));
         tokio::select! {
@@ -275,7 +275,7 @@
             () = tokio::time::sleep_until(wake) => {
                 a.core.clock(clock.now());
                 if let Some(rolls) = &mut a.rolls {
-                    rolls.clock(clock.now());
+                    rolls.advance(clock.now());
                 }
                 if let Some(peers) = &mut a.peers {
                     peers.clock(clock.now(), &mut a.core);
@@ -380,16 +380,18 @@
         }
     }
 
-    fn hear_council(&mut self, word: Duty) {
+    fn hear_council(&mut self, word: LeaseEvent) {
         let now = self.clock.now();
         let of_halls = match &word {
-            Duty::Won { duty, .. } | Duty::Lost { duty } | Duty::Recorded { duty } => **duty == *halls::DUTY,
+            LeaseEvent::Acquired { lease, .. }
+            | LeaseEvent::Lost { lease }
+            | LeaseEvent::MetadataRecorded { lease } => **lease == *halls::DUTY,
             _ => false,
         };
         match (word, &mut self.peers, &mut self.rolls) {
             (word, Some(peers), _) if of_halls => peers.conducts(now, &mut self.core, word),
-            (Duty::Seats(seats), Some(peers), _) => {
-                for (seat, token, note) in seats {
+            (LeaseEvent::Records(records), Some(peers), _) => {
+                for LeaseRecord { lease: seat, token, metadata: note } in records {
                     if let Some(note) = note.as_ref().filter(|_| *seat == *halls::DUTY) {
                         peers.word(now, &mut self.core, token, note);
                         continue;
@@ -398,11 +400,11 @@
                     peers.seated(now, &seat, token, address);
                 }
             }
-            (Duty::Held(held), ..) => {
+            (LeaseEvent::HeldSlots(held), ..) => {
                 let place = |seat: &Rc<str>| self.seats.iter().position(|s| s == seat);
                 self.core.seats_held(now, held.iter().filter_map(place));
             }
-            (word, _, Some(rolls)) => rolls.hear(now, word),
+            (word, _, Some(rolls)) => rolls.on_lease_event(now, word),
             _ => {}
         }
     }
@@ -451,7 +453,7 @@
             }
             News::Session(Event::Frame(body)) => {
                 if let (Body::List(list), Some(rolls)) = (&body, &mut self.rolls) {
-                    rolls.listed(now, list);
+                    rolls.on_machine_list(now, list);
                 }
                 if let Err(e) = self.core.register_frame(now, body) {
                     tracing::error!(error = e, "register");
@@ -463,7 +465,7 @@
                 self.linked.remove(&REGISTER);
                 self.core.register_down(now);
                 if let Some(rolls) = &mut self.rolls {
-                    rolls.unheard();
+                    rolls.on_registry_lost();
                 }
             }
         }
@@ -586,7 +588,7 @@
         while let Some((link, address)) = self.peers.as_mut().and_then(Peers::next_out) {
             self.meet(link, &address);
         }
-        while let Some(body) = self.rolls.as_mut().and_then(Rolls::next_out) {
+        while let Some(body) = self.rolls.as_mut().and_then(RollingRestartCoordinator::next_frame) {
             if let Some(linked) = self.linked.get(&REGISTER) {
                 let _ = linked.orders.try_send(Order::Send(body, None));
             }
@@ -595,7 +597,7 @@
 
     fn send_machine(&mut self, machine: usize, body: Body, mark: Option<u64>) {
         // A process that was stopped wakes with launches decided: by then another may have its seat.
-        let unseated = mark.is_some() && self.tenure.as_ref().is_some_and(|t| !t.holds());
+        let unseated = mark.is_some() && self.tenure.as_ref().is_some_and(|t| !t.is_held());
         if let Some(linked) = self.linked.get(&machine).filter(|_| !unseated) {
             match linked.orders.try_send(Order::Send(body, mark)) {
                 Ok(()) => return,
--- a/planner/src/voters.rs
+++ b/planner/src/voter_links.rs
@@ -22,18 +22,23 @@
 
 /// The way to a voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Way {
+pub struct VoterEndpoint {
     pub name: String,
     pub address: String,
 }
 
 /// Who a process is, for votes: its name and the moment of its start. A process that starts again is another.
-pub fn member_name(name: &str, epoch: u64) -> Rc<str> {
+pub fn process_name(name: &str, epoch: u64) -> Rc<str> {
     format!("{name} of {epoch}").into()
 }
 
 /// Runs one link: orders in, news out; `Ended` is the last of them.
-fn dial(way: Way, links: Links, me: Party, clock: Clock) -> (mpsc::Sender<Order>, mpsc::Receiver<News>) {
+fn dial(
+    way: VoterEndpoint,
+    links: Links,
+    me: Party,
+    clock: Clock,
+) -> (mpsc::Sender<Order>, mpsc::Receiver<News>) {
     let (orders, orders_in) = mpsc::channel(ORDERS);
     let (news_out, news) = mpsc::channel(INBOX);
     tokio::task::spawn_local(async move {
@@ -60,7 +65,7 @@
 /// Keeps a link to one voter, whose place among all is `v`.
 pub(crate) async fn follow(
     v: usize,
-    way: Way,
+    way: VoterEndpoint,
     links: Links,
     me: Party,
     clock: Clock,
--- a/planner/src/voter.rs
+++ b/planner/src/voter_server.rs
@@ -1,6 +1,6 @@
 //! A voter of the council on sockets: one actor owns the votes, queues are bounded. What it votes is on the
 //! disk before it is said, where it has one.
-use crate::voters::{awake, follow, member_name, Heard, Way};
+use crate::voter_links::{awake, follow, process_name, Heard, VoterEndpoint};
 use basaltpitch_agent::accepting::Accepting;
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Links, Party};
@@ -31,11 +31,11 @@
 const FORMAT: u32 = 1;
 
 /// What a voter is started with.
-pub struct Start {
+pub struct VoterConfig {
     pub name: String,
     pub terms: Terms,
     /// All voters; `me` is its place among them.
-    pub voters: Vec<Way>,
+    pub voters: Vec<VoterEndpoint>,
     pub me: usize,
     pub store: Option<Store>,
 }
@@ -62,12 +62,12 @@
 }
 
 /// Votes until `stop` is done.
-pub async fn serve(listener: TcpListener, start: Start, stop: impl std::future::Future<Output = ()>) {
+pub async fn serve(listener: TcpListener, start: VoterConfig, stop: impl std::future::Future<Output = ()>) {
     tokio::task::LocalSet::new().run_until(actor(listener, start, stop)).await;
 }
 
 /// What was kept, or nothing: then the voter has lost what it kept, or never had any.
-fn begun(start: &Start) -> (Voter<Rc<str>, Rc<str>>, Past) {
+fn begun(start: &VoterConfig) -> (Voter<Rc<str>, Rc<str>>, Past) {
     let lost = || (Voter::lost(start.terms, awake(), start.voters.len()), Past::new());
     let Some(store) = &start.store else { return lost() };
     match store.get(VOTES, FORMAT) {
@@ -129,7 +129,7 @@
     }
 }
 
-async fn actor(listener: TcpListener, start: Start, stop: impl std::future::Future<Output = ()>) {
+async fn actor(listener: TcpListener, start: VoterConfig, stop: impl std::future::Future<Output = ()>) {
     let clock = Clock::start();
     let (voter, past) = begun(&start);
     let epoch = clock.now() as u64;
@@ -285,7 +285,7 @@
     fn frame(&mut self, conn: u64, body: Body, replies: &mut Vec<(u64, Body)>) -> bool {
         let now = awake();
         let Some(party) = self.conns.get(&conn).and_then(|c| c.party.clone()) else { return false };
-        let member = member_name(&party.name, party.epoch);
+        let member = process_name(&party.name, party.epoch);
         let long = |b: &wire::Ballot| b.duty.len() > LONGEST_DUTY || b.note.len() > LONGEST_NOTE;
         match body {
             Body::Ballots(all) if !all.ballots.iter().any(long) => {
@@ -320,7 +320,7 @@
                 let its = self.voter.kept_of(&duty).is_some_and(its);
                 let to = self.conns.values().find_map(named).filter(|_| its);
                 if let Some(to) = &to {
-                    self.voter.handed_on(now, &duty, member_name(&to.name, to.epoch));
+                    self.voter.handed_on(now, &duty, process_name(&to.name, to.epoch));
                 }
                 // Others than planners want no seat, and a command could take this for the answer to its
                 // question.
@@ -339,7 +339,7 @@
                 let kept = self.voter.kept_of(&duty).filter(|k| k.token == h.token);
                 let holder = kept.and_then(|k| k.holder.clone());
                 let is = |c: &Conn| {
-                    c.party.as_ref().is_some_and(|p| Some(member_name(&p.name, p.epoch)) == holder)
+                    c.party.as_ref().is_some_and(|p| Some(process_name(&p.name, p.epoch)) == holder)
                 };
                 let there =
                     |c: &Conn| c.party.as_ref().is_some_and(|p| p.role == Role::Planner && p.name == h.to);
--- a/planner/tests/record.rs
+++ b/planner/tests/record.rs
@@ -3,8 +3,8 @@
 use basaltpitch_agent::session::{Event, Party};
 use basaltpitch_agent::wire::{self, Body, Role};
 use basaltpitch_lease::Terms;
-use basaltpitch_planner::voter;
-use basaltpitch_planner::voters::Way;
+use basaltpitch_planner::voter_links::VoterEndpoint;
+use basaltpitch_planner::voter_server;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -80,9 +80,9 @@
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let voters = vec![Way { name: "v0".into(), address: address.clone() }];
-        let start = voter::Start { name: "v0".into(), terms: TERMS, voters, me: 0, store: None };
-        tokio::task::spawn_local(voter::serve(listener, start, std::future::pending()));
+        let voters = vec![VoterEndpoint { name: "v0".into(), address: address.clone() }];
+        let start = voter_server::VoterConfig { name: "v0".into(), terms: TERMS, voters, me: 0, store: None };
+        tokio::task::spawn_local(voter_server::serve(listener, start, std::future::pending()));
         let mut talk = Talk::to(&address).await;
         for duty in ["planner-0", "planner-1", "halls"] {
             talk.vote(duty, 1, None).await;
--- a/planner/tests/rolls.rs
+++ b/planner/tests/rolls.rs
@@ -1,9 +1,11 @@
 //! A planner that conducts a roll, between the council's words and the register's list: what it writes and
 //! says, and what it keeps to itself.
 use basaltpitch_agent::wire::{Body, Entry, List, Readiness};
-use basaltpitch_planner::council::{Duty, Tenure, Wish};
-use basaltpitch_planner::roll::{Duties, Rolls, DUTY, WISH};
-use basaltpitch_planner::voters::awake;
+use basaltpitch_planner::lease_client::{LeaseCommand, LeaseDeadline, LeaseEvent};
+use basaltpitch_planner::rolling_restart::{
+    RollingRestartConfig, RollingRestartCoordinator, PLAN_LEASE, RESTART_LEASE,
+};
+use basaltpitch_planner::voter_links::awake;
 use basaltpitch_rolling_restart::{Plan, Progress};
 use std::collections::HashMap;
 use tokio::sync::mpsc;
@@ -11,8 +13,8 @@
 const S: i64 = 1_000_000;
 
 struct Net {
-    rolls: Rolls,
-    wishes: mpsc::Receiver<Wish>,
+    rolls: RollingRestartCoordinator,
+    wishes: mpsc::Receiver<LeaseCommand>,
     now: i64,
 }
 
@@ -20,13 +22,26 @@
     fn new() -> Net {
         let ((_, heard), (wishes_out, wishes)) = (mpsc::channel(4), mpsc::channel(4));
         let sizes = HashMap::from([("std".to_owned(), (8.0, 16.0))]);
-        let rolls = Rolls::new(Duties { heard, wishes: wishes_out, sizes, grace: S });
+        let rolls = RollingRestartCoordinator::new(RollingRestartConfig {
+            lease_events: heard,
+            lease_commands: wishes_out,
+            machine_sizes: sizes,
+            drain_grace_us: S,
+        });
         Net { rolls, wishes, now: S }
     }
 
     fn won(&mut self, token: u64, note: &[u8], left: i64) {
-        let tenure = Tenure::until(awake() + left);
-        self.rolls.hear(self.now, Duty::Won { duty: DUTY.into(), token, note: note.to_vec(), tenure });
+        let tenure = LeaseDeadline::at_us(awake() + left);
+        self.rolls.on_lease_event(
+            self.now,
+            LeaseEvent::Acquired {
+                lease: RESTART_LEASE.into(),
+                token,
+                metadata: note.to_vec(),
+                deadline: tenure,
+            },
+        );
     }
 
     /// The list, whole: machines of hall-a by name, start and readiness.
@@ -42,18 +57,21 @@
             ..Entry::default()
         };
         let list = List { whole: true, stamp: 1, entries: machines.iter().map(entry).collect(), question: 0 };
-        self.rolls.listed(self.now, &list);
+        self.rolls.on_machine_list(self.now, &list);
     }
 
     fn wanted(&mut self, plan: &Plan) {
         let note = serde_json::to_vec(plan).unwrap();
-        self.rolls.hear(self.now, Duty::Noted { duty: WISH.into(), note });
+        self.rolls.on_lease_event(
+            self.now,
+            LeaseEvent::MetadataChanged { lease: PLAN_LEASE.into(), metadata: note },
+        );
     }
 
     /// What goes to the register, as machine, on, token, number and start.
     fn said(&mut self) -> Vec<(String, bool, u64, u64, i64)> {
         let mut said = Vec::new();
-        while let Some(Body::Drain(d)) = self.rolls.next_out() {
+        while let Some(Body::Drain(d)) = self.rolls.next_frame() {
             said.push((d.machine, d.on, d.token, d.number, d.started_us));
         }
         said
@@ -62,9 +80,12 @@
     /// What is to be kept, and a majority keeps it.
     fn kept(&mut self) -> Vec<u8> {
         assert_eq!(self.said(), [], "nothing before it is kept");
-        let Ok(Wish::Write { duty, text, .. }) = self.wishes.try_recv() else { panic!("nothing is written") };
-        assert_eq!(&*duty, DUTY);
-        self.rolls.hear(self.now, Duty::Recorded { duty });
+        let Ok(LeaseCommand::WriteMetadata { lease: duty, metadata: text, .. }) = self.wishes.try_recv()
+        else {
+            panic!("nothing is written")
+        };
+        assert_eq!(&*duty, RESTART_LEASE);
+        self.rolls.on_lease_event(self.now, LeaseEvent::MetadataRecorded { lease: duty });
         text
     }
 }
@@ -94,7 +115,7 @@
     two.kept();
     assert_eq!(two.said(), [("m0".into(), false, 8, 1, 0)]);
     two.now += 2 * S;
-    two.rolls.clock(two.now);
+    two.rolls.advance(two.now);
     let progress: Progress<String> = serde_json::from_slice(&two.kept()).unwrap();
     assert_eq!(progress.machines.len(), 2);
     assert_eq!(two.said(), [("m1".into(), true, 8, 2, 200)]);
@@ -127,9 +148,9 @@
     net.kept();
     net.kept();
     assert_eq!(net.said().len(), 1);
-    net.rolls.unheard();
+    net.rolls.on_registry_lost();
     net.now += 10 * S;
-    net.rolls.clock(net.now);
+    net.rolls.advance(net.now);
     assert_eq!(net.said(), [], "what the list shows is old");
     net.list(&[("m0", 100, READY)]);
     assert_eq!(net.said(), [("m0".into(), true, 7, 2, 100)], "it may not have come through: said again");
