--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -10,8 +10,8 @@
 use basaltpitch_planner::lease_client::{self, LeaseClientConfig, LeaseCommand, LeaseDeadline, SlotEvent};
 use basaltpitch_planner::peers::Meeting;
 use basaltpitch_planner::rolling_restart::{self, RollingRestartConfig};
-use basaltpitch_planner::service::{self, Start};
-use basaltpitch_planner::state::Who;
+use basaltpitch_planner::service::{self, PlannerConfig};
+use basaltpitch_planner::state::Identity;
 use basaltpitch_subsetting::{hash, Terms};
 use std::collections::HashMap;
 use std::future::Future;
@@ -277,7 +277,7 @@
             Ok::<Box<dyn Write + Send>, Failure>(Box::new(file))
         });
         let record = record.transpose()?;
-        let who = Who { name, epoch, seed: self.seed.unwrap_or(epoch), register: self.register.clone() };
+        let who = Identity { name, epoch, seed: self.seed.unwrap_or(epoch), register: self.register.clone() };
         let listener = tokio::net::TcpListener::bind(&self.listen).await;
         let listener = listener.map_err(|e| Failure::Wrong(format!("--listen {}: {e}", self.listen)))?;
         let at = listener.local_addr().map_err(|e| Failure::Failed(e.to_string()))?;
@@ -321,21 +321,21 @@
         };
         let (tenure, duties, meeting) = under.map_or((None, None, None), meets);
         let weighs = installation.all.text("admission") != Some("none");
-        let start = Start {
-            who,
-            given,
-            record,
-            clauses,
+        let config = PlannerConfig {
+            identity: who,
+            settings: given,
+            recording: record,
+            constraints: clauses,
             directory,
             store,
-            tenure,
-            duties,
-            weighs,
-            meeting,
-            part,
+            lease_deadline: tenure,
+            rolling_restart: duties,
+            admission_enabled: weighs,
+            peer_links: meeting,
+            subset: part,
             links,
         };
-        service::serve(listener, start, stop).await;
+        service::serve(listener, config, stop).await;
         Ok(())
     }
 }
--- a/planner/src/door.rs
+++ b/planner/src/door.rs
@@ -1,13 +1,13 @@
 //! The door before the placing module: askings that are not worth starting are declined at once, by the slack
 //! that planners share. Decides nothing itself: `basaltpitch_admission` does.
-use crate::hands::Key;
-use crate::state::listed;
+use crate::host_adapter::TaskKey;
+use crate::state::numbered_texts;
 use basaltpitch::host::{number, Belief, Given};
 use basaltpitch_admission::{Other, Own, Share, Verdict};
 use serde_json::{json, Value};
 
 /// An asking: the task's key and the owner's number.
-type Asked = (Key, u64);
+type Asked = (TaskKey, u64);
 
 pub struct Door {
     own: Own<Asked>,
@@ -31,7 +31,7 @@
             let figure = |name: &str| number(given, &format!("classes.{i}.{name}"));
             (figure("worth").unwrap_or(1.0), figure("objectiveUs").map_or(i64::MAX, |us| us as i64))
         };
-        let frameworks = listed(given, &|i| format!("classes.{i}.name")).len();
+        let frameworks = numbered_texts(given, &|i| format!("classes.{i}.name")).len();
         let worths = (0..frameworks).map(of).collect();
         Door { own: Own::new(now, seed), worths, heard: Vec::new(), declined: 0 }
     }
--- a/planner/src/hands.rs
+++ b/planner/src/host_adapter.rs
@@ -9,11 +9,11 @@
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-pub type Key = Rc<str>;
+pub type TaskKey = Rc<str>;
 
 /// What a task asks for, as the planner keeps it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Job {
+pub struct TaskJob {
     pub framework: usize,
     pub tenant: Option<usize>,
     pub service: u64,
@@ -28,78 +28,81 @@
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum TimerKind {
     /// The module's, with its token.
-    Module(u64),
+    Placement(u64),
     /// The patience with a launch is over.
-    Launch(Launch),
+    AttemptTimeout(Launch),
     Probe(u64),
     /// The planner's own round: records and ids that leave.
-    Round,
+    Housekeeping,
     /// The line of the door is drawn anew.
-    Line,
+    AdmissionThreshold,
     /// The planner's part of the fleet changes with time.
-    Part,
+    Subset,
 }
 
 /// Calls of the module that are not about a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum HostRequest {
     Probe(usize),
     Watch(bool),
     Fetch,
 }
 
-pub struct Hands {
+pub struct HostAdapter {
     pub now: i64,
-    pub ledger: Ledger<Key, Job>,
-    pub acts: VecDeque<Act<Key>>,
-    pub wishes: VecDeque<Wish>,
-    pub timers: Wheel<Due>,
+    pub ledger: Ledger<TaskKey, TaskJob>,
+    pub actions: VecDeque<Act<TaskKey>>,
+    pub requests: VecDeque<HostRequest>,
+    pub timers: Wheel<TimerKind>,
     /// The module's calls as text, where they are recorded.
-    pub calls: Option<Words>,
+    pub transcript: Option<CallTranscript>,
     /// The installation's clauses, where it has any.
-    pub bounds: Option<Bounds>,
+    pub constraints: Option<Bounds>,
     /// What the module asked of clauses, where its calls are recorded; see `recording`.
-    answers: RefCell<Answers>,
-    buffer: Vec<Act<Key>>,
+    answers: RefCell<ConstraintAnswers>,
+    buffer: Vec<Act<TaskKey>>,
 }
 
 /// Answers to the module's questions about clauses, in their order.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Answers {
+pub struct ConstraintAnswers {
     pub allows: VecDeque<bool>,
     pub wishes: VecDeque<u64>,
     pub alike: VecDeque<usize>,
 }
 
-impl Answers {
+impl ConstraintAnswers {
     pub fn is_empty(&self) -> bool {
         self.allows.is_empty() && self.wishes.is_empty() && self.alike.is_empty()
     }
 }
 
-impl Hands {
-    pub fn new(now: i64, ledger: Ledger<Key, Job>, records: bool) -> Self {
-        Hands {
+impl HostAdapter {
+    pub fn new(now: i64, ledger: Ledger<TaskKey, TaskJob>, records: bool) -> Self {
+        HostAdapter {
             now,
             ledger,
-            acts: VecDeque::new(),
-            wishes: VecDeque::new(),
+            actions: VecDeque::new(),
+            requests: VecDeque::new(),
             timers: Wheel::new(now),
-            calls: records.then(Words::default),
-            bounds: None,
+            transcript: records.then(CallTranscript::default),
+            constraints: None,
             answers: RefCell::default(),
             buffer: Vec::new(),
         }
     }
 
     /// Asks the ledger for something and keeps the acts that come of it, in order.
-    pub fn on_ledger<R>(&mut self, ask: impl FnOnce(&mut Ledger<Key, Job>, &mut Vec<Act<Key>>) -> R) -> R {
+    pub fn on_ledger<R>(
+        &mut self,
+        ask: impl FnOnce(&mut Ledger<TaskKey, TaskJob>, &mut Vec<Act<TaskKey>>) -> R,
+    ) -> R {
         self.ledger.clock(self.now);
         let answer = ask(&mut self.ledger, &mut self.buffer);
         for act in self.buffer.drain(..) {
-            match (act, &mut self.bounds) {
+            match (act, &mut self.constraints) {
                 // Counted at once: the module may send the next task before this one's act is carried out.
                 (Act::Began { launch, machine, key }, Some(bounds)) => {
                     let facts = self.ledger.record(&key).and_then(|r| r.job.facts.clone());
@@ -107,40 +110,40 @@
                 }
                 (Act::Over { launch }, Some(bounds)) => bounds.over(launch),
                 (Act::Began { .. } | Act::Over { .. }, None) => {}
-                (act, _) => self.acts.push_back(act),
+                (act, _) => self.actions.push_back(act),
             }
         }
         answer
     }
 
     /// What the module asked of clauses since this was last taken.
-    pub fn take_answers(&mut self) -> Answers {
+    pub fn take_answers(&mut self) -> ConstraintAnswers {
         self.answers.take()
     }
 
-    fn noted<T: Copy>(&self, answer: T, to: impl FnOnce(&mut Answers) -> &mut VecDeque<T>) -> T {
-        if self.calls.is_some() && self.bounds.is_some() {
+    fn noted<T: Copy>(&self, answer: T, to: impl FnOnce(&mut ConstraintAnswers) -> &mut VecDeque<T>) -> T {
+        if self.transcript.is_some() && self.constraints.is_some() {
             to(&mut self.answers.borrow_mut()).push_back(answer);
         }
         answer
     }
 
-    fn call(&mut self, write: impl FnOnce(&mut Words)) {
-        if let Some(calls) = &mut self.calls {
-            write(calls);
+    fn call(&mut self, write: impl FnOnce(&mut CallTranscript)) {
+        if let Some(transcript) = &mut self.transcript {
+            write(transcript);
         }
     }
 }
 
 /// How each call of the module is written in a recording, a line each.
 #[derive(Default)]
-pub struct Words {
+pub struct CallTranscript {
     pub text: String,
     /// What was answered when this was recorded, for a replay.
-    pub answers: RefCell<Answers>,
+    pub answers: RefCell<ConstraintAnswers>,
 }
 
-impl Host for Words {
+impl Host for CallTranscript {
     fn launch(&mut self, task: usize, machine: usize, time_out_us: i64) {
         let _ = writeln!(self.text, "> launch {task} on {machine} for {time_out_us}");
     }
@@ -182,7 +185,7 @@
     }
 }
 
-impl Host for Hands {
+impl Host for HostAdapter {
     fn launch(&mut self, task: usize, machine: usize, time_out_us: i64) {
         self.call(|words| words.launch(task, machine, time_out_us));
         self.on_ledger(|ledger, acts| ledger.launched(task, machine, time_out_us, acts));
@@ -205,36 +208,36 @@
     }
     fn probe(&mut self, machine: usize) {
         self.call(|words| words.probe(machine));
-        self.wishes.push_back(Wish::Probe(machine));
+        self.requests.push_back(HostRequest::Probe(machine));
     }
     fn watch(&mut self, on: bool) {
         self.call(|words| words.watch(on));
-        self.wishes.push_back(Wish::Watch(on));
+        self.requests.push_back(HostRequest::Watch(on));
     }
     fn fetch(&mut self) {
         self.call(|words| words.fetch());
-        self.wishes.push_back(Wish::Fetch);
+        self.requests.push_back(HostRequest::Fetch);
     }
     fn timer(&mut self, after_us: i64, token: u64) {
         self.call(|words| words.timer(after_us, token));
-        self.timers.set(self.now + after_us, Due::Module(token));
+        self.timers.set(self.now + after_us, TimerKind::Placement(token));
     }
     fn log(&mut self, text: &str) {
         self.call(|words| words.log(text));
         tracing::info!(text, "the placing module");
     }
     fn allows(&self, task: usize, machine: usize) -> bool {
-        let Some(bounds) = &self.bounds else { return true };
+        let Some(bounds) = &self.constraints else { return true };
         let allows = bounds.group(task).is_none_or(|g| bounds.deciding.allows(g, machine));
         self.noted(allows, |a| &mut a.allows)
     }
     fn wishes(&self, task: usize, machine: usize) -> u64 {
-        let Some(bounds) = &self.bounds else { return 0 };
+        let Some(bounds) = &self.constraints else { return 0 };
         let wishes = bounds.group(task).map_or(0, |g| bounds.deciding.wishes(g, machine));
         self.noted(wishes, |a| &mut a.wishes)
     }
     fn bound_alike(&self, task: usize) -> usize {
-        let Some(bounds) = &self.bounds else { return 0 };
+        let Some(bounds) = &self.constraints else { return 0 };
         let alike = bounds.group(task).unwrap_or(0);
         self.noted(alike, |a| &mut a.alike)
     }
--- a/planner/src/standing.rs
+++ b/planner/src/machine_availability.rs
@@ -8,57 +8,57 @@
 use basaltpitch::host::{Place, Readiness, Room};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Link {
+pub enum LinkState {
     #[default]
     None,
-    Dialling,
+    Connecting,
     /// Up, its inventory still to come.
-    Met,
-    Well,
+    AwaitingInventory,
+    Healthy,
     Suspect,
 }
 
-impl Link {
-    pub fn words(self) -> &'static str {
+impl LinkState {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Link::None => "none",
-            Link::Dialling => "dialling",
-            Link::Met => "waiting for its inventory",
-            Link::Well => "well",
-            Link::Suspect => "suspect",
+            LinkState::None => "none",
+            LinkState::Connecting => "dialling",
+            LinkState::AwaitingInventory => "waiting for its inventory",
+            LinkState::Healthy => "well",
+            LinkState::Suspect => "suspect",
         }
     }
 
     /// Frames can be sent.
-    pub fn stands(self) -> bool {
-        matches!(self, Link::Met | Link::Well | Link::Suspect)
+    pub fn is_up(self) -> bool {
+        matches!(self, LinkState::AwaitingInventory | LinkState::Healthy | LinkState::Suspect)
     }
 }
 
 /// What is known of a machine from all sides.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct MachineAvailability {
     /// As the list last had it; none: never listed, or missing from a whole list.
     pub listed: Option<Readiness>,
     /// The machine's own word that it drains, until it starts anew or takes it back.
-    pub drains: bool,
-    pub link: Link,
+    pub draining: bool,
+    pub link: LinkState,
     /// Its hall is lost, or returns and it is not among those that are offered work yet.
     pub held_back: bool,
     /// It is not of the planner's part of the fleet, nor a guest: linked, if at all, for what is on it.
-    pub outside: bool,
+    pub outside_subset: bool,
     /// The newest start that anyone told of, 0 where nobody did.
-    pub started: i64,
-    pub place: Place,
-    pub left: Room,
+    pub started_us: i64,
+    pub location: Place,
+    pub remaining: Room,
     /// What the module was last told.
-    pub told: Option<Readiness>,
+    pub last_reported: Option<Readiness>,
 }
 
-impl Standing {
+impl MachineAvailability {
     /// It could be offered work, but for what is said of its hall.
-    pub fn answers(&self) -> bool {
-        self.listed == Some(Readiness::Ready) && !self.drains && self.link == Link::Well
+    pub fn is_responsive(&self) -> bool {
+        self.listed == Some(Readiness::Ready) && !self.draining && self.link == LinkState::Healthy
     }
 
     /// What the placing module is told of it.
@@ -66,7 +66,7 @@
         match self.listed {
             None | Some(Readiness::Gone) => Readiness::Gone,
             Some(Readiness::Draining) => Readiness::Draining,
-            Some(Readiness::Ready) if !self.answers() || self.held_back || self.outside => {
+            Some(Readiness::Ready) if !self.is_responsive() || self.held_back || self.outside_subset => {
                 Readiness::Draining
             }
             Some(Readiness::Ready) => Readiness::Ready,
@@ -75,19 +75,19 @@
 
     /// A start was told of, in microseconds of the clock. True: it is newer than the known one, and what was
     /// on the machine runs no more.
-    pub fn started(&mut self, at: i64) -> bool {
-        let newer = at > self.started;
-        let first = self.started == 0;
+    pub fn observe_start(&mut self, at: i64) -> bool {
+        let newer = at > self.started_us;
+        let first = self.started_us == 0;
         if newer {
-            self.started = at;
-            self.drains = false;
+            self.started_us = at;
+            self.draining = false;
         }
         newer && !first
     }
 
     /// Nothing is to be expected of it any more: it is off the list and no link stands.
     pub fn is_lost(&self) -> bool {
-        self.readiness() == Readiness::Gone && !self.link.stands()
+        self.readiness() == Readiness::Gone && !self.link.is_up()
     }
 
     /// Whether a connection is wanted: to what is listed, draining or not, as its tasks run on.
@@ -103,28 +103,34 @@
     #[test]
     fn work_is_offered_only_where_list_machine_and_link_agree() {
         let all = [None, Some(Readiness::Ready), Some(Readiness::Draining), Some(Readiness::Gone)];
-        let links = [Link::None, Link::Dialling, Link::Met, Link::Well, Link::Suspect];
+        let links = [
+            LinkState::None,
+            LinkState::Connecting,
+            LinkState::AwaitingInventory,
+            LinkState::Healthy,
+            LinkState::Suspect,
+        ];
         let mut ready = Vec::new();
         for listed in all {
             for link in links {
-                for drains in [false, true] {
-                    let s = Standing { listed, link, drains, ..Standing::default() };
+                for draining in [false, true] {
+                    let s = MachineAvailability { listed, link, draining, ..MachineAvailability::default() };
                     if s.readiness() == Readiness::Ready {
-                        ready.push((listed, link, drains));
+                        ready.push((listed, link, draining));
                     }
                     assert!(!s.is_lost() || s.readiness() == Readiness::Gone);
                 }
             }
         }
-        assert_eq!(ready, [(Some(Readiness::Ready), Link::Well, false)]);
+        assert_eq!(ready, [(Some(Readiness::Ready), LinkState::Healthy, false)]);
     }
 
     #[test]
     fn a_newer_start_takes_back_a_drain_and_an_older_one_says_nothing() {
-        let mut s = Standing { drains: true, ..Standing::default() };
-        assert!(!s.started(5), "the first that is known loses nothing");
-        s.drains = true;
-        assert!(!s.started(4) && s.drains);
-        assert!(s.started(6) && !s.drains);
+        let mut s = MachineAvailability { draining: true, ..MachineAvailability::default() };
+        assert!(!s.observe_start(5), "the first that is known loses nothing");
+        s.draining = true;
+        assert!(!s.observe_start(4) && s.draining);
+        assert!(s.observe_start(6) && !s.draining);
     }
 }
--- a/planner/src/peers.rs
+++ b/planner/src/peers.rs
@@ -4,7 +4,7 @@
 use crate::figures::{self, Says, COUNTS};
 use crate::halls::{Halls, Seen};
 use crate::lease_client::{LeaseCommand, LeaseDeadline, LeaseEvent};
-use crate::state::Core;
+use crate::state::PlannerState;
 use crate::summaries;
 use basaltpitch::host::Readiness;
 use basaltpitch_admission::Other;
@@ -87,10 +87,10 @@
     }
 
     /// A word of the council on the duty of who conducts halls.
-    pub fn conducts(&mut self, now: i64, core: &mut Core, word: LeaseEvent) {
+    pub fn conducts(&mut self, now: i64, core: &mut PlannerState, word: LeaseEvent) {
         self.halls.hear(now, word);
         // Who conducts goes by its own word as soon as it is kept: others may have it, and count on it.
-        core.hold_halls(now, self.halls.stages());
+        core.hold_back_zones(now, self.halls.stages());
     }
 
     /// The time at which `clock` has something to do.
@@ -99,7 +99,7 @@
     }
 
     /// Time passes. A planner that lost its seat, and does not know it yet, says nothing of itself.
-    pub fn clock(&mut self, now: i64, core: &mut Core) {
+    pub fn clock(&mut self, now: i64, core: &mut PlannerState) {
         // The service lets time pass at each timer of the core's: what hundreds of seats say is read anew only
         // when something is due here.
         if now < self.next_at() {
@@ -116,7 +116,7 @@
             }
         }
         self.exchange.clock(now);
-        if let Some(door) = core.door.as_mut().filter(|_| !self.meeting.alone) {
+        if let Some(door) = core.admission.as_mut().filter(|_| !self.meeting.alone) {
             let other =
                 |(planners, age, says): (usize, i64, Says)| Other { age, planners, share: says.share };
             door.hear(now, self.heard(now).into_iter().map(other));
@@ -137,21 +137,26 @@
 
     /// What this planner says of itself: its counts, what it shares of its askings, and by hall what it
     /// believes of machines.
-    fn share(&self, now: i64, core: &mut Core) -> Figures {
+    fn share(&self, now: i64, core: &mut PlannerState) -> Figures {
         let counts = core.counts;
         let says = Says {
-            counts: [core.open() as f64, counts.placed as f64, counts.declined as f64, counts.aborted as f64],
+            counts: [
+                core.open_requests() as f64,
+                counts.placed as f64,
+                counts.declined as f64,
+                counts.aborted as f64,
+            ],
             stands: self.meeting.stands,
             word: self.halls.says(),
-            share: core.door.as_mut().map(|door| door.share(now)).unwrap_or_default(),
+            share: core.admission.as_mut().map(|door| door.share(now)).unwrap_or_default(),
             halls: self.of_halls(core),
         };
         says.figures(self.meeting.halls.len())
     }
 
-    fn fade(&mut self, core: &Core) {
+    fn fade(&mut self, core: &PlannerState) {
         for (hall, (last, fading)) in self.counted.iter_mut().enumerate() {
-            let now = core.hall_counts(hall);
+            let now = core.zone_attempts(hall);
             for i in 0..2 {
                 fading[i] = fading[i] * FADES + (now[i] - last[i]) as f64;
             }
@@ -160,15 +165,15 @@
     }
 
     /// What this planner itself sees of each hall.
-    fn of_halls(&self, core: &Core) -> Vec<OfHall> {
+    fn of_halls(&self, core: &PlannerState) -> Vec<OfHall> {
         let mut all: Vec<OfHall> =
             self.counted.iter().map(|c| [0.0, 0.0, 0.0, 0.0, 0.0, c.1[0], c.1[1]]).collect();
         // Cores are those of the fleet, of which a part is a sample.
-        let fleet = core.fleet_over_part();
-        for (_, standing, belief) in core.machines_worked() {
-            let Some(of) = all.get_mut(standing.place.1) else { continue };
+        let fleet = core.fleet_to_subset_ratio();
+        for (_, standing, belief) in core.observable_machines() {
+            let Some(of) = all.get_mut(standing.location.1) else { continue };
             of[0] += 1.0;
-            of[4] += f64::from(standing.answers());
+            of[4] += f64::from(standing.is_responsive());
             if standing.readiness() == Readiness::Ready {
                 of[1] += 1.0;
                 of[2] += fleet * belief.cores;
@@ -179,7 +184,7 @@
     }
 
     /// What all that are heard say of halls; machines are held back by the word that counts.
-    fn see_halls(&mut self, now: i64, core: &mut Core) {
+    fn see_halls(&mut self, now: i64, core: &mut PlannerState) {
         let mut all = vec![Seen { stands: self.meeting.stands, planners: 1, halls: self.of_halls(core) }];
         for (planners, _, says) in self.heard(now) {
             let (token, number, stages) = says.word;
@@ -187,13 +192,13 @@
             all.push(Seen { stands: says.stands, planners, halls: says.halls });
         }
         self.halls.see(now, self.exchange.seats(), &all);
-        core.hold_halls(now, self.halls.stages());
+        core.hold_back_zones(now, self.halls.stages());
     }
 
     /// A voter tells the word on halls, as the conductor under this token wrote it.
-    pub fn word(&mut self, now: i64, core: &mut Core, token: u64, note: &[u8]) {
+    pub fn word(&mut self, now: i64, core: &mut PlannerState, token: u64, note: &[u8]) {
         if self.halls.noted(token, note) {
-            core.hold_halls(now, self.halls.stages());
+            core.hold_back_zones(now, self.halls.stages());
         }
     }
 
--- a/planner/src/told.rs
+++ b/planner/src/placement_event.rs
@@ -6,7 +6,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Told {
+pub enum PlacementEvent {
     ListBegins { whole: bool, fresh: bool },
     Machine { m: usize, number: u64, at: (usize, usize, usize), ready: u8, started: i64, left: (f64, f64) },
     ListEnds,
@@ -36,7 +36,7 @@
     (125, Outcome::Cancelled),
 ];
 
-pub fn outcome_number(outcome: Outcome) -> u8 {
+pub fn outcome_code(outcome: Outcome) -> u8 {
     OUTCOMES.iter().find(|x| x.1 == outcome).map_or(0, |x| x.0)
 }
 
@@ -44,7 +44,7 @@
     OUTCOMES.iter().find(|x| x.0 == number).map(|x| x.1)
 }
 
-pub fn ready_number(ready: Readiness) -> u8 {
+pub fn readiness_code(ready: Readiness) -> u8 {
     match ready {
         Readiness::Ready => 0,
         Readiness::Draining => 1,
@@ -56,33 +56,37 @@
     [Readiness::Ready, Readiness::Draining, Readiness::Gone].get(usize::from(number)).copied()
 }
 
-impl Told {
+impl PlacementEvent {
     /// Tells the module. An error names a number that stands for nothing.
-    pub fn tell<H: Host>(&self, p: &mut Planner<H>) -> Result<(), String> {
+    pub fn apply<H: Host>(&self, p: &mut Planner<H>) -> Result<(), String> {
         let end = |n: u8| outcome(n).ok_or_else(|| format!("outcome {n}; expected one of the eight known"));
         match self {
-            Told::ListBegins { whole, fresh } => p.list_begins(*whole, *fresh),
-            Told::Machine { m, number, at, ready, started, left } => {
+            PlacementEvent::ListBegins { whole, fresh } => p.list_begins(*whole, *fresh),
+            PlacementEvent::Machine { m, number, at, ready, started, left } => {
                 let ready = readiness(*ready).ok_or_else(|| format!("readiness {ready}; expected 0 to 2"))?;
                 p.machine_number(*m, *number);
                 p.machine_listed(*m, *at, ready, *started, *left);
             }
-            Told::ListEnds => p.list_ends(),
-            Told::ListLost => p.list_lost(),
-            Told::Service { s, number } => p.service_number(*s, *number),
-            Told::ServiceLeft { s } => p.service_left(*s),
-            Told::MachineLeft { m } => p.machine_left(*m),
-            Told::TenantShare { tenant, share } => p.tenant_share(*tenant, *share),
-            Told::Wanted { task, f, tenant, s, asks, left } => p.wanted(*task, *f, *tenant, *s, *asks, *left),
-            Told::Found { task, f, tenant, s, asks, m } => p.found(*task, *f, *tenant, *s, *asks, *m),
-            Told::Accepted { task } => p.accepted(*task),
-            Told::Noted { task, sort, value } => p.noted(*task, *sort, *value),
-            Told::Resolved { task, end: n, why, over, report } => {
+            PlacementEvent::ListEnds => p.list_ends(),
+            PlacementEvent::ListLost => p.list_lost(),
+            PlacementEvent::Service { s, number } => p.service_number(*s, *number),
+            PlacementEvent::ServiceLeft { s } => p.service_left(*s),
+            PlacementEvent::MachineLeft { m } => p.machine_left(*m),
+            PlacementEvent::TenantShare { tenant, share } => p.tenant_share(*tenant, *share),
+            PlacementEvent::Wanted { task, f, tenant, s, asks, left } => {
+                p.wanted(*task, *f, *tenant, *s, *asks, *left)
+            }
+            PlacementEvent::Found { task, f, tenant, s, asks, m } => {
+                p.found(*task, *f, *tenant, *s, *asks, *m)
+            }
+            PlacementEvent::Accepted { task } => p.accepted(*task),
+            PlacementEvent::Noted { task, sort, value } => p.noted(*task, *sort, *value),
+            PlacementEvent::Resolved { task, end: n, why, over, report } => {
                 p.resolved(*task, end(*n)?, *why, *over, report)
             }
-            Told::Expired { task } => p.expired(*task),
-            Told::Timer { token } => p.timer_due(*token),
-            Told::Probed { m, end: n, report } => p.probed(*m, end(*n)?, report),
+            PlacementEvent::Expired { task } => p.expired(*task),
+            PlacementEvent::Timer { token } => p.timer_due(*token),
+            PlacementEvent::Probed { m, end: n, report } => p.probed(*m, end(*n)?, report),
         }
         Ok(())
     }
--- a/planner/src/recording.rs
+++ b/planner/src/recording.rs
@@ -9,8 +9,8 @@
 //! ```
 //!
 //! `replay` tells a new module the same and compares its calls, line by line.
-use crate::hands::{Answers, Words};
-use crate::told::Told;
+use crate::host_adapter::{CallTranscript, ConstraintAnswers};
+use crate::placement_event::PlacementEvent;
 use basaltpitch::host::{Given, Value};
 use basaltpitch::logic::Planner;
 use serde::{Deserialize, Serialize};
@@ -39,17 +39,20 @@
 #[derive(Serialize, Deserialize)]
 struct Line {
     at: i64,
-    told: Told,
+    told: PlacementEvent,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     answers: Option<Said>,
 }
 
 impl Line {
     /// Tells a module again, with the answers of clauses that it got then.
-    fn tell(self, planner: &mut Planner<Words>) -> Result<(), String> {
+    fn tell(self, planner: &mut Planner<CallTranscript>) -> Result<(), String> {
         planner.clock(self.at);
-        planner.host.answers.replace(self.answers.map_or_else(Answers::default, Answers::from));
-        self.told.tell(planner)
+        planner
+            .host
+            .answers
+            .replace(self.answers.map_or_else(ConstraintAnswers::default, ConstraintAnswers::from));
+        self.told.apply(planner)
     }
 }
 
@@ -61,16 +64,20 @@
     alike: VecDeque<usize>,
 }
 
-impl From<Answers> for Said {
-    fn from(a: Answers) -> Said {
+impl From<ConstraintAnswers> for Said {
+    fn from(a: ConstraintAnswers) -> Said {
         let allows = a.allows.into_iter().map(|x| if x { '1' } else { '0' }).collect();
         Said { allows, wishes: a.wishes, alike: a.alike }
     }
 }
 
-impl From<Said> for Answers {
-    fn from(s: Said) -> Answers {
-        Answers { allows: s.allows.chars().map(|c| c == '1').collect(), wishes: s.wishes, alike: s.alike }
+impl From<Said> for ConstraintAnswers {
+    fn from(s: Said) -> ConstraintAnswers {
+        ConstraintAnswers {
+            allows: s.allows.chars().map(|c| c == '1').collect(),
+            wishes: s.wishes,
+            alike: s.alike,
+        }
     }
 }
 
@@ -108,7 +115,7 @@
     }
 
     /// What the module was told, and what clauses answered it meanwhile. Its calls follow.
-    pub fn told(&mut self, at: i64, told: &Told, answers: Answers) {
+    pub fn told(&mut self, at: i64, told: &PlacementEvent, answers: ConstraintAnswers) {
         if self.pieces.is_some() {
             let answers = (!answers.is_empty()).then(|| answers.into());
             let line =
@@ -119,7 +126,7 @@
     }
 
     /// The calls that the module made since.
-    pub fn calls(&mut self, calls: &mut Words) {
+    pub fn calls(&mut self, calls: &mut CallTranscript) {
         self.piece.push_str(&calls.text);
         calls.text.clear();
         if self.piece.len() >= 16 * 1024 {
@@ -173,7 +180,7 @@
 }
 
 /// A new module, started as a recording's second line says.
-fn begin(start: &str) -> Result<Planner<Words>, String> {
+fn begin(start: &str) -> Result<Planner<CallTranscript>, String> {
     let start: Start = serde_json::from_str(start)
         .map_err(|e| format!("line 2: found {e}; expected seed, now and given in JSON"))?;
     let given = start.given.into_iter().map(|(name, value)| {
@@ -183,7 +190,7 @@
         };
         (name, value)
     });
-    Ok(Planner::new(Words::default(), start.seed, start.now, given.collect()))
+    Ok(Planner::new(CallTranscript::default(), start.seed, start.now, given.collect()))
 }
 
 /// Tells a new module what a recording holds and compares its calls. An error names the line, what was found
--- a/planner/src/service.rs
+++ b/planner/src/service.rs
@@ -6,7 +6,7 @@
 use crate::lease_client::{LeaseDeadline, LeaseEvent, LeaseRecord};
 use crate::peers::{Meeting, Peers};
 use crate::rolling_restart::{RollingRestartConfig, RollingRestartCoordinator};
-use crate::state::{Core, Out, Who, REGISTER};
+use crate::state::{Identity, Output, PlannerState, REGISTRY};
 use crate::tenancy::{Learnt, Task, Ways};
 use crate::view;
 use basaltpitch::host::Given;
@@ -52,29 +52,29 @@
 }
 
 /// What a planner is started with.
-pub struct Start {
-    pub who: Who,
-    pub given: Given,
+pub struct PlannerConfig {
+    pub identity: Identity,
+    pub settings: Given,
     /// Where the decisions are recorded.
-    pub record: Option<Box<dyn io::Write + Send>>,
+    pub recording: Option<Box<dyn io::Write + Send>>,
     /// Where tasks may run, and where each clause stands, in words.
-    pub clauses: Vec<(Clause, String)>,
+    pub constraints: Vec<(Clause, String)>,
     /// Where tenants are learnt from.
     pub directory: Option<Directory>,
     /// What outlives this planner.
     pub store: Option<Store>,
     /// The seat that it serves under, where there is a council.
-    pub tenure: Option<LeaseDeadline>,
+    pub lease_deadline: Option<LeaseDeadline>,
     /// What it does beside placing, under a seat.
-    pub duties: Option<RollingRestartConfig>,
+    pub rolling_restart: Option<RollingRestartConfig>,
     /// Whether askings that are not worth starting are declined at once.
-    pub weighs: bool,
+    pub admission_enabled: bool,
     /// How it meets the other planners, under a seat.
-    pub meeting: Option<Meeting>,
+    pub peer_links: Option<Meeting>,
     /// What its links share with the others of the process.
     pub links: Links,
     /// The part of the fleet that it links to, where it has one, and the names of all seats.
-    pub part: Option<(Terms, Vec<Rc<str>>)>,
+    pub subset: Option<(Terms, Vec<Rc<str>>)>,
 }
 
 /// Names of what is remembered of tenants: all of it, and when it was last heard in full.
@@ -84,8 +84,12 @@
 const MOST_WAITING: usize = 4;
 
 /// Serves until `stop` is done. Owners and operators connect to `listener`.
-pub async fn serve(listener: TcpListener, start: Start, stop: impl std::future::Future<Output = ()>) {
-    LocalSet::new().run_until(actor(listener, start, stop)).await;
+pub async fn serve(
+    listener: TcpListener,
+    config: PlannerConfig,
+    stop: impl std::future::Future<Output = ()>,
+) {
+    LocalSet::new().run_until(actor(listener, config, stop)).await;
 }
 
 /// News of a sweep.
@@ -179,7 +183,7 @@
 }
 
 struct Actor {
-    core: Core,
+    core: PlannerState,
     clock: Clock,
     me: Party,
     links: Links,
@@ -203,9 +207,21 @@
     rolls.as_mut()?.next_lease_event().await
 }
 
-async fn actor(listener: TcpListener, start: Start, stop: impl std::future::Future<Output = ()>) {
-    let Start { who, given, record, clauses, directory, store, tenure, duties, weighs, meeting, part, links } =
-        start;
+async fn actor(listener: TcpListener, config: PlannerConfig, stop: impl std::future::Future<Output = ()>) {
+    let PlannerConfig {
+        identity: who,
+        settings: given,
+        recording: record,
+        constraints: clauses,
+        directory,
+        store,
+        lease_deadline: tenure,
+        rolling_restart: duties,
+        admission_enabled: weighs,
+        peer_links: meeting,
+        subset: part,
+        links,
+    } = config;
     let clock = Clock::start();
     let me = Party {
         role: Role::Planner,
@@ -220,15 +236,15 @@
     let (news, mut heard) = mpsc::channel(16);
     let (seed, epoch) = (who.seed, who.epoch);
     let door = weighs.then(|| Door::new(clock.now(), seed, &given));
-    let mut core = Core::new(who, given, clock.now(), record);
+    let mut core = PlannerState::new(who, given, clock.now(), record);
     if let Some(door) = door {
-        core.weigh(clock.now(), door);
+        core.enable_admission(clock.now(), door);
     }
-    let seats = part.map(|(terms, seats)| (core.work_part(clock.now(), terms), seats).1).unwrap_or_default();
+    let seats = part.map(|(terms, seats)| (core.use_subset(clock.now(), terms), seats).1).unwrap_or_default();
     let (clauses, places) = clauses.into_iter().unzip();
-    core.bind(clauses, places);
+    core.set_constraints(clauses, places);
     let sweeps = directory.map(|directory| {
-        core.learn(clock.now(), learnt(seed, clock.now(), &directory, store.as_ref()));
+        core.use_directory(clock.now(), learnt(seed, clock.now(), &directory, store.as_ref()));
         let seen = vec![Seen::default(); directory.source.urls.len()];
         Sweeps { directory, seen, under: None, news }
     });
@@ -273,7 +289,7 @@
             Some(of) = heard.recv() => a.hear_directory(of),
             Some(word) = word(&mut a.rolls) => a.hear_council(word),
             () = tokio::time::sleep_until(wake) => {
-                a.core.clock(clock.now());
+                a.core.advance_clock(clock.now());
                 if let Some(rolls) = &mut a.rolls {
                     rolls.advance(clock.now());
                 }
@@ -337,7 +353,7 @@
     ) {
         let me = Party { link, ..self.me.clone() };
         let (links, clock) = (self.links.clone(), self.clock);
-        let within = Duration::from_micros(self.core.connect_us() as u64);
+        let within = Duration::from_micros(self.core.connect_timeout_us() as u64);
         let address = address.to_owned();
         let wrap = move |n| (from, n);
         tokio::task::spawn_local(async move {
@@ -356,16 +372,16 @@
     fn hear_directory(&mut self, heard: Heard) {
         let now = self.clock.now();
         match heard {
-            Heard::Answered(number) => self.core.sweep_answered(now, number),
+            Heard::Answered(number) => self.core.directory_answered(now, number),
             Heard::Ended(number, Ok(mut swept)) => {
                 if let Some(sweeps) = &mut self.sweeps {
                     sweeps.ended(number, &mut swept);
                 }
-                self.core.swept(now, number, Some(swept.sweep), swept.lacks);
+                self.core.directory_synced(now, number, Some(swept.sweep), swept.lacks);
             }
             Heard::Ended(number, Err(fault)) => {
                 tracing::info!(error = %fault, "a sweep of the directory brought nothing");
-                self.core.swept(now, number, None, vec![fault.to_string()]);
+                self.core.directory_synced(now, number, None, vec![fault.to_string()]);
             }
         }
     }
@@ -373,7 +389,7 @@
     fn hear(&mut self, from: From, news: News) {
         let now = self.clock.now();
         match from {
-            From::Peer { peer: REGISTER, link } => self.hear_register(now, link, news),
+            From::Peer { peer: REGISTRY, link } => self.hear_register(now, link, news),
             From::Peer { peer, link } => self.hear_machine(now, peer, link, news),
             From::Conn(conn) => self.hear_conn(now, conn, news),
             From::Planner(link) => self.hear_planner(now, link, news),
@@ -402,7 +418,7 @@
             }
             (LeaseEvent::HeldSlots(held), ..) => {
                 let place = |seat: &Rc<str>| self.seats.iter().position(|s| s == seat);
-                self.core.seats_held(now, held.iter().filter_map(place));
+                self.core.slots_held(now, held.iter().filter_map(place));
             }
             (word, _, Some(rolls)) => rolls.on_lease_event(now, word),
             _ => {}
@@ -445,25 +461,25 @@
         match news {
             News::Session(Event::Up(party)) if party.role == Role::Register => {
                 tracing::info!(register = party.name, "the register answers");
-                self.core.register_up(now);
+                self.core.registry_up(now);
             }
             News::Session(Event::Up(party)) => {
                 tracing::error!(role = ?party.role, "register: found another role; expected a register");
-                self.close_peer(REGISTER, link, "role: expected a register");
+                self.close_peer(REGISTRY, link, "role: expected a register");
             }
             News::Session(Event::Frame(body)) => {
                 if let (Body::List(list), Some(rolls)) = (&body, &mut self.rolls) {
                     rolls.on_machine_list(now, list);
                 }
-                if let Err(e) = self.core.register_frame(now, body) {
+                if let Err(e) = self.core.registry_frame(now, body) {
                     tracing::error!(error = e, "register");
                 }
             }
             News::Session(_) => {}
             News::Ended { why, .. } => {
                 tracing::warn!(why, "the register does not answer; the last list stands");
-                self.linked.remove(&REGISTER);
-                self.core.register_down(now);
+                self.linked.remove(&REGISTRY);
+                self.core.registry_down(now);
                 if let Some(rolls) = &mut self.rolls {
                     rolls.on_registry_lost();
                 }
@@ -524,7 +540,7 @@
             News::Session(Event::Up(party)) if !matches!(party.role, Role::Owner | Role::Operator) => {
                 self.close_conn(conn, "role: expected an owner or an operator");
             }
-            News::Session(Event::Up(party)) => self.core.conn_up(conn, &party.login),
+            News::Session(Event::Up(party)) => self.core.client_connected(conn, &party.login),
             News::Session(Event::Frame(body)) => {
                 let beside = || {
                     let mut told = serde_json::json!({"traffic": view::traffic(&self.links.traffic)});
@@ -533,7 +549,7 @@
                     }
                     Some(told)
                 };
-                if let Err(e) = view::conn_frame(&mut self.core, now, conn, body, beside) {
+                if let Err(e) = view::client_frame(&mut self.core, now, conn, body, beside) {
                     tracing::warn!(conn, error = e, "a question that makes no sense");
                     self.close_conn(conn, &e);
                 }
@@ -542,7 +558,7 @@
             News::Ended { why, .. } => {
                 tracing::debug!(conn, why, "owner gone");
                 self.conns.remove(&conn);
-                self.core.conn_down(conn);
+                self.core.client_disconnected(conn);
             }
         }
     }
@@ -556,29 +572,29 @@
     /// Hands frames to links and dials. What a link does not take is told to the core at once, or, to an
     /// owner who does not read, ends the connection: it may ask again and gets the same answer.
     fn carry_out(&mut self) {
-        while let Some(out) = self.core.next_out() {
+        while let Some(out) = self.core.next_output() {
             match out {
-                Out::Dial { peer, link, name, address } => self.dial(peer, link, &name, &address),
-                Out::Register(body) => {
-                    if let Some(linked) = self.linked.get(&REGISTER) {
+                Output::Dial { peer, link, name, address } => self.dial(peer, link, &name, &address),
+                Output::Registry(body) => {
+                    if let Some(linked) = self.linked.get(&REGISTRY) {
                         let _ = linked.orders.try_send(Order::Send(body, None));
                     }
                 }
-                Out::Machine { machine, body, mark } => self.send_machine(machine, body, mark),
-                Out::Conn { conn, body } => self.send_conn(conn, body),
-                Out::Sweep(task) => {
+                Output::Machine { machine, body, mark } => self.send_machine(machine, body, mark),
+                Output::Client { conn, body } => self.send_conn(conn, body),
+                Output::SyncDirectory(task) => {
                     if let Some(sweeps) = &mut self.sweeps {
                         sweeps.begin(task);
                     }
                 }
-                Out::Remember { at, all } => {
+                Output::StoreTenants { at, all } => {
                     let full = self.memories.as_ref().is_some_and(|m| m.try_send((at, all)).is_err());
                     if full {
                         tracing::warn!("tenants are not remembered: the disk is too slow");
-                        self.core.forgot();
+                        self.core.tenants_not_stored();
                     }
                 }
-                Out::Hang { machine, why } => {
+                Output::Disconnect { machine, why } => {
                     if let Some(linked) = self.linked.get(&machine) {
                         let _ = linked.orders.try_send(Order::Close(why.to_owned()));
                     }
@@ -589,7 +605,7 @@
             self.meet(link, &address);
         }
         while let Some(body) = self.rolls.as_mut().and_then(RollingRestartCoordinator::next_frame) {
-            if let Some(linked) = self.linked.get(&REGISTER) {
+            if let Some(linked) = self.linked.get(&REGISTRY) {
                 let _ = linked.orders.try_send(Order::Send(body, None));
             }
         }
--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -4,18 +4,18 @@
 //! `dial` when to connect. What owners, machines, clauses and the directory bring has a room each; all
 //! share this one record. Times are whole microseconds.
 mod clauses;
+mod clients;
 mod machines;
-mod owners;
 mod parts;
 mod tenants;
 
 use crate::bounds::{Bounds, Stands};
 use crate::door::{Door, Refusal};
-use crate::hands::{Due, Hands, Job, Key, Wish};
+use crate::host_adapter::{HostAdapter, HostRequest, TaskJob, TaskKey, TimerKind};
+use crate::machine_availability::{LinkState, MachineAvailability};
+use crate::placement_event::{outcome_code, readiness_code, PlacementEvent};
 use crate::recording::Recorder;
-use crate::standing::{Link, Standing};
 use crate::tenancy::{Asked, Learnt, Task, Tenancy};
-use crate::told::{outcome_number, ready_number, Told};
 use basaltpitch::host::{number, text, Belief, Given, Outcome, Readiness};
 use basaltpitch::logic::Planner;
 use basaltpitch_agent::dial::{Dials, Pace};
@@ -34,7 +34,7 @@
 use std::rc::Rc;
 
 /// The register among the peers that are dialled.
-pub const REGISTER: usize = usize::MAX;
+pub const REGISTRY: usize = usize::MAX;
 /// Services and machines that nothing holds leave their indices after this time.
 const KEEP_IDS: i64 = 600_000_000;
 const ROUND: i64 = 1_000_000;
@@ -47,16 +47,16 @@
 
 /// What the service must do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     /// A frame to a machine; with a mark, a launch whose sending must be known.
     Machine {
         machine: usize,
         body: Body,
         mark: Option<u64>,
     },
-    Register(Body),
+    Registry(Body),
     /// A frame to an owner or operator.
-    Conn {
+    Client {
         conn: u64,
         body: Body,
     },
@@ -67,14 +67,14 @@
         name: Rc<str>,
         address: Rc<str>,
     },
-    Hang {
+    Disconnect {
         machine: usize,
         why: &'static str,
     },
     /// Sweep a server of the directory; one that is under way is given up.
-    Sweep(Task),
+    SyncDirectory(Task),
     /// What of the directory is to outlive this planner: all of it, or only when it was last heard in full.
-    Remember {
+    StoreTenants {
         at: i64,
         all: Option<Vec<u8>>,
     },
@@ -82,7 +82,7 @@
 
 /// Who a planner is.
 #[derive(Clone, Debug)]
-pub struct Who {
+pub struct Identity {
     pub name: String,
     pub epoch: u64,
     pub seed: u64,
@@ -90,54 +90,54 @@
     pub register: String,
 }
 
-struct Machine {
+struct MachineRecord {
     address: Rc<str>,
     labels: Vec<String>,
-    standing: Standing,
+    availability: MachineAvailability,
     link: u64,
     held: bool,
 }
 
-pub struct Core {
-    pub who: Who,
-    placing: Planner<Hands>,
+pub struct PlannerState {
+    pub identity: Identity,
+    placement: Planner<HostAdapter>,
     recorder: Option<Recorder>,
     names: Names,
     tenancy: Tenancy,
     /// On whose behalf each connection asks.
     logins: HashMap<u64, Rc<str>>,
     /// An asking that is declined at the door.
-    at_door: Option<AtDoor>,
+    pending_rejection: Option<PendingRejection>,
     /// Whether askings are worth starting, where that is looked at.
-    pub(crate) door: Option<Door>,
+    pub(crate) admission: Option<Door>,
     /// Where each clause stands, in words for answers.
-    clauses: Vec<String>,
-    machines: RefCountedIds<Rc<str>>,
-    known: Vec<Option<Machine>>,
-    services: RefCountedIds<u64>,
+    constraint_names: Vec<String>,
+    machine_ids: RefCountedIds<Rc<str>>,
+    machines: Vec<Option<MachineRecord>>,
+    service_ids: RefCountedIds<u64>,
     /// The service of each task of the module's.
-    service_of: Vec<usize>,
+    service_of_task: Vec<usize>,
     dials: Dials,
-    links: u64,
-    register_up: bool,
+    last_link: u64,
+    registry_up: bool,
     watching: bool,
-    pushes: bool,
+    registry_pushes: bool,
     probes: BTreeMap<u64, usize>,
-    probed: u64,
-    connect_us: i64,
+    last_probe: u64,
+    connect_timeout_us: i64,
     /// By hall: launches, and launches refused or failed, since the start.
-    hall_counts: Vec<[u64; 2]>,
+    zone_attempts: Vec<[u64; 2]>,
     /// A report that came with the frame being handled.
-    report: Vec<f64>,
+    pending_report: Vec<f64>,
     /// The planner's part of the fleet, where it has one.
     part: Option<parts::Parts>,
-    out: VecDeque<Out>,
-    pub counts: Counts,
+    outputs: VecDeque<Output>,
+    pub counts: TaskCounts,
 }
 
 /// What operators are told of a planner's work, since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct Counts {
+pub struct TaskCounts {
     pub submitted: u64,
     pub launched: u64,
     pub placed: u64,
@@ -148,7 +148,7 @@
 }
 
 /// An asking that is declined at the door: how old that is which the refusal rests on, and more words for it.
-struct AtDoor {
+struct PendingRejection {
     ask: u64,
     stale_us: i64,
     words: Option<String>,
@@ -167,7 +167,7 @@
 
 impl Names {
     fn new(given: &Given) -> Self {
-        let list = |of: &dyn Fn(usize) -> String| listed(given, of);
+        let list = |of: &dyn Fn(usize) -> String| numbered_texts(given, of);
         let kind = |i: usize| match text(given, &format!("classes.{i}.semantics")) {
             "retryable" => Kind::Repeatable,
             "dedup" => Kind::Keyed,
@@ -188,15 +188,15 @@
 }
 
 /// Texts under numbered names, up to the first that is missing.
-pub(crate) fn listed(given: &Given, of: &dyn Fn(usize) -> String) -> Vec<String> {
+pub(crate) fn numbered_texts(given: &Given, of: &dyn Fn(usize) -> String) -> Vec<String> {
     (0..).map(|i| text(given, &of(i)).to_owned()).take_while(|n| !n.is_empty()).collect()
 }
 
-fn place(names: &[String], name: &str) -> Option<usize> {
+fn index_of_name(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|n| n == name)
 }
 
-pub fn kind_words(kind: Kind) -> &'static str {
+pub fn idempotency_text(kind: Kind) -> &'static str {
     match kind {
         Kind::Repeatable => "repeatable",
         Kind::Keyed => "keyed",
@@ -204,82 +204,89 @@
     }
 }
 
-impl Core {
-    pub fn new(who: Who, given: Given, now: i64, record: Option<Box<dyn std::io::Write + Send>>) -> Self {
+impl PlannerState {
+    pub fn new(
+        who: Identity,
+        given: Given,
+        now: i64,
+        record: Option<Box<dyn std::io::Write + Send>>,
+    ) -> Self {
         let settle_us = number(&given, "familyInfo.makeSureUs").map_or(PROMISES.settle_us, |n| n as i64);
         let ledger = Ledger::new(who.epoch, now, Promises { settle_us, ..PROMISES });
-        let hands = Hands::new(now, ledger, record.is_some());
+        let hands = HostAdapter::new(now, ledger, record.is_some());
         let names = Names::new(&given);
-        let tenancy = Tenancy::Listed(listed(&given, &|i| format!("tenants.{i}.name")));
-        let connect_us = number(&given, "permissions.connectTimeoutUs").unwrap_or(250_000.0) as i64;
+        let tenancy = Tenancy::Listed(numbered_texts(&given, &|i| format!("tenants.{i}.name")));
+        let connect_timeout_us = number(&given, "permissions.connectTimeoutUs").unwrap_or(250_000.0) as i64;
         let pushes = text(&given, "discovery") != "ask";
         let recorder = record.map(|out| Recorder::start(out, who.seed, now, &given));
         let mut dials = Dials::new(who.seed, now, Pace::USUAL);
-        dials.want(REGISTER, now);
-        let mut core = Core {
-            placing: Planner::new(hands, who.seed, now, given),
-            who,
+        dials.want(REGISTRY, now);
+        let mut core = PlannerState {
+            placement: Planner::new(hands, who.seed, now, given),
+            identity: who,
             recorder,
             names,
             tenancy,
             logins: HashMap::new(),
-            at_door: None,
-            door: None,
-            clauses: Vec::new(),
-            machines: RefCountedIds::default(),
-            known: Vec::new(),
-            services: RefCountedIds::default(),
-            service_of: Vec::new(),
+            pending_rejection: None,
+            admission: None,
+            constraint_names: Vec::new(),
+            machine_ids: RefCountedIds::default(),
+            machines: Vec::new(),
+            service_ids: RefCountedIds::default(),
+            service_of_task: Vec::new(),
             dials,
-            links: 0,
-            register_up: false,
+            last_link: 0,
+            registry_up: false,
             watching: false,
-            pushes,
+            registry_pushes: pushes,
             probes: BTreeMap::new(),
-            probed: 0,
-            connect_us,
-            hall_counts: Vec::new(),
-            report: Vec::new(),
+            last_probe: 0,
+            connect_timeout_us,
+            zone_attempts: Vec::new(),
+            pending_report: Vec::new(),
             part: None,
-            out: VecDeque::new(),
-            counts: Counts::default(),
+            outputs: VecDeque::new(),
+            counts: TaskCounts::default(),
         };
-        core.placing.host.timers.set(now + ROUND, Due::Round);
-        if let (Some(recorder), Some(calls)) = (&mut core.recorder, &mut core.placing.host.calls) {
+        core.placement.host.timers.set(now + ROUND, TimerKind::Housekeeping);
+        if let (Some(recorder), Some(calls)) = (&mut core.recorder, &mut core.placement.host.transcript) {
             recorder.calls(calls);
         }
-        core.settle();
+        core.perform_pending();
         core
     }
 
     /// The connect time-out, in microseconds.
-    pub fn connect_us(&self) -> i64 {
-        self.connect_us
+    pub fn connect_timeout_us(&self) -> i64 {
+        self.connect_timeout_us
     }
 
-    pub fn next_out(&mut self) -> Option<Out> {
-        self.out.pop_front()
+    pub fn next_output(&mut self) -> Option<Output> {
+        self.outputs.pop_front()
     }
 
     /// The time at which `clock` has something to do.
     pub fn next_at(&self) -> i64 {
         let dial = self.dials.next_at().unwrap_or(i64::MAX);
-        self.placing.host.timers.next_at().unwrap_or(i64::MAX).min(dial).min(self.tenancy.next_at())
+        self.placement.host.timers.next_at().unwrap_or(i64::MAX).min(dial).min(self.tenancy.next_at())
     }
 
     /// Lets time pass: timers come due, peers are dialled.
-    pub fn clock(&mut self, now: i64) {
+    pub fn advance_clock(&mut self, now: i64) {
         self.set_clock(now);
-        while let Some((_, due)) = self.placing.host.timers.next_due(now) {
+        while let Some((_, due)) = self.placement.host.timers.next_due(now) {
             match due {
-                Due::Module(token) => self.tell(Told::Timer { token }),
-                Due::Launch(launch) => self.placing.host.on_ledger(|l, acts| l.timed_out(launch, acts)),
-                Due::Probe(n) => self.probe_failed(n, Outcome::TimedOut),
-                Due::Round => self.round(),
-                Due::Line => self.draw_line(),
-                Due::Part => self.part_due(),
+                TimerKind::Placement(token) => self.notify_placement(PlacementEvent::Timer { token }),
+                TimerKind::AttemptTimeout(launch) => {
+                    self.placement.host.on_ledger(|l, acts| l.timed_out(launch, acts))
+                }
+                TimerKind::Probe(n) => self.probe_failed(n, Outcome::TimedOut),
+                TimerKind::Housekeeping => self.housekeeping(),
+                TimerKind::AdmissionThreshold => self.update_admission_threshold(),
+                TimerKind::Subset => self.part_due(),
             }
-            self.settle();
+            self.perform_pending();
         }
         while let Some(peer) = self.dials.next(now) {
             self.dial(peer);
@@ -287,129 +294,125 @@
         if let Some(learnt) = self.tenancy.learnt() {
             let task = learnt.next(now);
             learnt.say(now);
-            self.out.extend(task.map(Out::Sweep));
+            self.outputs.extend(task.map(Output::SyncDirectory));
         }
     }
 
     // The door.
 
     /// From now on askings that are not worth starting are declined at once.
-    pub fn weigh(&mut self, now: i64, door: Door) {
-        self.door = Some(door);
-        self.placing.host.timers.set(now + LINE, Due::Line);
+    pub fn enable_admission(&mut self, now: i64, door: Door) {
+        self.admission = Some(door);
+        self.placement.host.timers.set(now + LINE, TimerKind::AdmissionThreshold);
     }
 
-    pub fn door(&self) -> Option<&Door> {
-        self.door.as_ref()
+    pub fn admission(&self) -> Option<&Door> {
+        self.admission.as_ref()
     }
 
-    fn draw_line(&mut self) {
+    fn update_admission_threshold(&mut self) {
         let now = self.now();
-        self.placing.host.timers.set(now + LINE, Due::Line);
-        let Some(mut door) = self.door.take() else { return };
+        self.placement.host.timers.set(now + LINE, TimerKind::AdmissionThreshold);
+        let Some(mut door) = self.admission.take() else { return };
         let ready = self.machines().filter(|(_, s, _)| s.readiness() == Readiness::Ready);
-        let fleet = self.fleet_over_part();
+        let fleet = self.fleet_to_subset_ratio();
         // The line is that of the whole fleet, of which a part is a sample.
         door.draw(now, ready.map(|x| Belief { cores: fleet * x.2.cores, ucac: fleet * x.2.ucac, ..x.2 }));
-        self.door = Some(door);
+        self.admission = Some(door);
     }
 
     pub(crate) fn set_clock(&mut self, now: i64) {
-        let now = now.max(self.placing.host.now);
-        self.placing.host.now = now;
-        self.placing.clock(now);
-    }
-
-    fn now(&self) -> i64 {
-        self.placing.host.now
+        let now = now.max(self.placement.host.now);
+        self.placement.host.now = now;
+        self.placement.clock(now);
     }
 
     fn dial(&mut self, peer: usize) {
-        self.links += 1;
-        let link = self.links;
-        if peer == REGISTER {
-            let address = self.who.register.as_str().into();
-            return self.out.push_back(Out::Dial { peer, link, name: "register".into(), address });
+        self.last_link += 1;
+        let link = self.last_link;
+        if peer == REGISTRY {
+            let address = self.identity.register.as_str().into();
+            return self.outputs.push_back(Output::Dial { peer, link, name: "register".into(), address });
         }
-        let Some(machine) = self.known[peer].as_mut() else { return self.dials.forget(peer) };
-        (machine.standing.link, machine.link) = (Link::Dialling, link);
-        let (name, address) = (self.machines.ids.id(peer).clone(), machine.address.clone());
-        self.out.push_back(Out::Dial { peer, link, name, address });
+        let Some(machine) = self.machines[peer].as_mut() else { return self.dials.forget(peer) };
+        (machine.availability.link, machine.link) = (LinkState::Connecting, link);
+        let (name, address) = (self.machine_ids.ids.id(peer).clone(), machine.address.clone());
+        self.outputs.push_back(Output::Dial { peer, link, name, address });
     }
 
     // What was decided is carried out.
 
-    fn tell(&mut self, told: Told) {
+    fn notify_placement(&mut self, told: PlacementEvent) {
         let now = self.now();
-        told.tell(&mut self.placing).expect("numbers that this code wrote itself");
+        told.apply(&mut self.placement).expect("numbers that this code wrote itself");
         if let Some(recorder) = &mut self.recorder {
-            recorder.told(now, &told, self.placing.host.take_answers());
+            recorder.told(now, &told, self.placement.host.take_answers());
         }
-        if let (Some(recorder), Some(calls)) = (&mut self.recorder, &mut self.placing.host.calls) {
+        if let (Some(recorder), Some(calls)) = (&mut self.recorder, &mut self.placement.host.transcript) {
             recorder.calls(calls);
         }
     }
 
     /// Carries out all acts and wishes, in order, until none is left.
-    fn settle(&mut self) {
+    fn perform_pending(&mut self) {
         loop {
-            if let Some(act) = self.placing.host.acts.pop_front() {
-                self.carry_out(act);
-            } else if let Some(wish) = self.placing.host.wishes.pop_front() {
-                self.fulfil(wish);
+            if let Some(act) = self.placement.host.actions.pop_front() {
+                self.perform(act);
+            } else if let Some(wish) = self.placement.host.requests.pop_front() {
+                self.perform_host_request(wish);
             } else {
                 break;
             }
         }
         let now = self.now();
-        for task in self.placing.host.ledger.settled() {
-            self.services.release(self.service_of[task], now);
-            if let Some(bounds) = &mut self.placing.host.bounds {
+        for task in self.placement.host.ledger.settled() {
+            self.service_ids.release(self.service_of_task[task], now);
+            if let Some(bounds) = &mut self.placement.host.constraints {
                 bounds.leave(task);
             }
         }
     }
 
     /// The service of a task's job, held under its index while the module knows the task.
-    fn enter_service(&mut self, task: usize) -> Option<(Job, usize)> {
+    fn hold_service(&mut self, task: usize) -> Option<(TaskJob, usize)> {
         let now = self.now();
-        let ledger = &self.placing.host.ledger;
+        let ledger = &self.placement.host.ledger;
         let job = ledger.record(ledger.key_of(task)?)?.job.clone();
-        let s = self.services.acquire(job.service, now);
-        if let (Some(bounds), Some(facts)) = (&mut self.placing.host.bounds, &job.facts) {
+        let s = self.service_ids.acquire(job.service, now);
+        if let (Some(bounds), Some(facts)) = (&mut self.placement.host.constraints, &job.facts) {
             bounds.enter(task, facts);
         }
-        if task >= self.service_of.len() {
-            self.service_of.resize(task + 1, 0);
+        if task >= self.service_of_task.len() {
+            self.service_of_task.resize(task + 1, 0);
         }
-        self.service_of[task] = s;
-        self.tell(Told::Service { s, number: job.service });
+        self.service_of_task[task] = s;
+        self.notify_placement(PlacementEvent::Service { s, number: job.service });
         Some((job, s))
     }
 
-    fn carry_out(&mut self, act: Act<Key>) {
+    fn perform(&mut self, act: Act<TaskKey>) {
         match act {
             Act::Wanted { task, left_us } => {
-                let Some((job, s)) = self.enter_service(task) else { return };
+                let Some((job, s)) = self.hold_service(task) else { return };
                 let (f, tenant, asks) = (job.framework, job.tenant, (job.cores, job.memory));
                 self.task_waits(task, &job, left_us);
-                self.tell(Told::Wanted { task, f, tenant, s, asks, left: left_us });
+                self.notify_placement(PlacementEvent::Wanted { task, f, tenant, s, asks, left: left_us });
             }
             Act::Found { task, machine } => {
                 self.counts.found += 1;
-                let Some((job, s)) = self.enter_service(task) else { return };
+                let Some((job, s)) = self.hold_service(task) else { return };
                 let (f, tenant, asks) = (job.framework, job.tenant, (job.cores, job.memory));
-                self.tell(Told::Found { task, f, tenant, s, asks, m: machine });
+                self.notify_placement(PlacementEvent::Found { task, f, tenant, s, asks, m: machine });
             }
-            Act::Accepted { task } => self.tell(Told::Accepted { task }),
+            Act::Accepted { task } => self.notify_placement(PlacementEvent::Accepted { task }),
             Act::Expired { task } => {
                 self.task_waits_no_more(task);
-                self.tell(Told::Expired { task });
+                self.notify_placement(PlacementEvent::Expired { task });
             }
             Act::Resolved { task, outcome, why, over } => {
-                let (end, report) = (outcome_number(outcome), std::mem::take(&mut self.report));
+                let (end, report) = (outcome_code(outcome), std::mem::take(&mut self.pending_report));
                 self.task_resolved(task, outcome, over);
-                self.tell(Told::Resolved { task, end, why, over, report });
+                self.notify_placement(PlacementEvent::Resolved { task, end, why, over, report });
             }
             Act::Launch { key, launch, machine, time_out_us } => {
                 self.launch(key, launch, machine, time_out_us)
@@ -437,29 +440,29 @@
                 };
                 if owner != 0 {
                     let life = wire::Life { key: key.to_string(), ask, how: how as i32 };
-                    self.out.push_back(Out::Conn { conn: owner, body: Body::Life(life) });
+                    self.outputs.push_back(Output::Client { conn: owner, body: Body::Life(life) });
                 }
             }
         }
     }
 
     fn send_machine(&mut self, machine: usize, body: Body) {
-        if self.known[machine].as_ref().is_some_and(|x| x.standing.link.stands()) {
-            self.out.push_back(Out::Machine { machine, body, mark: None });
+        if self.machines[machine].as_ref().is_some_and(|x| x.availability.link.is_up()) {
+            self.outputs.push_back(Output::Machine { machine, body, mark: None });
         }
     }
 
-    fn launch(&mut self, key: Key, launch: Launch, machine: usize, time_out_us: i64) {
+    fn launch(&mut self, key: TaskKey, launch: Launch, machine: usize, time_out_us: i64) {
         self.counts.launched += 1;
-        self.count_at(machine, 0);
-        if let Some(task) = self.placing.host.ledger.record(&key).and_then(|r| r.task) {
+        self.count_attempt(machine, 0);
+        if let Some(task) = self.placement.host.ledger.record(&key).and_then(|r| r.task) {
             self.task_launched(task);
         }
         let now = self.now();
-        let link = self.known[machine].as_ref().map(|x| x.standing.link);
-        let record = self.placing.host.ledger.record(&key);
-        let (Some(Link::Well | Link::Suspect), Some(record)) = (link, record) else {
-            return self.placing.host.on_ledger(|l, acts| l.unsent(launch, acts));
+        let link = self.machines[machine].as_ref().map(|x| x.availability.link);
+        let record = self.placement.host.ledger.record(&key);
+        let (Some(LinkState::Healthy | LinkState::Suspect), Some(record)) = (link, record) else {
+            return self.placement.host.on_ledger(|l, acts| l.unsent(launch, acts));
         };
         let job = &record.job;
         let (tenant, tenant_id) = job.tenant.map(|t| self.tenancy.called(t)).unwrap_or_default();
@@ -475,24 +478,24 @@
             memory: job.memory,
             runs_for_us: job.runs_for_us,
             time_out_us,
-            kind: kind_words(record.kind).to_owned(),
+            kind: idempotency_text(record.kind).to_owned(),
         });
         tracing::debug!(
             task = &*key,
             launch = launch.number,
-            machine = &**self.machines.ids.id(machine),
+            machine = &**self.machine_ids.ids.id(machine),
             "launch"
         );
-        self.out.push_back(Out::Machine { machine, body, mark: Some(launch.number) });
-        self.placing.host.timers.set(now + time_out_us, Due::Launch(launch));
+        self.outputs.push_back(Output::Machine { machine, body, mark: Some(launch.number) });
+        self.placement.host.timers.set(now + time_out_us, TimerKind::AttemptTimeout(launch));
     }
 
-    fn answer(&mut self, key: Key, ask: u64, owner: u64, answer: Answer) {
+    fn answer(&mut self, key: TaskKey, ask: u64, owner: u64, answer: Answer) {
         let mut a = wire::Answer { key: key.to_string(), ask, ..wire::Answer::default() };
-        let rests_on = self.placing.host.ledger.record(&key).filter(|r| r.ask == ask);
+        let rests_on = self.placement.host.ledger.record(&key).filter(|r| r.ask == ask);
         a.stale_us = rests_on.map_or(0, |r| r.job.stale_us);
-        if let Some(door) = &mut self.door {
-            let (now, asked) = (self.placing.host.now, (key.clone(), ask));
+        if let Some(door) = &mut self.admission {
+            let (now, asked) = (self.placement.host.now, (key.clone(), ask));
             match answer {
                 Answer::Placed { .. } => door.placed(now, &asked),
                 Answer::Declined { reason: Reason::NoRoom, .. } => door.missed(now, &asked),
@@ -503,21 +506,21 @@
             Answer::Placed { machine } => {
                 self.counts.placed += 1;
                 a.kind = wire::AnswerKind::Placed as i32;
-                a.machine = self.machines.ids.id(machine).to_string();
+                a.machine = self.machine_ids.ids.id(machine).to_string();
             }
             Answer::Declined { retry_after_us, reason } => {
                 self.counts.declined += 1;
                 a.kind = wire::AnswerKind::Declined as i32;
                 (a.retry_after_us, a.reason) = (retry_after_us, reason.words().to_owned());
                 a.not_allowed = matches!(reason, Reason::NotAllowed(_));
-                match (reason, self.at_door.as_mut().filter(|d| d.ask == ask)) {
+                match (reason, self.pending_rejection.as_mut().filter(|d| d.ask == ask)) {
                     (Reason::NotAllowed(_) | Reason::NoMachine | Reason::NoSlack, Some(door)) => {
                         a.stale_us = door.stale_us;
                         a.reason = door.words.take().unwrap_or(a.reason);
                     }
                     (Reason::NoRoom, _) => {
                         self.short_of_room();
-                        let facts = self.placing.host.ledger.record(&key).and_then(|r| r.job.facts.clone());
+                        let facts = self.placement.host.ledger.record(&key).and_then(|r| r.job.facts.clone());
                         if let Some(why) = facts.and_then(|f| self.kept_out(&f)) {
                             a.reason = format!("{}; {why}", a.reason);
                         }
@@ -533,47 +536,47 @@
         }
         tracing::debug!(task = &*key, ask, kind = a.kind, machine = a.machine, reason = a.reason, "answer");
         if owner != 0 {
-            self.out.push_back(Out::Conn { conn: owner, body: Body::Answer(a) });
+            self.outputs.push_back(Output::Client { conn: owner, body: Body::Answer(a) });
         }
     }
 
-    fn fulfil(&mut self, wish: Wish) {
+    fn perform_host_request(&mut self, wish: HostRequest) {
         let now = self.now();
         match wish {
-            Wish::Probe(m) => {
-                self.probed += 1;
-                let n = self.probed;
-                let stands = self.known[m].as_ref().is_some_and(|x| x.standing.link.stands());
+            HostRequest::Probe(m) => {
+                self.last_probe += 1;
+                let n = self.last_probe;
+                let stands = self.machines[m].as_ref().is_some_and(|x| x.availability.link.is_up());
                 self.probes.insert(n, m);
                 if !stands || self.probes.len() > MOST_PROBES {
                     return self.probe_failed(n, Outcome::ConnectFailed);
                 }
                 self.send_machine(m, Body::Probe(wire::Probe { number: n }));
-                self.placing.host.timers.set(now + self.connect_us, Due::Probe(n));
+                self.placement.host.timers.set(now + self.connect_timeout_us, TimerKind::Probe(n));
             }
-            Wish::Watch(on) if self.register_up => {
+            HostRequest::Watch(on) if self.registry_up => {
                 self.watching = on;
                 self.watch(on);
             }
-            Wish::Fetch if self.register_up => {
-                self.out.push_back(Out::Register(Body::Fetch(wire::Fetch::default())))
+            HostRequest::Fetch if self.registry_up => {
+                self.outputs.push_back(Output::Registry(Body::Fetch(wire::Fetch::default())))
             }
-            Wish::Watch(_) | Wish::Fetch => self.tell(Told::ListLost),
+            HostRequest::Watch(_) | HostRequest::Fetch => self.notify_placement(PlacementEvent::ListLost),
         }
     }
 
     /// Once a second: records and ids that nothing needs leave.
-    fn round(&mut self) {
+    fn housekeeping(&mut self) {
         let now = self.now();
-        self.placing.host.timers.set(now + ROUND, Due::Round);
-        self.placing.host.on_ledger(|l, _| l.forget());
-        while let Some(s) = self.services.pop_expired(now, KEEP_IDS) {
-            self.tell(Told::ServiceLeft { s });
+        self.placement.host.timers.set(now + ROUND, TimerKind::Housekeeping);
+        self.placement.host.on_ledger(|l, _| l.forget());
+        while let Some(s) = self.service_ids.pop_expired(now, KEEP_IDS) {
+            self.notify_placement(PlacementEvent::ServiceLeft { s });
         }
-        while let Some(m) = self.machines.pop_expired(now, KEEP_IDS) {
-            self.known[m] = None;
+        while let Some(m) = self.machine_ids.pop_expired(now, KEEP_IDS) {
+            self.machines[m] = None;
             self.part_forgets(m);
-            self.tell(Told::MachineLeft { m });
+            self.notify_placement(PlacementEvent::MachineLeft { m });
         }
         if let Some(recorder) = &mut self.recorder {
             recorder.flush();
@@ -583,18 +586,18 @@
     // What operators see.
 
     /// Askings that wait for an answer.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.ledger().open()
     }
 
     /// Copies of which it is not known whether they run.
-    pub fn doubts(&self) -> usize {
+    pub fn uncertain_attempts(&self) -> usize {
         let unsure = |c: &&basaltpitch_ledger::Copy| c.state != CopyState::Held;
         self.ledger().records().map(|(_, r)| r.copies.iter().filter(unsure).count()).sum()
     }
 
-    pub(crate) fn ledger(&self) -> &Ledger<Key, Job> {
-        &self.placing.host.ledger
+    pub(crate) fn ledger(&self) -> &Ledger<TaskKey, TaskJob> {
+        &self.placement.host.ledger
     }
 
     pub(crate) fn framework_name(&self, f: usize) -> &str {
@@ -602,19 +605,21 @@
     }
 
     pub(crate) fn machine_name(&self, m: usize) -> &str {
-        self.machines.ids.id(m)
+        self.machine_ids.ids.id(m)
     }
 
-    pub(crate) fn clock_now(&self) -> i64 {
-        self.now()
+    pub(crate) fn now(&self) -> i64 {
+        self.placement.host.now
     }
 
     /// Each known machine: its index, how it stands, and what the module believes of it.
-    pub(crate) fn machines(&self) -> impl Iterator<Item = (usize, &Standing, basaltpitch::host::Belief)> {
-        let known = self.known.iter().enumerate().filter_map(|(m, x)| Some((m, x.as_ref()?)));
+    pub(crate) fn machines(
+        &self,
+    ) -> impl Iterator<Item = (usize, &MachineAvailability, basaltpitch::host::Belief)> {
+        let known = self.machines.iter().enumerate().filter_map(|(m, x)| Some((m, x.as_ref()?)));
         known
-            .filter(|(_, x)| x.standing.told.is_some())
-            .map(|(m, x)| (m, &x.standing, self.placing.belief(m)))
+            .filter(|(_, x)| x.availability.last_reported.is_some())
+            .map(|(m, x)| (m, &x.availability, self.placement.belief(m)))
     }
 
     pub(crate) fn tenancy(&self) -> &Tenancy {
--- a/planner/src/state/clauses.rs
+++ b/planner/src/state/clauses.rs
@@ -1,15 +1,15 @@
 //! The core's room for clauses: what binds, what it would break, and why a task cannot run.
 use super::*;
 
-impl Core {
+impl PlannerState {
     // Clauses.
 
     /// From now on clauses bind, with a name and place of each for answers. To be called before anything else
     /// comes.
-    pub fn bind(&mut self, clauses: Vec<Clause>, places: Vec<String>) {
-        self.clauses = places;
+    pub fn set_constraints(&mut self, clauses: Vec<Clause>, places: Vec<String>) {
+        self.constraint_names = places;
         if !clauses.is_empty() {
-            self.placing.host.bounds = Some(Bounds::new(clauses));
+            self.placement.host.constraints = Some(Bounds::new(clauses));
         }
     }
 
@@ -21,7 +21,7 @@
         service: u64,
         key: &str,
     ) -> Option<Rc<Facts>> {
-        let bound = self.placing.host.bounds.is_some();
+        let bound = self.placement.host.constraints.is_some();
         bound.then(|| self.facts_anyway(framework, tenant, service, key))
     }
 
@@ -38,13 +38,13 @@
     }
 
     pub(super) fn clause_names(&self, clauses: &[usize]) -> String {
-        let names: Vec<&str> = clauses.iter().map(|&c| self.clauses[c].as_str()).collect();
+        let names: Vec<&str> = clauses.iter().map(|&c| self.constraint_names[c].as_str()).collect();
         names.join(", ")
     }
 
     /// Why no machine could ever take a task, if none could.
     pub(super) fn never(&mut self, facts: Option<&Rc<Facts>>) -> Option<String> {
-        match self.placing.host.bounds.as_mut()?.stands(facts?) {
+        match self.placement.host.constraints.as_mut()?.stands(facts?) {
             Stands::Never { clauses, smallest } => {
                 let names = self.clause_names(&clauses);
                 let more = if smallest { "" } else { "; not found smaller" };
@@ -58,13 +58,13 @@
     pub(super) fn rebind(&mut self, clauses: Vec<(Clause, String)>, take: bool) -> Value {
         let (clauses, places): (Vec<Clause>, Vec<String>) = clauses.into_iter().unzip();
         // Machines are told to the new ones as they are told to those that bind.
-        let before = self.placing.host.bounds.replace(Bounds::new(clauses));
-        for m in 0..self.known.len() {
-            if let Some(ready) = self.known[m].as_ref().map(|x| x.standing.readiness()) {
-                self.bound_machine(m, ready);
+        let before = self.placement.host.constraints.replace(Bounds::new(clauses));
+        for m in 0..self.machines.len() {
+            if let Some(ready) = self.machines[m].as_ref().map(|x| x.availability.readiness()) {
+                self.update_machine_constraints(m, ready);
             }
         }
-        let Some(mut bounds) = std::mem::replace(&mut self.placing.host.bounds, before) else {
+        let Some(mut bounds) = std::mem::replace(&mut self.placement.host.constraints, before) else {
             return Value::Null;
         };
         let mut all = Vec::new();
@@ -86,7 +86,7 @@
                     bounds.deciding.forbidding(g, m).into_iter().map(|c| places[c].as_str()).collect();
                 if !clauses.is_empty() {
                     broken.push(
-                        json!({"key": &**key, "machine": &**self.machines.ids.id(m), "clauses": clauses}),
+                        json!({"key": &**key, "machine": &**self.machine_ids.ids.id(m), "clauses": clauses}),
                     );
                 }
                 bounds.deciding.leave(g);
@@ -99,24 +99,27 @@
                     bounds.enter(*task, facts);
                 }
             }
-            let mut facts: BTreeMap<Key, Rc<Facts>> = all.into_iter().map(|x| (x.0, x.1)).collect();
-            self.placing.host.ledger.jobs_mut().for_each(|(key, job)| job.facts = facts.remove(key));
-            self.placing.host.bounds = Some(bounds);
-            self.clauses = places;
+            let mut facts: BTreeMap<TaskKey, Rc<Facts>> = all.into_iter().map(|x| (x.0, x.1)).collect();
+            self.placement.host.ledger.jobs_mut().for_each(|(key, job)| job.facts = facts.remove(key));
+            self.placement.host.constraints = Some(bounds);
+            self.constraint_names = places;
         }
         json!({"taken": take, "broken": broken})
     }
 
     /// How clauses stand to a task: each that binds it, what it leaves, and who forbids which machine.
-    pub(crate) fn explain(&mut self, facts: &Facts, machines: bool) -> Value {
-        let Some(bounds) = self.placing.host.bounds.as_mut() else { return json!({"clauses": []}) };
+    pub(crate) fn explain_constraints(&mut self, facts: &Facts, machines: bool) -> Value {
+        let Some(bounds) = self.placement.host.constraints.as_mut() else { return json!({"clauses": []}) };
         let stands = bounds.stands(facts);
         let g = bounds.deciding.enter(facts);
         let known = bounds.deciding.fleet().filter(|x| x.2 != State::Gone).count();
         let leaves = bounds.deciding.leaves(g);
-        let named = |c: &[usize]| -> Vec<&str> { c.iter().map(|&c| self.clauses[c].as_str()).collect() };
-        let rows: Vec<Value> =
-            leaves.iter().map(|x| json!({"clause": self.clauses[x.0], "leaves": x.1, "of": known})).collect();
+        let named =
+            |c: &[usize]| -> Vec<&str> { c.iter().map(|&c| self.constraint_names[c].as_str()).collect() };
+        let rows: Vec<Value> = leaves
+            .iter()
+            .map(|x| json!({"clause": self.constraint_names[x.0], "leaves": x.1, "of": known}))
+            .collect();
         let mut by_machine = Vec::new();
         for (m, facts, state) in bounds.deciding.fleet().filter(|_| machines).take(MOST_ROWS) {
             let state = match state {
@@ -127,7 +130,7 @@
             };
             let forbidding = named(&bounds.deciding.forbidding(g, m));
             by_machine
-                .push(json!({"machine": &**self.machines.ids.id(m), "state": state, "kind": facts.kind,
+                .push(json!({"machine": &**self.machine_ids.ids.id(m), "state": state, "kind": facts.kind,
                 "hall": facts.hall, "rack": facts.rack, "labels": facts.labels, "forbidden_by": forbidding}));
         }
         let verdict = match &stands {
@@ -143,14 +146,14 @@
     }
 
     /// What clauses see of a task that is known by its key, and its tenant.
-    pub(crate) fn facts_of(&self, key: &str) -> Option<(Rc<Facts>, Option<usize>)> {
+    pub(crate) fn known_task_facts(&self, key: &str) -> Option<(Rc<Facts>, Option<usize>)> {
         let job = &self.ledger().record(&key.into())?.job;
         Some((job.facts.clone()?, job.tenant))
     }
 
     /// The clauses that keep a task out everywhere now, if clauses do.
     pub(super) fn kept_out(&mut self, facts: &Rc<Facts>) -> Option<String> {
-        let bounds = self.placing.host.bounds.as_mut()?;
+        let bounds = self.placement.host.constraints.as_mut()?;
         let Stands::KeptOut = bounds.stands(facts) else { return None };
         let g = bounds.deciding.enter(facts);
         let known: Vec<usize> = bounds.deciding.fleet().map(|x| x.0).collect();
--- a/planner/src/state/owners.rs
+++ b/planner/src/state/clients.rs
@@ -1,34 +1,34 @@
 //! The core's room for what owners and operators say.
 use super::*;
 
-impl Core {
+impl PlannerState {
     // Owners and operators.
 
     /// An answer to an operator.
-    pub(crate) fn tell_conn(&mut self, conn: u64, json: String) {
-        self.out.push_back(Out::Conn { conn, body: Body::Told(wire::Told { json, more: false }) });
+    pub(crate) fn reply_to(&mut self, conn: u64, json: String) {
+        self.outputs.push_back(Output::Client { conn, body: Body::Told(wire::Told { json, more: false }) });
     }
 
     /// A frame of an owner's or operator's that is no question. An error names field, what was found and what
     /// was expected.
-    pub fn conn_frame(&mut self, now: i64, conn: u64, body: Body) -> Result<(), String> {
+    pub fn client_frame(&mut self, now: i64, conn: u64, body: Body) -> Result<(), String> {
         self.set_clock(now);
         match body {
             Body::Submit(s) => self.submit(conn, s),
             Body::Withdraw(w) => {
-                if let Some(door) = &mut self.door {
+                if let Some(door) = &mut self.admission {
                     door.over(&(w.key.as_str().into(), w.ask));
                 }
-                self.placing.host.on_ledger(|l, acts| l.withdraw(&w.key.as_str().into(), w.ask, acts));
+                self.placement.host.on_ledger(|l, acts| l.withdraw(&w.key.as_str().into(), w.ask, acts));
             }
             Body::Drain(drain) => {
                 self.tenancy.operates(now, &self.login(conn), "drain")?;
-                if !self.register_up {
+                if !self.registry_up {
                     return Err("drain: found no link to the register; expected one".into());
                 }
                 let json = format!("{{\"machine\":{:?},\"drain\":{}}}", drain.machine, drain.on);
-                self.out.push_back(Out::Register(Body::Drain(drain)));
-                self.tell_conn(conn, json);
+                self.outputs.push_back(Output::Registry(Body::Drain(drain)));
+                self.reply_to(conn, json);
             }
             Body::Clauses(c) => {
                 let login = self.login(conn);
@@ -44,7 +44,8 @@
                     );
                 }
                 let json = self.rebind(clauses, c.take).to_string();
-                self.out.push_back(Out::Conn { conn, body: Body::Told(wire::Told { json, more: false }) });
+                self.outputs
+                    .push_back(Output::Client { conn, body: Body::Told(wire::Told { json, more: false }) });
             }
             Body::Accept(_) => {
                 let login = self.login(conn);
@@ -55,7 +56,8 @@
                     "an operator's word: the next full answer of the directory is believed"
                 );
                 let json = "{\"accepted\":true}".to_owned();
-                self.out.push_back(Out::Conn { conn, body: Body::Told(wire::Told { json, more: false }) });
+                self.outputs
+                    .push_back(Output::Client { conn, body: Body::Told(wire::Told { json, more: false }) });
             }
             _ => {
                 return Err(
@@ -63,12 +65,12 @@
                 )
             }
         }
-        self.settle();
+        self.perform_pending();
         Ok(())
     }
 
     /// An owner or operator said hello.
-    pub fn conn_up(&mut self, conn: u64, login: &str) {
+    pub fn client_connected(&mut self, conn: u64, login: &str) {
         self.logins.insert(conn, login.into());
     }
 
@@ -76,9 +78,9 @@
         self.logins.get(&conn).cloned().unwrap_or_default()
     }
 
-    pub fn conn_down(&mut self, conn: u64) {
+    pub fn client_disconnected(&mut self, conn: u64) {
         self.logins.remove(&conn);
-        self.placing.host.ledger.owner_left(conn);
+        self.placement.host.ledger.owner_left(conn);
     }
 
     pub(super) fn submit(&mut self, conn: u64, s: wire::Submit) {
@@ -103,7 +105,7 @@
             let reason = wrong.unwrap_or_default();
             let kind = wire::AnswerKind::Declined as i32;
             let answer = wire::Answer { key: s.key, ask: s.ask, kind, reason, ..wire::Answer::default() };
-            return self.out.push_back(Out::Conn { conn, body: Body::Answer(answer) });
+            return self.outputs.push_back(Output::Client { conn, body: Body::Answer(answer) });
         };
         let kind = self.names.frameworks[framework].1;
         let (cores, memory, runs_for_us) = (s.cores, s.memory, s.runs_for_us);
@@ -117,27 +119,28 @@
                 words = Some(refusal.words);
             }
         }
-        let job = Job { framework, tenant, service: s.service, cores, memory, runs_for_us, stale_us, facts };
+        let job =
+            TaskJob { framework, tenant, service: s.service, cores, memory, runs_for_us, stale_us, facts };
         let asking = Asking { key: s.key.as_str().into(), ask: s.ask, owner: conn, kind, job };
-        let host = &mut self.placing.host;
+        let host = &mut self.placement.host;
         match refused {
             None => host.on_ledger(|l, acts| l.submit(asking, s.time_left_us, acts)),
             Some(why) => {
-                self.at_door = Some(AtDoor { ask: s.ask, stale_us, words });
+                self.pending_rejection = Some(PendingRejection { ask: s.ask, stale_us, words });
                 host.on_ledger(|l, acts| l.declined_at_door(asking, why, acts));
-                self.settle();
-                self.at_door = None;
+                self.perform_pending();
+                self.pending_rejection = None;
             }
         }
     }
 
     /// Whether an asking is not worth starting. One that is open, answered or runs is no new one.
     pub(super) fn not_worth(&mut self, s: &wire::Submit, framework: usize) -> Option<Refusal> {
-        let (now, key): (i64, Key) = (self.now(), s.key.as_str().into());
-        let known = self.placing.host.ledger.record(&key);
+        let (now, key): (i64, TaskKey) = (self.now(), s.key.as_str().into());
+        let known = self.placement.host.ledger.record(&key);
         if known.is_some_and(|r| s.ask <= r.ask || r.phase == Phase::Placed) {
             return None;
         }
-        self.door.as_mut()?.asked(now, (key, s.ask), framework, s.cores, s.time_left_us)
+        self.admission.as_mut()?.asked(now, (key, s.ask), framework, s.cores, s.time_left_us)
     }
 }
--- a/planner/src/state/parts.rs
+++ b/planner/src/state/parts.rs
@@ -21,18 +21,18 @@
     born_at: i64,
 }
 
-impl Core {
+impl PlannerState {
     /// From now on this planner links to a part of the fleet alone. To be called before anything else comes.
-    pub fn work_part(&mut self, now: i64, terms: Terms) {
+    pub fn use_subset(&mut self, now: i64, terms: Terms) {
         self.set_clock(now);
         let (part, shortage) = (Part::new(now, terms), Shortage::new(now));
         let (visits, needs, taken, came) = Default::default();
         self.part = Some(Parts { part, shortage, visits, needs, taken, came, born_at: now });
-        self.placing.host.timers.set(now + TICK, Due::Part);
+        self.placement.host.timers.set(now + TICK, TimerKind::Subset);
     }
 
     /// The council tells which seats are held, by their places in the installation.
-    pub fn seats_held(&mut self, now: i64, held: impl Iterator<Item = usize>) {
+    pub fn slots_held(&mut self, now: i64, held: impl Iterator<Item = usize>) {
         self.set_clock(now);
         let Some(parts) = &mut self.part else { return };
         let held: Vec<usize> = held.collect();
@@ -41,11 +41,11 @@
 
     pub(super) fn part_due(&mut self) {
         let now = self.now();
-        self.placing.host.timers.set(now + TICK, Due::Part);
+        self.placement.host.timers.set(now + TICK, TimerKind::Subset);
         let Some(parts) = &mut self.part else { return };
         while let Some((_, m)) = parts.visits.pop_front_if(|v| v.0 + VISIT <= now) {
             // A link that fell since brings the inventory anew.
-            if self.known.get(m).and_then(Option::as_ref).is_some_and(|x| x.standing.link.stands()) {
+            if self.machines.get(m).and_then(Option::as_ref).is_some_and(|x| x.availability.link.is_up()) {
                 parts.part.visited(m);
             }
         }
@@ -60,7 +60,7 @@
         let now = self.now();
         let Some(parts) = &mut self.part else { return };
         parts.part.widen(parts.shortage.width());
-        let ledger = &self.placing.host.ledger;
+        let ledger = &self.placement.host.ledger;
         parts.part.clock(now, |m| !ledger.is_free(m));
         while let Some(m) = self.part.as_mut().and_then(|x| x.part.next_changed()) {
             self.part_changed(m);
@@ -78,32 +78,32 @@
             }
             false => drop(parts.taken.remove(&m)),
         }
-        let Some(machine) = self.known.get_mut(m).and_then(Option::as_mut) else { return };
-        machine.standing.outside = !offers;
-        if links && machine.standing.is_wanted() {
+        let Some(machine) = self.machines.get_mut(m).and_then(Option::as_mut) else { return };
+        machine.availability.outside_subset = !offers;
+        if links && machine.availability.is_wanted() {
             self.dials.want(m, now);
-        } else if machine.standing.is_wanted() {
+        } else if machine.availability.is_wanted() {
             self.dials.forget(m);
             // A link that still comes up is of no use; what was not sent over one that ends is told.
-            if machine.standing.link != Link::None {
-                (machine.standing.link, machine.link) = (Link::None, 0);
-                self.out.push_back(Out::Hang { machine: m, why: "outside the planner's part" });
+            if machine.availability.link != LinkState::None {
+                (machine.availability.link, machine.link) = (LinkState::None, 0);
+                self.outputs.push_back(Output::Disconnect { machine: m, why: "outside the planner's part" });
             }
         }
-        self.stands_anew(m);
+        self.availability_changed(m);
     }
 
     /// The list has a machine, ready or draining.
     pub(super) fn want(&mut self, m: usize) {
         let now = self.now();
         let Some(parts) = &mut self.part else { return self.dials.want(m, now) };
-        let Some(standing) = self.known[m].as_mut().map(|x| &mut x.standing) else { return };
-        let (kind, zone, _) = standing.place;
-        if parts.part.listed(m, hash(self.machines.ids.id(m)), zone, kind) {
+        let Some(standing) = self.machines[m].as_mut().map(|x| &mut x.availability) else { return };
+        let (kind, zone, _) = standing.location;
+        if parts.part.listed(m, hash(self.machine_ids.ids.id(m)), zone, kind) {
             parts.came.insert(m);
         }
-        standing.outside = !parts.part.offers(m);
-        if standing.started >= parts.born_at + CLOCKS {
+        standing.outside_subset = !parts.part.offers(m);
+        if standing.started_us >= parts.born_at + CLOCKS {
             // Nothing that an earlier life of the seat launched runs there.
             parts.part.visited(m);
         }
@@ -134,7 +134,7 @@
         let Some(parts) = &mut self.part else { return };
         if question > 0 {
             let ready = |m: usize| {
-                self.known[m].as_ref().is_some_and(|x| x.standing.listed == Some(Readiness::Ready))
+                self.machines[m].as_ref().is_some_and(|x| x.availability.listed == Some(Readiness::Ready))
             };
             let outside: Vec<usize> =
                 named.iter().copied().filter(|&m| ready(m) && !parts.part.offers(m)).collect();
@@ -145,51 +145,51 @@
             }
         }
         self.part_settles();
-        self.settle();
+        self.perform_pending();
     }
 
     fn ask_for_guests(&mut self, ask: Ask) {
         let Some(parts) = &self.part else { return };
         let name = |names: &[String], at: Option<usize>| at.map(|i| names[i].clone()).unwrap_or_default();
         let mut among: Vec<usize> = Vec::new();
-        if self.placing.host.bounds.is_some() {
+        if self.placement.host.constraints.is_some() {
             let listed = |m: &usize| {
-                self.known[*m].as_ref().is_some_and(|x| x.standing.listed == Some(Readiness::Ready))
+                self.machines[*m].as_ref().is_some_and(|x| x.availability.listed == Some(Readiness::Ready))
             };
             let may = |m: &usize| !parts.part.offers(*m) && self.clauses_allow(ask.task, *m);
-            among = (0..self.known.len()).filter(listed).filter(may).collect();
+            among = (0..self.machines.len()).filter(listed).filter(may).collect();
             if among.is_empty() {
                 return;
             }
             // Others each time, and of other planners.
-            let draw = |m: usize| weight(hash(self.machines.ids.id(m)), self.who.seed ^ ask.number);
+            let draw = |m: usize| weight(hash(self.machine_ids.ids.id(m)), self.identity.seed ^ ask.number);
             among.sort_by_cached_key(|&m| draw(m));
             among.truncate(MOST_NAMES);
         }
-        if self.register_up {
+        if self.registry_up {
             let fetch = wire::Fetch {
                 question: ask.number,
                 cores: ask.need.cores,
                 memory: ask.need.memory,
                 kind: name(&self.names.kinds, ask.need.kind),
                 zone: name(&self.names.zones, ask.need.zone),
-                among: among.into_iter().map(|m| self.machines.ids.id(m).to_string()).collect(),
+                among: among.into_iter().map(|m| self.machine_ids.ids.id(m).to_string()).collect(),
                 most: ask.most,
             };
-            self.out.push_back(Out::Register(Body::Fetch(fetch)));
+            self.outputs.push_back(Output::Registry(Body::Fetch(fetch)));
         }
     }
 
     /// Whether clauses let a task go to a machine now, asked beside the module.
     fn clauses_allow(&self, task: usize, m: usize) -> bool {
-        let bounds = self.placing.host.bounds.as_ref();
+        let bounds = self.placement.host.constraints.as_ref();
         let group = bounds.and_then(|b| Some((b, b.group(task)?)));
         group.is_none_or(|(b, g)| b.deciding.allows(g, m))
     }
 
     // Tasks that wait.
 
-    pub(super) fn task_waits(&mut self, task: usize, job: &Job, left: i64) {
+    pub(super) fn task_waits(&mut self, task: usize, job: &TaskJob, left: i64) {
         if self.part.is_none() {
             return;
         }
@@ -201,7 +201,8 @@
     fn waits(&mut self, task: usize, need: Need, limit_at: i64) {
         let now = self.now();
         let could = |m: usize| {
-            let Some(kind) = self.known.get(m).and_then(Option::as_ref).map(|x| x.standing.place.0) else {
+            let Some(kind) = self.machines.get(m).and_then(Option::as_ref).map(|x| x.availability.location.0)
+            else {
                 return false;
             };
             let (cores, memory) = self.names.sizes[kind];
@@ -249,7 +250,7 @@
     // What others are told.
 
     /// How many times the part the fleet is, by the machines that the list has.
-    pub(crate) fn fleet_over_part(&self) -> f64 {
+    pub(crate) fn fleet_to_subset_ratio(&self) -> f64 {
         let Some(parts) = &self.part else { return 1.0 };
         let all = parts.part.listed_count() as f64;
         all / (parts.part.offered().count().max(1) as f64)
@@ -258,26 +259,26 @@
     /// Each machine that this planner can say something of: not those outside its part, which are unknown to
     /// it and not gone, nor those that it has only just taken on from others. Of machines that are gone each
     /// has as many planners that speak for it, so that a hall that is lost stays one.
-    pub(crate) fn machines_worked(
+    pub(crate) fn observable_machines(
         &self,
-    ) -> impl Iterator<Item = (usize, &Standing, basaltpitch::host::Belief)> {
+    ) -> impl Iterator<Item = (usize, &MachineAvailability, basaltpitch::host::Belief)> {
         let now = self.now();
-        let speaks_of = move |m: usize, standing: &Standing| {
+        let speaks_of = move |m: usize, standing: &MachineAvailability| {
             let Some(parts) = &self.part else { return true };
             if !standing.is_wanted() {
-                return parts.part.speaks_for(hash(self.machines.ids.id(m)));
+                return parts.part.speaks_for(hash(self.machine_ids.ids.id(m)));
             }
             let linked_by_now = parts.taken.get(&m).is_some_and(|at| now - at >= LINKED);
-            !standing.outside && (standing.answers() || linked_by_now)
+            !standing.outside_subset && (standing.is_responsive() || linked_by_now)
         };
         self.machines().filter(move |(m, standing, _)| speaks_of(*m, standing))
     }
 
     /// What operators see of the part; none where the planner works the whole fleet.
-    pub(crate) fn part_view(&self) -> Option<Value> {
+    pub(crate) fn subset_view(&self) -> Option<Value> {
         let parts = self.part.as_ref()?;
         let (part, shortage) = (&parts.part, &parts.shortage);
-        let links = self.known.iter().flatten().filter(|x| x.standing.link.stands()).count();
+        let links = self.machines.iter().flatten().filter(|x| x.availability.link.is_up()).count();
         Some(json!({
             "listed": part.listed_count(), "dealt": part.mine(), "worked": part.count(Role::Worked),
             "guests": part.count(Role::Guest), "kept": part.count(Role::Kept),
@@ -288,7 +289,7 @@
     }
 
     /// What a machine is to this planner, in words, where it has a part.
-    pub(crate) fn role_words(&self, m: usize) -> Option<&'static str> {
+    pub(crate) fn link_role_text(&self, m: usize) -> Option<&'static str> {
         self.part.as_ref().map(|x| x.part.role(m).words())
     }
 }
--- a/planner/src/state/tenants.rs
+++ b/planner/src/state/tenants.rs
@@ -1,22 +1,22 @@
 //! The core's room for the directory of tenants.
 use super::*;
 
-impl Core {
+impl PlannerState {
     // The directory of tenants.
 
     /// From now on tenants are learnt from a directory. To be called before anything else comes.
-    pub fn learn(&mut self, now: i64, learnt: Learnt) {
+    pub fn use_directory(&mut self, now: i64, learnt: Learnt) {
         self.set_clock(now);
         let shares = learnt.shares();
         self.tenancy = Tenancy::Learnt(Box::new(learnt));
         for (tenant, share) in shares {
-            self.tell(Told::TenantShare { tenant, share });
+            self.notify_placement(PlacementEvent::TenantShare { tenant, share });
         }
-        self.clock(now);
+        self.advance_clock(now);
     }
 
     /// A first answer of a sweep came.
-    pub fn sweep_answered(&mut self, now: i64, number: u64) {
+    pub fn directory_answered(&mut self, now: i64, number: u64) {
         if let Some(learnt) = self.tenancy.learnt() {
             learnt.answered(number);
             learnt.say(now);
@@ -24,7 +24,7 @@
     }
 
     /// A sweep ended, `None` where it brought nothing; `lacks` says why it is not all.
-    pub fn swept(&mut self, now: i64, number: u64, sweep: Option<Sweep>, lacks: Vec<String>) {
+    pub fn directory_synced(&mut self, now: i64, number: u64, sweep: Option<Sweep>, lacks: Vec<String>) {
         self.set_clock(now);
         let Some(learnt) = self.tenancy.learnt() else { return };
         let before = learnt.full_at();
@@ -52,16 +52,16 @@
         }
         if let Some(at) = learnt.full_at().filter(|_| learnt.full_at() != before) {
             let all = learnt.memory_if_new().map(|m| m.1);
-            self.out.push_back(Out::Remember { at, all });
+            self.outputs.push_back(Output::StoreTenants { at, all });
         }
         for (tenant, share) in shares {
-            self.tell(Told::TenantShare { tenant, share });
+            self.notify_placement(PlacementEvent::TenantShare { tenant, share });
         }
-        self.settle();
+        self.perform_pending();
     }
 
     /// What was to be remembered could not be kept: all of it comes again with the next full sweep.
-    pub fn forgot(&mut self) {
+    pub fn tenants_not_stored(&mut self) {
         if let Some(learnt) = self.tenancy.learnt() {
             learnt.forgot();
         }
--- a/planner/src/view.rs
+++ b/planner/src/view.rs
@@ -1,5 +1,5 @@
 //! What a planner tells operators, as JSON.
-use crate::state::{kind_words, Core, MOST_ROWS};
+use crate::state::{idempotency_text, PlannerState, MOST_ROWS};
 use basaltpitch::host::Readiness;
 use basaltpitch_agent::traffic::{Kind, Traffic};
 use basaltpitch_agent::wire::Body;
@@ -13,14 +13,14 @@
 /// A frame of an owner's or operator's: a question is answered, all else is the core's. `beside`: an
 /// object with what is told of a planner beside what its core knows. An error names field, what was found and
 /// what was expected.
-pub fn conn_frame(
-    core: &mut Core,
+pub fn client_frame(
+    core: &mut PlannerState,
     now: i64,
     conn: u64,
     body: Body,
     beside: impl FnOnce() -> Option<Value>,
 ) -> Result<(), String> {
-    let Body::Query(q) = body else { return core.conn_frame(now, conn, body) };
+    let Body::Query(q) = body else { return core.client_frame(now, conn, body) };
     core.set_clock(now);
     let login = core.login(conn);
     let json = match q.what.as_str() {
@@ -34,13 +34,13 @@
         }
         what => answer(core, &login, what, &q.about)?,
     };
-    core.tell_conn(conn, json);
+    core.reply_to(conn, json);
     Ok(())
 }
 
 /// Answers a question: `planner`, `machines`, `tasks` (all open and placed ones that the login may see),
 /// `task` about one key, or one about tenants: `tenants`, `tenant`, `members`, `why` or `directory`.
-pub fn answer(core: &Core, login: &str, what: &str, about: &str) -> Result<String, String> {
+pub fn answer(core: &PlannerState, login: &str, what: &str, about: &str) -> Result<String, String> {
     let value = match what {
         "planner" => planner(core),
         "machines" => machines(core),
@@ -52,7 +52,7 @@
             rows => rows,
         },
         "tenants" | "tenant" | "members" | "why" | "directory" => {
-            core.tenancy().question(core.clock_now(), login, what, about)?
+            core.tenancy().question(core.now(), login, what, about)?
         }
         _ => {
             return Err(format!(
@@ -65,7 +65,7 @@
 
 /// How clauses stand to a task. `about` is JSON: `key` of a known task, or `framework`, `tenant`, `service`
 /// of one that might be; `machines` for each machine, too.
-pub fn explain(core: &mut Core, login: &str, about: &str) -> Result<String, String> {
+pub fn explain(core: &mut PlannerState, login: &str, about: &str) -> Result<String, String> {
     let asked: Value = serde_json::from_str(about)
         .map_err(|e| format!("explain: found {e}; expected JSON with a key, or a framework and a service"))?;
     let text = |field: &str| asked[field].as_str().unwrap_or("").to_owned();
@@ -77,13 +77,13 @@
                 )
             };
             // By the tenant itself: its name of then may be another's by now.
-            let sees = |t: Option<usize>| core.tenancy().sees(core.clock_now(), login, t);
-            let (facts, _) = core.facts_of(key).filter(|x| sees(x.1)).ok_or_else(none)?;
+            let sees = |t: Option<usize>| core.tenancy().sees(core.now(), login, t);
+            let (facts, _) = core.known_task_facts(key).filter(|x| sees(x.1)).ok_or_else(none)?;
             (*facts).clone()
         }
         None => {
             if !text("tenant").is_empty() {
-                core.tenancy().may_see(core.clock_now(), login, &text("tenant"))?;
+                core.tenancy().may_see(core.now(), login, &text("tenant"))?;
             }
             basaltpitch_constraints::Task {
                 framework: text("framework"),
@@ -93,18 +93,18 @@
             }
         }
     };
-    Ok(core.explain(&facts, asked["machines"] == true).to_string())
+    Ok(core.explain_constraints(&facts, asked["machines"] == true).to_string())
 }
 
-fn planner(core: &Core) -> Value {
+fn planner(core: &PlannerState) -> Value {
     json!({
-        "name": core.who.name,
-        "epoch": core.who.epoch,
+        "name": core.identity.name,
+        "epoch": core.identity.epoch,
         "watches_list": core.is_watching(),
         "open": core.ledger().open(),
         "counts": core.counts,
-        "part": core.part_view(),
-        "line": core.door().map(|door| door.view()),
+        "part": core.subset_view(),
+        "line": core.admission().map(|door| door.view()),
     })
 }
 
@@ -121,8 +121,8 @@
     Value::Object(Kind::ALL.into_iter().map(row).collect())
 }
 
-fn machines(core: &Core) -> Value {
-    let now = core.clock_now();
+fn machines(core: &PlannerState) -> Value {
+    let now = core.now();
     let ms = |at: i64| if at > 0 { json!((now - at) / 1000) } else { Value::Null };
     let left = |until: i64| ((until - now).max(0)) / 1000;
     let rows = core.machines().take(MOST_ROWS).map(|(m, s, b)| {
@@ -134,9 +134,9 @@
         json!({
             "machine": core.machine_name(m),
             "state": ready,
-            "link": s.link.words(),
-            "role": core.role_words(m),
-            "drains": s.drains || s.listed == Some(Readiness::Draining),
+            "link": s.link.as_str(),
+            "role": core.link_role_text(m),
+            "drains": s.draining || s.listed == Some(Readiness::Draining),
             "cores": b.cores, "memory": b.memory,
             "c": rounded(b.c), "b": rounded(b.b), "ucac": rounded(b.ucac),
             "used_memory": rounded(b.used_memory),
@@ -150,8 +150,8 @@
     rows.collect()
 }
 
-fn tasks(core: &Core, login: &str, one: Option<&str>) -> Value {
-    let (now, tenancy) = (core.clock_now(), core.tenancy());
+fn tasks(core: &PlannerState, login: &str, one: Option<&str>) -> Value {
+    let (now, tenancy) = (core.now(), core.tenancy());
     let shown = |phase: Phase| phase.is_open() || phase == Phase::Placed;
     let rows = core.ledger().records().filter(|(key, r)| one.map_or(shown(r.phase), |k| &***key == k));
     let rows = rows.filter(|(_, r)| tenancy.sees(now, login, r.job.tenant));
@@ -175,7 +175,7 @@
         json!({
             "key": &**key,
             "ask": r.ask,
-            "kind": kind_words(r.kind),
+            "kind": idempotency_text(r.kind),
             "framework": core.framework_name(r.job.framework),
             "tenant": r.job.tenant.map(|t| tenancy.called(t).0),
             "tenant_was": r.job.tenant.and_then(|t| tenancy.was(now, t)),
--- a/planner/tests/clauses.rs
+++ b/planner/tests/clauses.rs
@@ -22,7 +22,7 @@
     let clauses = read(&site.all).map_err(|e| format!("{e:?}")).unwrap();
     let places = clauses.iter().map(|c| c.name.clone()).collect();
     let mut net = Net::bare(6);
-    net.core.bind(clauses, places);
+    net.core.set_constraints(clauses, places);
     for m in 0..6 {
         net.machines[m].cell = (m / 4) as u32;
     }
@@ -133,7 +133,7 @@
     let text = format!("clauses: [\n{clauses}\n]\n");
     let site = load_texts(&[("site.rec", SITE), ("c.rec", &text)]).map_err(|e| e.1).unwrap();
     net.kill();
-    net.core.bind(read(&site.all).unwrap(), vec!["one a hall".into()]);
+    net.core.set_constraints(read(&site.all).unwrap(), vec!["one a hall".into()]);
     net.list(true);
     net.flow(40);
     assert_eq!(ask(&mut net, BIG, "c", 1), None, "both halls have theirs");
--- a/planner/tests/door.rs
+++ b/planner/tests/door.rs
@@ -8,7 +8,7 @@
 fn crowded() -> Net {
     let mut net = Net::new(3);
     let door = Door::new(net.now, 1, &given());
-    net.core.weigh(net.now, door);
+    net.core.enable_admission(net.now, door);
     net.submit(SMALL, "books", 1, 6_000_000);
     net.flow(100);
     // Some end and others take their place, so that the door sees how the queue drains.
@@ -61,7 +61,7 @@
         net.withdraw(&format!("task-{n}"), 1);
     }
     net.pass(20_000_000);
-    let door = net.core.door();
+    let door = net.core.admission();
     let line = door.map(|d| d.view()).expect("a door");
     assert_eq!(line["cores_that_wait"], 0.0, "{line}");
 }
--- a/planner/tests/golden_json.rs
+++ b/planner/tests/golden_json.rs
@@ -2,7 +2,7 @@
 //! line for each sort and each of its kinds. `told` stands in recordings, `clause` in frames of operators, and
 //! `roll-wanted`, `roll` and `halls` in the notes that voters keep. The file is never edited.
 use basaltpitch_constraints::Clause;
-use basaltpitch_planner::told::Told;
+use basaltpitch_planner::placement_event::PlacementEvent;
 use basaltpitch_rolling_restart::{Plan, Progress};
 use basaltpitch_zone_failover::conductor::Word;
 use serde::{de::DeserializeOwned, Serialize};
@@ -23,7 +23,7 @@
     for line in golden().lines() {
         let (sort, text) = line.split_once(' ').expect("a sort and JSON");
         let found = match sort {
-            "told" => again::<Told>(text),
+            "told" => again::<PlacementEvent>(text),
             "clause" => again::<Clause>(text),
             "roll-wanted" => again::<Plan>(text),
             "roll" => again::<Progress<String>>(text),
--- a/planner/tests/hostile.rs
+++ b/planner/tests/hostile.rs
@@ -164,8 +164,8 @@
         heal(&mut net);
         let (epoch, log) = (net.epoch, std::mem::take(&mut net.log));
         prop_assert!(net.twice.is_none(), "{:?}\n{}", net.twice, log);
-        let open = net.core.open();
-        let doubts = net.core.doubts();
+        let open = net.core.open_requests();
+        let doubts = net.core.uncertain_attempts();
         let (breaches, _) = net.finish();
         prop_assert!(breaches.is_empty(), "{:#?}\nepoch {}\n{}", breaches, epoch, log);
         prop_assert_eq!((open, doubts), (0, 0), "open askings and copies in doubt\n{}", log);
--- a/planner/tests/net/mod.rs
+++ b/planner/tests/net/mod.rs
@@ -9,7 +9,7 @@
 use basaltpitch_invariants::{
     Framework, InvariantChecker, InvariantConfig, Location, TrafficTotals, Violation,
 };
-use basaltpitch_planner::state::{Core, Out, Who, REGISTER};
+use basaltpitch_planner::state::{Identity, Output, PlannerState, REGISTRY};
 use basaltpitch_subsetting as aperture;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -92,7 +92,7 @@
 
 pub struct Net {
     pub now: i64,
-    pub core: Core,
+    pub core: PlannerState,
     pub epoch: u64,
     pub machines: Vec<Mac>,
     pub index: HashMap<usize, usize>,
@@ -122,8 +122,8 @@
     Some(LaunchId { epoch: id.0, number: id.1 })
 }
 
-fn who(epoch: u64) -> Who {
-    Who { name: "p".into(), epoch, seed: 7, register: "register".into() }
+fn who(epoch: u64) -> Identity {
+    Identity { name: "p".into(), epoch, seed: 7, register: "register".into() }
 }
 
 impl Net {
@@ -153,7 +153,7 @@
         };
         let mut net = Net {
             now,
-            core: Core::new(who(1), given(), now, None),
+            core: PlannerState::new(who(1), given(), now, None),
             epoch: 1,
             machines: (0..machines).map(of).collect(),
             index: HashMap::new(),
@@ -190,9 +190,9 @@
     }
 
     /// From now on the planner works a part.
-    pub fn work_part(&mut self, terms: aperture::Terms) {
+    pub fn use_subset(&mut self, terms: aperture::Terms) {
         self.part = Some(terms.clone());
-        self.core.work_part(self.now, terms);
+        self.core.use_subset(self.now, terms);
     }
 
     /// The register tells the planner how all machines are.
@@ -219,9 +219,9 @@
         self.auditor.registry_sent(self.now, &self.life(), &list);
         if question == 0 {
             (0..self.machines.len()).for_each(|m| self.start_heard(m));
-            self.core.register_up(self.now);
+            self.core.registry_up(self.now);
         }
-        self.core.register_frame(self.now, Body::List(list)).expect("a list in order");
+        self.core.registry_frame(self.now, Body::List(list)).expect("a list in order");
         self.carry();
     }
 
@@ -234,26 +234,26 @@
                 break;
             }
             self.now = at;
-            self.core.clock(at);
+            self.core.advance_clock(at);
             self.carry();
         }
         self.now = until;
-        self.core.clock(until);
+        self.core.advance_clock(until);
         self.carry();
     }
 
     /// What the core wants done goes onto the wires.
     fn carry(&mut self) {
-        while let Some(out) = self.core.next_out() {
+        while let Some(out) = self.core.next_output() {
             match out {
-                Out::Dial { peer: REGISTER, .. } => {}
-                Out::Register(body) => self.asked.push(body),
-                Out::Dial { peer, link, name, .. } => {
+                Output::Dial { peer: REGISTRY, .. } => {}
+                Output::Registry(body) => self.asked.push(body),
+                Output::Dial { peer, link, name, .. } => {
                     let m = self.machines.iter().position(|m| *m.name == *name).expect("a listed machine");
                     self.index.insert(peer, m);
                     self.dials.push_back((peer, link));
                 }
-                Out::Machine { machine, body, mark } => {
+                Output::Machine { machine, body, mark } => {
                     let m = self.index[&machine];
                     let mac = &mut self.machines[m];
                     let last = mac.links.iter_mut().rev().find(|(_, w)| w.up && !w.cut);
@@ -272,9 +272,9 @@
                         _ => {}
                     }
                 }
-                Out::Sweep(task) => self.sweeps.push(task),
-                Out::Remember { at, all } => self.memories.push((at, all)),
-                Out::Conn { body, .. } => {
+                Output::SyncDirectory(task) => self.sweeps.push(task),
+                Output::StoreTenants { at, all } => self.memories.push((at, all)),
+                Output::Client { body, .. } => {
                     let (now, life) = (self.now, self.life());
                     self.auditor.client_received(now, &life, &body);
                     match body {
@@ -296,7 +296,7 @@
                         _ => {}
                     }
                 }
-                Out::Hang { machine, .. } => {
+                Output::Disconnect { machine, .. } => {
                     let m = self.index[&machine];
                     let up = self.machines[m].links.iter().rev().find(|(_, w)| !w.cut).map(|x| *x.0);
                     if let Some(link) = up {
@@ -537,9 +537,9 @@
         self.auditor.planner_killed(self.now, "p", self.epoch);
         self.note("the planner is killed".into());
         self.epoch += 1;
-        self.core = Core::new(who(self.epoch), given(), self.now, None);
+        self.core = PlannerState::new(who(self.epoch), given(), self.now, None);
         if let Some(terms) = self.part.clone() {
-            self.core.work_part(self.now, terms);
+            self.core.use_subset(self.now, terms);
         }
         self.index.clear();
         self.dials.clear();
@@ -570,13 +570,13 @@
         self.note(format!("{key} asking {ask}"));
         let life = self.life();
         self.auditor.client_sent(self.now, &life, &submit);
-        self.core.conn_frame(self.now, 1, Body::Submit(submit)).expect("a submit in order");
+        self.core.client_frame(self.now, 1, Body::Submit(submit)).expect("a submit in order");
         self.carry();
     }
 
     /// A question or an operator's word on the connection; an error is what the planner ends it with.
     pub fn ask(&mut self, body: Body) -> Result<String, String> {
-        basaltpitch_planner::view::conn_frame(&mut self.core, self.now, 1, body, || None)?;
+        basaltpitch_planner::view::client_frame(&mut self.core, self.now, 1, body, || None)?;
         self.carry();
         Ok(self.told.pop().unwrap_or_default())
     }
@@ -585,7 +585,7 @@
         let life = self.life();
         self.auditor.client_withdrew(&life, key, ask);
         let w = wire::Withdraw { key: key.into(), ask };
-        self.core.conn_frame(self.now, 1, Body::Withdraw(w)).expect("a withdrawal in order");
+        self.core.client_frame(self.now, 1, Body::Withdraw(w)).expect("a withdrawal in order");
         self.carry();
     }
 
--- a/planner/tests/parts.rs
+++ b/planner/tests/parts.rs
@@ -16,13 +16,13 @@
 fn begin(clauses: &str, labelled: &[usize]) -> Net {
     let seats = (0..8).map(|s| hash(&format!("planner-{s}"))).collect();
     let mut net = Net::bare(MACHINES);
-    net.work_part(Terms::of_term(2, seats, 3, S));
+    net.use_subset(Terms::of_term(2, seats, 3, S));
     if !clauses.is_empty() {
         let site = "zones: [\"hall-a\", \"hall-b\"]\nkinds: [{name: \"std\", cores: 16, memory: 32}]\n\
                     frameworks: [{name: \"small\", repeat: \"repeatable\", goal: 600ms, limit: 6s}]\n";
         let site = load_texts(&[("site.rec", site), ("c.rec", clauses)]).map_err(|e| format!("{:?}", e.1));
         let clauses = read(&site.unwrap().all).map_err(|e| format!("{e:?}")).unwrap();
-        net.core.bind(clauses, vec!["fast".into()]);
+        net.core.set_constraints(clauses, vec!["fast".into()]);
     }
     labelled.iter().for_each(|&m| net.machines[m].labels = vec!["ssd".into()]);
     net.list(true);
@@ -94,7 +94,7 @@
     let own = of_role(&mut net, "part");
     let held = |net: &mut Net, seats: &[usize], rounds: usize| {
         for _ in 0..rounds {
-            net.core.seats_held(net.now, seats.iter().copied());
+            net.core.slots_held(net.now, seats.iter().copied());
             net.flow(100);
         }
     };
--- a/planner/tests/recordings.rs
+++ b/planner/tests/recordings.rs
@@ -2,7 +2,7 @@
 mod net;
 use basaltpitch_agent::wire::{self, Body};
 use basaltpitch_planner::recording::{replay, Replayed};
-use basaltpitch_planner::state::{Core, Out, Who};
+use basaltpitch_planner::state::{Identity, Output, PlannerState};
 use std::io::Write;
 use std::sync::mpsc::{channel, Sender};
 
@@ -21,8 +21,8 @@
 /// A planner's first seconds with a list and tasks, recorded.
 fn recorded() -> String {
     let (sink, pieces) = channel();
-    let who = Who { name: "p".into(), epoch: 1, seed: 3, register: "r".into() };
-    let mut core = Core::new(who, net::given(), 50_000_000, Some(Box::new(Sink(sink))));
+    let who = Identity { name: "p".into(), epoch: 1, seed: 3, register: "r".into() };
+    let mut core = PlannerState::new(who, net::given(), 50_000_000, Some(Box::new(Sink(sink))));
     let entry = |n: u32| wire::Entry {
         machine: format!("m{n}"),
         address: "a".into(),
@@ -31,12 +31,12 @@
         started_us: 1,
         ..wire::Entry::default()
     };
-    core.register_up(50_000_000);
+    core.registry_up(50_000_000);
     let list = wire::List { whole: true, stamp: 1, entries: (0..3).map(entry).collect(), question: 0 };
-    core.register_frame(50_000_000, Body::List(list)).unwrap();
-    core.clock(50_000_000);
-    while let Some(out) = core.next_out() {
-        if let Out::Dial { peer, link, name, .. } = out {
+    core.registry_frame(50_000_000, Body::List(list)).unwrap();
+    core.advance_clock(50_000_000);
+    while let Some(out) = core.next_output() {
+        if let Output::Dial { peer, link, name, .. } = out {
             if core.machine_up(50_001_000, peer, link, &name, 1) {
                 core.machine_frame(50_002_000, peer, link, Body::Inventory(wire::Inventory::default()))
                     .unwrap();
@@ -54,9 +54,9 @@
             time_left_us: 6_000_000,
             ..wire::Submit::default()
         };
-        core.conn_frame(50_010_000 + n as i64, 1, Body::Submit(submit)).unwrap();
+        core.client_frame(50_010_000 + n as i64, 1, Body::Submit(submit)).unwrap();
     }
-    core.clock(65_000_000);
+    core.advance_clock(65_000_000);
     drop(core);
     String::from_utf8(pieces.iter().flatten().collect()).unwrap()
 }
--- a/planner/tests/sockets.rs
+++ b/planner/tests/sockets.rs
@@ -5,8 +5,8 @@
 use basaltpitch_agent::session::{Event, Links, Party};
 use basaltpitch_agent::wire::{self, AnswerKind, Body, LifeHow, Role};
 use basaltpitch_config::installation::{load_texts, Laid, Seat};
-use basaltpitch_planner::service::{serve, Start};
-use basaltpitch_planner::state::Who;
+use basaltpitch_planner::service::{serve, PlannerConfig};
+use basaltpitch_planner::state::Identity;
 use basaltpitch_testbed::drill;
 use basaltpitch_testbed::machine::{self, TestbedContext};
 use basaltpitch_testbed::registry::{self, RegistryDelays};
@@ -48,22 +48,22 @@
         Laid::Text(t) => Value::Text(t),
     };
     let given: Given = site.lay_out(&seat).into_iter().map(|(k, v)| (k, value(v))).collect();
-    let who = Who { name: "p".into(), epoch: 1, seed: 1, register: register.address.clone() };
-    let start = Start {
-        who,
-        given,
-        record,
-        clauses: Vec::new(),
+    let who = Identity { name: "p".into(), epoch: 1, seed: 1, register: register.address.clone() };
+    let config = PlannerConfig {
+        identity: who,
+        settings: given,
+        recording: record,
+        constraints: Vec::new(),
         directory: None,
         store: None,
-        tenure: None,
-        duties: None,
-        weighs: false,
-        meeting: None,
+        lease_deadline: None,
+        rolling_restart: None,
+        admission_enabled: false,
+        peer_links: None,
         links: Links::default(),
-        part: None,
+        subset: None,
     };
-    tokio::task::spawn_local(serve(listener, start, std::future::pending()));
+    tokio::task::spawn_local(serve(listener, config, std::future::pending()));
     (address, world)
 }
 
--- a/planner/tests/tenants.rs
+++ b/planner/tests/tenants.rs
@@ -52,7 +52,7 @@
     fn new() -> Day {
         let mut net = Net::new(4);
         let learnt = Learnt::new(1, net.now, ways(), None).unwrap();
-        net.core.learn(net.now, learnt);
+        net.core.use_directory(net.now, learnt);
         let mut day = Day { net, there: Some(begin()) };
         day.pass(1);
         day
@@ -66,7 +66,7 @@
             for task in std::mem::take(&mut self.net.sweeps) {
                 let sweep = self.there.clone().map(|e| Sweep::of(e, true));
                 let lacks = if sweep.is_some() { vec![] } else { vec!["no connection".to_owned()] };
-                self.net.core.swept(self.net.now, task.number, sweep, lacks);
+                self.net.core.directory_synced(self.net.now, task.number, sweep, lacks);
                 self.net.pass(0);
             }
         }
@@ -74,7 +74,7 @@
 
     /// Someone asks for a task for a tenant.
     fn ask(&mut self, login: &str, tenant: &str, key: &str, ask: u64) -> wire::Answer {
-        self.net.core.conn_up(1, login);
+        self.net.core.client_connected(1, login);
         self.net.tenant = tenant.into();
         self.net.heard.clear();
         self.net.submit(SMALL, key, ask, 6 * S);
@@ -84,7 +84,7 @@
     }
 
     fn see(&mut self, login: &str, what: &str, about: &str) -> Result<Value, String> {
-        self.net.core.conn_up(1, login);
+        self.net.core.client_connected(1, login);
         let told = self.net.ask(Body::Query(wire::Query { what: what.into(), about: about.into() }))?;
         Ok(serde_json::from_str(&told).unwrap())
     }
@@ -96,7 +96,7 @@
         self.net.kill();
         self.net.sweeps.clear();
         let learnt = Learnt::new(2, self.net.now, ways(), Some((at, &all))).unwrap();
-        self.net.core.learn(self.net.now, learnt);
+        self.net.core.use_directory(self.net.now, learnt);
         self.net.flow(40);
     }
 }
@@ -166,7 +166,7 @@
 fn a_renamed_tenant_keeps_its_tasks_over_a_restart_though_another_has_its_name() {
     let mut day = Day::new();
     day.net.tenant = "orders".into();
-    day.net.core.conn_up(1, "asha");
+    day.net.core.client_connected(1, "asha");
     day.net.submit(BIG, "long", 1, 9 * S);
     day.net.flow(20);
     assert!(placed(day.net.heard.last().unwrap()));
@@ -199,7 +199,7 @@
     for login in ["asha", "", "nobody"] {
         let said = day.see(login, "members", "stores").unwrap_err();
         assert!(said.contains("expected a member, an auditor or an operator"), "{said}");
-        day.net.core.conn_up(1, login);
+        day.net.core.client_connected(1, login);
         let drain = Body::Drain(wire::Drain { machine: "m0".into(), on: true, ..wire::Drain::default() });
         assert!(day.net.ask(drain).unwrap_err().ends_with("expected an operator"));
         let accept = Body::Accept(wire::Accept {});
@@ -216,7 +216,7 @@
     day.there.as_mut().unwrap().push(entry(30, What::Group, "dc", &[], 9));
     day.pass(32);
     let accept = || Body::Accept(wire::Accept {});
-    day.net.core.conn_up(1, "lena");
+    day.net.core.client_connected(1, "lena");
     // Two tenants may go at once; two people too.
     assert!(day.net.ask(accept()).unwrap_err().contains("found nothing held"));
     assert_eq!(day.see("lena", "tenants", "").unwrap().as_array().unwrap().len(), 0);
@@ -238,7 +238,7 @@
     assert!(placed(&day.ask("asha", "t3", "still", 1)), "not believed yet");
     let state = day.see("lena", "directory", "").unwrap();
     assert_eq!((state["held"]["entries"].as_u64(), state["state"].as_str()), (Some(10), Some("fresh")));
-    day.net.core.conn_up(1, "lena");
+    day.net.core.client_connected(1, "lena");
     day.net.ask(Body::Accept(wire::Accept {})).unwrap();
     day.pass(40);
     assert_eq!(day.ask("asha", "t3", "gone", 1).reason, "the directory knows no such tenant");
