--- a/admission/tests/fleet.rs
+++ b/admission/tests/fleet.rs
@@ -1,7 +1,8 @@
-//! A fleet under a made-up clock: planners with owners of their own, machines that all of them see, and the
-//! door by slack before each. What comes of it at 1, 1.5, 3 and 10 times the load, against no door, a door
-//! by own askings alone, and one planner that sees all.
-use basaltpitch_admission::{Other, Own, Share, Verdict};
+//! A simulated fleet: planners with clients of their own, machines that all of them see, and admission
+//! control on each. The value of what is placed at 1, 1.5, 3 and 10 times the load, against no admission
+//! control, one by the planner's own demand alone, and one planner that sees all.
+#![allow(clippy::too_many_lines, reason = "one simulation is a loop of steps in a fixed order")]
+use basaltpitch_admission::{AdmissionDecision, DemandSummary, LocalDemand, PeerSummary, RequestDemand};
 use expect_test::expect;
 use fastrand::Rng;
 use std::collections::VecDeque;
@@ -12,171 +13,201 @@
 const PLANNERS: usize = 10;
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Door {
+enum Admission {
     None,
     Own,
     Shared,
-    /// Shared, but nobody hears anybody in seconds 12 to 16, in the middle of the load.
+    /// Shared, but no summary arrives in seconds 12 to 16, in the middle of the load.
     Cut,
     /// One planner, asked for everything.
     SeesAll,
 }
 
-/// Kinds of tasks: worth, cores, latency goal, time limit, running time, part of the cores that are asked for.
-const KINDS: [(f64, f64, i64, i64, i64, f64); 4] = [
-    (1.0, 1.0, 600_000, 6 * S, 3 * S, 0.4),
-    (1.0, 4.0, 600_000, 6 * S, 3 * S, 0.2),
-    (5.0, 12.0, 5 * S, 9 * S, 4 * S, 0.2),
-    (6.0, 1.0, 2 * S, 8 * S, 3 * S, 0.2),
+struct TaskClass {
+    priority_weight: f64,
+    cores: f64,
+    latency_objective_us: i64,
+    time_limit_us: i64,
+    run_time_us: i64,
+    /// Its part of all cores that are requested.
+    load_share: f64,
+}
+
+const fn class(
+    priority_weight: f64,
+    cores: f64,
+    [latency_objective_us, time_limit_us, run_time_us]: [i64; 3],
+    load_share: f64,
+) -> TaskClass {
+    TaskClass { priority_weight, cores, latency_objective_us, time_limit_us, run_time_us, load_share }
+}
+
+const CLASSES: [TaskClass; 4] = [
+    class(1.0, 1.0, [600_000, 6 * S, 3 * S], 0.4),
+    class(1.0, 4.0, [600_000, 6 * S, 3 * S], 0.2),
+    class(5.0, 12.0, [5 * S, 9 * S, 4 * S], 0.2),
+    class(6.0, 1.0, [2 * S, 8 * S, 3 * S], 0.2),
 ];
 
 #[derive(Clone, Copy)]
 struct Task {
-    kind: usize,
+    class: usize,
     number: u64,
-    asked_at: i64,
+    arrived_at: i64,
 }
 
 #[derive(Default, Clone, Copy, PartialEq, Debug)]
-struct Result {
-    asked: f64,
-    declined: f64,
+struct Totals {
+    requested: f64,
+    rejected: f64,
     /// Admitted, and out of time before it was placed.
-    missed: f64,
+    expired: f64,
     admitted: f64,
     value: f64,
 }
 
 struct Planner {
-    own: Own<u64>,
-    line: VecDeque<Task>,
-    share: Share,
-    shared_at: i64,
+    demand: LocalDemand<u64>,
+    queue: VecDeque<Task>,
+    /// What its peers last received of it.
+    sent_summary: DemandSummary,
+    next_send_at: i64,
 }
 
-/// Plays 30 seconds; the load stands at `load` from the tenth to the twentieth. `uneven`: the first planner's
-/// owners ask for that part of everything.
-fn play(door: Door, load: f64, seed: u64, uneven: f64) -> Result {
-    let planners = if door == Door::SeesAll { 1 } else { PLANNERS };
-    let mut chance = Rng::with_seed(seed);
-    let fresh = |n: usize| Planner {
-        own: Own::new(0, seed ^ n as u64),
-        line: VecDeque::new(),
-        share: Share::default(),
-        shared_at: n as i64 * S / PLANNERS as i64,
+/// Simulates 30 seconds; the load is `load` from the tenth to the twentieth. `uneven`: the clients of the first
+/// planner submit that part of everything.
+fn simulate(admission: Admission, load: f64, seed: u64, uneven: f64) -> Totals {
+    let planners = if admission == Admission::SeesAll { 1 } else { PLANNERS };
+    let mut random = Rng::with_seed(seed);
+    let new_planner = |index: usize| Planner {
+        demand: LocalDemand::new(0, seed ^ index as u64),
+        queue: VecDeque::new(),
+        sent_summary: DemandSummary::default(),
+        next_send_at: index as i64 * S / PLANNERS as i64,
     };
-    let mut all: Vec<Planner> = (0..planners).map(fresh).collect();
+    let mut all: Vec<Planner> = (0..planners).map(new_planner).collect();
     let mut free = CORES;
     let mut ends: std::collections::BTreeMap<(i64, u64), f64> = Default::default();
-    let (mut result, mut number, mut now) = (Result::default(), 0, 0);
-    // What others last said of themselves arrives a second later.
-    let mut on_the_way: VecDeque<(i64, usize, Share)> = VecDeque::new();
+    let (mut totals, mut number, mut now) = (Totals::default(), 0, 0);
+    // Summaries arrive a second later.
+    let mut in_flight: VecDeque<(i64, usize, DemandSummary)> = VecDeque::new();
     while now < 30 * S {
         now += TICK;
         while let Some(first) = ends.first_entry().filter(|e| e.key().0 <= now) {
             free += first.remove();
         }
         let heavy = if (10 * S..20 * S).contains(&now) { load } else { 0.8 };
-        for (kind, &(worth, cores, goal, limit, runs, part)) in KINDS.iter().enumerate() {
-            let rate = heavy * CORES * part / (cores * runs as f64 / 1e6);
+        for (class, spec) in CLASSES.iter().enumerate() {
+            let rate = heavy * CORES * spec.load_share / (spec.cores * spec.run_time_us as f64 / 1e6);
             let mut expected = rate * TICK as f64 / 1e6;
-            while expected > 0.0 && chance.f64() < expected {
+            while expected > 0.0 && random.f64() < expected {
                 expected -= 1.0;
                 number += 1;
-                let first = uneven > 0.0 && chance.f64() < uneven;
-                let p = if first { 0 } else { chance.usize(0..planners) };
-                result.asked += 1.0;
-                let verdict = match door {
-                    Door::None => Verdict::Waits,
-                    _ => all[p].own.asked(now, number, worth, cores, goal, limit),
+                let first = uneven > 0.0 && random.f64() < uneven;
+                let planner = if first { 0 } else { random.usize(0..planners) };
+                totals.requested += 1.0;
+                let request = RequestDemand {
+                    priority_weight: spec.priority_weight,
+                    cores: spec.cores,
+                    latency_objective_us: spec.latency_objective_us,
+                    time_left_us: spec.time_limit_us,
+                };
+                let decision = match admission {
+                    Admission::None => AdmissionDecision::Queue,
+                    _ => all[planner].demand.request_arrived(now, number, &request),
                 };
-                match verdict {
-                    Verdict::Declined { retry_after, .. } => {
-                        assert!(retry_after > 0);
-                        result.declined += 1.0;
+                match decision {
+                    AdmissionDecision::Reject { retry_after_us, .. } => {
+                        assert!(retry_after_us > 0);
+                        totals.rejected += 1.0;
                     }
                     _ => {
-                        result.admitted += 1.0;
-                        all[p].line.push_back(Task { kind, number, asked_at: now });
+                        totals.admitted += 1.0;
+                        all[planner].queue.push_back(Task { class, number, arrived_at: now });
                     }
                 }
             }
         }
-        // Planners place in turns; each takes its line in order, and what does not fit waits.
-        let first = chance.usize(0..planners);
-        for n in 0..planners {
-            let p = &mut all[(first + n) % planners];
-            p.own.fleet([(CORES, free)].into_iter());
+        // Planners place in turns; each takes its queue in order, and what does not fit waits.
+        let first = random.usize(0..planners);
+        for offset in 0..planners {
+            let planner = &mut all[(first + offset) % planners];
+            planner.demand.set_machines([(CORES, free)].into_iter());
             let mut rest = VecDeque::new();
-            while let Some(t) = p.line.pop_front() {
-                let (worth, cores, goal, limit, runs, _) = KINDS[t.kind];
-                let waited = now - t.asked_at;
-                if waited > limit {
-                    p.own.missed(now, &t.number);
-                    result.missed += 1.0;
-                } else if cores <= free {
-                    free -= cores;
-                    ends.insert((now + runs, t.number), cores);
-                    p.own.placed(now, &t.number);
-                    let late = (waited - goal).max(0) as f64 / (limit - goal) as f64;
-                    result.value += worth * (1.0 - 0.8 * late);
+            while let Some(task) = planner.queue.pop_front() {
+                let spec = &CLASSES[task.class];
+                let waited = now - task.arrived_at;
+                if waited > spec.time_limit_us {
+                    planner.demand.request_expired(now, &task.number);
+                    totals.expired += 1.0;
+                } else if spec.cores <= free {
+                    free -= spec.cores;
+                    ends.insert((now + spec.run_time_us, task.number), spec.cores);
+                    planner.demand.request_placed(now, &task.number);
+                    let objective = spec.latency_objective_us;
+                    let late = (waited - objective).max(0) as f64 / (spec.time_limit_us - objective) as f64;
+                    totals.value += spec.priority_weight * (1.0 - 0.8 * late);
                 } else {
-                    rest.push_back(t);
+                    rest.push_back(task);
                 }
             }
-            p.line = rest;
+            planner.queue = rest;
         }
-        for (n, p) in all.iter_mut().enumerate() {
-            if now >= p.shared_at {
-                p.shared_at += S;
-                let share = p.own.share(now);
+        for (index, planner) in all.iter_mut().enumerate() {
+            if now >= planner.next_send_at {
+                planner.next_send_at += S;
+                let values = planner.demand.summary(now).to_values();
                 // As it comes over the wire.
-                let share = Share::read(&share.figures()).expect("what it said itself");
-                on_the_way.push_back((now + S, n, share));
+                let summary = DemandSummary::from_values(&values).expect("what it sent itself");
+                in_flight.push_back((now + S, index, summary));
             }
         }
-        while on_the_way.front().is_some_and(|x| x.0 <= now) {
-            let (_, n, share) = on_the_way.pop_front().expect("it has a first");
-            all[n].share = share;
+        while in_flight.front().is_some_and(|x| x.0 <= now) {
+            let (_, index, summary) = in_flight.pop_front().expect("it has a first");
+            all[index].sent_summary = summary;
         }
         if now % (25 * TICK) == 0 {
-            let cut = door == Door::Cut && (12 * S..16 * S).contains(&now);
-            let shares = matches!(door, Door::Shared | Door::Cut) && !cut;
-            for n in 0..planners {
-                let others = if shares {
+            let cut = admission == Admission::Cut && (12 * S..16 * S).contains(&now);
+            let connected = matches!(admission, Admission::Shared | Admission::Cut) && !cut;
+            for index in 0..planners {
+                let peers = if connected {
                     (0..planners)
-                        .filter(|o| *o != n)
-                        .map(|o| Other { age: S, planners: 1, share: all[o].share.clone() })
+                        .filter(|peer| *peer != index)
+                        .map(|peer| PeerSummary {
+                            age_us: S,
+                            planners: 1,
+                            summary: all[peer].sent_summary.clone(),
+                        })
                         .collect()
                 } else {
                     Vec::new()
                 };
-                all[n].own.others(now, others);
+                all[index].demand.set_peer_summaries(now, peers);
             }
         }
     }
-    result
+    totals
 }
 
-fn row(door: Door, load: f64, uneven: f64) -> String {
-    let runs: Vec<Result> = (1..=3).map(|seed| play(door, load, seed, uneven)).collect();
+fn row(admission: Admission, load: f64, uneven: f64) -> String {
+    let runs: Vec<Totals> = (1..=3).map(|seed| simulate(admission, load, seed, uneven)).collect();
     let value: Vec<f64> = runs.iter().map(|r| r.value).collect();
     let mean = value.iter().sum::<f64>() / 3.0;
     let least = value.iter().copied().fold(f64::MAX, f64::min);
     let most = value.iter().copied().fold(0.0, f64::max);
-    let missed = runs.iter().map(|r| r.missed / r.admitted).sum::<f64>() / 3.0;
-    let declined = runs.iter().map(|r| r.declined / r.asked).sum::<f64>() / 3.0;
-    let name = format!("{door:?}");
+    let expired = runs.iter().map(|r| r.expired / r.admitted).sum::<f64>() / 3.0;
+    let rejected = runs.iter().map(|r| r.rejected / r.requested).sum::<f64>() / 3.0;
+    let name = format!("{admission:?}");
     format!(
         "{load} times, {name:8} value {mean:6.0} ({least:.0} to {most:.0}), declined {:4.1} %, admitted and missed {:4.1} %\n",
-        declined * 100.0,
-        missed * 100.0
+        rejected * 100.0,
+        expired * 100.0
     )
 }
 
 fn table(loads: &[f64], uneven: f64) -> String {
-    let doors = [Door::None, Door::Own, Door::Shared, Door::Cut, Door::SeesAll];
-    loads.iter().flat_map(|load| doors.map(|door| row(door, *load, uneven))).collect()
+    let modes = [Admission::None, Admission::Own, Admission::Shared, Admission::Cut, Admission::SeesAll];
+    loads.iter().flat_map(|load| modes.map(|admission| row(admission, *load, uneven))).collect()
 }
 
 #[test]
--- a/planner/src/figures.rs
+++ b/planner/src/figures.rs
@@ -1,6 +1,6 @@
 //! The figures of a planner's summary: which place has which, and back. What they mean and how those of
 //! several planners make one is the packages' to say that they come from.
-use basaltpitch_admission::Share;
+use basaltpitch_admission::DemandSummary;
 use basaltpitch_gossip::{Figures, Layout, Rule, MOST_FIGURES};
 use basaltpitch_zone_failover::{Fusing, OfHall, OF_HALL};
 
@@ -25,7 +25,7 @@
     pub stands: usize,
     /// The word on halls: token, number, and a figure for each hall.
     pub word: (u64, u64, Vec<f64>),
-    pub share: Share,
+    pub share: DemandSummary,
     pub halls: Vec<OfHall>,
 }
 
@@ -39,7 +39,7 @@
 
 /// Halls of which figures are told: as many as there is room for.
 pub fn told(halls: usize) -> usize {
-    halls.min((ROOM - STAGES_AT - Share::FIGURES) / (1 + OF_HALL.len()))
+    halls.min((ROOM - STAGES_AT - DemandSummary::LEN) / (1 + OF_HALL.len()))
 }
 
 /// Of an installation with so many halls.
@@ -48,9 +48,9 @@
     let mut all = vec![Rule::Sum; COUNTS.len()];
     all.push(Rule::Same);
     all.extend(vec![Rule::Word; TOKEN + NUMBER + halls]);
-    all.extend(vec![Rule::Sum; Share::SUMMED]);
-    let sees = all.len() + Share::FIGURES - Share::SUMMED - 1;
-    all.extend(vec![Rule::Middle { sees, first: false }; Share::FIGURES - Share::SUMMED]);
+    all.extend(vec![Rule::Sum; DemandSummary::SUMMED_LEN]);
+    let sees = all.len() + DemandSummary::LEN - DemandSummary::SUMMED_LEN - 1;
+    all.extend(vec![Rule::Middle { sees, first: false }; DemandSummary::LEN - DemandSummary::SUMMED_LEN]);
     for _ in 0..halls {
         let at = all.len();
         all.extend(OF_HALL.iter().map(|(_, fusing)| match fusing {
@@ -72,7 +72,7 @@
         all.extend(split(self.word.0, TOKEN).chain(split(self.word.1, NUMBER)));
         let stages = self.word.2.iter().chain(std::iter::repeat(&0.0));
         all.extend(stages.take(halls).map(single));
-        all.extend(self.share.figures().iter().map(single));
+        all.extend(self.share.to_values().iter().map(single));
         let of_halls = self.halls.iter().chain(std::iter::repeat(&[0.0; OF_HALL.len()]));
         all.extend(of_halls.take(halls).flatten().map(single));
         all.into_iter().collect()
@@ -83,14 +83,14 @@
         let all: Vec<f64> = figures.iter().map(f64::from).collect();
         let halls = told(halls);
         let share_at = STAGES_AT + halls;
-        let halls_at = share_at + Share::FIGURES;
+        let halls_at = share_at + DemandSummary::LEN;
         let word: Vec<f32> = figures.iter().skip(WORD_AT).take(TOKEN + NUMBER).collect();
         let of_halls = all.get(halls_at..halls_at + halls * OF_HALL.len())?;
         let mut says = Says {
             counts: [0.0; COUNTS.len()],
             stands: all[STANDS_AT] as usize,
             word: (joined(&word[..TOKEN]), joined(&word[TOKEN..]), all[STAGES_AT..share_at].to_vec()),
-            share: Share::read(&all[share_at..halls_at])?,
+            share: DemandSummary::from_values(&all[share_at..halls_at])?,
             halls: of_halls.chunks_exact(OF_HALL.len()).map(|h| std::array::from_fn(|n| h[n])).collect(),
         };
         says.counts.copy_from_slice(&all[..COUNTS.len()]);
--- a/planner/src/halls.rs
+++ b/planner/src/halls.rs
@@ -2,7 +2,7 @@
 //! comes back with what planners tell each other, and machines of a hall that is not well are held back by
 //! it. Decides nothing itself: `basaltpitch_zone_failover` does.
 use crate::lease_client::{LeaseCommand, LeaseDeadline, LeaseEvent};
-use basaltpitch_admission::middle;
+use basaltpitch_admission::lower_median;
 use basaltpitch_zone_failover::{
     evidence, plan, Call, Conductor, Evidence, Load, OfHall, Opinion, Pace, Stage, View, Word,
 };
@@ -48,7 +48,7 @@
     conducting: Option<Conducting>,
     /// Of each hall, as all that are heard see it.
     evidence: Vec<Evidence>,
-    /// Cores used at confidence and cores of machines that are ready, as the middle of all believes.
+    /// Cores used at confidence and cores of machines that are ready, as the median of all estimates.
     used: Vec<f64>,
     cores: Vec<f64>,
 }
@@ -171,7 +171,9 @@
             self.evidence[hall] = evidence(hall, seats, &views);
             let believed = |figure: usize| {
                 let sees = of().filter(|(_, h)| h[1] > 0.0);
-                middle(sees.flat_map(|(seen, h)| std::iter::repeat_n(h[figure], seen.planners)).collect())
+                lower_median(
+                    sees.flat_map(|(seen, h)| std::iter::repeat_n(h[figure], seen.planners)).collect(),
+                )
             };
             (self.cores[hall], self.used[hall]) = (believed(2), believed(3));
             let (launched, wrong) = of().fold((0.0, 0.0), |s, (_, h)| (s.0 + h[5], s.1 + h[6]));
--- a/planner/src/peers.rs
+++ b/planner/src/peers.rs
@@ -7,7 +7,7 @@
 use crate::state::PlannerState;
 use crate::summaries;
 use basaltpitch::host::Readiness;
-use basaltpitch_admission::Other;
+use basaltpitch_admission::PeerSummary;
 use basaltpitch_agent::link::Order;
 use basaltpitch_agent::session::Party;
 use basaltpitch_agent::wire::Body;
@@ -117,8 +117,11 @@
         }
         self.exchange.clock(now);
         if let Some(door) = core.admission.as_mut().filter(|_| !self.meeting.alone) {
-            let other =
-                |(planners, age, says): (usize, i64, Says)| Other { age, planners, share: says.share };
+            let other = |(planners, age, says): (usize, i64, Says)| PeerSummary {
+                age_us: age,
+                planners,
+                summary: says.share,
+            };
             door.hear(now, self.heard(now).into_iter().map(other));
         }
     }
--- a/planner/tests/summaries.rs
+++ b/planner/tests/summaries.rs
@@ -1,7 +1,7 @@
 //! What planners tell each other, as frames: drawn calls come back as they were and cost as many bytes as the
 //! exchange believes; lists that do not fit are refused; and a summary's figures come back, of one planner
 //! and of several as one. A failing case prints its seed.
-use basaltpitch_admission::Share;
+use basaltpitch_admission::DemandSummary;
 use basaltpitch_agent::wire::{Body, Digest, Frame, Summaries};
 use basaltpitch_gossip::cost::bytes;
 use basaltpitch_gossip::{Asked, Call, Carried, Figures, Told, Wrong};
@@ -97,7 +97,11 @@
 
 fn says(chance: &mut Rng, halls: usize) -> Says {
     let mut some = || f64::from(chance.u32(0..200));
-    let mut share = Share { room: [some(), some(), some()], cores: 1.0 + some(), ..Share::default() };
+    let mut share = DemandSummary {
+        free_cores: [some(), some(), some()],
+        total_cores: 1.0 + some(),
+        ..DemandSummary::default()
+    };
     share.offered.iter_mut().chain(&mut share.waiting).for_each(|x| *x = some());
     let counts = [some(), some(), some(), some()];
     let of_halls = (0..halls).map(|_| [5.0 + some(), 1.0 + some(), some(), some(), some(), some(), some()]);
@@ -129,8 +133,8 @@
         assert_eq!(fused.counts[0], sum(&|s| s.counts[0]), "seed {seed}");
         assert_eq!(fused.share.offered[3], sum(&|s| s.share.offered[3]), "seed {seed}");
         assert_eq!(fused.share.waiting[7], sum(&|s| s.share.waiting[7]), "seed {seed}");
-        assert_eq!(fused.share.room[1], middle(&|s| s.share.room[1]), "seed {seed}");
-        assert_eq!(fused.share.cores, middle(&|s| s.share.cores), "seed {seed}");
+        assert_eq!(fused.share.free_cores[1], middle(&|s| s.share.free_cores[1]), "seed {seed}");
+        assert_eq!(fused.share.total_cores, middle(&|s| s.share.total_cores), "seed {seed}");
         for hall in 0..halls {
             for of in 0..5 {
                 assert_eq!(fused.halls[hall][of], middle(&|s| s.halls[hall][of]), "seed {seed}: {of}");
