--- a/planner/src/host_adapter.rs
+++ b/planner/src/host_adapter.rs
@@ -36,7 +36,7 @@
     Probe(u64),
     /// The planner's own round: records and ids that leave.
     Housekeeping,
-    /// The line of the door is drawn anew.
+    /// The admission threshold is recomputed.
     AdmissionThreshold,
     /// The planner's part of the fleet changes with time.
     Subset,
--- a/planner/src/lib.rs
+++ b/planner/src/lib.rs
@@ -2,8 +2,8 @@
 //! indices and the timers, and turns what comes from peers into calls and what is decided into frames.
 //! `service` puts it on sockets, on one thread. `placement_event` is what the module is told, as it is recorded and
 //! replayed.
+pub mod admission;
 pub mod bounds;
-pub mod door;
 pub mod figures;
 pub mod halls;
 pub mod host_adapter;
@@ -14,6 +14,7 @@
 pub mod recording;
 pub mod rolling_restart;
 pub mod service;
+mod settings_lists;
 pub mod state;
 pub mod summaries;
 pub mod tenancy;
--- a/planner/src/peers.rs
+++ b/planner/src/peers.rs
@@ -116,13 +116,13 @@
             }
         }
         self.exchange.clock(now);
-        if let Some(door) = core.admission.as_mut().filter(|_| !self.meeting.alone) {
+        if let Some(admission) = core.admission.as_mut().filter(|_| !self.meeting.alone) {
             let other = |(planners, age, says): (usize, i64, Says)| PeerSummary {
                 age_us: age,
                 planners,
                 summary: says.share,
             };
-            door.hear(now, self.heard(now).into_iter().map(other));
+            admission.receive_summaries(now, self.heard(now).into_iter().map(other));
         }
     }
 
@@ -151,7 +151,7 @@
             ],
             stands: self.meeting.stands,
             word: self.halls.says(),
-            share: core.admission.as_mut().map(|door| door.share(now)).unwrap_or_default(),
+            share: core.admission.as_mut().map(|admission| admission.summary(now)).unwrap_or_default(),
             halls: self.of_halls(core),
         };
         says.figures(self.meeting.halls.len())
--- a/planner/src/service.rs
+++ b/planner/src/service.rs
@@ -1,7 +1,7 @@
 //! A planner on sockets: one thread, one actor that owns the core, a task a connection. Queues are bounded:
 //! what machines and the register say is read before what owners ask; while the actor is behind, links grant
 //! their peers nothing more. A peer that does not read is cut off, and may come back and ask again.
-use crate::door::Door;
+use crate::admission::AdmissionController;
 use crate::halls;
 use crate::lease_client::{LeaseDeadline, LeaseEvent, LeaseRecord};
 use crate::peers::{Meeting, Peers};
@@ -235,10 +235,10 @@
     let (later, mut owners) = mpsc::channel(INBOX);
     let (news, mut heard) = mpsc::channel(16);
     let (seed, epoch) = (who.seed, who.epoch);
-    let door = weighs.then(|| Door::new(clock.now(), seed, &given));
+    let admission = weighs.then(|| AdmissionController::new(clock.now(), seed, &given));
     let mut core = PlannerState::new(who, given, clock.now(), record);
-    if let Some(door) = door {
-        core.enable_admission(clock.now(), door);
+    if let Some(controller) = admission {
+        core.enable_admission(clock.now(), controller);
     }
     let seats = part.map(|(terms, seats)| (core.use_subset(clock.now(), terms), seats).1).unwrap_or_default();
     let (clauses, places) = clauses.into_iter().unzip();
--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -9,12 +9,13 @@
 mod parts;
 mod tenants;
 
+use crate::admission::{AdmissionController, Rejection, RequestNeeds};
 use crate::bounds::{Bounds, Stands};
-use crate::door::{Door, Refusal};
 use crate::host_adapter::{HostAdapter, HostRequest, TaskJob, TaskKey, TimerKind};
 use crate::machine_availability::{LinkState, MachineAvailability};
 use crate::placement_event::{outcome_code, readiness_code, PlacementEvent};
 use crate::recording::Recorder;
+use crate::settings_lists::numbered_texts;
 use crate::tenancy::{Asked, Learnt, Task, Tenancy};
 use basaltpitch::host::{number, text, Belief, Given, Outcome, Readiness};
 use basaltpitch::logic::Planner;
@@ -38,7 +39,7 @@
 /// Services and machines that nothing holds leave their indices after this time.
 const KEEP_IDS: i64 = 600_000_000;
 const ROUND: i64 = 1_000_000;
-/// The line of the door is drawn anew each so often.
+/// The admission threshold is recomputed each so often.
 const LINE: i64 = 250_000;
 /// Rows that one answer holds at the most.
 pub(crate) const MOST_ROWS: usize = 1000;
@@ -109,7 +110,7 @@
     /// An asking that is declined at the door.
     pending_rejection: Option<PendingRejection>,
     /// Whether askings are worth starting, where that is looked at.
-    pub(crate) admission: Option<Door>,
+    pub(crate) admission: Option<AdmissionController>,
     /// Where each clause stands, in words for answers.
     constraint_names: Vec<String>,
     machine_ids: RefCountedIds<Rc<str>>,
@@ -187,11 +188,6 @@
     }
 }
 
-/// Texts under numbered names, up to the first that is missing.
-pub(crate) fn numbered_texts(given: &Given, of: &dyn Fn(usize) -> String) -> Vec<String> {
-    (0..).map(|i| text(given, &of(i)).to_owned()).take_while(|n| !n.is_empty()).collect()
-}
-
 fn index_of_name(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|n| n == name)
 }
@@ -298,27 +294,28 @@
         }
     }
 
-    // The door.
+    // Admission control.
 
     /// From now on askings that are not worth starting are declined at once.
-    pub fn enable_admission(&mut self, now: i64, door: Door) {
-        self.admission = Some(door);
+    pub fn enable_admission(&mut self, now: i64, controller: AdmissionController) {
+        self.admission = Some(controller);
         self.placement.host.timers.set(now + LINE, TimerKind::AdmissionThreshold);
     }
 
-    pub fn admission(&self) -> Option<&Door> {
+    pub fn admission(&self) -> Option<&AdmissionController> {
         self.admission.as_ref()
     }
 
     fn update_admission_threshold(&mut self) {
         let now = self.now();
         self.placement.host.timers.set(now + LINE, TimerKind::AdmissionThreshold);
-        let Some(mut door) = self.admission.take() else { return };
+        let Some(mut admission) = self.admission.take() else { return };
         let ready = self.machines().filter(|(_, s, _)| s.readiness() == Readiness::Ready);
         let fleet = self.fleet_to_subset_ratio();
         // The line is that of the whole fleet, of which a part is a sample.
-        door.draw(now, ready.map(|x| Belief { cores: fleet * x.2.cores, ucac: fleet * x.2.ucac, ..x.2 }));
-        self.admission = Some(door);
+        let scaled = |x: Belief| Belief { cores: fleet * x.cores, ucac: fleet * x.ucac, ..x };
+        admission.recompute(now, ready.map(|x| scaled(x.2)));
+        self.admission = Some(admission);
     }
 
     pub(crate) fn set_clock(&mut self, now: i64) {
@@ -494,12 +491,12 @@
         let mut a = wire::Answer { key: key.to_string(), ask, ..wire::Answer::default() };
         let rests_on = self.placement.host.ledger.record(&key).filter(|r| r.ask == ask);
         a.stale_us = rests_on.map_or(0, |r| r.job.stale_us);
-        if let Some(door) = &mut self.admission {
+        if let Some(admission) = &mut self.admission {
             let (now, asked) = (self.placement.host.now, (key.clone(), ask));
             match answer {
-                Answer::Placed { .. } => door.placed(now, &asked),
-                Answer::Declined { reason: Reason::NoRoom, .. } => door.missed(now, &asked),
-                _ => door.over(&asked),
+                Answer::Placed { .. } => admission.request_placed(now, &asked),
+                Answer::Declined { reason: Reason::NoRoom, .. } => admission.request_expired(now, &asked),
+                _ => admission.request_withdrawn(&asked),
             }
         }
         match answer {
--- a/planner/src/state/clients.rs
+++ b/planner/src/state/clients.rs
@@ -16,8 +16,8 @@
         match body {
             Body::Submit(s) => self.submit(conn, s),
             Body::Withdraw(w) => {
-                if let Some(door) = &mut self.admission {
-                    door.over(&(w.key.as_str().into(), w.ask));
+                if let Some(admission) = &mut self.admission {
+                    admission.request_withdrawn(&(w.key.as_str().into(), w.ask));
                 }
                 self.placement.host.on_ledger(|l, acts| l.withdraw(&w.key.as_str().into(), w.ask, acts));
             }
@@ -116,7 +116,7 @@
         if refused.is_none() {
             if let Some(refusal) = self.not_worth(&s, framework) {
                 refused = Some((Reason::NoSlack, refusal.retry_after_us));
-                words = Some(refusal.words);
+                words = Some(refusal.reason);
             }
         }
         let job =
@@ -135,12 +135,13 @@
     }
 
     /// Whether an asking is not worth starting. One that is open, answered or runs is no new one.
-    pub(super) fn not_worth(&mut self, s: &wire::Submit, framework: usize) -> Option<Refusal> {
+    pub(super) fn not_worth(&mut self, s: &wire::Submit, framework: usize) -> Option<Rejection> {
         let (now, key): (i64, TaskKey) = (self.now(), s.key.as_str().into());
         let known = self.placement.host.ledger.record(&key);
         if known.is_some_and(|r| s.ask <= r.ask || r.phase == Phase::Placed) {
             return None;
         }
-        self.admission.as_mut()?.asked(now, (key, s.ask), framework, s.cores, s.time_left_us)
+        let needs = RequestNeeds { framework, cores: s.cores, time_left_us: s.time_left_us };
+        self.admission.as_mut()?.request_arrived(now, (key, s.ask), needs)
     }
 }
--- a/planner/src/view.rs
+++ b/planner/src/view.rs
@@ -104,7 +104,7 @@
         "open": core.ledger().open(),
         "counts": core.counts,
         "part": core.subset_view(),
-        "line": core.admission().map(|door| door.view()),
+        "line": core.admission().map(|admission| admission.view()),
     })
 }
 
--- a/planner/tests/door.rs
+++ b/planner/tests/admission.rs
@@ -1,17 +1,17 @@
-//! The door by slack before the whole core: what it declines, and what it must let alone.
+//! Admission control in front of the whole planner: what it rejects, and what it must let alone.
 mod net;
 use basaltpitch_agent::wire::{AnswerKind, EndedHow};
-use basaltpitch_planner::door::Door;
+use basaltpitch_planner::admission::AdmissionController;
 use net::{given, Net, SMALL};
 
 /// A planner with a few machines that are full, and more asked of it than they can do.
 fn crowded() -> Net {
     let mut net = Net::new(3);
-    let door = Door::new(net.now, 1, &given());
-    net.core.enable_admission(net.now, door);
+    let controller = AdmissionController::new(net.now, 1, &given());
+    net.core.enable_admission(net.now, controller);
     net.submit(SMALL, "books", 1, 6_000_000);
     net.flow(100);
-    // Some end and others take their place, so that the door sees how the queue drains.
+    // Some end and others take their place, so that the controller sees how the queue drains.
     for n in 0..400 {
         net.submit(SMALL, &format!("task-{n}"), 1, 2_000_000);
         net.flow(20);
@@ -27,16 +27,16 @@
     net
 }
 
-fn at_door(net: &Net) -> Vec<(String, u64)> {
-    let declined = net.heard.iter().filter(|a| a.reason.starts_with("not worth starting"));
-    declined.map(|a| (a.key.clone(), a.ask)).collect()
+fn rejected_requests(net: &Net) -> Vec<(String, u64)> {
+    let rejected = net.heard.iter().filter(|a| a.reason.starts_with("not worth starting"));
+    rejected.map(|a| (a.key.clone(), a.ask)).collect()
 }
 
 #[test]
-fn what_is_declined_at_the_door_is_told_at_once_when_to_ask_again_and_why() {
+fn a_rejected_request_gets_the_time_to_retry_and_the_reason_at_once() {
     let mut net = crowded();
-    let declined = at_door(&net);
-    assert!(!declined.is_empty(), "nothing was declined at the door");
+    let rejected = rejected_requests(&net);
+    assert!(!rejected.is_empty(), "nothing was rejected on arrival");
     for a in net.heard.iter().filter(|a| a.reason.starts_with("not worth starting")) {
         assert_eq!(a.kind, AnswerKind::Declined as i32);
         assert!(a.retry_after_us > 0 && !a.not_allowed, "{a:?}");
@@ -44,7 +44,7 @@
         let launched = net.launched.iter().filter(|l| l.key == a.key && l.ask == a.ask).count();
         assert_eq!(launched, 0, "{} was launched", a.key);
     }
-    // The same asking again hears the same, or the door's new word; one that runs is no new one.
+    // The same request again gets the same answer, or a new decision; a task that runs is no new request.
     let before = net.heard.len();
     net.submit(SMALL, "books", 2, 1);
     let books = net.heard[before..].iter().find(|a| a.key == "books").expect("an answer");
@@ -55,13 +55,13 @@
 }
 
 #[test]
-fn what_was_withdrawn_or_answered_waits_no_more() {
+fn withdrawn_and_answered_requests_wait_no_more() {
     let mut net = crowded();
     for n in 0..400 {
         net.withdraw(&format!("task-{n}"), 1);
     }
     net.pass(20_000_000);
-    let door = net.core.admission();
-    let line = door.map(|d| d.view()).expect("a door");
+    let view = net.core.admission().map(|admission| admission.view()).expect("an admission controller");
+    let line = serde_json::to_value(view).expect("plain values");
     assert_eq!(line["cores_that_wait"], 0.0, "{line}");
 }
