--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -1,7 +1,7 @@
 //! Speaks the bench's wire for any number of planners: decodes each line, maps ids to small indices,
 //! calls the planner's method for that event, and writes its calls back. It decides nothing.
-use basaltpitch::host::{Host, Outcome, Readiness};
-use basaltpitch::logic::Planner;
+use basaltpitch::host::{AttemptOutcome, Host, Readiness};
+use basaltpitch::placement::Planner;
 use basaltpitch_interner::{fnv1a_64, IdAllocator};
 use basaltpitch_json_fields::{lay_out, names, Fields, Names};
 use serde_json::Value;
@@ -65,11 +65,11 @@
 }
 
 impl Host for Line {
-    fn launch(&mut self, task: usize, machine: usize, time_out_us: i64) {
+    fn launch(&mut self, task: usize, machine: usize, timeout_us: i64) {
         self.out[task] += 1;
         self.for_task("put", task);
         self.for_machine(machine);
-        let _ = writeln!(self.text, ",\"capUs\":{time_out_us}}}");
+        let _ = writeln!(self.text, ",\"capUs\":{timeout_us}}}");
     }
 
     fn cancel(&mut self, task: usize, launch: u32) {
@@ -77,7 +77,7 @@
         let _ = writeln!(self.text, ",\"sendNo\":{launch}}}");
     }
 
-    fn decline(&mut self, task: usize, retry_after_us: i64) {
+    fn reject(&mut self, task: usize, retry_after_us: i64) {
         self.for_task("deny", task);
         let _ = writeln!(self.text, ",\"comeBackUs\":{retry_after_us}}}");
         self.close(task);
@@ -89,7 +89,7 @@
         self.close(task);
     }
 
-    fn move_task(&mut self, task: usize) {
+    fn evict(&mut self, task: usize) {
         self.for_task("reassign", task);
         self.text.push_str("}\n");
         self.close(task);
@@ -101,17 +101,17 @@
         self.text.push_str("}\n");
     }
 
-    fn watch(&mut self, on: bool) {
+    fn watch_list(&mut self, on: bool) {
         self.put("follow");
         let _ = writeln!(self.text, ",\"on\":{on}}}");
     }
 
-    fn fetch(&mut self) {
+    fn fetch_list(&mut self) {
         self.put("resolve");
         self.text.push_str("}\n");
     }
 
-    fn timer(&mut self, after_us: i64, token: u64) {
+    fn set_timer(&mut self, after_us: i64, token: u64) {
         self.put("setAlarm");
         let _ = writeln!(self.text, ",\"fromNowUs\":{after_us},\"ref\":{token}}}");
     }
@@ -126,16 +126,16 @@
     Ok(row.unwrap_or_default())
 }
 
-fn outcome(f: &Fields) -> Result<Outcome, String> {
+fn outcome(f: &Fields) -> Result<AttemptOutcome, String> {
     Ok(match f.whole("verdict")? {
-        0 => Outcome::Ended,
-        5 => Outcome::Error,
-        11 => Outcome::Full,
-        110 => Outcome::TimedOut,
-        111 => Outcome::ConnectFailed,
-        104 => Outcome::Reset,
-        125 => Outcome::Cancelled,
-        114 => Outcome::Moot,
+        0 => AttemptOutcome::Ended,
+        5 => AttemptOutcome::Error,
+        11 => AttemptOutcome::Full,
+        110 => AttemptOutcome::TimedOut,
+        111 => AttemptOutcome::ConnectFailed,
+        104 => AttemptOutcome::Reset,
+        125 => AttemptOutcome::Cancelled,
+        114 => AttemptOutcome::Moot,
         _ => return Err("field 'verdict' is none of the known outcomes".into()),
     })
 }
@@ -208,7 +208,7 @@
     kind: &str,
     f: &Fields,
 ) -> Result<(), String> {
-    p.clock(now);
+    p.set_clock(now);
     match kind {
         "membership" => {
             let how = f.text("how")?;
@@ -218,9 +218,9 @@
             }
             let sheet = sheets.get(&f.whole("sheet")?).ok_or("field 'sheet' names no list")?;
             match how.as_str() {
-                "incr" => p.list_begins(false, true),
-                "total" => p.list_begins(true, true),
-                "warm_copy" => p.list_begins(true, false),
+                "incr" => p.list_started(false, true),
+                "total" => p.list_started(true, true),
+                "warm_copy" => p.list_started(true, false),
                 _ => return Err("field 'how' is none of the known kinds".into()),
             }
             for entry in sheet {
@@ -238,10 +238,10 @@
                 let started = e.opt("startedAtUs", Value::as_i64)?.unwrap_or(0);
                 let left = |name| Ok::<f64, String>(e.opt(name, Value::as_f64)?.unwrap_or(0.0));
                 let left = (left("cpuLeft")?, left("memLeft")?);
-                p.machine_number(machine, fnv1a_64(p.host.machines.id(machine)));
+                p.set_machine_number(machine, fnv1a_64(p.host.machines.id(machine)));
                 p.machine_listed(machine, (kind, zone, cell), readiness, started, left);
             }
-            p.list_ends();
+            p.list_finished();
         }
         "wanted" | "found" => {
             let framework = f.name_index("priority", "classes", &p.host.names)?;
@@ -252,43 +252,43 @@
             let id = f.text("opId")?;
             let number = service;
             let service = p.host.services.intern(service);
-            p.service_number(service, number);
+            p.set_service_number(service, number);
             if kind == "wanted" {
                 let task = p.host.enter_task(id, 0);
-                p.wanted(task, framework, tenant, service, asks, time_left);
+                p.task_requested(task, framework, tenant, service, asks, time_left);
             } else {
                 let machine = p.host.machines.intern(f.text("machine")?);
                 let task = p.host.enter_task(id, 1);
-                p.found(task, framework, tenant, service, asks, machine);
+                p.running_task_found(task, framework, tenant, service, asks, machine);
             }
         }
         "expired" => {
             if let Some(task) = p.host.tasks.index_of(&f.text("opId")?) {
-                p.expired(task);
+                p.task_expired(task);
                 p.host.close(task);
             }
         }
         "accepted" | "interim" | "resolved" => {
             let task = p.host.tasks.index_of(&f.text("opId")?).ok_or("field 'opId' names no open task")?;
             match kind {
-                "accepted" => p.accepted(task),
-                "interim" => p.noted(task, f.whole("sort")?, f.number("level")?),
+                "accepted" => p.attempt_accepted(task),
+                "interim" => p.task_status(task, f.whole("sort")?, f.number("level")?),
                 _ => {
                     let over = f.mark("noMore")?;
                     let why = f.opt("info", Value::as_i64)?.unwrap_or(0);
                     let (outcome, report) = (outcome(f)?, report(f)?);
                     p.host.out[task] = p.host.out[task].saturating_sub(1);
-                    p.resolved(task, outcome, why, over, &report);
+                    p.attempt_ended(task, outcome, why, over, &report);
                     if over || p.host.over[task] {
                         p.host.close(task);
                     }
                 }
             }
         }
-        "elapsed" => p.timer_due(f.get("ref", Value::as_u64)?),
+        "elapsed" => p.timer_fired(f.get("ref", Value::as_u64)?),
         "checked" => {
             let machine = p.host.machines.intern(f.text("machine")?);
-            p.probed(machine, outcome(f)?, &report(f)?);
+            p.probe_finished(machine, outcome(f)?, &report(f)?);
         }
         "memo" => {}
         _ => return Err("unknown message type".into()),
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -175,10 +175,10 @@
 }
 
 /// The clauses of an installation's files with a name and place of each, or all that is wrong with them.
-fn clauses_of(found: &Installation) -> Result<Vec<(basaltpitch_constraints::Clause, String)>, Failure> {
+fn clauses_of(found: &Installation) -> Result<Vec<(basaltpitch_constraints::Constraint, String)>, Failure> {
     let read =
-        basaltpitch_constraints::read::read(&found.all).map_err(|faults| wrong(&found.sources, &faults))?;
-    let placed = |c: basaltpitch_constraints::Clause| {
+        basaltpitch_constraints::parse::parse(&found.all).map_err(|faults| wrong(&found.sources, &faults))?;
+    let placed = |c: basaltpitch_constraints::Constraint| {
         let (file, line, _) = found.sources.place(c.at);
         let words = format!("{} ({file}:{line})", c.name);
         (c, words)
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -1,7 +1,7 @@
 //! `basaltpitch serve`: one planner, under a name and number of its own or under a seat of the council.
 use crate::council::{council_of, open, seats, told_to_stop, SEATS};
 use crate::{load, Failure};
-use basaltpitch::host::{Given, Value};
+use basaltpitch::host::{Settings, Value};
 use basaltpitch_agent::session::{Links, Party};
 use basaltpitch_agent::wire::Role;
 use basaltpitch_config::installation::{Installation, Laid, Seat};
@@ -254,7 +254,7 @@
             Laid::Number(n) => Value::Number(n),
             Laid::Text(t) => Value::Text(t),
         };
-        let given: Given = installation.lay_out(&seat).into_iter().map(|(k, v)| (k, value(v))).collect();
+        let given: Settings = installation.lay_out(&seat).into_iter().map(|(k, v)| (k, value(v))).collect();
         let part = under.as_ref().and_then(|under| part(installation, &under.seats, number));
         let clauses = crate::clauses_of(installation)?;
         let directory = crate::directory_of(installation)?;
--- a/constraints/benches/decision.rs
+++ b/constraints/benches/decision.rs
@@ -2,8 +2,11 @@
 //! and less, by mended sets and by a plain evaluation of the clauses that bind the task. `cargo bench -p
 //! basaltpitch-constraints`.
 use basaltpitch_constraints::conflict::conflict;
-use basaltpitch_constraints::deciding::{Deciding, State};
-use basaltpitch_constraints::{By, Clause, Gone, Level, Machine, Rule, Scope, Task, Which};
+use basaltpitch_constraints::state::{ConstraintState, MachineState};
+use basaltpitch_constraints::{
+    Constraint, MachineAttributes, MachineSelector, Rule, Scope, SpreadGrouping, TaskAttributes,
+    TopologyLevel, UnavailableDomains,
+};
 use divan::{black_box, Bencher};
 
 const SIZES: [(usize, usize); 9] = [
@@ -22,24 +25,36 @@
     divan::main();
 }
 
-fn machine(m: usize) -> Machine {
+fn machine(m: usize) -> MachineAttributes {
     let labels = if m.is_multiple_of(3) { vec!["ssd".into()] } else { vec![] };
     let kind = if m.is_multiple_of(2) { "std" } else { "wide" };
-    Machine { kind: kind.into(), hall: format!("h{}", m % 4), rack: (m / 40) as u32, labels }
+    MachineAttributes { kind: kind.into(), hall: format!("h{}", m % 4), rack: (m / 40) as u32, labels }
 }
 
 /// Clauses of many frameworks; a task of the first is bound by one in ten of them at the most.
-fn clauses(n: usize) -> Vec<Clause> {
+fn clauses(n: usize) -> Vec<Constraint> {
     let of = |f: usize| Scope { framework: Some(format!("f{f}")), ..Scope::default() };
     let frameworks = (n / 10).max(10);
     let rule = |i: usize| match i % 5 {
-        0 => Rule::In(Which { labels: vec!["ssd".into()], ..Which::default() }),
-        1 => Rule::NotIn(Which { halls: vec!["h3".into()], ..Which::default() }),
-        2 => Rule::Apart(of((i + 7) % frameworks), Level::Machine),
-        3 => Rule::Spread { over: Level::Rack, by: By::Service, most: Some(3), skew: None, gone: Gone::Live },
-        _ => Rule::Spread { over: Level::Machine, by: By::All, most: Some(4), skew: None, gone: Gone::Live },
+        0 => Rule::In(MachineSelector { labels: vec!["ssd".into()], ..MachineSelector::default() }),
+        1 => Rule::NotIn(MachineSelector { halls: vec!["h3".into()], ..MachineSelector::default() }),
+        2 => Rule::Apart(of((i + 7) % frameworks), TopologyLevel::Machine),
+        3 => Rule::Spread {
+            over: TopologyLevel::Rack,
+            by: SpreadGrouping::Service,
+            most: Some(3),
+            skew: None,
+            gone: UnavailableDomains::Ignored,
+        },
+        _ => Rule::Spread {
+            over: TopologyLevel::Machine,
+            by: SpreadGrouping::All,
+            most: Some(4),
+            skew: None,
+            gone: UnavailableDomains::Ignored,
+        },
     };
-    let one = |i: usize| Clause {
+    let one = |i: usize| Constraint {
         name: format!("c{i}"),
         at: Default::default(),
         of: of(i / 5 % frameworks),
@@ -49,34 +64,39 @@
     (0..n).map(one).collect()
 }
 
-fn task(f: usize, n: usize) -> Task {
-    Task { framework: format!("f{f}"), tenant: String::new(), service: (n % 20) as u64, key: format!("k{n}") }
+fn task(f: usize, n: usize) -> TaskAttributes {
+    TaskAttributes {
+        framework: format!("f{f}"),
+        tenant: String::new(),
+        service: (n % 20) as u64,
+        key: format!("k{n}"),
+    }
 }
 
 struct World {
-    deciding: Deciding,
-    clauses: Vec<Clause>,
-    machines: Vec<Machine>,
+    deciding: ConstraintState,
+    clauses: Vec<Constraint>,
+    machines: Vec<MachineAttributes>,
     /// Tasks by machine.
-    on: Vec<Vec<Task>>,
+    on: Vec<Vec<TaskAttributes>>,
 }
 
 fn world((machines, n): (usize, usize)) -> World {
     let clauses = clauses(n);
     let mut w = World {
-        deciding: Deciding::new(clauses.clone()),
+        deciding: ConstraintState::new(clauses.clone()),
         clauses,
         machines: (0..machines).map(machine).collect(),
         on: vec![Vec::new(); machines],
     };
     for m in 0..machines {
-        w.deciding.machine(m, machine(m), State::Ready);
+        w.deciding.update_machine(m, machine(m), MachineState::Ready);
     }
     for i in 0..machines * 2 {
         let (t, m) = (task(i % 10, i), i * 7 % machines);
-        let g = w.deciding.enter(&t);
-        w.deciding.placed((1, i as u64), g, m);
-        w.deciding.leave(g);
+        let g = w.deciding.acquire_group(&t);
+        w.deciding.attempt_started((1, i as u64), g, m);
+        w.deciding.release_group(g);
         w.on[m].push(t);
     }
     w
@@ -84,15 +104,15 @@
 
 impl World {
     /// The plain meaning, for one machine.
-    fn allows(&self, t: &Task, m: usize) -> bool {
+    fn allows(&self, t: &TaskAttributes, m: usize) -> bool {
         let here = &self.machines[m];
-        let near = |o: usize, level: Level| match level {
-            Level::Machine => o == m,
-            Level::Rack => self.machines[o].hall == here.hall && self.machines[o].rack == here.rack,
-            Level::Hall => self.machines[o].hall == here.hall,
+        let near = |o: usize, level: TopologyLevel| match level {
+            TopologyLevel::Machine => o == m,
+            TopologyLevel::Rack => self.machines[o].hall == here.hall && self.machines[o].rack == here.rack,
+            TopologyLevel::Zone => self.machines[o].hall == here.hall,
         };
-        let count = |level: Level, is: &dyn Fn(&Task) -> bool| {
-            let places: Box<dyn Iterator<Item = usize>> = if level == Level::Machine {
+        let count = |level: TopologyLevel, is: &dyn Fn(&TaskAttributes) -> bool| {
+            let places: Box<dyn Iterator<Item = usize>> = if level == TopologyLevel::Machine {
                 Box::new(std::iter::once(m))
             } else {
                 Box::new((0..self.on.len()).filter(|&o| near(o, level)))
@@ -108,7 +128,8 @@
                 !there && !back
             }
             Rule::Spread { over, by, most: Some(most), .. } if c.of.matches(t) => {
-                count(*over, &|o| c.of.matches(o) && (*by == By::All || o.service == t.service)) < *most
+                count(*over, &|o| c.of.matches(o) && (*by == SpreadGrouping::All || o.service == t.service))
+                    < *most
             }
             _ => true,
         })
@@ -121,11 +142,11 @@
     let mut w = world(size);
     let t = task(0, 3);
     bencher.bench_local(|| {
-        let g = w.deciding.enter(black_box(&t));
+        let g = w.deciding.acquire_group(black_box(&t));
         let allowed = (0..w.machines.len()).filter(|&m| w.deciding.allows(g, m)).count();
-        w.deciding.placed((2, 1), g, 5);
-        w.deciding.over((2, 1));
-        w.deciding.leave(g);
+        w.deciding.attempt_started((2, 1), g, 5);
+        w.deciding.attempt_ended((2, 1));
+        w.deciding.release_group(g);
         allowed
     });
 }
@@ -142,10 +163,10 @@
 #[divan::bench(args = SIZES, sample_count = 10)]
 fn naming_a_conflict(bencher: Bencher, size: (usize, usize)) {
     let mut all = clauses(size.1);
-    let machines: Vec<Machine> = (0..size.0).map(machine).collect();
+    let machines: Vec<MachineAttributes> = (0..size.0).map(machine).collect();
     let at = all.len() / 2;
     all[at].of = Scope { framework: Some("f0".into()), ..Scope::default() };
-    all[at].rule = Rule::NotIn(Which { labels: vec!["ssd".into()], ..Which::default() });
+    all[at].rule = Rule::NotIn(MachineSelector { labels: vec!["ssd".into()], ..MachineSelector::default() });
     let t = task(0, 3);
     bencher.bench_local(|| {
         conflict(&all, machines.iter(), black_box(&t), 50_000_000).expect("a conflict").clauses.len()
--- a/constraints/src/conflict.rs
+++ b/constraints/src/conflict.rs
@@ -2,7 +2,7 @@
 //! clauses that says so: none of them can be left out. What runs now does not count here, as it ends: a task
 //! that is kept out by others, by full machines or by machines that are down waits. Work is bounded in steps,
 //! and an end for want of steps is said.
-use crate::{Clause, Level, Machine, Rule, Scope, Task};
+use crate::{Constraint, MachineAttributes, Rule, Scope, TaskAttributes, TopologyLevel};
 use std::collections::BTreeSet;
 
 /// How far clauses of those that a task must be with are followed.
@@ -16,39 +16,39 @@
     pub smallest: bool,
 }
 
-/// Whom clauses are about: the task itself, or any that it must be with.
-enum Whom<'a> {
-    Task(&'a Task),
+/// TaskSelector clauses are about: the task itself, or any that it must be with.
+enum TaskSelector<'a> {
+    Task(&'a TaskAttributes),
     Some(&'a Scope),
 }
 
 struct Search<'a> {
-    clauses: &'a [Clause],
+    clauses: &'a [Constraint],
     /// Machines that differ in what is listed of them.
-    fleet: Vec<&'a Machine>,
+    fleet: Vec<&'a MachineAttributes>,
     /// How many machines there are of each.
     many: Vec<usize>,
     steps: u64,
 }
 
 impl Search<'_> {
-    fn near(&self, a: usize, b: usize, level: Level) -> bool {
+    fn near(&self, a: usize, b: usize, level: TopologyLevel) -> bool {
         let (a, b) = (self.fleet[a], self.fleet[b]);
         // Machines of one row here may be one machine or several: the same row is as near as can be.
         match level {
-            Level::Machine => a == b,
-            Level::Rack => (&a.hall, a.rack) == (&b.hall, b.rack),
-            Level::Hall => a.hall == b.hall,
+            TopologyLevel::Machine => a == b,
+            TopologyLevel::Rack => (&a.hall, a.rack) == (&b.hall, b.rack),
+            TopologyLevel::Zone => a.hall == b.hall,
         }
     }
 
     /// Whether the clauses let some machine like `m` have the task, with those that it must be with somewhere
     /// near.
-    fn meets(&mut self, among: &BTreeSet<usize>, whom: &Whom, m: usize, depth: u32) -> Option<bool> {
+    fn meets(&mut self, among: &BTreeSet<usize>, whom: &TaskSelector, m: usize, depth: u32) -> Option<bool> {
         let clauses = self.clauses;
-        let binds = |c: &Clause| match whom {
-            Whom::Task(t) => c.of.matches(t),
-            Whom::Some(s) => c.of.covers(s),
+        let binds = |c: &Constraint| match whom {
+            TaskSelector::Task(t) => c.of.matches(t),
+            TaskSelector::Some(s) => c.of.covers(s),
         };
         for &c in among {
             let clause = &clauses[c];
@@ -61,8 +61,8 @@
                 Rule::NotIn(which) => !which.names(self.fleet[m]),
                 Rule::With(others, level) => {
                     let itself = match whom {
-                        Whom::Task(t) => others.matches(t),
-                        Whom::Some(s) => others.covers(s),
+                        TaskSelector::Task(t) => others.matches(t),
+                        TaskSelector::Some(s) => others.covers(s),
                     };
                     itself || depth == 0 || self.somebody_near(among, whom, m, others, *level, depth)?
                 }
@@ -79,10 +79,10 @@
     fn somebody_near(
         &mut self,
         among: &BTreeSet<usize>,
-        whom: &Whom,
+        whom: &TaskSelector,
         m: usize,
         others: &Scope,
-        level: Level,
+        level: TopologyLevel,
         depth: u32,
     ) -> Option<bool> {
         let clauses = self.clauses;
@@ -90,8 +90,12 @@
             let Rule::Apart(from, far) = &clauses[c].rule else { return None };
             let of = &clauses[c].of;
             let there = match whom {
-                Whom::Task(t) => of.matches(t) && from.covers(others) || from.matches(t) && of.covers(others),
-                Whom::Some(s) => of.covers(s) && from.covers(others) || from.covers(s) && of.covers(others),
+                TaskSelector::Task(t) => {
+                    of.matches(t) && from.covers(others) || from.matches(t) && of.covers(others)
+                }
+                TaskSelector::Some(s) => {
+                    of.covers(s) && from.covers(others) || from.covers(s) && of.covers(others)
+                }
             };
             there.then_some(*far)
         });
@@ -103,11 +107,13 @@
             }
             let too_near = match apart {
                 // Two machines of one row are two machines.
-                Some(Level::Machine) => n == m && (self.many[m] < 2 || level == Level::Machine),
+                Some(TopologyLevel::Machine) => {
+                    n == m && (self.many[m] < 2 || level == TopologyLevel::Machine)
+                }
                 Some(far) => self.near(m, n, far),
                 None => false,
             };
-            if !too_near && self.meets(among, &Whom::Some(others), n, depth - 1)? {
+            if !too_near && self.meets(among, &TaskSelector::Some(others), n, depth - 1)? {
                 return Some(true);
             }
         }
@@ -115,9 +121,9 @@
     }
 
     /// Whether any machine meets a set of clauses; `None`: the steps ended.
-    fn possible(&mut self, among: &BTreeSet<usize>, task: &Task) -> Option<bool> {
+    fn possible(&mut self, among: &BTreeSet<usize>, task: &TaskAttributes) -> Option<bool> {
         for m in 0..self.fleet.len() {
-            if self.meets(among, &Whom::Task(task), m, DEEP)? {
+            if self.meets(among, &TaskSelector::Task(task), m, DEEP)? {
                 return Some(true);
             }
         }
@@ -126,7 +132,7 @@
 }
 
 /// Hard clauses that can matter to a task: such as bind it, or those that it must be with, and so on.
-fn relevant(clauses: &[Clause], task: &Task) -> BTreeSet<usize> {
+fn relevant(clauses: &[Constraint], task: &TaskAttributes) -> BTreeSet<usize> {
     let mut company: Vec<&Scope> = Vec::new();
     let mut set = BTreeSet::new();
     for _ in 0..=DEEP {
@@ -146,15 +152,15 @@
 /// Why no machine of a fleet could ever take a task; `None`: one could, or the steps ended before that was
 /// known, and then the task waits as if one could.
 pub fn conflict<'a>(
-    clauses: &[Clause],
-    fleet: impl Iterator<Item = &'a Machine>,
-    task: &Task,
+    clauses: &[Constraint],
+    fleet: impl Iterator<Item = &'a MachineAttributes>,
+    task: &TaskAttributes,
     steps: u64,
 ) -> Option<Conflict> {
-    let mut rows: Vec<&Machine> = fleet.collect();
+    let mut rows: Vec<&MachineAttributes> = fleet.collect();
     rows.sort();
     let mut many: Vec<usize> = Vec::new();
-    let mut kinds: Vec<&Machine> = Vec::new();
+    let mut kinds: Vec<&MachineAttributes> = Vec::new();
     for m in rows {
         if kinds.last() == Some(&m) {
             *many.last_mut()? += 1;
--- a/constraints/src/lib.rs
+++ b/constraints/src/lib.rs
@@ -5,8 +5,8 @@
 //!
 //! What a clause means, in plain words, is in `docs/protocol/clauses.md`; the types here are its grammar.
 pub mod conflict;
-pub mod deciding;
-pub mod read;
+pub mod parse;
+pub mod state;
 
 use basaltpitch_config::Span;
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,7 @@
 
 /// What clauses see of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Task {
+pub struct TaskAttributes {
     pub framework: String,
     pub tenant: String,
     pub service: u64,
@@ -31,7 +31,7 @@
 }
 
 impl Scope {
-    pub fn matches(&self, t: &Task) -> bool {
+    pub fn matches(&self, t: &TaskAttributes) -> bool {
         let is = |want: &Option<String>, have: &str| want.as_ref().is_none_or(|w| w == have);
         is(&self.framework, &t.framework)
             && is(&self.tenant, &t.tenant)
@@ -67,16 +67,18 @@
 
 /// How near is near.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Level {
+pub enum TopologyLevel {
     Machine,
     Rack,
-    Hall,
+    /// Written `Hall` in what is sent.
+    #[serde(rename = "Hall")]
+    Zone,
 }
 
 /// Machines by what is listed of them. Each list that is not empty must name the machine's; of labels it must
 /// have one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Which {
+pub struct MachineSelector {
     pub kinds: Vec<String>,
     pub halls: Vec<String>,
     /// Hall and number of a rack.
@@ -86,15 +88,15 @@
 
 /// What clauses see of a machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Machine {
+pub struct MachineAttributes {
     pub kind: String,
     pub hall: String,
     pub rack: u32,
     pub labels: Vec<String>,
 }
 
-impl Which {
-    pub fn names(&self, m: &Machine) -> bool {
+impl MachineSelector {
+    pub fn names(&self, m: &MachineAttributes) -> bool {
         let is = |list: &[String], have: &str| list.is_empty() || list.iter().any(|x| x == have);
         is(&self.kinds, &m.kind)
             && is(&self.halls, &m.hall)
@@ -105,16 +107,18 @@
 
 /// Which places count for a spread when some have no machine that takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Gone {
+pub enum UnavailableDomains {
     /// Only those with a machine that is ready: the others do without.
-    Live,
+    #[serde(rename = "Live")]
+    Ignored,
     /// All that are known: a place that is gone keeps its part free.
-    Keeps,
+    #[serde(rename = "Keeps")]
+    Counted,
 }
 
 /// Tasks that a spread counts together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum By {
+pub enum SpreadGrouping {
     Service,
     All,
 }
@@ -122,19 +126,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Rule {
     /// Only on those machines.
-    In(Which),
+    In(MachineSelector),
     /// Not on those.
-    NotIn(Which),
+    NotIn(MachineSelector),
     /// Where one of these is; where none is anywhere, one that is of them itself may begin.
-    With(Scope, Level),
+    With(Scope, TopologyLevel),
     /// Not where one of these is, nor one of these where it is.
-    Apart(Scope, Level),
+    Apart(Scope, TopologyLevel),
     /// At most so many in a place, and at most so many more than in the place with the fewest.
-    Spread { over: Level, by: By, most: Option<u32>, skew: Option<u32>, gone: Gone },
+    Spread {
+        over: TopologyLevel,
+        by: SpreadGrouping,
+        most: Option<u32>,
+        skew: Option<u32>,
+        gone: UnavailableDomains,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Clause {
+pub struct Constraint {
     pub name: String,
     /// Where it stands; what is sent to a planner has words for that beside it.
     #[serde(skip)]
@@ -145,7 +155,7 @@
     pub rule: Rule,
 }
 
-impl Clause {
+impl Constraint {
     pub fn must(&self) -> bool {
         self.wish.is_none()
     }
--- a/constraints/src/read.rs
+++ b/constraints/src/parse.rs
@@ -1,7 +1,7 @@
 //! Takes clauses out of an installation's records. What types alone do not find is found here, with both
 //! places: names that stand for nothing, a rack of no hall, a spread of nothing, clauses that can never hold
 //! together, and one that another swallows.
-use crate::{By, Clause, Gone, Level, Rule, Scope, Which};
+use crate::{Constraint, MachineSelector, Rule, Scope, SpreadGrouping, TopologyLevel, UnavailableDomains};
 use basaltpitch_config::{Fault, Settled};
 
 /// Names that clauses may use.
@@ -41,7 +41,7 @@
         }
     }
 
-    fn which(&mut self, w: &Settled) -> Which {
+    fn which(&mut self, w: &Settled) -> MachineSelector {
         for (list, names) in [("kinds", "kinds"), ("halls", "zones"), ("racks", "racks")] {
             for (name, at) in w.texts(list) {
                 self.named(names, &name, at);
@@ -53,13 +53,13 @@
             r.text("name").is_some_and(|n| wanted.iter().any(|w| w == n))
         });
         let racks = racks.map(|r| (r.text("hall").unwrap_or("").to_owned(), number(r, "cell")));
-        let which = Which {
+        let which = MachineSelector {
             kinds: plain("kinds"),
             halls: plain("halls"),
             racks: racks.collect(),
             labels: plain("labels"),
         };
-        if w.texts("racks").is_empty() && which == Which::default() {
+        if w.texts("racks").is_empty() && which == MachineSelector::default() {
             let what = "found no kinds, halls, racks or labels; expected at least one";
             self.faults.push(Fault::new(w.at, what));
         }
@@ -90,8 +90,16 @@
                     let what = format!("{name}: found a spread of nothing; expected most, skew or both");
                     self.faults.push(Fault::new(rule.at, what));
                 }
-                let by = if rule.text("by") == Some("all") { By::All } else { By::Service };
-                let gone = if rule.text("gone") == Some("keeps") { Gone::Keeps } else { Gone::Live };
+                let by = if rule.text("by") == Some("all") {
+                    SpreadGrouping::All
+                } else {
+                    SpreadGrouping::Service
+                };
+                let gone = if rule.text("gone") == Some("keeps") {
+                    UnavailableDomains::Counted
+                } else {
+                    UnavailableDomains::Ignored
+                };
                 Rule::Spread { over: level(rule, "over"), by, most, skew, gone }
             }
         })
@@ -102,16 +110,16 @@
     of.number(field).unwrap_or(0.0) as u32
 }
 
-fn level(of: &Settled, field: &str) -> Level {
+fn level(of: &Settled, field: &str) -> TopologyLevel {
     match of.text(field) {
-        Some("machine") => Level::Machine,
-        Some("rack") => Level::Rack,
-        _ => Level::Hall,
+        Some("machine") => TopologyLevel::Machine,
+        Some("rack") => TopologyLevel::Rack,
+        _ => TopologyLevel::Zone,
     }
 }
 
 /// The clauses of an installation, in the order of its files, or all that is wrong with them.
-pub fn read(all: &Settled) -> Result<Vec<Clause>, Vec<Fault>> {
+pub fn parse(all: &Settled) -> Result<Vec<Constraint>, Vec<Fault>> {
     let mut known = Known { all, faults: Vec::new() };
     for rack in all.list("racks") {
         let (name, hall) = (rack.text("name").unwrap_or(""), rack.text("hall").unwrap_or(""));
@@ -128,7 +136,7 @@
         let of = c.get("of").map(|s| known.scope(s)).unwrap_or_default();
         let wish = (c.text("how") == Some("prefer")).then(|| number(c, "rank"));
         let Some(rule) = known.rule(c, &name) else { continue };
-        clauses.push(Clause { name, at: c.at, of, wish, rule });
+        clauses.push(Constraint { name, at: c.at, of, wish, rule });
     }
     let mut faults = known.faults;
     if faults.is_empty() {
@@ -142,7 +150,7 @@
 }
 
 /// Clauses that can never hold, alone or together, or that another makes needless.
-fn nonsense(clauses: &[Clause]) -> Vec<Fault> {
+fn nonsense(clauses: &[Constraint]) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (i, a) in clauses.iter().enumerate() {
         for b in &clauses[..i] {
@@ -186,7 +194,7 @@
 }
 
 /// Why a task that both bind can be nowhere, whatever the fleet.
-fn never(a: &Rule, b: &Rule, of: &Clause) -> Option<String> {
+fn never(a: &Rule, b: &Rule, of: &Constraint) -> Option<String> {
     match (a, b) {
         (Rule::In(a), Rule::In(b)) if disjoint(&a.kinds, &b.kinds) => {
             Some("kinds of which none is in both".into())
@@ -207,8 +215,8 @@
         {
             Some("tasks that it must be with and apart from".into())
         }
-        (Rule::With(a, near), Rule::Spread { over, most: Some(1), by: By::All, .. })
-        | (Rule::Spread { over, most: Some(1), by: By::All, .. }, Rule::With(a, near))
+        (Rule::With(a, near), Rule::Spread { over, most: Some(1), by: SpreadGrouping::All, .. })
+        | (Rule::Spread { over, most: Some(1), by: SpreadGrouping::All, .. }, Rule::With(a, near))
             if of.of.covers(a) && over >= near =>
         {
             Some("tasks that it must be with, and a place for one".into())
@@ -218,7 +226,7 @@
 }
 
 /// Every machine that `a` names is named by `b`.
-fn within(a: &Which, b: &Which) -> bool {
+fn within(a: &MachineSelector, b: &MachineSelector) -> bool {
     let part =
         |a: &[String], b: &[String]| b.is_empty() || (!a.is_empty() && a.iter().all(|x| b.contains(x)));
     let racks = b.racks.is_empty() || (!a.racks.is_empty() && a.racks.iter().all(|r| b.racks.contains(r)));
@@ -226,7 +234,7 @@
 }
 
 /// Whatever the first allows, the second allows.
-fn swallows(first: &Clause, second: &Clause) -> bool {
+fn swallows(first: &Constraint, second: &Constraint) -> bool {
     match (&first.rule, &second.rule) {
         (Rule::In(a), Rule::In(b)) => within(a, b),
         (Rule::NotIn(a), Rule::NotIn(b)) => within(b, a),
@@ -246,8 +254,8 @@
 }
 
 /// Tasks that must each be with others which must be with them, when none may begin.
-fn circles(clauses: &[Clause]) -> Vec<Fault> {
-    let waits: Vec<(&Clause, &Scope)> = clauses
+fn circles(clauses: &[Constraint]) -> Vec<Fault> {
+    let waits: Vec<(&Constraint, &Scope)> = clauses
         .iter()
         .filter(|c| c.must())
         .filter_map(|c| match &c.rule {
--- a/constraints/src/deciding.rs
+++ b/constraints/src/state.rs
@@ -2,7 +2,10 @@
 //! form a group; a group holds, for each machine, how many of its clauses forbid it, so that a question is
 //! one look-up. A change (a task placed or over, a machine listed, down, ready, gone) touches only the
 //! clauses that watch the place where it happened.
-use crate::{By, Clause, Gone, Level, Machine, Rule, Scope, Task, Which};
+use crate::{
+    Constraint, MachineAttributes, MachineSelector, Rule, Scope, SpreadGrouping, TaskAttributes,
+    TopologyLevel, UnavailableDomains,
+};
 use fnv::FnvHashMap;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -13,7 +16,7 @@
 const MOST_REMEMBERED: usize = 100_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum MachineState {
     /// Takes work.
     Ready,
     /// Known, and takes none now: it drains.
@@ -26,8 +29,8 @@
 
 #[derive(Clone, Debug)]
 struct Known {
-    facts: Machine,
-    state: State,
+    facts: MachineAttributes,
+    state: MachineState,
     /// Places of the machine: itself, its rack, its hall.
     at: [usize; 3],
     /// Groups of the copies on it, one each.
@@ -46,7 +49,7 @@
 struct Tally {
     scope: Scope,
     service: Option<u64>,
-    level: Level,
+    level: TopologyLevel,
     counts: Vec<u32>,
     /// Of these, those on machines whose link is well; and of all places.
     sure: Vec<u32>,
@@ -56,8 +59,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Test {
-    Which {
-        which: Which,
+    Selector {
+        which: MachineSelector,
         inside: bool,
     },
     /// `may_begin`: the tasks bound are of those themselves.
@@ -72,7 +75,7 @@
         tally: usize,
         most: Option<u32>,
         skew: Option<u32>,
-        gone: Gone,
+        gone: UnavailableDomains,
         among: Vec<usize>,
     },
 }
@@ -107,12 +110,12 @@
 /// Names a copy of a task for as long as it counts.
 pub type Copy = (u64, u64);
 
-pub struct Deciding {
-    clauses: Rc<[Clause]>,
+pub struct ConstraintState {
+    clauses: Rc<[Constraint]>,
     machines: Vec<Option<Known>>,
     places: [Places; 3],
     tallies: Vec<Tally>,
-    tally_of: FnvHashMap<(Scope, Option<u64>, Level), usize>,
+    tally_of: FnvHashMap<(Scope, Option<u64>, TopologyLevel), usize>,
     free_tallies: Vec<usize>,
     bounds: Vec<Bound>,
     bound_of: FnvHashMap<(usize, Test), usize>,
@@ -121,13 +124,13 @@
     group_of: FnvHashMap<Binding, usize>,
     free_groups: Vec<usize>,
     idle: VecDeque<usize>,
-    remembered: FnvHashMap<Task, usize>,
+    remembered: FnvHashMap<TaskAttributes, usize>,
     /// Some clause looks at keys.
     by_key: bool,
     copies: FnvHashMap<Copy, (usize, usize)>,
 }
 
-fn index(level: Level) -> usize {
+fn index(level: TopologyLevel) -> usize {
     level as usize
 }
 
@@ -145,13 +148,13 @@
     }
 }
 
-impl Deciding {
-    pub fn new(clauses: Vec<Clause>) -> Self {
+impl ConstraintState {
+    pub fn new(clauses: Vec<Constraint>) -> Self {
         let looks = |s: &Scope| s.task.is_some();
         let by_key = clauses
             .iter()
             .any(|c| looks(&c.of) || matches!(&c.rule, Rule::With(s, _) | Rule::Apart(s, _) if looks(s)));
-        let mut d = Deciding {
+        let mut d = ConstraintState {
             clauses: clauses.into(),
             machines: Vec::new(),
             places: Default::default(),
@@ -180,7 +183,7 @@
                     d.tally(s, None, *level);
                     d.tally(&clause.of, None, *level);
                 }
-                Rule::Spread { over, by: By::All, .. } => {
+                Rule::Spread { over, by: SpreadGrouping::All, .. } => {
                     d.tally(&clause.of, None, *over);
                 }
                 _ => {}
@@ -189,11 +192,11 @@
         d
     }
 
-    pub fn clauses(&self) -> &[Clause] {
+    pub fn constraints(&self) -> &[Constraint] {
         &self.clauses
     }
 
-    fn tally(&mut self, scope: &Scope, service: Option<u64>, level: Level) -> usize {
+    fn tally(&mut self, scope: &Scope, service: Option<u64>, level: TopologyLevel) -> usize {
         let key = (scope.clone(), service, level);
         if let Some(&t) = self.tally_of.get(&key) {
             return t;
@@ -207,8 +210,8 @@
         t
     }
 
-    fn places_of(&self, level: Level) -> usize {
-        if level == Level::Machine {
+    fn places_of(&self, level: TopologyLevel) -> usize {
+        if level == TopologyLevel::Machine {
             self.machines.len()
         } else {
             self.places[index(level)].machines.len()
@@ -219,7 +222,7 @@
 
     /// A machine as it is listed now. The same index may be another machine's later, once nothing counts on
     /// it.
-    pub fn machine(&mut self, m: usize, facts: Machine, state: State) {
+    pub fn update_machine(&mut self, m: usize, facts: MachineAttributes, state: MachineState) {
         if m >= self.machines.len() {
             self.machines.resize(m + 1, None);
         }
@@ -231,18 +234,19 @@
         let before = known.as_ref().map(|k| k.at);
         let holds = known.as_ref().map(|k| k.holds.clone()).unwrap_or_default();
         // What is on it is taken off where it was, and put where it is now.
-        let again = known.as_ref().is_some_and(|k| k.state == State::Far) != (state == State::Far);
-        let hall = self.place(Level::Hall, (facts.hall.clone(), 0));
-        let rack = self.place(Level::Rack, (facts.hall.clone(), facts.rack));
+        let again =
+            known.as_ref().is_some_and(|k| k.state == MachineState::Far) != (state == MachineState::Far);
+        let hall = self.place(TopologyLevel::Zone, (facts.hall.clone(), 0));
+        let rack = self.place(TopologyLevel::Rack, (facts.hall.clone(), facts.rack));
         let at = [m, rack, hall];
         let moved = before.is_some_and(|b| b != at);
         if before != Some(at) {
             if let Some(old) = before {
-                for level in [Level::Rack, Level::Hall] {
+                for level in [TopologyLevel::Rack, TopologyLevel::Zone] {
                     self.places[index(level)].machines[old[index(level)]].retain(|&o| o != m);
                 }
             }
-            for level in [Level::Rack, Level::Hall] {
+            for level in [TopologyLevel::Rack, TopologyLevel::Zone] {
                 self.places[index(level)].machines[at[index(level)]].push(m);
             }
         }
@@ -253,10 +257,10 @@
         }
         let recounted = (moved || again) && !holds.is_empty();
         if recounted {
-            let was_far = known.as_ref().is_some_and(|k| k.state == State::Far);
+            let was_far = known.as_ref().is_some_and(|k| k.state == MachineState::Far);
             for &g in &holds {
                 self.tally_up(g, before.unwrap_or(at), was_far, false);
-                self.tally_up(g, at, state == State::Far, true);
+                self.tally_up(g, at, state == MachineState::Far, true);
             }
         }
         self.machines[m] = Some(Known { facts, state, at, holds });
@@ -274,7 +278,7 @@
         }
     }
 
-    fn place(&mut self, level: Level, name: (String, u32)) -> usize {
+    fn place(&mut self, level: TopologyLevel, name: (String, u32)) -> usize {
         let places = &mut self.places[index(level)];
         let new = places.machines.len();
         let place = *places.names.entry(name).or_insert(new);
@@ -308,7 +312,7 @@
             Rule::NotIn(which) => !which.names(&known.facts),
             _ => true,
         });
-        let counts = named && (known.state == State::Ready || *gone == Gone::Keeps);
+        let counts = named && (known.state == MachineState::Ready || *gone == UnavailableDomains::Counted);
         let place = known.at[level];
         let bound = &mut self.bounds[b];
         if bound.counting.len() <= place {
@@ -364,7 +368,7 @@
             tally.counts.get(known.at[index(tally.level)]).copied().unwrap_or(0)
         };
         match &bound.test {
-            Test::Which { which, inside } => which.names(&known.facts) != *inside,
+            Test::Selector { which, inside } => which.names(&known.facts) != *inside,
             Test::With { tally, may_begin } if self.tallies[*tally].total == 0 => !may_begin,
             Test::With { tally, .. } => {
                 let tally = &self.tallies[*tally];
@@ -400,8 +404,11 @@
     // Groups.
 
     /// The group of a task, held until `leave`. What it is called or belongs to must not change meanwhile.
-    pub fn enter(&mut self, task: &Task) -> usize {
-        let plain = Task { key: if self.by_key { task.key.clone() } else { String::new() }, ..task.clone() };
+    pub fn acquire_group(&mut self, task: &TaskAttributes) -> usize {
+        let plain = TaskAttributes {
+            key: if self.by_key { task.key.clone() } else { String::new() },
+            ..task.clone()
+        };
         let g = match self.remembered.get(&plain) {
             Some(&g) => g,
             None => {
@@ -417,7 +424,7 @@
         g
     }
 
-    pub fn leave(&mut self, g: usize) {
+    pub fn release_group(&mut self, g: usize) {
         self.groups[g].uses -= 1;
         if self.groups[g].uses > 0 {
             return;
@@ -446,7 +453,7 @@
             if let (Some(t), true) = (own, self.bounds[b].groups.is_empty()) {
                 let bound = &mut self.bounds[b];
                 self.bound_of.remove(&(bound.clause, bound.test.clone()));
-                bound.test = Test::Which { which: Which::default(), inside: true };
+                bound.test = Test::Selector { which: MachineSelector::default(), inside: true };
                 self.free_bounds.push(b);
                 self.tallies[t].watchers.retain(|&x| x != b);
                 let tally = &self.tallies[t];
@@ -460,7 +467,7 @@
         }
     }
 
-    fn find_group(&mut self, task: &Task) -> usize {
+    fn find_group(&mut self, task: &TaskAttributes) -> usize {
         let clauses = self.clauses.clone();
         let binds: Vec<usize> = (0..clauses.len()).filter(|&c| clauses[c].of.matches(task)).collect();
         let fixed =
@@ -471,9 +478,9 @@
             let mut tests = Vec::new();
             let bound = clause.of.matches(task);
             match &clause.rule {
-                Rule::In(which) if bound => tests.push(Test::Which { which: which.clone(), inside: true }),
+                Rule::In(which) if bound => tests.push(Test::Selector { which: which.clone(), inside: true }),
                 Rule::NotIn(which) if bound => {
-                    tests.push(Test::Which { which: which.clone(), inside: false })
+                    tests.push(Test::Selector { which: which.clone(), inside: false })
                 }
                 Rule::With(s, level) if bound => {
                     let tally = self.tally(s, None, *level);
@@ -489,7 +496,7 @@
                     }
                 }
                 Rule::Spread { over, by, most, skew, gone } if bound => {
-                    let service = (*by == By::Service).then_some(task.service);
+                    let service = (*by == SpreadGrouping::Service).then_some(task.service);
                     let tally = self.tally(&clause.of, service, *over);
                     let among = if skew.is_some() { among.clone() } else { Vec::new() };
                     tests.push(Test::Spread { tally, most: *most, skew: *skew, gone: *gone, among });
@@ -528,7 +535,7 @@
         }
         let watched = match &test {
             Test::With { tally, .. } | Test::Apart { tally } | Test::Spread { tally, .. } => Some(*tally),
-            Test::Which { .. } => None,
+            Test::Selector { .. } => None,
         };
         let size = self.machines.len();
         let bound = Bound {
@@ -556,7 +563,7 @@
     // Tasks.
 
     /// A copy of a group's task is on a machine, or was sent there and its outcome is not known.
-    pub fn placed(&mut self, copy: Copy, g: usize, m: usize) {
+    pub fn attempt_started(&mut self, copy: Copy, g: usize, m: usize) {
         if self.copies.insert(copy, (g, m)).is_none() {
             self.groups[g].uses += 1;
             self.count(g, m, true);
@@ -564,10 +571,10 @@
     }
 
     /// A copy is over, or is known never to have begun.
-    pub fn over(&mut self, copy: Copy) {
+    pub fn attempt_ended(&mut self, copy: Copy) {
         if let Some((g, m)) = self.copies.remove(&copy) {
             self.count(g, m, false);
-            self.leave(g);
+            self.release_group(g);
         }
     }
 
@@ -578,7 +585,7 @@
         } else if let Some(i) = known.holds.iter().position(|&x| x == g) {
             known.holds.swap_remove(i);
         }
-        let (at, far) = (known.at, known.state == State::Far);
+        let (at, far) = (known.at, known.state == MachineState::Far);
         let before: Vec<u32> = self.groups[g].feeds.iter().map(|&t| self.tallies[t].total).collect();
         self.tally_up(g, at, far, more);
         for (i, was) in before.into_iter().enumerate() {
@@ -591,7 +598,7 @@
                 let begins = turned && matches!(self.bounds[b].test, Test::With { .. });
                 if begins || self.fewest_anew(b) {
                     self.refresh_all(b);
-                } else if level == Level::Machine {
+                } else if level == TopologyLevel::Machine {
                     self.refresh(b, place);
                 } else {
                     for n in 0..self.places[index(level)].machines[place].len() {
@@ -616,18 +623,18 @@
             .blocks
             .iter()
             .zip(&self.machines)
-            .any(|(b, k)| *b == 0 && k.as_ref().is_some_and(|k| k.state != State::Gone))
+            .any(|(b, k)| *b == 0 && k.as_ref().is_some_and(|k| k.state != MachineState::Gone))
     }
 
     /// How well wishes are met on a machine; more is better. A wish of a higher rank weighs more than all
     /// below it.
-    pub fn wishes(&self, g: usize, m: usize) -> u64 {
+    pub fn preference_score(&self, g: usize, m: usize) -> u64 {
         let soft = &self.groups[g].soft;
         soft.iter().take(64).fold(0, |all, &b| 2 * all + u64::from(!self.bounds[b].forbids[m]))
     }
 
     /// The clauses that forbid a machine, by their place in the files; hard ones.
-    pub fn forbidding(&self, g: usize, m: usize) -> Vec<usize> {
+    pub fn violated_constraints(&self, g: usize, m: usize) -> Vec<usize> {
         let mut all: Vec<usize> = self.groups[g]
             .hard
             .iter()
@@ -639,20 +646,20 @@
     }
 
     /// The hard clauses that bind a group, and how many known machines each leaves.
-    pub fn leaves(&self, g: usize) -> Vec<(usize, usize)> {
-        let known = |m: &usize| self.machines[*m].as_ref().is_some_and(|k| k.state != State::Gone);
+    pub fn machines_left(&self, g: usize) -> Vec<(usize, usize)> {
+        let known = |m: &usize| self.machines[*m].as_ref().is_some_and(|k| k.state != MachineState::Gone);
         let left =
             |b: usize| (0..self.machines.len()).filter(known).filter(|&m| !self.bounds[b].forbids[m]).count();
         self.groups[g].hard.iter().map(|&b| (self.bounds[b].clause, left(b))).collect()
     }
 
     /// Groups that are kept now.
-    pub fn groups(&self) -> usize {
+    pub fn group_count(&self) -> usize {
         self.groups.len() - self.free_groups.len()
     }
 
     /// Machines that are known, by what is listed of them.
-    pub fn fleet(&self) -> impl Iterator<Item = (usize, &Machine, State)> {
+    pub fn fleet(&self) -> impl Iterator<Item = (usize, &MachineAttributes, MachineState)> {
         self.machines.iter().enumerate().filter_map(|(m, k)| k.as_ref().map(|k| (m, &k.facts, k.state)))
     }
 }
--- a/constraints/tests/plain.rs
+++ b/constraints/tests/plain.rs
@@ -2,8 +2,11 @@
 //! conflicts beside brute force on small fleets. The evaluator shares the grammar's types with the compiler
 //! and nothing else.
 use basaltpitch_constraints::conflict::conflict;
-use basaltpitch_constraints::deciding::{Deciding, State};
-use basaltpitch_constraints::{By, Clause, Gone, Level, Machine, Rule, Scope, Task, Which};
+use basaltpitch_constraints::state::{ConstraintState, MachineState};
+use basaltpitch_constraints::{
+    Constraint, MachineAttributes, MachineSelector, Rule, Scope, SpreadGrouping, TaskAttributes,
+    TopologyLevel, UnavailableDomains,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -31,24 +34,20 @@
         .prop_map(|(framework, tenant, service, task)| Scope { framework, tenant, service, task })
 }
 
-fn level() -> impl Strategy<Value = Level> {
-    prop_oneof![Just(Level::Machine), Just(Level::Rack), Just(Level::Hall)]
+fn level() -> impl Strategy<Value = TopologyLevel> {
+    prop_oneof![Just(TopologyLevel::Machine), Just(TopologyLevel::Rack), Just(TopologyLevel::Zone)]
 }
 
-fn which() -> impl Strategy<Value = Which> {
+fn which() -> impl Strategy<Value = MachineSelector> {
     let racks = proptest::collection::vec((text(HALLS), 0u32..2), 0..3);
-    (some(KINDS), some(HALLS), racks, some(LABELS)).prop_map(|(kinds, halls, racks, labels)| Which {
-        kinds,
-        halls,
-        racks,
-        labels,
-    })
+    (some(KINDS), some(HALLS), racks, some(LABELS))
+        .prop_map(|(kinds, halls, racks, labels)| MachineSelector { kinds, halls, racks, labels })
 }
 
 fn rule() -> impl Strategy<Value = Rule> {
     let few = || proptest::option::of(1u32..3);
-    let by = prop_oneof![Just(By::Service), Just(By::All)];
-    let gone = prop_oneof![Just(Gone::Live), Just(Gone::Keeps)];
+    let by = prop_oneof![Just(SpreadGrouping::Service), Just(SpreadGrouping::All)];
+    let gone = prop_oneof![Just(UnavailableDomains::Ignored), Just(UnavailableDomains::Counted)];
     prop_oneof![
         which().prop_map(Rule::In),
         which().prop_map(Rule::NotIn),
@@ -64,8 +63,8 @@
     ]
 }
 
-fn clause() -> impl Strategy<Value = Clause> {
-    (scope(), proptest::option::weighted(0.3, 1u32..4), rule()).prop_map(|(of, wish, rule)| Clause {
+fn clause() -> impl Strategy<Value = Constraint> {
+    (scope(), proptest::option::weighted(0.3, 1u32..4), rule()).prop_map(|(of, wish, rule)| Constraint {
         name: String::new(),
         at: Default::default(),
         of,
@@ -74,53 +73,49 @@
     })
 }
 
-fn task() -> impl Strategy<Value = Task> {
+fn task() -> impl Strategy<Value = TaskAttributes> {
     (text(FRAMEWORKS), text(TENANTS), 0u64..3, text(KEYS))
-        .prop_map(|(framework, tenant, service, key)| Task { framework, tenant, service, key })
+        .prop_map(|(framework, tenant, service, key)| TaskAttributes { framework, tenant, service, key })
 }
 
-fn machine() -> impl Strategy<Value = Machine> {
-    (text(KINDS), text(HALLS), 0u32..2, some(LABELS)).prop_map(|(kind, hall, rack, labels)| Machine {
-        kind,
-        hall,
-        rack,
-        labels,
-    })
+fn machine() -> impl Strategy<Value = MachineAttributes> {
+    (text(KINDS), text(HALLS), 0u32..2, some(LABELS))
+        .prop_map(|(kind, hall, rack, labels)| MachineAttributes { kind, hall, rack, labels })
 }
 
-fn state() -> impl Strategy<Value = State> {
-    prop_oneof![4 => Just(State::Ready), 1 => Just(State::Down), 1 => Just(State::Far), 1 => Just(State::Gone)]
+fn state() -> impl Strategy<Value = MachineState> {
+    prop_oneof![4 => Just(MachineState::Ready), 1 => Just(MachineState::Down), 1 => Just(MachineState::Far), 1 => Just(MachineState::Gone)]
 }
 
 /// All that is so, with no index and nothing kept.
 #[derive(Default)]
 struct Plain {
-    machines: Vec<(Machine, State)>,
-    copies: BTreeMap<u64, (Task, usize)>,
+    machines: Vec<(MachineAttributes, MachineState)>,
+    copies: BTreeMap<u64, (TaskAttributes, usize)>,
 }
 
 impl Plain {
-    fn near(&self, a: usize, b: usize, level: Level) -> bool {
+    fn near(&self, a: usize, b: usize, level: TopologyLevel) -> bool {
         let (x, y) = (&self.machines[a].0, &self.machines[b].0);
         match level {
-            Level::Machine => a == b,
-            Level::Rack => x.hall == y.hall && x.rack == y.rack,
-            Level::Hall => x.hall == y.hall,
+            TopologyLevel::Machine => a == b,
+            TopologyLevel::Rack => x.hall == y.hall && x.rack == y.rack,
+            TopologyLevel::Zone => x.hall == y.hall,
         }
     }
 
-    fn count(&self, m: usize, level: Level, is: impl Fn(&Task) -> bool) -> u32 {
+    fn count(&self, m: usize, level: TopologyLevel, is: impl Fn(&TaskAttributes) -> bool) -> u32 {
         self.copies.values().filter(|(t, o)| is(t) && self.near(*o, m, level)).count() as u32
     }
 
-    fn met(&self, all: &[Clause], c: &Clause, t: &Task, m: usize) -> bool {
+    fn met(&self, all: &[Constraint], c: &Constraint, t: &TaskAttributes, m: usize) -> bool {
         let here = &self.machines[m].0;
         let bound = c.of.matches(t);
         match &c.rule {
             Rule::In(w) => !bound || w.names(here),
             Rule::NotIn(w) => !bound || !w.names(here),
             Rule::With(s, l) => {
-                let sure = |o: &usize| self.machines[*o].1 != State::Far;
+                let sure = |o: &usize| self.machines[*o].1 != MachineState::Far;
                 let company = || self.copies.values().filter(|(t, o)| s.matches(t) && sure(o));
                 let near = company().any(|(_, o)| self.near(*o, m, *l));
                 !bound || if company().next().is_some() { near } else { s.matches(t) }
@@ -131,7 +126,9 @@
                 !there && !back
             }
             Rule::Spread { over, by, most, skew, gone } => {
-                let alike = |o: &Task| c.of.matches(o) && (*by == By::All || o.service == t.service);
+                let alike = |o: &TaskAttributes| {
+                    c.of.matches(o) && (*by == SpreadGrouping::All || o.service == t.service)
+                };
                 let n = self.count(m, *over, alike);
                 let fixed = |x: usize| {
                     all.iter().filter(|c| c.must() && c.of.matches(t)).all(|c| match &c.rule {
@@ -140,8 +137,11 @@
                         _ => true,
                     })
                 };
-                let counts =
-                    |x: &usize| fixed(*x) && (*gone == Gone::Keeps || self.machines[*x].1 == State::Ready);
+                let counts = |x: &usize| {
+                    fixed(*x)
+                        && (*gone == UnavailableDomains::Counted
+                            || self.machines[*x].1 == MachineState::Ready)
+                };
                 let fewest = (0..self.machines.len())
                     .filter(counts)
                     .map(|x| self.count(x, *over, alike))
@@ -152,15 +152,15 @@
         }
     }
 
-    fn allows(&self, all: &[Clause], t: &Task, m: usize) -> bool {
+    fn allows(&self, all: &[Constraint], t: &TaskAttributes, m: usize) -> bool {
         all.iter().filter(|c| c.must()).all(|c| self.met(all, c, t, m))
     }
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Machine(usize, Machine, State),
-    Placed(Task, usize),
+    Machine(usize, MachineAttributes, MachineState),
+    Placed(TaskAttributes, usize),
     Over(usize),
 }
 
@@ -191,47 +191,47 @@
         steps in proptest::collection::vec(step(), 1..30),
         asks in proptest::collection::vec(task(), 1..6),
     ) {
-        let (mut plain, mut ours) = (Plain::default(), Deciding::new(clauses.clone()));
+        let (mut plain, mut ours) = (Plain::default(), ConstraintState::new(clauses.clone()));
         for (m, (facts, state)) in fleet.into_iter().enumerate() {
-            ours.machine(m, facts.clone(), state);
+            ours.update_machine(m, facts.clone(), state);
             plain.machines.push((facts, state));
         }
         let mut n = 0;
         for step in steps {
             match step {
                 Step::Machine(m, facts, state) => {
-                    ours.machine(m, facts.clone(), state);
+                    ours.update_machine(m, facts.clone(), state);
                     plain.machines[m] = (facts, state);
                 }
                 Step::Placed(t, m) => {
                     n += 1;
-                    let g = ours.enter(&t);
-                    ours.placed((0, n), g, m);
-                    ours.leave(g);
+                    let g = ours.acquire_group(&t);
+                    ours.attempt_started((0, n), g, m);
+                    ours.release_group(g);
                     plain.copies.insert(n, (t, m));
                 }
                 Step::Over(i) => {
                     let id = plain.copies.keys().nth(i).copied();
                     if let Some(id) = id {
-                        ours.over((0, id));
+                        ours.attempt_ended((0, id));
                         plain.copies.remove(&id);
                     }
                 }
             }
             for t in &asks {
-                let g = ours.enter(t);
+                let g = ours.acquire_group(t);
                 for m in 0..plain.machines.len() {
                     prop_assert_eq!(ours.allows(g, m), plain.allows(&clauses, t, m), "{:?} on {}", t, m);
-                    let named: Vec<&Clause> = ours.forbidding(g, m).into_iter().map(|c| &clauses[c]).collect();
+                    let named: Vec<&Constraint> = ours.violated_constraints(g, m).into_iter().map(|c| &clauses[c]).collect();
                     prop_assert!(named.iter().all(|c| !plain.met(&clauses, c, t, m)), "{:?} on {}", t, m);
                     // Wishes, by the plain meaning: rank before rank, in the order of the files.
-                    let mut soft: Vec<&Clause> = clauses.iter().filter(|c| !c.must()).collect();
+                    let mut soft: Vec<&Constraint> = clauses.iter().filter(|c| !c.must()).collect();
                     soft.retain(|c| c.of.matches(t) || matches!(&c.rule, Rule::Apart(s, _) if s.matches(t)));
                     if soft.len() == 1 && !matches!(soft[0].rule, Rule::Apart(..)) {
-                        prop_assert_eq!(ours.wishes(g, m), u64::from(plain.met(&clauses, soft[0], t, m)));
+                        prop_assert_eq!(ours.preference_score(g, m), u64::from(plain.met(&clauses, soft[0], t, m)));
                     }
                 }
-                ours.leave(g);
+                ours.release_group(g);
             }
         }
     }
@@ -239,18 +239,18 @@
 
 /// Whether some placing of the task and of one helper for each clause `with` meets the clauses, tried one by
 /// one.
-fn possible(clauses: &[&Clause], fleet: &[Machine], t: &Task) -> bool {
-    let fixed = |binds: &dyn Fn(&Clause) -> bool, m: usize| {
+fn possible(clauses: &[&Constraint], fleet: &[MachineAttributes], t: &TaskAttributes) -> bool {
+    let fixed = |binds: &dyn Fn(&Constraint) -> bool, m: usize| {
         clauses.iter().filter(|c| binds(c)).all(|c| match &c.rule {
             Rule::In(w) => w.names(&fleet[m]),
             Rule::NotIn(w) => !w.names(&fleet[m]),
             _ => true,
         })
     };
-    let near = |a: usize, b: usize, level: Level| match level {
-        Level::Machine => a == b,
-        Level::Rack => fleet[a].hall == fleet[b].hall && fleet[a].rack == fleet[b].rack,
-        Level::Hall => fleet[a].hall == fleet[b].hall,
+    let near = |a: usize, b: usize, level: TopologyLevel| match level {
+        TopologyLevel::Machine => a == b,
+        TopologyLevel::Rack => fleet[a].hall == fleet[b].hall && fleet[a].rack == fleet[b].rack,
+        TopologyLevel::Zone => fleet[a].hall == fleet[b].hall,
     };
     (0..fleet.len()).any(|m| {
         fixed(&|c| c.of.matches(t), m)
@@ -282,19 +282,19 @@
         fleet in proptest::collection::vec(machine(), 1..6),
         task in task(),
     ) {
-        let clauses: Vec<Clause> = clauses.into_iter().map(|c| Clause { wish: None, ..c }).collect();
-        let waits = |d: &Clause, s: &Scope| matches!(d.rule, Rule::With(..)) && d.of.covers(s);
-        let helps = |c: &Clause| match &c.rule {
+        let clauses: Vec<Constraint> = clauses.into_iter().map(|c| Constraint { wish: None, ..c }).collect();
+        let waits = |d: &Constraint, s: &Scope| matches!(d.rule, Rule::With(..)) && d.of.covers(s);
+        let helps = |c: &Constraint| match &c.rule {
             Rule::With(s, _) => clauses.iter().any(|d| waits(d, s)),
             _ => false,
         };
         prop_assume!(!clauses.iter().any(helps));
-        let all: Vec<&Clause> = clauses.iter().collect();
+        let all: Vec<&Constraint> = clauses.iter().collect();
         let found = conflict(&clauses, fleet.iter(), &task, 1_000_000);
         prop_assert_eq!(found.is_none(), possible(&all, &fleet, &task));
         if let Some(found) = found {
             prop_assert!(found.smallest);
-            let set: Vec<&Clause> = found.clauses.iter().map(|&c| &clauses[c]).collect();
+            let set: Vec<&Constraint> = found.clauses.iter().map(|&c| &clauses[c]).collect();
             prop_assert!(!possible(&set, &fleet, &task), "a conflict");
             for left_out in 0..set.len() {
                 let mut fewer = set.clone();
@@ -307,19 +307,19 @@
 
 #[test]
 fn steps_end_honestly() {
-    let of = |halls: &str| Clause {
+    let of = |halls: &str| Constraint {
         name: halls.into(),
         at: Default::default(),
         of: Scope::default(),
         wish: None,
-        rule: Rule::In(Which { halls: vec![halls.into()], ..Which::default() }),
+        rule: Rule::In(MachineSelector { halls: vec![halls.into()], ..MachineSelector::default() }),
     };
     let clauses = [of("a"), of("a"), of("b")];
     let fleet = [
-        Machine { hall: "a".into(), ..Machine::default() },
-        Machine { hall: "b".into(), ..Machine::default() },
+        MachineAttributes { hall: "a".into(), ..MachineAttributes::default() },
+        MachineAttributes { hall: "b".into(), ..MachineAttributes::default() },
     ];
-    let found = |steps| conflict(&clauses, fleet.iter(), &Task::default(), steps);
+    let found = |steps| conflict(&clauses, fleet.iter(), &TaskAttributes::default(), steps);
     assert_eq!(found(2), None, "not known: it waits");
     assert!(!found(6).unwrap().smallest);
     let all = found(1000).unwrap();
--- a/constraints/tests/reading.rs
+++ b/constraints/tests/reading.rs
@@ -1,8 +1,11 @@
 //! Clauses as installations write them: what they become, and what makes no sense, with both places.
 use basaltpitch_config::installation::load_texts;
-use basaltpitch_constraints::deciding::{Deciding, State};
-use basaltpitch_constraints::read::read;
-use basaltpitch_constraints::{Machine, Task};
+use basaltpitch_constraints::parse::parse;
+use basaltpitch_constraints::state::{ConstraintState, MachineState};
+use basaltpitch_constraints::{
+    MachineAttributes, MachineSelector, Rule, SpreadGrouping, TaskAttributes, TopologyLevel,
+    UnavailableDomains,
+};
 use expect_test::{expect, Expect};
 
 const SITE: &str = r#"zones: ["hall-a", "hall-b"]
@@ -15,12 +18,45 @@
 const RACKS: &str =
     "racks: [{name: \"a1\", hall: \"hall-a\", cell: 1}, {name: \"b1\", hall: \"hall-b\", cell: 1}]\n";
 
+/// A rule, each field of it, in the words of installations' files.
+fn in_words(rule: &Rule) -> String {
+    let machines = |selector: &MachineSelector| {
+        let MachineSelector { kinds, halls, racks, labels } = selector;
+        format!("Which {{ kinds: {kinds:?}, halls: {halls:?}, racks: {racks:?}, labels: {labels:?} }}")
+    };
+    let within = |level: &TopologyLevel| match level {
+        TopologyLevel::Machine => "Machine",
+        TopologyLevel::Rack => "Rack",
+        TopologyLevel::Zone => "Hall",
+    };
+    match rule {
+        Rule::In(selector) => format!("In({})", machines(selector)),
+        Rule::NotIn(selector) => format!("NotIn({})", machines(selector)),
+        Rule::With(scope, level) => format!("With({scope:?}, {})", within(level)),
+        Rule::Apart(scope, level) => format!("Apart({scope:?}, {})", within(level)),
+        Rule::Spread { over, by, most, skew, gone } => {
+            let by = match by {
+                SpreadGrouping::Service => "Service",
+                SpreadGrouping::All => "All",
+            };
+            let gone = match gone {
+                UnavailableDomains::Ignored => "Live",
+                UnavailableDomains::Counted => "Keeps",
+            };
+            let over = within(over);
+            format!("Spread {{ over: {over}, by: {by}, most: {most:?}, skew: {skew:?}, gone: {gone} }}")
+        }
+    }
+}
+
 fn said(clauses: &str) -> String {
     let clauses =
         &if clauses.contains("racks: [{") { clauses.to_owned() } else { format!("{clauses}{RACKS}") };
     match load_texts(&[("site.rec", SITE), ("clauses.rec", clauses)]) {
-        Ok(site) => match read(&site.all) {
-            Ok(clauses) => clauses.iter().map(|c| format!("{}: {:?} {:?}\n", c.name, c.of, c.rule)).collect(),
+        Ok(site) => match parse(&site.all) {
+            Ok(clauses) => {
+                clauses.iter().map(|c| format!("{}: {:?} {}\n", c.name, c.of, in_words(&c.rule))).collect()
+            }
             Err(faults) => faults.iter().map(|f| format!("{}\n", f.line(&site.sources))).collect(),
         },
         Err((sources, faults)) => faults.iter().map(|f| format!("{}\n", f.line(&sources))).collect(),
@@ -145,33 +181,34 @@
         let text =
             format!("clauses: [{{name: \"s\", spread: {{over: \"hall\", skew: 1, gone: \"{gone}\"}}}}]\n");
         let site = load_texts(&[("site.rec", SITE), ("clauses.rec", &text)]).map_err(|e| e.1).unwrap();
-        let mut d = Deciding::new(read(&site.all).unwrap());
-        let hall = |d: &mut Deciding, name: &str, from: usize, state: State| {
+        let mut d = ConstraintState::new(parse(&site.all).unwrap());
+        let hall = |d: &mut ConstraintState, name: &str, from: usize, state: MachineState| {
             for m in from..from + 2 {
-                let facts = Machine { kind: "std".into(), hall: name.into(), rack: 1, labels: vec![] };
-                d.machine(m, facts, state);
+                let facts =
+                    MachineAttributes { kind: "std".into(), hall: name.into(), rack: 1, labels: vec![] };
+                d.update_machine(m, facts, state);
             }
         };
         for (from, name) in [(0, "hall-a"), (2, "hall-b"), (4, "hall-c")] {
-            hall(&mut d, name, from, State::Ready);
+            hall(&mut d, name, from, MachineState::Ready);
         }
-        let g = d.enter(&Task::default());
+        let g = d.acquire_group(&TaskAttributes::default());
         for (n, m) in [0, 2, 4].into_iter().enumerate() {
             assert!(d.allows(g, m));
-            d.placed((0, n as u64), g, m);
+            d.attempt_started((0, n as u64), g, m);
         }
-        d.placed((0, 9), g, 0);
+        d.attempt_started((0, 9), g, 0);
         assert_eq!([0, 2, 4].map(|m| d.allows(g, m)), [false, true, true], "two in the first hall");
-        d.placed((0, 10), g, 2);
+        d.attempt_started((0, 10), g, 2);
         for _ in 0..2 {
-            hall(&mut d, "hall-c", 4, State::Down);
+            hall(&mut d, "hall-c", 4, MachineState::Down);
             assert_eq!([0, 2].map(|m| d.allows(g, m)), [free_then, free_then], "{gone}");
-            hall(&mut d, "hall-c", 4, State::Ready);
+            hall(&mut d, "hall-c", 4, MachineState::Ready);
             assert_eq!([0, 2, 4].map(|m| d.allows(g, m)), [false, false, true], "new ones level it out");
         }
-        d.over((0, 2));
-        d.placed((0, 11), g, 5);
-        d.placed((0, 12), g, 4);
+        d.attempt_ended((0, 2));
+        d.attempt_started((0, 11), g, 5);
+        d.attempt_started((0, 12), g, 4);
         assert_eq!([0, 2, 4].map(|m| d.allows(g, m)), [true, true, true]);
     }
 }
@@ -181,26 +218,30 @@
 fn groups_that_nothing_uses_leave() {
     let text = "clauses: [{name: \"s\", spread: {over: \"machine\", most: 1}}]\n";
     let site = load_texts(&[("site.rec", SITE), ("clauses.rec", text)]).map_err(|e| e.1).unwrap();
-    let mut d = Deciding::new(read(&site.all).unwrap());
+    let mut d = ConstraintState::new(parse(&site.all).unwrap());
     for m in 0..4 {
-        d.machine(m, Machine { hall: "hall-a".into(), ..Machine::default() }, State::Ready);
+        d.update_machine(
+            m,
+            MachineAttributes { hall: "hall-a".into(), ..MachineAttributes::default() },
+            MachineState::Ready,
+        );
     }
-    let task = |service| Task { service, ..Task::default() };
-    let held = d.enter(&task(7));
-    d.placed((0, 7), held, 2);
-    d.leave(held);
+    let task = |service| TaskAttributes { service, ..TaskAttributes::default() };
+    let held = d.acquire_group(&task(7));
+    d.attempt_started((0, 7), held, 2);
+    d.release_group(held);
     for round in 0..3 {
         for service in 1000..3000 {
-            let g = d.enter(&task(service));
+            let g = d.acquire_group(&task(service));
             assert!((0..4).all(|m| d.allows(g, m)), "round {round}");
-            d.placed((1, service), g, 1);
+            d.attempt_started((1, service), g, 1);
             assert!(!d.allows(g, 1) && d.allows(g, 2));
-            d.over((1, service));
-            d.leave(g);
+            d.attempt_ended((1, service));
+            d.release_group(g);
         }
-        let g = d.enter(&task(7));
+        let g = d.acquire_group(&task(7));
         assert_eq!([1, 2].map(|m| d.allows(g, m)), [true, false], "what runs is counted all along");
-        d.leave(g);
+        d.release_group(g);
     }
-    assert!(d.groups() < 600, "{} groups", d.groups());
+    assert!(d.group_count() < 600, "{} groups", d.group_count());
 }
--- a/json_fields/src/lib.rs
+++ b/json_fields/src/lib.rs
@@ -1,6 +1,6 @@
 //! Reads fields of JSON objects as their types or says which is missing or mistyped, lays settings out
 //! under dotted names, and finds names in the settings' lists. Used by every wire that speaks JSON.
-use basaltpitch::host::{Given, Value as Setting};
+use basaltpitch::host::{Settings, Value as Setting};
 use serde_json::Value;
 use std::collections::HashMap;
 
@@ -76,13 +76,13 @@
 }
 
 /// Lays settings out under dotted names: objects by key, lists by position.
-pub fn lay_out(settings: &Value) -> Given {
-    let mut given = Given::new();
+pub fn lay_out(settings: &Value) -> Settings {
+    let mut given = Settings::new();
     lay_out_under("", settings, &mut given);
     given
 }
 
-fn lay_out_under(name: &str, value: &Value, given: &mut Given) {
+fn lay_out_under(name: &str, value: &Value, given: &mut Settings) {
     let under = |key: &str| {
         if name.is_empty() {
             key.to_owned()
--- a/ledger/src/lib.rs
+++ b/ledger/src/lib.rs
@@ -10,7 +10,7 @@
 pub use doubt::{proof, Proof, Seen};
 pub use record::{Copy, CopyState, Phase, Record};
 
-use basaltpitch::host::Outcome;
+use basaltpitch::host::AttemptOutcome;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::Hash;
 
@@ -132,7 +132,7 @@
     },
     Resolved {
         task: usize,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         why: i64,
         over: bool,
     },
@@ -406,7 +406,7 @@
         let key = slot.key.clone();
         let record = self.records.get_mut(&key).expect("a slot has a record");
         if record.task != Some(task) || record.phase != Phase::Waiting {
-            let outcome = Outcome::Moot;
+            let outcome = AttemptOutcome::Moot;
             acts.push(Act::Resolved { task, outcome, why: 0, over: true });
             slot.over = true;
             return self.free_slot(task);
@@ -524,12 +524,12 @@
 
     /// A machine turned a launch off: it never ran and never will.
     pub fn refused(&mut self, launch: Launch, why: i64, acts: &mut Vec<Act<K>>) {
-        self.gone(launch, Seen::Refused, Outcome::Full, why, acts);
+        self.gone(launch, Seen::Refused, AttemptOutcome::Full, why, acts);
     }
 
     /// A machine tried to start a launch and failed.
     pub fn failed(&mut self, launch: Launch, machine: usize, acts: &mut Vec<Act<K>>) {
-        self.gone(launch, Seen::Failed, Outcome::Error, 0, acts);
+        self.gone(launch, Seen::Failed, AttemptOutcome::Error, 0, acts);
         acts.push(Act::Noted { launch, machine });
     }
 
@@ -541,11 +541,11 @@
                 self.yes(launch, acts);
             }
             let (outcome, why, life) = match how {
-                Ending::Done => (Outcome::Ended, 0, Life::Ended),
-                Ending::Stopped => (Outcome::Cancelled, 0, Life::Stopped),
-                Ending::Evicted => (Outcome::Reset, 5, Life::Evicted),
-                Ending::PushedOut => (Outcome::Reset, 6, Life::Evicted),
-                Ending::SentAway => (Outcome::Reset, 7, Life::Lost),
+                Ending::Done => (AttemptOutcome::Ended, 0, Life::Ended),
+                Ending::Stopped => (AttemptOutcome::Cancelled, 0, Life::Stopped),
+                Ending::Evicted => (AttemptOutcome::Reset, 5, Life::Evicted),
+                Ending::PushedOut => (AttemptOutcome::Reset, 6, Life::Evicted),
+                Ending::SentAway => (AttemptOutcome::Reset, 7, Life::Lost),
             };
             self.life_over(&key, launch, life, acts);
             self.gone(launch, Seen::Ended, outcome, why, acts);
@@ -557,7 +557,7 @@
     pub fn timed_out(&mut self, launch: Launch, acts: &mut Vec<Act<K>>) {
         let Some(copy) = self.copy(launch).filter(|c| c.state == CopyState::Out) else { return };
         acts.push(Act::Cancel { launch, machine: copy.machine });
-        self.doubted(launch, Outcome::TimedOut, acts);
+        self.doubted(launch, AttemptOutcome::TimedOut, acts);
     }
 
     /// The link to a machine ended. `unsent` are launches of which no byte was handed over: they never ran.
@@ -568,16 +568,16 @@
             let Some(copy) = self.copy(launch) else { continue };
             let ours = launch.epoch == self.epoch && unsent.contains(&launch.number);
             if ours && matches!(copy.state, CopyState::Out | CopyState::Doubt) {
-                self.gone(launch, Seen::Unsent, Outcome::ConnectFailed, 0, acts);
+                self.gone(launch, Seen::Unsent, AttemptOutcome::ConnectFailed, 0, acts);
             } else if copy.state == CopyState::Out && self.kind_of(launch) == Some(Kind::Repeatable) {
-                self.doubted(launch, Outcome::Reset, acts);
+                self.doubted(launch, AttemptOutcome::Reset, acts);
             }
         }
     }
 
     /// One launch was not even handed to the link.
     pub fn unsent(&mut self, launch: Launch, acts: &mut Vec<Act<K>>) {
-        self.gone(launch, Seen::Unsent, Outcome::ConnectFailed, 0, acts);
+        self.gone(launch, Seen::Unsent, AttemptOutcome::ConnectFailed, 0, acts);
     }
 
     /// A machine is gone for good, or has started anew: what it held runs no more.
@@ -586,7 +586,7 @@
             if let Some(key) = self.launches.get(&launch).cloned() {
                 self.life_over(&key, launch, Life::Lost, acts);
             }
-            self.gone(launch, Seen::MachineLost, Outcome::Reset, 0, acts);
+            self.gone(launch, Seen::MachineLost, AttemptOutcome::Reset, 0, acts);
         }
     }
 
@@ -599,9 +599,9 @@
             if copy.state == CopyState::Held {
                 let key = self.launches[&launch].clone();
                 self.life_over(&key, launch, Life::Lost, acts);
-                self.gone(launch, Seen::MachineLost, Outcome::Reset, 0, acts);
+                self.gone(launch, Seen::MachineLost, AttemptOutcome::Reset, 0, acts);
             } else {
-                self.gone(launch, Seen::Absent, Outcome::ConnectFailed, 0, acts);
+                self.gone(launch, Seen::Absent, AttemptOutcome::ConnectFailed, 0, acts);
             }
         }
         for h in held {
@@ -656,7 +656,7 @@
     }
 
     /// A launch that is out is given up, though it may run.
-    fn doubted(&mut self, launch: Launch, outcome: Outcome, acts: &mut Vec<Act<K>>) {
+    fn doubted(&mut self, launch: Launch, outcome: AttemptOutcome, acts: &mut Vec<Act<K>>) {
         let now = self.now;
         let Some(key) = self.launches.get(&launch).cloned() else { return };
         let record = self.records.get_mut(&key).expect("a launch has a record");
@@ -668,7 +668,14 @@
     }
 
     /// A copy is no more. What that proves is in `doubt`.
-    fn gone(&mut self, launch: Launch, seen: Seen, outcome: Outcome, why: i64, acts: &mut Vec<Act<K>>) {
+    fn gone(
+        &mut self,
+        launch: Launch,
+        seen: Seen,
+        outcome: AttemptOutcome,
+        why: i64,
+        acts: &mut Vec<Act<K>>,
+    ) {
         let Some(key) = self.launches.remove(&launch) else { return };
         acts.push(Act::Over { launch });
         let now = self.now;
@@ -733,7 +740,7 @@
             awaited = copy.task.take();
             acts.push(Act::Cancel { launch: copy.launch, machine: copy.machine });
         }
-        self.resolve(awaited, Outcome::Cancelled, 0, true, acts);
+        self.resolve(awaited, AttemptOutcome::Cancelled, 0, true, acts);
         if let Some(task) = task {
             self.slot_over(task);
         }
@@ -742,7 +749,7 @@
     fn resolve(
         &mut self,
         task: Option<usize>,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         why: i64,
         over: bool,
         acts: &mut Vec<Act<K>>,
--- a/ledger/tests/every_state.rs
+++ b/ledger/tests/every_state.rs
@@ -2,7 +2,7 @@
 //! machines and one task: no state breaks a rule. The placing module is replaced by one that may make any
 //! call that the module's rules allow; links may be cut at any point, with frames in the air lost, or late by
 //! a whole link.
-use basaltpitch::host::Outcome;
+use basaltpitch::host::AttemptOutcome;
 use basaltpitch_agent::holder::{Holder, Say, State};
 use basaltpitch_ledger::{
     Act, Answer, Asking, CopyState, Ending, Held, Kind, Launch, Ledger, Phase, PROMISES,
@@ -122,8 +122,10 @@
                 Act::Resolved { outcome, over, .. } => {
                     self.module = match self.module {
                         Module::Out { on, unsure } if !over => {
-                            let ran =
-                                !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+                            let ran = !matches!(
+                                outcome,
+                                AttemptOutcome::Full | AttemptOutcome::ConnectFailed | AttemptOutcome::Moot
+                            );
                             Module::Waiting { unsure: unsure.or(ran.then_some(on)) }
                         }
                         Module::Waiting { unsure } if !over => Module::Waiting { unsure },
--- a/planner/src/admission.rs
+++ b/planner/src/admission.rs
@@ -2,7 +2,7 @@
 //! at once. The decision is that of `basaltpitch_admission`; this module connects it to the planner's state.
 use crate::host_adapter::TaskKey;
 use crate::settings_lists::numbered_texts;
-use basaltpitch::host::{number, Belief, Given};
+use basaltpitch::host::{number, MachineEstimate, Settings};
 use basaltpitch_admission::{AdmissionDecision, DemandSummary, LocalDemand, PeerSummary, RequestDemand};
 use serde::Serialize;
 
@@ -67,7 +67,7 @@
 
 impl AdmissionController {
     /// For an installation's frameworks, as laid out for the placement module.
-    pub fn new(now: i64, seed: u64, settings: &Given) -> Self {
+    pub fn new(now: i64, seed: u64, settings: &Settings) -> Self {
         let priority = |index: usize| {
             let setting = |name: &str| number(settings, &format!("classes.{index}.{name}"));
             FrameworkPriority {
@@ -140,9 +140,9 @@
     }
 
     /// Recomputes the threshold, with the estimates of the machines that are offered work.
-    pub fn recompute(&mut self, now: i64, machines: impl Iterator<Item = Belief>) {
+    pub fn recompute(&mut self, now: i64, machines: impl Iterator<Item = MachineEstimate>) {
         // A machine whose memory is full has no capacity, however idle its cores.
-        let free_cores = |machine: &Belief| {
+        let free_cores = |machine: &MachineEstimate| {
             let free_share = |size: f64, used: f64| ((size - used) / size.max(1e-9)).clamp(0.0, 1.0);
             let memory = free_share(machine.memory, machine.used_memory);
             machine.cores * free_share(machine.cores, machine.ucac).min(memory)
--- a/planner/src/host_adapter.rs
+++ b/planner/src/host_adapter.rs
@@ -1,7 +1,7 @@
 //! The placing module's hands: each of its calls goes into the ledger or becomes a wish of the planner's.
-use crate::bounds::Bounds;
+use crate::placement_constraints::PlacementConstraints;
 use basaltpitch::host::Host;
-use basaltpitch_constraints::Task;
+use basaltpitch_constraints::TaskAttributes;
 use basaltpitch_ledger::{Act, Launch, Ledger};
 use basaltpitch_timers::Wheel;
 use std::cell::RefCell;
@@ -23,7 +23,7 @@
     /// How old what was known of tenants was when it was asked for; see `Answer.stale_us`.
     pub stale_us: i64,
     /// What clauses see of it, where the installation has clauses.
-    pub facts: Option<Rc<Task>>,
+    pub facts: Option<Rc<TaskAttributes>>,
 }
 
 /// What a timer is for.
@@ -59,7 +59,7 @@
     /// The module's calls as text, where they are recorded.
     pub transcript: Option<CallTranscript>,
     /// The installation's clauses, where it has any.
-    pub constraints: Option<Bounds>,
+    pub constraints: Option<PlacementConstraints>,
     /// What the module asked of clauses, where its calls are recorded; see `recording`.
     answers: RefCell<ConstraintAnswers>,
     buffer: Vec<Act<TaskKey>>,
@@ -106,9 +106,9 @@
                 // Counted at once: the module may send the next task before this one's act is carried out.
                 (Act::Began { launch, machine, key }, Some(bounds)) => {
                     let facts = self.ledger.record(&key).and_then(|r| r.job.facts.clone());
-                    facts.into_iter().for_each(|facts| bounds.began(launch, machine, &facts));
+                    facts.into_iter().for_each(|facts| bounds.attempt_started(launch, machine, &facts));
                 }
-                (Act::Over { launch }, Some(bounds)) => bounds.over(launch),
+                (Act::Over { launch }, Some(bounds)) => bounds.attempt_ended(launch),
                 (Act::Began { .. } | Act::Over { .. }, None) => {}
                 (act, _) => self.actions.push_back(act),
             }
@@ -144,31 +144,31 @@
 }
 
 impl Host for CallTranscript {
-    fn launch(&mut self, task: usize, machine: usize, time_out_us: i64) {
-        let _ = writeln!(self.text, "> launch {task} on {machine} for {time_out_us}");
+    fn launch(&mut self, task: usize, machine: usize, timeout_us: i64) {
+        let _ = writeln!(self.text, "> launch {task} on {machine} for {timeout_us}");
     }
     fn cancel(&mut self, task: usize, launch: u32) {
         let _ = writeln!(self.text, "> cancel {task} launch {launch}");
     }
-    fn decline(&mut self, task: usize, retry_after_us: i64) {
+    fn reject(&mut self, task: usize, retry_after_us: i64) {
         let _ = writeln!(self.text, "> decline {task} after {retry_after_us}");
     }
     fn abort(&mut self, task: usize) {
         let _ = writeln!(self.text, "> abort {task}");
     }
-    fn move_task(&mut self, task: usize) {
+    fn evict(&mut self, task: usize) {
         let _ = writeln!(self.text, "> move {task}");
     }
     fn probe(&mut self, machine: usize) {
         let _ = writeln!(self.text, "> probe {machine}");
     }
-    fn watch(&mut self, on: bool) {
+    fn watch_list(&mut self, on: bool) {
         let _ = writeln!(self.text, "> watch {on}");
     }
-    fn fetch(&mut self) {
+    fn fetch_list(&mut self) {
         let _ = writeln!(self.text, "> fetch");
     }
-    fn timer(&mut self, after_us: i64, token: u64) {
+    fn set_timer(&mut self, after_us: i64, token: u64) {
         let _ = writeln!(self.text, "> timer {token} after {after_us}");
     }
     fn log(&mut self, text: &str) {
@@ -177,49 +177,49 @@
     fn allows(&self, _: usize, _: usize) -> bool {
         self.answers.borrow_mut().allows.pop_front().unwrap_or(true)
     }
-    fn wishes(&self, _: usize, _: usize) -> u64 {
+    fn preference_score(&self, _: usize, _: usize) -> u64 {
         self.answers.borrow_mut().wishes.pop_front().unwrap_or(0)
     }
-    fn bound_alike(&self, _: usize) -> usize {
+    fn constraint_group(&self, _: usize) -> usize {
         self.answers.borrow_mut().alike.pop_front().unwrap_or(0)
     }
 }
 
 impl Host for HostAdapter {
-    fn launch(&mut self, task: usize, machine: usize, time_out_us: i64) {
-        self.call(|words| words.launch(task, machine, time_out_us));
-        self.on_ledger(|ledger, acts| ledger.launched(task, machine, time_out_us, acts));
+    fn launch(&mut self, task: usize, machine: usize, timeout_us: i64) {
+        self.call(|words| words.launch(task, machine, timeout_us));
+        self.on_ledger(|ledger, acts| ledger.launched(task, machine, timeout_us, acts));
     }
     /// The ledger called the launch back already, when it told the module that the task is over.
     fn cancel(&mut self, task: usize, launch: u32) {
         self.call(|words| words.cancel(task, launch));
     }
-    fn decline(&mut self, task: usize, retry_after_us: i64) {
-        self.call(|words| words.decline(task, retry_after_us));
+    fn reject(&mut self, task: usize, retry_after_us: i64) {
+        self.call(|words| words.reject(task, retry_after_us));
         self.on_ledger(|ledger, acts| ledger.declined(task, retry_after_us, acts));
     }
     fn abort(&mut self, task: usize) {
         self.call(|words| words.abort(task));
         self.on_ledger(|ledger, acts| ledger.aborted(task, acts));
     }
-    fn move_task(&mut self, task: usize) {
-        self.call(|words| words.move_task(task));
+    fn evict(&mut self, task: usize) {
+        self.call(|words| words.evict(task));
         self.on_ledger(|ledger, acts| ledger.moved(task, acts));
     }
     fn probe(&mut self, machine: usize) {
         self.call(|words| words.probe(machine));
         self.requests.push_back(HostRequest::Probe(machine));
     }
-    fn watch(&mut self, on: bool) {
-        self.call(|words| words.watch(on));
+    fn watch_list(&mut self, on: bool) {
+        self.call(|words| words.watch_list(on));
         self.requests.push_back(HostRequest::Watch(on));
     }
-    fn fetch(&mut self) {
-        self.call(|words| words.fetch());
+    fn fetch_list(&mut self) {
+        self.call(|words| words.fetch_list());
         self.requests.push_back(HostRequest::Fetch);
     }
-    fn timer(&mut self, after_us: i64, token: u64) {
-        self.call(|words| words.timer(after_us, token));
+    fn set_timer(&mut self, after_us: i64, token: u64) {
+        self.call(|words| words.set_timer(after_us, token));
         self.timers.set(self.now + after_us, TimerKind::Placement(token));
     }
     fn log(&mut self, text: &str) {
@@ -228,15 +228,15 @@
     }
     fn allows(&self, task: usize, machine: usize) -> bool {
         let Some(bounds) = &self.constraints else { return true };
-        let allows = bounds.group(task).is_none_or(|g| bounds.deciding.allows(g, machine));
+        let allows = bounds.group(task).is_none_or(|g| bounds.state.allows(g, machine));
         self.noted(allows, |a| &mut a.allows)
     }
-    fn wishes(&self, task: usize, machine: usize) -> u64 {
+    fn preference_score(&self, task: usize, machine: usize) -> u64 {
         let Some(bounds) = &self.constraints else { return 0 };
-        let wishes = bounds.group(task).map_or(0, |g| bounds.deciding.wishes(g, machine));
+        let wishes = bounds.group(task).map_or(0, |g| bounds.state.preference_score(g, machine));
         self.noted(wishes, |a| &mut a.wishes)
     }
-    fn bound_alike(&self, task: usize) -> usize {
+    fn constraint_group(&self, task: usize) -> usize {
         let Some(bounds) = &self.constraints else { return 0 };
         let alike = bounds.group(task).unwrap_or(0);
         self.noted(alike, |a| &mut a.alike)
--- a/planner/src/lib.rs
+++ b/planner/src/lib.rs
@@ -3,13 +3,13 @@
 //! `service` puts it on sockets, on one thread. `placement_event` is what the module is told, as it is recorded and
 //! replayed.
 pub mod admission;
-pub mod bounds;
 pub mod figures;
 pub mod halls;
 pub mod host_adapter;
 pub mod lease_client;
 pub mod machine_availability;
 pub mod peers;
+pub mod placement_constraints;
 pub mod placement_event;
 pub mod recording;
 pub mod rolling_restart;
--- a/planner/src/machine_availability.rs
+++ b/planner/src/machine_availability.rs
@@ -5,7 +5,7 @@
 //! inventory has come: before that, launches of an earlier life of this planner could be on it unseen. A
 //! start newer than the known one means that what was on the machine runs no more, whichever source told of
 //! it first.
-use basaltpitch::host::{Place, Readiness, Room};
+use basaltpitch::host::{Location, Readiness, Resources};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkState {
@@ -49,8 +49,8 @@
     pub outside_subset: bool,
     /// The newest start that anyone told of, 0 where nobody did.
     pub started_us: i64,
-    pub location: Place,
-    pub remaining: Room,
+    pub location: Location,
+    pub remaining: Resources,
     /// What the module was last told.
     pub last_reported: Option<Readiness>,
 }
--- a/planner/src/placement_event.rs
+++ b/planner/src/placement_event.rs
@@ -1,7 +1,7 @@
 //! What the placing module is told, one value for each of its methods, so that it can be written down and
 //! told again. Numbers of outcomes and states are those of the file format, in `docs/design/agent-path.md`.
-use basaltpitch::host::{Host, Outcome, Readiness};
-use basaltpitch::logic::Planner;
+use basaltpitch::host::{AttemptOutcome, Host, Readiness};
+use basaltpitch::placement::Planner;
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -25,22 +25,22 @@
     Probed { m: usize, end: u8, report: Vec<f64> },
 }
 
-const OUTCOMES: [(u8, Outcome); 8] = [
-    (0, Outcome::Ended),
-    (5, Outcome::Error),
-    (11, Outcome::Full),
-    (104, Outcome::Reset),
-    (110, Outcome::TimedOut),
-    (111, Outcome::ConnectFailed),
-    (114, Outcome::Moot),
-    (125, Outcome::Cancelled),
+const OUTCOMES: [(u8, AttemptOutcome); 8] = [
+    (0, AttemptOutcome::Ended),
+    (5, AttemptOutcome::Error),
+    (11, AttemptOutcome::Full),
+    (104, AttemptOutcome::Reset),
+    (110, AttemptOutcome::TimedOut),
+    (111, AttemptOutcome::ConnectFailed),
+    (114, AttemptOutcome::Moot),
+    (125, AttemptOutcome::Cancelled),
 ];
 
-pub fn outcome_code(outcome: Outcome) -> u8 {
+pub fn outcome_code(outcome: AttemptOutcome) -> u8 {
     OUTCOMES.iter().find(|x| x.1 == outcome).map_or(0, |x| x.0)
 }
 
-fn outcome(number: u8) -> Option<Outcome> {
+fn outcome(number: u8) -> Option<AttemptOutcome> {
     OUTCOMES.iter().find(|x| x.0 == number).map(|x| x.1)
 }
 
@@ -61,32 +61,32 @@
     pub fn apply<H: Host>(&self, p: &mut Planner<H>) -> Result<(), String> {
         let end = |n: u8| outcome(n).ok_or_else(|| format!("outcome {n}; expected one of the eight known"));
         match self {
-            PlacementEvent::ListBegins { whole, fresh } => p.list_begins(*whole, *fresh),
+            PlacementEvent::ListBegins { whole, fresh } => p.list_started(*whole, *fresh),
             PlacementEvent::Machine { m, number, at, ready, started, left } => {
                 let ready = readiness(*ready).ok_or_else(|| format!("readiness {ready}; expected 0 to 2"))?;
-                p.machine_number(*m, *number);
+                p.set_machine_number(*m, *number);
                 p.machine_listed(*m, *at, ready, *started, *left);
             }
-            PlacementEvent::ListEnds => p.list_ends(),
+            PlacementEvent::ListEnds => p.list_finished(),
             PlacementEvent::ListLost => p.list_lost(),
-            PlacementEvent::Service { s, number } => p.service_number(*s, *number),
-            PlacementEvent::ServiceLeft { s } => p.service_left(*s),
-            PlacementEvent::MachineLeft { m } => p.machine_left(*m),
-            PlacementEvent::TenantShare { tenant, share } => p.tenant_share(*tenant, *share),
+            PlacementEvent::Service { s, number } => p.set_service_number(*s, *number),
+            PlacementEvent::ServiceLeft { s } => p.service_removed(*s),
+            PlacementEvent::MachineLeft { m } => p.machine_removed(*m),
+            PlacementEvent::TenantShare { tenant, share } => p.set_tenant_share(*tenant, *share),
             PlacementEvent::Wanted { task, f, tenant, s, asks, left } => {
-                p.wanted(*task, *f, *tenant, *s, *asks, *left)
+                p.task_requested(*task, *f, *tenant, *s, *asks, *left)
             }
             PlacementEvent::Found { task, f, tenant, s, asks, m } => {
-                p.found(*task, *f, *tenant, *s, *asks, *m)
+                p.running_task_found(*task, *f, *tenant, *s, *asks, *m)
             }
-            PlacementEvent::Accepted { task } => p.accepted(*task),
-            PlacementEvent::Noted { task, sort, value } => p.noted(*task, *sort, *value),
+            PlacementEvent::Accepted { task } => p.attempt_accepted(*task),
+            PlacementEvent::Noted { task, sort, value } => p.task_status(*task, *sort, *value),
             PlacementEvent::Resolved { task, end: n, why, over, report } => {
-                p.resolved(*task, end(*n)?, *why, *over, report)
+                p.attempt_ended(*task, end(*n)?, *why, *over, report)
             }
-            PlacementEvent::Expired { task } => p.expired(*task),
-            PlacementEvent::Timer { token } => p.timer_due(*token),
-            PlacementEvent::Probed { m, end: n, report } => p.probed(*m, end(*n)?, report),
+            PlacementEvent::Expired { task } => p.task_expired(*task),
+            PlacementEvent::Timer { token } => p.timer_fired(*token),
+            PlacementEvent::Probed { m, end: n, report } => p.probe_finished(*m, end(*n)?, report),
         }
         Ok(())
     }
--- a/planner/src/recording.rs
+++ b/planner/src/recording.rs
@@ -11,8 +11,8 @@
 //! `replay` tells a new module the same and compares its calls, line by line.
 use crate::host_adapter::{CallTranscript, ConstraintAnswers};
 use crate::placement_event::PlacementEvent;
-use basaltpitch::host::{Given, Value};
-use basaltpitch::logic::Planner;
+use basaltpitch::host::{Settings, Value};
+use basaltpitch::placement::Planner;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufRead, Write};
@@ -47,7 +47,7 @@
 impl Line {
     /// Tells a module again, with the answers of clauses that it got then.
     fn tell(self, planner: &mut Planner<CallTranscript>) -> Result<(), String> {
-        planner.clock(self.at);
+        planner.set_clock(self.at);
         planner
             .host
             .answers
@@ -89,7 +89,7 @@
 }
 
 impl Recorder {
-    pub fn start(mut out: impl Write + Send + 'static, seed: u64, now: i64, given: &Given) -> Self {
+    pub fn start(mut out: impl Write + Send + 'static, seed: u64, now: i64, given: &Settings) -> Self {
         let given = given.iter().map(|(name, value)| {
             let value = match value {
                 Value::Number(n) => Plain::Number(*n),
--- a/planner/src/service.rs
+++ b/planner/src/service.rs
@@ -9,12 +9,12 @@
 use crate::state::{Identity, Output, PlannerState, REGISTRY};
 use crate::tenancy::{Learnt, Task, Ways};
 use crate::view;
-use basaltpitch::host::Given;
+use basaltpitch::host::Settings;
 use basaltpitch_agent::accepting::Accepting;
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Links, Party};
 use basaltpitch_agent::wire::{Body, Role};
-use basaltpitch_constraints::Clause;
+use basaltpitch_constraints::Constraint;
 use basaltpitch_ldap::{Before, Directory, Fault, Seen, Swept};
 use basaltpitch_snapshot_store::Store;
 use basaltpitch_subsetting::Terms;
@@ -54,11 +54,11 @@
 /// What a planner is started with.
 pub struct PlannerConfig {
     pub identity: Identity,
-    pub settings: Given,
+    pub settings: Settings,
     /// Where the decisions are recorded.
     pub recording: Option<Box<dyn io::Write + Send>>,
     /// Where tasks may run, and where each clause stands, in words.
-    pub constraints: Vec<(Clause, String)>,
+    pub constraints: Vec<(Constraint, String)>,
     /// Where tenants are learnt from.
     pub directory: Option<Directory>,
     /// What outlives this planner.
--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -10,19 +10,19 @@
 mod tenants;
 
 use crate::admission::{AdmissionController, Rejection, RequestNeeds};
-use crate::bounds::{Bounds, Stands};
 use crate::host_adapter::{HostAdapter, HostRequest, TaskJob, TaskKey, TimerKind};
 use crate::machine_availability::{LinkState, MachineAvailability};
+use crate::placement_constraints::{Eligibility, PlacementConstraints};
 use crate::placement_event::{outcome_code, readiness_code, PlacementEvent};
 use crate::recording::Recorder;
 use crate::settings_lists::numbered_texts;
 use crate::tenancy::{Asked, Learnt, Task, Tenancy};
-use basaltpitch::host::{number, text, Belief, Given, Outcome, Readiness};
-use basaltpitch::logic::Planner;
+use basaltpitch::host::{number, text, AttemptOutcome, MachineEstimate, Readiness, Settings};
+use basaltpitch::placement::Planner;
 use basaltpitch_agent::dial::{Dials, Pace};
 use basaltpitch_agent::wire::{self, Body};
-use basaltpitch_constraints::deciding::State;
-use basaltpitch_constraints::{Clause, Machine as Place, Task as Facts};
+use basaltpitch_constraints::state::MachineState;
+use basaltpitch_constraints::{Constraint, MachineAttributes, TaskAttributes};
 use basaltpitch_interner::{fnv1a_64, RefCountedIds};
 use basaltpitch_ledger::{
     Act, Answer, Asking, CopyState, Ending, Held, Kind, Launch, Ledger, Life, Phase, Promises, Reason,
@@ -167,7 +167,7 @@
 }
 
 impl Names {
-    fn new(given: &Given) -> Self {
+    fn new(given: &Settings) -> Self {
         let list = |of: &dyn Fn(usize) -> String| numbered_texts(given, of);
         let kind = |i: usize| match text(given, &format!("classes.{i}.semantics")) {
             "retryable" => Kind::Repeatable,
@@ -203,7 +203,7 @@
 impl PlannerState {
     pub fn new(
         who: Identity,
-        given: Given,
+        given: Settings,
         now: i64,
         record: Option<Box<dyn std::io::Write + Send>>,
     ) -> Self {
@@ -277,7 +277,7 @@
                 TimerKind::AttemptTimeout(launch) => {
                     self.placement.host.on_ledger(|l, acts| l.timed_out(launch, acts))
                 }
-                TimerKind::Probe(n) => self.probe_failed(n, Outcome::TimedOut),
+                TimerKind::Probe(n) => self.probe_failed(n, AttemptOutcome::TimedOut),
                 TimerKind::Housekeeping => self.housekeeping(),
                 TimerKind::AdmissionThreshold => self.update_admission_threshold(),
                 TimerKind::Subset => self.part_due(),
@@ -313,7 +313,8 @@
         let ready = self.machines().filter(|(_, s, _)| s.readiness() == Readiness::Ready);
         let fleet = self.fleet_to_subset_ratio();
         // The line is that of the whole fleet, of which a part is a sample.
-        let scaled = |x: Belief| Belief { cores: fleet * x.cores, ucac: fleet * x.ucac, ..x };
+        let scaled =
+            |x: MachineEstimate| MachineEstimate { cores: fleet * x.cores, ucac: fleet * x.ucac, ..x };
         admission.recompute(now, ready.map(|x| scaled(x.2)));
         self.admission = Some(admission);
     }
@@ -321,7 +322,7 @@
     pub(crate) fn set_clock(&mut self, now: i64) {
         let now = now.max(self.placement.host.now);
         self.placement.host.now = now;
-        self.placement.clock(now);
+        self.placement.set_clock(now);
     }
 
     fn dial(&mut self, peer: usize) {
@@ -365,7 +366,7 @@
         for task in self.placement.host.ledger.settled() {
             self.service_ids.release(self.service_of_task[task], now);
             if let Some(bounds) = &mut self.placement.host.constraints {
-                bounds.leave(task);
+                bounds.task_closed(task);
             }
         }
     }
@@ -377,7 +378,7 @@
         let job = ledger.record(ledger.key_of(task)?)?.job.clone();
         let s = self.service_ids.acquire(job.service, now);
         if let (Some(bounds), Some(facts)) = (&mut self.placement.host.constraints, &job.facts) {
-            bounds.enter(task, facts);
+            bounds.task_opened(task, facts);
         }
         if task >= self.service_of_task.len() {
             self.service_of_task.resize(task + 1, 0);
@@ -546,7 +547,7 @@
                 let stands = self.machines[m].as_ref().is_some_and(|x| x.availability.link.is_up());
                 self.probes.insert(n, m);
                 if !stands || self.probes.len() > MOST_PROBES {
-                    return self.probe_failed(n, Outcome::ConnectFailed);
+                    return self.probe_failed(n, AttemptOutcome::ConnectFailed);
                 }
                 self.send_machine(m, Body::Probe(wire::Probe { number: n }));
                 self.placement.host.timers.set(now + self.connect_timeout_us, TimerKind::Probe(n));
@@ -612,11 +613,11 @@
     /// Each known machine: its index, how it stands, and what the module believes of it.
     pub(crate) fn machines(
         &self,
-    ) -> impl Iterator<Item = (usize, &MachineAvailability, basaltpitch::host::Belief)> {
+    ) -> impl Iterator<Item = (usize, &MachineAvailability, basaltpitch::host::MachineEstimate)> {
         let known = self.machines.iter().enumerate().filter_map(|(m, x)| Some((m, x.as_ref()?)));
         known
             .filter(|(_, x)| x.availability.last_reported.is_some())
-            .map(|(m, x)| (m, &x.availability, self.placement.belief(m)))
+            .map(|(m, x)| (m, &x.availability, self.placement.machine_estimate(m)))
     }
 
     pub(crate) fn tenancy(&self) -> &Tenancy {
--- a/planner/src/state/clauses.rs
+++ b/planner/src/state/clauses.rs
@@ -6,10 +6,10 @@
 
     /// From now on clauses bind, with a name and place of each for answers. To be called before anything else
     /// comes.
-    pub fn set_constraints(&mut self, clauses: Vec<Clause>, places: Vec<String>) {
+    pub fn set_constraints(&mut self, clauses: Vec<Constraint>, places: Vec<String>) {
         self.constraint_names = places;
         if !clauses.is_empty() {
-            self.placement.host.constraints = Some(Bounds::new(clauses));
+            self.placement.host.constraints = Some(PlacementConstraints::new(clauses));
         }
     }
 
@@ -20,7 +20,7 @@
         tenant: Option<usize>,
         service: u64,
         key: &str,
-    ) -> Option<Rc<Facts>> {
+    ) -> Option<Rc<TaskAttributes>> {
         let bound = self.placement.host.constraints.is_some();
         bound.then(|| self.facts_anyway(framework, tenant, service, key))
     }
@@ -31,10 +31,10 @@
         tenant: Option<usize>,
         service: u64,
         key: &str,
-    ) -> Rc<Facts> {
+    ) -> Rc<TaskAttributes> {
         let tenant = tenant.map(|t| self.tenancy.called(t).0).unwrap_or_default();
         let framework = self.names.frameworks[framework].0.clone();
-        Rc::new(Facts { framework, tenant, service, key: key.to_owned() })
+        Rc::new(TaskAttributes { framework, tenant, service, key: key.to_owned() })
     }
 
     pub(super) fn clause_names(&self, clauses: &[usize]) -> String {
@@ -43,9 +43,9 @@
     }
 
     /// Why no machine could ever take a task, if none could.
-    pub(super) fn never(&mut self, facts: Option<&Rc<Facts>>) -> Option<String> {
-        match self.placement.host.constraints.as_mut()?.stands(facts?) {
-            Stands::Never { clauses, smallest } => {
+    pub(super) fn never(&mut self, facts: Option<&Rc<TaskAttributes>>) -> Option<String> {
+        match self.placement.host.constraints.as_mut()?.eligibility(facts?) {
+            Eligibility::Infeasible { clauses, smallest } => {
                 let names = self.clause_names(&clauses);
                 let more = if smallest { "" } else { "; not found smaller" };
                 Some(format!("no machine that is known could ever meet together: {names}{more}"))
@@ -55,10 +55,10 @@
     }
 
     /// Clauses in place of those that bind: what they break of what runs. Taken whole, or not at all.
-    pub(super) fn rebind(&mut self, clauses: Vec<(Clause, String)>, take: bool) -> Value {
-        let (clauses, places): (Vec<Clause>, Vec<String>) = clauses.into_iter().unzip();
+    pub(super) fn rebind(&mut self, clauses: Vec<(Constraint, String)>, take: bool) -> Value {
+        let (clauses, places): (Vec<Constraint>, Vec<String>) = clauses.into_iter().unzip();
         // Machines are told to the new ones as they are told to those that bind.
-        let before = self.placement.host.constraints.replace(Bounds::new(clauses));
+        let before = self.placement.host.constraints.replace(PlacementConstraints::new(clauses));
         for m in 0..self.machines.len() {
             if let Some(ready) = self.machines[m].as_ref().map(|x| x.availability.readiness()) {
                 self.update_machine_constraints(m, ready);
@@ -74,32 +74,33 @@
             all.push((key.clone(), facts, copies, r.task));
         }
         for (_, facts, copies, _) in &all {
-            copies.iter().for_each(|c| bounds.began(c.0, c.1, facts));
+            copies.iter().for_each(|c| bounds.attempt_started(c.0, c.1, facts));
         }
         let mut broken = Vec::new();
         for (key, facts, copies, _) in &all {
             for &(launch, m) in copies {
                 // As if it came now, the last of all.
-                bounds.over(launch);
-                let g = bounds.deciding.enter(facts);
+                bounds.attempt_ended(launch);
+                let g = bounds.state.acquire_group(facts);
                 let clauses: Vec<&str> =
-                    bounds.deciding.forbidding(g, m).into_iter().map(|c| places[c].as_str()).collect();
+                    bounds.state.violated_constraints(g, m).into_iter().map(|c| places[c].as_str()).collect();
                 if !clauses.is_empty() {
                     broken.push(
                         json!({"key": &**key, "machine": &**self.machine_ids.ids.id(m), "clauses": clauses}),
                     );
                 }
-                bounds.deciding.leave(g);
-                bounds.began(launch, m, facts);
+                bounds.state.release_group(g);
+                bounds.attempt_started(launch, m, facts);
             }
         }
         if take {
             for (_, facts, _, task) in &all {
                 if let Some(task) = task {
-                    bounds.enter(*task, facts);
+                    bounds.task_opened(*task, facts);
                 }
             }
-            let mut facts: BTreeMap<TaskKey, Rc<Facts>> = all.into_iter().map(|x| (x.0, x.1)).collect();
+            let mut facts: BTreeMap<TaskKey, Rc<TaskAttributes>> =
+                all.into_iter().map(|x| (x.0, x.1)).collect();
             self.placement.host.ledger.jobs_mut().for_each(|(key, job)| job.facts = facts.remove(key));
             self.placement.host.constraints = Some(bounds);
             self.constraint_names = places;
@@ -108,12 +109,12 @@
     }
 
     /// How clauses stand to a task: each that binds it, what it leaves, and who forbids which machine.
-    pub(crate) fn explain_constraints(&mut self, facts: &Facts, machines: bool) -> Value {
+    pub(crate) fn explain_constraints(&mut self, facts: &TaskAttributes, machines: bool) -> Value {
         let Some(bounds) = self.placement.host.constraints.as_mut() else { return json!({"clauses": []}) };
-        let stands = bounds.stands(facts);
-        let g = bounds.deciding.enter(facts);
-        let known = bounds.deciding.fleet().filter(|x| x.2 != State::Gone).count();
-        let leaves = bounds.deciding.leaves(g);
+        let stands = bounds.eligibility(facts);
+        let g = bounds.state.acquire_group(facts);
+        let known = bounds.state.fleet().filter(|x| x.2 != MachineState::Gone).count();
+        let leaves = bounds.state.machines_left(g);
         let named =
             |c: &[usize]| -> Vec<&str> { c.iter().map(|&c| self.constraint_names[c].as_str()).collect() };
         let rows: Vec<Value> = leaves
@@ -121,44 +122,45 @@
             .map(|x| json!({"clause": self.constraint_names[x.0], "leaves": x.1, "of": known}))
             .collect();
         let mut by_machine = Vec::new();
-        for (m, facts, state) in bounds.deciding.fleet().filter(|_| machines).take(MOST_ROWS) {
+        for (m, facts, state) in bounds.state.fleet().filter(|_| machines).take(MOST_ROWS) {
             let state = match state {
-                State::Ready => "ready",
-                State::Down => "drains",
-                State::Far => "link not well",
-                State::Gone => "gone",
+                MachineState::Ready => "ready",
+                MachineState::Down => "drains",
+                MachineState::Far => "link not well",
+                MachineState::Gone => "gone",
             };
-            let forbidding = named(&bounds.deciding.forbidding(g, m));
+            let forbidding = named(&bounds.state.violated_constraints(g, m));
             by_machine
                 .push(json!({"machine": &**self.machine_ids.ids.id(m), "state": state, "kind": facts.kind,
                 "hall": facts.hall, "rack": facts.rack, "labels": facts.labels, "forbidden_by": forbidding}));
         }
         let verdict = match &stands {
-            Stands::Free => json!("some machine is allowed"),
-            Stands::KeptOut => json!("kept out by what runs"),
-            Stands::Never { clauses, smallest } => {
+            Eligibility::Eligible => json!("some machine is allowed"),
+            Eligibility::Blocked => json!("kept out by what runs"),
+            Eligibility::Infeasible { clauses, smallest } => {
                 json!({"never": named(clauses), "smallest": smallest})
             }
         };
-        bounds.deciding.leave(g);
+        bounds.state.release_group(g);
         json!({"task": {"framework": facts.framework, "tenant": facts.tenant, "service": facts.service,
             "key": facts.key}, "verdict": verdict, "clauses": rows, "machines": by_machine})
     }
 
     /// What clauses see of a task that is known by its key, and its tenant.
-    pub(crate) fn known_task_facts(&self, key: &str) -> Option<(Rc<Facts>, Option<usize>)> {
+    pub(crate) fn known_task_facts(&self, key: &str) -> Option<(Rc<TaskAttributes>, Option<usize>)> {
         let job = &self.ledger().record(&key.into())?.job;
         Some((job.facts.clone()?, job.tenant))
     }
 
     /// The clauses that keep a task out everywhere now, if clauses do.
-    pub(super) fn kept_out(&mut self, facts: &Rc<Facts>) -> Option<String> {
+    pub(super) fn kept_out(&mut self, facts: &Rc<TaskAttributes>) -> Option<String> {
         let bounds = self.placement.host.constraints.as_mut()?;
-        let Stands::KeptOut = bounds.stands(facts) else { return None };
-        let g = bounds.deciding.enter(facts);
-        let known: Vec<usize> = bounds.deciding.fleet().map(|x| x.0).collect();
-        let mut clauses: Vec<usize> = known.iter().flat_map(|&m| bounds.deciding.forbidding(g, m)).collect();
-        bounds.deciding.leave(g);
+        let Eligibility::Blocked = bounds.eligibility(facts) else { return None };
+        let g = bounds.state.acquire_group(facts);
+        let known: Vec<usize> = bounds.state.fleet().map(|x| x.0).collect();
+        let mut clauses: Vec<usize> =
+            known.iter().flat_map(|&m| bounds.state.violated_constraints(g, m)).collect();
+        bounds.state.release_group(g);
         clauses.sort_unstable();
         clauses.dedup();
         Some(format!("kept out by what runs, under: {}", self.clause_names(&clauses)))
--- a/planner/src/state/clients.rs
+++ b/planner/src/state/clients.rs
@@ -33,7 +33,7 @@
             Body::Clauses(c) => {
                 let login = self.login(conn);
                 self.tenancy.operates(now, &login, "clauses")?;
-                let clauses: Vec<(Clause, String)> = serde_json::from_str(&c.json).map_err(|e| {
+                let clauses: Vec<(Constraint, String)> = serde_json::from_str(&c.json).map_err(|e| {
                     format!("clauses: found {e}; expected clauses in JSON with words for each")
                 })?;
                 if c.take {
--- a/planner/src/state/machines.rs
+++ b/planner/src/state/machines.rs
@@ -165,24 +165,24 @@
             return;
         };
         let (kind, zone, cell) = machine.availability.location;
-        let facts = Place {
+        let facts = MachineAttributes {
             kind: self.names.kinds[kind].clone(),
             hall: self.names.zones[zone].clone(),
             rack: cell as u32,
             labels: machine.labels.clone(),
         };
         let state = match ready {
-            Readiness::Ready => State::Ready,
+            Readiness::Ready => MachineState::Ready,
             Readiness::Draining
                 if machine.availability.link == LinkState::Healthy
                     && !machine.availability.outside_subset =>
             {
-                State::Down
+                MachineState::Down
             }
-            Readiness::Draining => State::Far,
-            Readiness::Gone => State::Gone,
+            Readiness::Draining => MachineState::Far,
+            Readiness::Gone => MachineState::Gone,
         };
-        bounds.machine(m, facts, state);
+        bounds.update_machine(m, facts, state);
     }
 
     /// Something of a machine's standing changed: the module hears it if that makes a difference to it.
@@ -294,7 +294,7 @@
         self.machines[m].as_mut().expect("current").availability.link = LinkState::None;
         self.placement.host.on_ledger(|l, acts| l.link_cut(m, unsent, acts));
         let dead: Vec<u64> = self.probes.iter().filter(|x| *x.1 == m).map(|x| *x.0).collect();
-        dead.into_iter().for_each(|n| self.probe_failed(n, Outcome::ConnectFailed));
+        dead.into_iter().for_each(|n| self.probe_failed(n, AttemptOutcome::ConnectFailed));
         if self.machines[m].as_ref().is_some_and(|x| !x.availability.is_wanted()) {
             self.machine_unlisted(m);
         }
@@ -361,7 +361,8 @@
             Body::Probed(x) => {
                 if let Some(m) = self.probes.remove(&x.number) {
                     let report = x.report.map(|r| r.values).unwrap_or_default();
-                    let end = outcome_code(if x.why == 0 { Outcome::Ended } else { Outcome::Full });
+                    let end =
+                        outcome_code(if x.why == 0 { AttemptOutcome::Ended } else { AttemptOutcome::Full });
                     self.notify_placement(PlacementEvent::Probed { m, end, report });
                 }
             }
@@ -427,7 +428,7 @@
         Ok(())
     }
 
-    pub(super) fn probe_failed(&mut self, n: u64, outcome: Outcome) {
+    pub(super) fn probe_failed(&mut self, n: u64, outcome: AttemptOutcome) {
         if let Some(m) = self.probes.remove(&n) {
             self.notify_placement(PlacementEvent::Probed {
                 m,
--- a/planner/src/state/parts.rs
+++ b/planner/src/state/parts.rs
@@ -184,7 +184,7 @@
     fn clauses_allow(&self, task: usize, m: usize) -> bool {
         let bounds = self.placement.host.constraints.as_ref();
         let group = bounds.and_then(|b| Some((b, b.group(task)?)));
-        group.is_none_or(|(b, g)| b.deciding.allows(g, m))
+        group.is_none_or(|(b, g)| b.state.allows(g, m))
     }
 
     // Tasks that wait.
@@ -230,8 +230,8 @@
     }
 
     /// A launch has an outcome: it is over, or the task waits again.
-    pub(super) fn task_resolved(&mut self, task: usize, outcome: Outcome, over: bool) {
-        if outcome == Outcome::Full {
+    pub(super) fn task_resolved(&mut self, task: usize, outcome: AttemptOutcome, over: bool) {
+        if outcome == AttemptOutcome::Full {
             self.short_of_room();
         }
         let need = self.part.as_mut().and_then(|x| x.needs.remove(&task));
@@ -261,7 +261,7 @@
     /// has as many planners that speak for it, so that a hall that is lost stays one.
     pub(crate) fn observable_machines(
         &self,
-    ) -> impl Iterator<Item = (usize, &MachineAvailability, basaltpitch::host::Belief)> {
+    ) -> impl Iterator<Item = (usize, &MachineAvailability, basaltpitch::host::MachineEstimate)> {
         let now = self.now();
         let speaks_of = move |m: usize, standing: &MachineAvailability| {
             let Some(parts) = &self.part else { return true };
--- a/planner/src/view.rs
+++ b/planner/src/view.rs
@@ -85,7 +85,7 @@
             if !text("tenant").is_empty() {
                 core.tenancy().may_see(core.now(), login, &text("tenant"))?;
             }
-            basaltpitch_constraints::Task {
+            basaltpitch_constraints::TaskAttributes {
                 framework: text("framework"),
                 tenant: text("tenant"),
                 service: asked["service"].as_u64().unwrap_or(0),
--- a/planner/tests/clauses.rs
+++ b/planner/tests/clauses.rs
@@ -5,7 +5,7 @@
 
 use basaltpitch_agent::wire::{self, AnswerKind, Body};
 use basaltpitch_config::installation::load_texts;
-use basaltpitch_constraints::read::read;
+use basaltpitch_constraints::parse::parse;
 use net::{Net, BIG, ONCE, SMALL};
 
 const S: i64 = 1_000_000;
@@ -19,7 +19,7 @@
 fn begin(clauses: &str, labelled: &[usize]) -> Net {
     let text = format!("clauses: [\n{clauses}\n]\n");
     let site = load_texts(&[("site.rec", SITE), ("c.rec", &text)]).map_err(|e| format!("{:?}", e.1)).unwrap();
-    let clauses = read(&site.all).map_err(|e| format!("{e:?}")).unwrap();
+    let clauses = parse(&site.all).map_err(|e| format!("{e:?}")).unwrap();
     let places = clauses.iter().map(|c| c.name.clone()).collect();
     let mut net = Net::bare(6);
     net.core.set_constraints(clauses, places);
@@ -133,7 +133,7 @@
     let text = format!("clauses: [\n{clauses}\n]\n");
     let site = load_texts(&[("site.rec", SITE), ("c.rec", &text)]).map_err(|e| e.1).unwrap();
     net.kill();
-    net.core.set_constraints(read(&site.all).unwrap(), vec!["one a hall".into()]);
+    net.core.set_constraints(parse(&site.all).unwrap(), vec!["one a hall".into()]);
     net.list(true);
     net.flow(40);
     assert_eq!(ask(&mut net, BIG, "c", 1), None, "both halls have theirs");
@@ -151,7 +151,7 @@
     let text = |c: &str| {
         let site = format!("clauses: [{c}]\n");
         let site = load_texts(&[("site.rec", SITE), ("c.rec", &site)]).map_err(|e| e.1).unwrap();
-        let all: Vec<_> = read(&site.all).unwrap().into_iter().map(|c| (c.clone(), c.name)).collect();
+        let all: Vec<_> = parse(&site.all).unwrap().into_iter().map(|c| (c.clone(), c.name)).collect();
         serde_json::to_string(&all).unwrap()
     };
     let new = text("{name: \"b\", of: {framework: \"small\"}, in: {halls: [\"hall-b\"]}}");
@@ -170,3 +170,33 @@
     assert_eq!(told["machines"].as_array().unwrap().len(), 6);
     assert_eq!(net.finish().0, []);
 }
+
+/// What is sent to a planner in service keeps its words, whatever the types are called.
+#[test]
+fn constraints_are_sent_in_the_words_that_planners_know() {
+    let text = "clauses: [
+    {name: \"s\", of: {framework: \"small\"}, spread: {over: \"hall\", skew: 1, gone: \"keeps\"}},
+    {name: \"w\", how: \"prefer\", rank: 2, with: {framework: \"small\", within: \"hall\"}},
+    {name: \"i\", in: {halls: [\"hall-a\"], labels: [\"ssd\"]}},
+    {name: \"g\", spread: {over: \"rack\", most: 2, by: \"all\"}}]\n";
+    let site = load_texts(&[("site.rec", SITE), ("clauses.rec", text)]).map_err(|e| e.1).unwrap();
+    let sent: Vec<String> =
+        parse(&site.all).unwrap().iter().map(|c| serde_json::to_string(c).unwrap()).collect();
+    let all = r#"{"framework":null,"tenant":null,"service":null,"task":null}"#;
+    let small = r#"{"framework":"small","tenant":null,"service":null,"task":null}"#;
+    assert_eq!(
+        sent,
+        [
+            format!(
+                r#"{{"name":"s","of":{small},"wish":null,"rule":{{"Spread":{{"over":"Hall","by":"Service","most":null,"skew":1,"gone":"Keeps"}}}}}}"#
+            ),
+            format!(r#"{{"name":"w","of":{all},"wish":2,"rule":{{"With":[{small},"Hall"]}}}}"#),
+            format!(
+                r#"{{"name":"i","of":{all},"wish":null,"rule":{{"In":{{"kinds":[],"halls":["hall-a"],"racks":[],"labels":["ssd"]}}}}}}"#
+            ),
+            format!(
+                r#"{{"name":"g","of":{all},"wish":null,"rule":{{"Spread":{{"over":"Rack","by":"All","most":2,"skew":null,"gone":"Live"}}}}}}"#
+            ),
+        ]
+    );
+}
--- a/planner/tests/golden_json.rs
+++ b/planner/tests/golden_json.rs
@@ -1,7 +1,7 @@
 //! JSON that planners write for other builds, as an earlier build read and wrote it: `golden/json.txt` has a
 //! line for each sort and each of its kinds. `told` stands in recordings, `clause` in frames of operators, and
 //! `roll-wanted`, `roll` and `halls` in the notes that voters keep. The file is never edited.
-use basaltpitch_constraints::Clause;
+use basaltpitch_constraints::Constraint;
 use basaltpitch_planner::placement_event::PlacementEvent;
 use basaltpitch_rolling_restart::{Plan, Progress};
 use basaltpitch_zone_failover::conductor::Word;
@@ -24,7 +24,7 @@
         let (sort, text) = line.split_once(' ').expect("a sort and JSON");
         let found = match sort {
             "told" => again::<PlacementEvent>(text),
-            "clause" => again::<Clause>(text),
+            "clause" => again::<Constraint>(text),
             "roll-wanted" => again::<Plan>(text),
             "roll" => again::<Progress<String>>(text),
             "halls" => again::<Word>(text),
--- a/planner/tests/net/mod.rs
+++ b/planner/tests/net/mod.rs
@@ -2,7 +2,7 @@
 //! links that can be cut, delayed and reordered across reconnects. Every frame is shown to the auditor in the
 //! order in which the planner wrote or read it, so that it judges without slack.
 #![allow(dead_code)]
-use basaltpitch::host::{Given, Value};
+use basaltpitch::host::{Settings, Value};
 use basaltpitch_agent::holder::{Holder, Id, Say, State};
 use basaltpitch_agent::why;
 use basaltpitch_agent::wire::{self, Body, EndedHow, Entry, Launch, LaunchId, Readiness};
@@ -18,7 +18,7 @@
 pub const ONCE: &str = "once";
 
 /// Settings of three frameworks, one of each kind, on machines of 16 cores.
-pub fn given() -> Given {
+pub fn given() -> Settings {
     let text = "classes.0.name=small classes.0.semantics=retryable classes.0.objectiveUs=600000 \
         classes.0.deadlineUs=6000000 classes.0.worth=1 classes.1.name=big classes.1.semantics=dedup \
         classes.1.group=zone classes.1.objectiveUs=5000000 classes.1.deadlineUs=9000000 classes.1.worth=5 \
--- a/planner/tests/parts.rs
+++ b/planner/tests/parts.rs
@@ -3,7 +3,7 @@
 
 use basaltpitch_agent::wire::{AnswerKind, Body, Fetch};
 use basaltpitch_config::installation::load_texts;
-use basaltpitch_constraints::read::read;
+use basaltpitch_constraints::parse::parse;
 use basaltpitch_subsetting::{hash, Terms};
 use net::{Net, ONCE, SMALL};
 use serde_json::Value;
@@ -21,7 +21,7 @@
         let site = "zones: [\"hall-a\", \"hall-b\"]\nkinds: [{name: \"std\", cores: 16, memory: 32}]\n\
                     frameworks: [{name: \"small\", repeat: \"repeatable\", goal: 600ms, limit: 6s}]\n";
         let site = load_texts(&[("site.rec", site), ("c.rec", clauses)]).map_err(|e| format!("{:?}", e.1));
-        let clauses = read(&site.unwrap().all).map_err(|e| format!("{e:?}")).unwrap();
+        let clauses = parse(&site.unwrap().all).map_err(|e| format!("{e:?}")).unwrap();
         net.core.set_constraints(clauses, vec!["fast".into()]);
     }
     labelled.iter().for_each(|&m| net.machines[m].labels = vec!["ssd".into()]);
--- a/planner/tests/sockets.rs
+++ b/planner/tests/sockets.rs
@@ -1,6 +1,6 @@
 //! A planner on real sockets, beside stand-ins in the same process. Nothing waits for luck: each test waits
 //! for the frame that it wants, within a bound.
-use basaltpitch::host::{Given, Value};
+use basaltpitch::host::{Settings, Value};
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Links, Party};
 use basaltpitch_agent::wire::{self, AnswerKind, Body, LifeHow, Role};
@@ -47,7 +47,7 @@
         Laid::Number(n) => Value::Number(n),
         Laid::Text(t) => Value::Text(t),
     };
-    let given: Given = site.lay_out(&seat).into_iter().map(|(k, v)| (k, value(v))).collect();
+    let given: Settings = site.lay_out(&seat).into_iter().map(|(k, v)| (k, value(v))).collect();
     let who = Identity { name: "p".into(), epoch: 1, seed: 1, register: register.address.clone() };
     let config = PlannerConfig {
         identity: who,
--- a/src/host.rs
+++ b/src/host.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// The settings of a planner under their dotted names, such as `rules.coldUs` or `classes.0.name`.
-pub type Given = BTreeMap<String, Value>;
+pub type Settings = BTreeMap<String, Value>;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
@@ -13,7 +13,7 @@
 }
 
 /// The number under `name`; a mark that is set reads as 1. `None` where it is absent or a text.
-pub fn number(given: &Given, name: &str) -> Option<f64> {
+pub fn number(given: &Settings, name: &str) -> Option<f64> {
     match given.get(name) {
         Some(Value::Number(n)) => Some(*n),
         _ => None,
@@ -21,7 +21,7 @@
 }
 
 /// The text under `name`, empty where there is none.
-pub fn text<'a>(given: &'a Given, name: &str) -> &'a str {
+pub fn text<'a>(given: &'a Settings, name: &str) -> &'a str {
     match given.get(name) {
         Some(Value::Text(t)) => t,
         _ => "",
@@ -29,13 +29,13 @@
 }
 
 /// Cores and memory units.
-pub type Room = (f64, f64);
+pub type Resources = (f64, f64);
 
 /// Kind, zone and cell of a machine.
-pub type Place = (usize, usize, usize);
+pub type Location = (usize, usize, usize);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     Ended,
     Error,
     Full,
@@ -55,7 +55,7 @@
 
 /// What a planner believes of a machine, for operators: nothing is decided from it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Belief {
+pub struct MachineEstimate {
     pub listed: bool,
     pub cores: f64,
     pub memory: f64,
@@ -77,27 +77,27 @@
 /// What the planner can do. Each call takes effect at the time of the event being handled.
 pub trait Host {
     /// Offers the task to the machine; launches of a task count 0, 1, 2 ...
-    fn launch(&mut self, task: usize, machine: usize, time_out_us: i64);
+    fn launch(&mut self, task: usize, machine: usize, timeout_us: i64);
     fn cancel(&mut self, task: usize, launch: u32);
-    fn decline(&mut self, task: usize, retry_after_us: i64);
+    fn reject(&mut self, task: usize, retry_after_us: i64);
     fn abort(&mut self, task: usize);
     /// Stops a placed task, so that its owner asks again.
-    fn move_task(&mut self, task: usize);
+    fn evict(&mut self, task: usize);
     fn probe(&mut self, machine: usize);
-    fn watch(&mut self, on: bool);
-    fn fetch(&mut self);
-    fn timer(&mut self, after_us: i64, token: u64);
+    fn watch_list(&mut self, on: bool);
+    fn fetch_list(&mut self);
+    fn set_timer(&mut self, after_us: i64, token: u64);
     fn log(&mut self, text: &str);
     /// Whether clauses of the installation let the task go to the machine now.
     fn allows(&self, _task: usize, _machine: usize) -> bool {
         true
     }
     /// How well its wishes are met there; more is better. Asked of machines that fit and suit equally well.
-    fn wishes(&self, _task: usize, _machine: usize) -> u64 {
+    fn preference_score(&self, _task: usize, _machine: usize) -> u64 {
         0
     }
     /// Tasks of one framework with the same number are bound alike: where one cannot go, no larger one can.
-    fn bound_alike(&self, _task: usize) -> usize {
+    fn constraint_group(&self, _task: usize) -> usize {
         0
     }
 }
--- a/src/logic.rs
+++ b/src/placement.rs
@@ -3,7 +3,9 @@
 //! `Host`, then calls one method for each thing that happens: list, task, launch, note, probe, timer.
 //! The planner acts by calling the host at once. The interface is in `host.rs`, the why in `docs/design.md`.
 #![allow(clippy::too_many_arguments)]
-use crate::host::{number, text, Belief, Given, Host, Outcome, Place, Readiness, Room, Value};
+use crate::host::{
+    number, text, AttemptOutcome, Host, Location, MachineEstimate, Readiness, Resources, Settings, Value,
+};
 use std::collections::BTreeMap;
 
 /// Confidence 99%: the standard normal quantile (the paper's D; DESIGN runs 99.9% and 99%).
@@ -110,14 +112,14 @@
 }
 
 /// C and B of a machine, the memory in use there, and what own binds ask that neither can contain.
-type Load = (f64, f64, f64, Room);
+type Load = (f64, f64, f64, Resources);
 
 /// Figures of machines, in parallel arrays under the machine's index.
 #[derive(Default)]
 struct Machines {
     listed: Vec<bool>,
     /// Kind, zone and cell.
-    place: Vec<Place>,
+    place: Vec<Location>,
     started: Vec<i64>,
     cores: Vec<f64>,
     memory: Vec<f64>,
@@ -126,9 +128,9 @@
     report_at: Vec<i64>,
     /// The id's number, which is the same at every planner, and what was asked when the report came.
     number: Vec<u64>,
-    asked_then: Vec<Room>,
+    asked_then: Vec<Resources>,
     /// Cores and memory that nobody had asked for, as listed.
-    view: Vec<Room>,
+    view: Vec<Resources>,
     view_at: Vec<i64>,
     held: Vec<Vec<usize>>,
     sends: Vec<Vec<i64>>,
@@ -141,7 +143,7 @@
 
 pub struct Planner<H: Host> {
     pub host: H,
-    given: Given,
+    given: Settings,
     chance: fastrand::Rng,
     /// The clock as the last call of `clock` told it, and when this planner was started.
     now: i64,
@@ -175,7 +177,7 @@
 }
 
 impl<H: Host> Planner<H> {
-    pub fn new(host: H, seed: u64, now: i64, given: Given) -> Self {
+    pub fn new(host: H, seed: u64, now: i64, given: Settings) -> Self {
         let framework = |i: usize| {
             let per = |name: &str| number(&given, &format!("classes.{i}.{name}"));
             let kin = |name: &str| number(&given, &format!("familyInfo.{name}.{i}")).unwrap_or(0.0);
@@ -225,23 +227,30 @@
         if text(&planner.given, "discovery") == "ask" {
             planner.ask_for_list();
         }
-        planner.host.timer(TICK, 0);
+        planner.host.set_timer(TICK, 0);
         planner
     }
 
-    pub fn clock(&mut self, now: i64) {
+    pub fn set_clock(&mut self, now: i64) {
         self.now = now;
     }
 
     /// Entries follow, then `list_ends`. A whole list names every machine; only a fresh one counts as heard.
-    pub fn list_begins(&mut self, whole: bool, fresh: bool) {
+    pub fn list_started(&mut self, whole: bool, fresh: bool) {
         self.mac.listed.iter_mut().for_each(|listed| *listed &= !whole);
         if fresh {
             (self.heard_at, self.list_fails, self.list_due) = (self.now, 0, i64::MAX);
         }
     }
 
-    pub fn machine_listed(&mut self, m: usize, at: Place, ready: Readiness, started: i64, left: Room) {
+    pub fn machine_listed(
+        &mut self,
+        m: usize,
+        at: Location,
+        ready: Readiness,
+        started: i64,
+        left: Resources,
+    ) {
         self.know_machine(m);
         self.mac.listed[m] = ready == Readiness::Ready;
         self.mac.cores[m] = self.rule(&format!("familyInfo.cpuOfKind.{}", at.0));
@@ -255,28 +264,28 @@
     }
 
     /// A machine's or service's id as a number that is the same at every planner.
-    pub fn machine_number(&mut self, m: usize, number: u64) {
+    pub fn set_machine_number(&mut self, m: usize, number: u64) {
         self.know_machine(m);
         self.mac.number[m] = number;
     }
 
     /// A tenant's share of the fleet, in place of the one that the settings gave.
-    pub fn tenant_share(&mut self, tenant: usize, share: f64) {
+    pub fn set_tenant_share(&mut self, tenant: usize, share: f64) {
         self.given.insert(format!("tenants.{tenant}.share"), Value::Number(share));
     }
 
-    pub fn service_number(&mut self, s: usize, number: u64) {
+    pub fn set_service_number(&mut self, s: usize, number: u64) {
         let known = self.service_numbers.len().max(s + 1);
         self.service_numbers.resize(known, number);
     }
 
     /// Nothing runs of a service any more and its index goes to another: what was learnt of it leaves.
-    pub fn service_left(&mut self, s: usize) {
+    pub fn service_removed(&mut self, s: usize) {
         self.uses[s] = Use::START;
     }
 
     /// A machine that is gone and holds no launch leaves its index.
-    pub fn machine_left(&mut self, m: usize) {
+    pub fn machine_removed(&mut self, m: usize) {
         let (mac, none) = (&mut self.mac, Vec::new);
         (mac.listed[m], mac.place[m], mac.held[m], mac.sends[m]) = (false, (0, 0, 0), none(), Vec::new());
         (mac.view[m], mac.asked_then[m]) = ((0.0, 0.0), (0.0, 0.0));
@@ -287,7 +296,7 @@
         (mac.used_cores[m], mac.used_memory[m]) = (0.0, 0.0);
     }
 
-    pub fn list_ends(&mut self) {
+    pub fn list_finished(&mut self) {
         self.probe_round();
         self.serve_waiting();
     }
@@ -300,7 +309,7 @@
     }
 
     fn ask_for_list(&mut self) {
-        self.host.watch(true);
+        self.host.watch_list(true);
         self.list_due = self.now + 5_000_000;
     }
 
@@ -309,7 +318,15 @@
         self.list_due == i64::MAX || self.now < self.heard_at + self.rule("rules.askEveryUs") as i64
     }
 
-    pub fn wanted(&mut self, task: usize, f: usize, _tenant: Option<usize>, s: usize, asks: Room, left: i64) {
+    pub fn task_requested(
+        &mut self,
+        task: usize,
+        f: usize,
+        _tenant: Option<usize>,
+        s: usize,
+        asks: Resources,
+        left: i64,
+    ) {
         self.enter(task, f, s, asks);
         let t = &mut self.tasks[task];
         (t.phase, t.born_at, t.limit_at) = (Phase::Waiting, self.now, self.now + left);
@@ -331,7 +348,15 @@
         self.asked > 0
     }
 
-    pub fn found(&mut self, task: usize, f: usize, _tenant: Option<usize>, s: usize, asks: Room, m: usize) {
+    pub fn running_task_found(
+        &mut self,
+        task: usize,
+        f: usize,
+        _tenant: Option<usize>,
+        s: usize,
+        asks: Resources,
+        m: usize,
+    ) {
         self.know_machine(m);
         self.enter(task, f, s, asks);
         let t = &mut self.tasks[task];
@@ -341,7 +366,7 @@
         self.mac.held[m].push(task);
     }
 
-    fn enter(&mut self, task: usize, f: usize, s: usize, asks: Room) {
+    fn enter(&mut self, task: usize, f: usize, s: usize, asks: Resources) {
         let known = self.uses.len().max(s + 1);
         self.uses.resize(known, Use::START);
         if self.uses[s].notes == 0.0 {
@@ -418,7 +443,7 @@
         // then the fullest.
         let first = fits.iter().map(|x| x.2 >> 2).max().unwrap_or(0);
         fits.retain(|x| x.2 >> 2 == first);
-        let wishes: Vec<u64> = fits.iter().map(|x| self.host.wishes(task, x.0)).collect();
+        let wishes: Vec<u64> = fits.iter().map(|x| self.host.preference_score(task, x.0)).collect();
         let most = wishes.iter().copied().max().unwrap_or(0);
         let mut wished = wishes.iter().map(|&w| w == most);
         fits.retain(|_| wished.next() == Some(true));
@@ -465,7 +490,7 @@
         }
         let spread = self.frameworks[f].spread.as_str();
         let here = |o: usize| self.own(o).filter(|t| t.service == s).count();
-        let near = |a: Place, b: Place| if spread == "cell" { a.2 == b.2 } else { a.1 == b.1 };
+        let near = |a: Location, b: Location| if spread == "cell" { a.2 == b.2 } else { a.1 == b.1 };
         let places = |o: &usize| near(self.mac.place[*o], self.mac.place[m]);
         let together = match spread {
             "machine" => here(m),
@@ -518,7 +543,7 @@
         kept && self.now + travel < at + self.rule(&format!("classes.{}.windowUs", t.framework)) as i64
     }
 
-    pub fn accepted(&mut self, task: usize) {
+    pub fn attempt_accepted(&mut self, task: usize) {
         let t = &mut self.tasks[task];
         if t.phase != Phase::Out {
             return;
@@ -555,7 +580,7 @@
     }
 
     /// News of a task: 1 it runs, 2 cores and 3 memory in use, 4 how well it is served.
-    pub fn noted(&mut self, task: usize, sort: i64, value: f64) {
+    pub fn task_status(&mut self, task: usize, sort: i64, value: f64) {
         let t = &self.tasks[task];
         self.mac.heard_at[t.machine] = self.now;
         match sort {
@@ -592,7 +617,7 @@
         }
     }
 
-    pub fn resolved(&mut self, task: usize, end: Outcome, why: i64, over: bool, report: &[f64]) {
+    pub fn attempt_ended(&mut self, task: usize, end: AttemptOutcome, why: i64, over: bool, report: &[f64]) {
         let t = &self.tasks[task];
         let (m, phase, sent_at) = (t.machine, t.phase, t.sent_at);
         self.mac.held[m].retain(|&o| o != task);
@@ -602,9 +627,9 @@
         // which the list tells only later. Where a line is long or room is short, others fit soon.
         // An error is not held against it yet: a task that no machine can use would bar one after another.
         let bar = match end {
-            Outcome::Full if why != 4 => 1_000_000,
-            Outcome::ConnectFailed | Outcome::TimedOut | Outcome::Full => BARRED,
-            Outcome::Reset if phase == Phase::Out || why == 0 || why == 7 => BARRED,
+            AttemptOutcome::Full if why != 4 => 1_000_000,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::TimedOut | AttemptOutcome::Full => BARRED,
+            AttemptOutcome::Reset if phase == Phase::Out || why == 0 || why == 7 => BARRED,
             _ => 0,
         };
         self.mac.shun_until[m] = self.mac.shun_until[m].max(self.now + bar);
@@ -617,12 +642,12 @@
             return;
         }
         t.tried.push(m);
-        if !matches!(end, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot) {
+        if !matches!(end, AttemptOutcome::Full | AttemptOutcome::ConnectFailed | AttemptOutcome::Moot) {
             t.unsure = t.unsure.or(Some((m, sent_at)));
         }
         t.phase = Phase::Waiting;
         // A second machine that errs shows that the task is at fault.
-        let useless = end == Outcome::Error && t.erred.replace(m).is_some();
+        let useless = end == AttemptOutcome::Error && t.erred.replace(m).is_some();
         let spent = useless || f64::from(t.launches) >= self.rule("permissions.attemptsCap");
         if spent || self.too_late(task) {
             self.give_up(task);
@@ -631,7 +656,7 @@
         }
     }
 
-    pub fn expired(&mut self, task: usize) {
+    pub fn task_expired(&mut self, task: usize) {
         let t = &self.tasks[task];
         if t.phase == Phase::Out && self.rule("permissions.cancelling") > 0.0 {
             self.host.cancel(task, t.launches - 1);
@@ -646,7 +671,7 @@
         let t = &self.tasks[task];
         let stop = t.limit_at - self.answer_us[t.framework] as i64 - self.now;
         let token = self.token(task);
-        self.host.timer(stop.max(0), token);
+        self.host.set_timer(stop.max(0), token);
         self.tasks[task].tried.clear();
         self.waiting.push(task);
     }
@@ -666,7 +691,7 @@
         let harmless = self.frameworks[f].semantics == "retryable"
             || (self.frameworks[f].semantics == "dedup" && in_all);
         if harmless || self.tasks[task].unsure.is_none() {
-            self.host.decline(task, 0);
+            self.host.reject(task, 0);
         } else {
             self.host.abort(task);
         }
@@ -686,7 +711,7 @@
                 continue;
             }
             // Where one could not go, a larger one that is bound alike cannot.
-            let alike = (f, self.host.bound_alike(task));
+            let alike = (f, self.host.constraint_group(task));
             let smallest: &mut f64 = least.entry(alike).or_insert(f64::MAX);
             if cores >= *smallest || !self.place(task) {
                 *smallest = smallest.min(cores);
@@ -695,7 +720,7 @@
         }
     }
 
-    pub fn timer_due(&mut self, token: u64) {
+    pub fn timer_fired(&mut self, token: u64) {
         if token != 0 {
             let task = (token & 0xffff_ffff) as usize;
             if self.tasks[task].phase == Phase::Waiting && self.token(task) == token {
@@ -704,7 +729,7 @@
             }
             return;
         }
-        self.host.timer(TICK, 0);
+        self.host.set_timer(TICK, 0);
         if self.now >= self.list_due {
             self.ask_for_list();
         }
@@ -745,13 +770,13 @@
         (PROBE_EVERY as f64 * (self.rule("nInstances") / PROBERS).max(1.0)) as i64
     }
 
-    pub fn probed(&mut self, m: usize, outcome: Outcome, report: &[f64]) {
+    pub fn probe_finished(&mut self, m: usize, outcome: AttemptOutcome, report: &[f64]) {
         self.know_machine(m);
         self.heard_end(m, outcome);
-        if outcome == Outcome::Ended {
+        if outcome == AttemptOutcome::Ended {
             self.read_report(m, report);
             self.probe_told(!report.is_empty());
-        } else if outcome != Outcome::Full {
+        } else if outcome != AttemptOutcome::Full {
             self.mac.shun_until[m] = self.now + BARRED;
         }
         self.asked = self.asked.saturating_sub(1);
@@ -773,8 +798,8 @@
     }
 
     /// What only the machine itself can have said shows that it is there.
-    fn heard_end(&mut self, m: usize, end: Outcome) {
-        if matches!(end, Outcome::Ended | Outcome::Error | Outcome::Full) {
+    fn heard_end(&mut self, m: usize, end: AttemptOutcome) {
+        if matches!(end, AttemptOutcome::Ended | AttemptOutcome::Error | AttemptOutcome::Full) {
             self.mac.heard_at[m] = self.now;
         }
     }
@@ -831,10 +856,10 @@
         (used + more, b + (used - known).max(0.0) * ratio, memory + later.1, later)
     }
 
-    pub fn belief(&self, m: usize) -> Belief {
+    pub fn machine_estimate(&self, m: usize) -> MachineEstimate {
         let (c, b, used_memory, _) = self.load(m, self.spread_ratio());
         let mac = &self.mac;
-        Belief {
+        MachineEstimate {
             listed: mac.listed[m],
             cores: mac.cores[m],
             memory: mac.memory[m],
@@ -851,7 +876,7 @@
     }
 
     /// Cores and memory asked of a machine, as the list shows it.
-    fn asked(&self, m: usize) -> Room {
+    fn asked(&self, m: usize) -> Resources {
         let mac = &self.mac;
         (mac.cores[m] - mac.view[m].0, mac.memory[m] - mac.view[m].1)
     }
@@ -924,7 +949,7 @@
             cores -= self.uses[self.tasks[o].service].mean;
             memory -= self.tasks[o].memory * self.memory_use.mean;
             self.tasks[o].phase = Phase::Over;
-            self.host.move_task(o);
+            self.host.evict(o);
         }
     }
 
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -1,8 +1,8 @@
 //! The cold budget of a machine holds for the sum of what all planners send, in whatever way they are apart:
 //! 20 to 30 instances of the module under one made-up clock, and arrivals counted at the machine.
 mod stage;
-use basaltpitch::host::{Host, Outcome, Readiness};
-use basaltpitch::logic::Planner;
+use basaltpitch::host::{AttemptOutcome, Host, Readiness};
+use basaltpitch::placement::Planner;
 use stage::given;
 
 const WINDOW: i64 = 1_000_000;
@@ -23,13 +23,13 @@
         self.launches.push(task);
     }
     fn cancel(&mut self, _task: usize, _launch: u32) {}
-    fn decline(&mut self, _task: usize, _retry_after_us: i64) {}
+    fn reject(&mut self, _task: usize, _retry_after_us: i64) {}
     fn abort(&mut self, _task: usize) {}
-    fn move_task(&mut self, _task: usize) {}
+    fn evict(&mut self, _task: usize) {}
     fn probe(&mut self, _machine: usize) {}
-    fn watch(&mut self, _on: bool) {}
-    fn fetch(&mut self) {}
-    fn timer(&mut self, after_us: i64, token: u64) {
+    fn watch_list(&mut self, _on: bool) {}
+    fn fetch_list(&mut self) {}
+    fn set_timer(&mut self, after_us: i64, token: u64) {
         self.timers.push((self.now + after_us, token));
     }
     fn log(&mut self, _text: &str) {}
@@ -60,29 +60,29 @@
     fn step(&mut self, now: i64, started: i64) -> usize {
         let mine = now + self.off;
         (self.planner.host.now, self.told) = (mine, self.told);
-        self.planner.clock(mine);
+        self.planner.set_clock(mine);
         if !self.told && now >= self.told_at {
             self.told = true;
-            self.planner.list_begins(true, true);
-            self.planner.machine_number(0, 77);
+            self.planner.list_started(true, true);
+            self.planner.set_machine_number(0, 77);
             self.planner.machine_listed(0, (0, 0, 0), Readiness::Ready, started, (0.0, 0.0));
-            self.planner.list_ends();
+            self.planner.list_finished();
         }
         while let Some(i) = self.planner.host.timers.iter().position(|t| t.0 <= mine) {
             let (_, token) = self.planner.host.timers.swap_remove(i);
-            self.planner.timer_due(token);
+            self.planner.timer_fired(token);
         }
         while let Some(i) = self.ends.iter().position(|e| e.0 <= now) {
             let (_, task) = self.ends.swap_remove(i);
-            self.planner.resolved(task, Outcome::Ended, 0, true, &[]);
+            self.planner.attempt_ended(task, AttemptOutcome::Ended, 0, true, &[]);
         }
         if now % 50_000 == 0 {
-            self.planner.wanted(self.next, 0, None, 0, (0.1, 0.1), 6_000_000);
+            self.planner.task_requested(self.next, 0, None, 0, (0.1, 0.1), 6_000_000);
             self.next += 1;
         }
         let launches = std::mem::take(&mut self.planner.host.launches);
         for &task in &launches {
-            self.planner.accepted(task);
+            self.planner.attempt_accepted(task);
             self.ends.push((now + 200_000, task));
         }
         launches.len()
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,7 +1,7 @@
 //! Short traces of decisions, each kept beside the test and read by people.
 mod stage;
-use basaltpitch::host::{Outcome::*, Readiness::*};
-use basaltpitch::logic::Planner;
+use basaltpitch::host::{AttemptOutcome::*, Readiness::*};
+use basaltpitch::placement::Planner;
 use expect_test::expect;
 use stage::*;
 
@@ -10,9 +10,9 @@
 fn the_fullest_fitting_machine_is_picked() {
     let mut p = planner(&[], &[2.0, 9.0, 15.5]);
     small(&mut p, 0, 0);
-    p.accepted(0);
+    p.attempt_accepted(0);
     for task in 1..4 {
-        p.noted(0, 2, 0.5);
+        p.task_status(0, 2, 0.5);
         large(&mut p, task, task);
     }
     expect![[r#"
@@ -29,7 +29,7 @@
 #[test]
 fn machines_that_hold_the_program_go_first() {
     let mut p = planner(&[], &[2.0, 9.0]);
-    p.found(0, 0, None, 5, (1.0, 2.0), 0);
+    p.running_task_found(0, 0, None, 5, (1.0, 2.0), 0);
     small(&mut p, 1, 5);
     small(&mut p, 2, 6);
     expect![[r#"
@@ -74,13 +74,13 @@
 fn small_tasks_make_way_for_a_large_one() {
     let mut p = planner(&[], &[12.0]);
     for task in 0..6 {
-        p.found(task, 0, None, task, (2.0, 2.0), 0);
-        p.noted(task, 2, 1.8);
+        p.running_task_found(task, 0, None, task, (2.0, 2.0), 0);
+        p.task_status(task, 2, 1.8);
     }
     large(&mut p, 6, 9);
-    p.accepted(6);
+    p.attempt_accepted(6);
     at_time(&mut p, 10_900_000);
-    p.noted(6, 4, 0.1);
+    p.task_status(6, 4, 0.1);
     expect![[r#"
         10000 ms  move task 0
         10000 ms  move task 1
@@ -174,11 +174,11 @@
 fn spread_is_kept() {
     let spread = [("familyInfo.classSpread.0", "cell"), ("familyInfo.mostTogether.0", "2")];
     let mut p = planner(&spread, &[3.0, 2.0, 1.0]);
-    p.found(0, 0, None, 0, (1.0, 2.0), 1);
+    p.running_task_found(0, 0, None, 0, (1.0, 2.0), 1);
     for task in 1..4 {
         small(&mut p, task, 0);
     }
-    p.expired(1);
+    p.task_expired(1);
     small(&mut p, 4, 0);
     end(&mut p, 1, Cancelled, 0, true);
     small(&mut p, 5, 0);
@@ -201,7 +201,7 @@
     end(&mut p, 0, ConnectFailed, 0, false);
     small(&mut p, 1, 1);
     at_time(&mut p, 14_000_000);
-    p.probed(1, Ended, &[7.0, 23.0]);
+    p.probe_finished(1, Ended, &[7.0, 23.0]);
     for task in 2..6 {
         small(&mut p, task, task);
     }
@@ -244,11 +244,11 @@
 fn what_is_over_stays_over() {
     let mut p = planner(&[], &[16.0]);
     large(&mut p, 0, 0);
-    p.expired(0);
+    p.task_expired(0);
     large(&mut p, 0, 1);
     list(&mut p, false, &[(0, Gone, 0)]);
     pass(&mut p, 29_000_000);
-    p.expired(0);
+    p.task_expired(0);
     expect![[r#"
          16500 ms  decline task 0
     "#]]
@@ -259,10 +259,10 @@
 #[test]
 fn a_badly_served_large_task_leaves_for_a_calm_machine() {
     let mut p = planner(&[], &[6.0, 1.0]);
-    p.found(0, 1, None, 0, (4.0, 8.0), 0);
-    p.found(1, 0, None, 1, (1.0, 2.0), 0);
-    p.noted(0, 4, 0.2);
-    p.expired(0);
+    p.running_task_found(0, 1, None, 0, (4.0, 8.0), 0);
+    p.running_task_found(1, 0, None, 1, (1.0, 2.0), 0);
+    p.task_status(0, 4, 0.2);
+    p.task_expired(0);
     end(&mut p, 0, Cancelled, 0, true);
     large(&mut p, 2, 0);
     expect![[r#"
@@ -277,9 +277,9 @@
 fn small_tasks_stay_on_a_slow_machine_with_free_cores() {
     let mut p = planner(&[], &[4.0, 12.0]);
     for m in 0..2 {
-        p.found(2 * m, 0, None, 0, (1.0, 2.0), m);
-        p.found(2 * m + 1, 1, None, 1, (2.0, 4.0), m);
-        p.noted(2 * m + 1, 4, 0.8);
+        p.running_task_found(2 * m, 0, None, 0, (1.0, 2.0), m);
+        p.running_task_found(2 * m + 1, 1, None, 1, (2.0, 4.0), m);
+        p.task_status(2 * m + 1, 4, 0.8);
     }
     expect![[r#"
         10000 ms  move task 2
@@ -291,9 +291,9 @@
 #[test]
 fn reported_use_is_not_read_as_asked_cores() {
     let mut p = planner(&[("familyInfo.admitCores", "1")], &[9.0]);
-    p.found(0, 0, None, 0, (2.0, 2.0), 0);
+    p.running_task_found(0, 0, None, 0, (2.0, 2.0), 0);
     for _ in 0..9 {
-        p.noted(0, 2, 0.4);
+        p.task_status(0, 2, 0.4);
     }
     small(&mut p, 1, 1);
     expect![[r#"
@@ -313,7 +313,7 @@
         for task in 0..24 {
             at_time(&mut p, 11_500_000 + 1_250_000 * task as i64 / 2);
             small(&mut p, task, 0);
-            p.expired(task);
+            p.task_expired(task);
         }
         let launches = p.host.text.lines().filter(|line| line.contains("launch task"));
         let at = launches.filter_map(|line| line.split("  ").next()).collect::<Vec<_>>();
@@ -334,8 +334,8 @@
     let mut p = planner(&[("nInstances", "300"), ("permissions.probes", "1")], &[2.0, 9.0]);
     at_time(&mut p, 20_000_000);
     small(&mut p, 0, 0);
-    p.probed(0, Ended, &[4.0, 20.0]);
-    p.probed(1, Ended, &[14.0, 20.0]);
+    p.probe_finished(0, Ended, &[4.0, 20.0]);
+    p.probe_finished(1, Ended, &[14.0, 20.0]);
     expect![[r#"
         20000 ms  launch task 0 on machine 0 for 3000 ms
     "#]]
@@ -347,13 +347,13 @@
 #[test]
 fn asks_in_the_list_count_at_their_share_in_use() {
     let mut p = planner(&[("familyInfo.view", "1")], &[]);
-    p.list_begins(true, true);
+    p.list_started(true, true);
     p.machine_listed(0, (0, 0, 0), Ready, 0, (-2.0, 6.0));
-    p.list_ends();
+    p.list_finished();
     small(&mut p, 0, 0);
-    p.found(1, 0, None, 1, (1.0, 2.0), 0);
+    p.running_task_found(1, 0, None, 1, (1.0, 2.0), 0);
     for _ in 0..20 {
-        p.noted(1, 2, 0.4);
+        p.task_status(1, 2, 0.4);
     }
     small(&mut p, 2, 2);
     expect![[r#"
@@ -412,7 +412,7 @@
     let mut p = planner(&[], &[2.0, 9.0]);
     small(&mut p, 0, 0);
     end(&mut p, 0, Error, 0, false);
-    p.accepted(0);
+    p.attempt_accepted(0);
     small(&mut p, 1, 1);
     expect![[r#"
         10000 ms  launch task 0 on machine 1 for 3000 ms
@@ -454,10 +454,10 @@
     small(&mut p, 0, 0);
     at_time(&mut p, 10_040_000);
     small(&mut p, 1, 0);
-    p.accepted(1);
+    p.attempt_accepted(1);
     at_time(&mut p, 10_100_000);
     small(&mut p, 2, 0);
-    p.accepted(2);
+    p.attempt_accepted(2);
     end(&mut p, 0, Cancelled, 0, false);
     expect![[r#"
         10000 ms  launch task 0 on machine 1 for 3000 ms
@@ -512,11 +512,11 @@
 fn a_silent_machine_that_holds_a_task_is_probed_without_reports() {
     let mut p = probing();
     answered(&mut p, 11_000_000, &[]);
-    p.found(0, 0, None, 0, (1.0, 2.0), 5);
-    p.found(1, 0, None, 0, (1.0, 2.0), 6);
+    p.running_task_found(0, 0, None, 0, (1.0, 2.0), 5);
+    p.running_task_found(1, 0, None, 0, (1.0, 2.0), 6);
     let mut probes = Vec::new();
     for second in 12..32 {
-        p.noted(1, 2, 0.4);
+        p.task_status(1, 2, 0.4);
         probes.extend(answered(&mut p, second * 1_000_000, &[]));
     }
     let of = |m: usize| probes.iter().filter(|probe| probe.1 == m).count();
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -1,7 +1,7 @@
 //! What the trace tests share: a host that prints each call, and a planner on a small made-up cluster.
 #![allow(dead_code)]
-use basaltpitch::host::{Given, Host, Outcome, Readiness, Value};
-use basaltpitch::logic::Planner;
+use basaltpitch::host::{AttemptOutcome, Host, Readiness, Settings, Value};
+use basaltpitch::placement::Planner;
 
 #[derive(Default)]
 pub struct Trace {
@@ -20,31 +20,31 @@
 }
 
 impl Host for Trace {
-    fn launch(&mut self, task: usize, machine: usize, time_out_us: i64) {
-        self.line(format!("launch task {task} on machine {machine} for {} ms", time_out_us / 1000));
+    fn launch(&mut self, task: usize, machine: usize, timeout_us: i64) {
+        self.line(format!("launch task {task} on machine {machine} for {} ms", timeout_us / 1000));
     }
     fn cancel(&mut self, task: usize, launch: u32) {
         self.line(format!("cancel launch {launch} of task {task}"));
     }
-    fn decline(&mut self, task: usize, _retry_after_us: i64) {
+    fn reject(&mut self, task: usize, _retry_after_us: i64) {
         self.line(format!("decline task {task}"));
     }
     fn abort(&mut self, task: usize) {
         self.line(format!("abort task {task}"));
     }
-    fn move_task(&mut self, task: usize) {
+    fn evict(&mut self, task: usize) {
         self.line(format!("move task {task}"));
     }
     fn probe(&mut self, machine: usize) {
         self.probes.push(machine);
     }
-    fn watch(&mut self, on: bool) {
+    fn watch_list(&mut self, on: bool) {
         self.line(format!("watch {on}"));
     }
-    fn fetch(&mut self) {
+    fn fetch_list(&mut self) {
         self.line("fetch".into());
     }
-    fn timer(&mut self, after_us: i64, token: u64) {
+    fn set_timer(&mut self, after_us: i64, token: u64) {
         self.timers.push((self.now + after_us, token));
     }
     fn log(&mut self, text: &str) {
@@ -53,7 +53,7 @@
 }
 
 /// Settings of two frameworks: 0 small and repeatable, 1 large and keyed; `more` is laid over them.
-pub fn given(more: &[(&str, &str)]) -> Given {
+pub fn given(more: &[(&str, &str)]) -> Settings {
     let base = "classes.0.name=small classes.0.semantics=retryable classes.0.objectiveUs=600000 \
         classes.0.deadlineUs=6000000 classes.0.worth=1 classes.1.name=large classes.1.semantics=dedup \
         classes.1.group=all classes.1.objectiveUs=5000000 classes.1.deadlineUs=9000000 classes.1.worth=5 \
@@ -76,34 +76,34 @@
     let mut p = Planner::new(host, 7, 10_000_000, given(more));
     list(&mut p, true, &(0..machines.len()).map(|m| (m, Readiness::Ready, 0)).collect::<Vec<_>>());
     for (m, used) in machines.iter().enumerate() {
-        p.probed(m, Outcome::Ended, &[16.0 - used, 32.0 - used]);
+        p.probe_finished(m, AttemptOutcome::Ended, &[16.0 - used, 32.0 - used]);
     }
     p
 }
 
 pub fn list(p: &mut Planner<Trace>, whole: bool, machines: &[(usize, Readiness, i64)]) {
-    p.list_begins(whole, true);
+    p.list_started(whole, true);
     for &(m, readiness, started) in machines {
         p.machine_listed(m, (0, m % 2, m / 2), readiness, started, (0.0, 0.0));
     }
-    p.list_ends();
+    p.list_finished();
 }
 
 pub fn small(p: &mut Planner<Trace>, task: usize, service: usize) {
-    p.wanted(task, 0, None, service, (1.0, 2.0), 6_000_000);
+    p.task_requested(task, 0, None, service, (1.0, 2.0), 6_000_000);
 }
 
 pub fn large(p: &mut Planner<Trace>, task: usize, service: usize) {
-    p.wanted(task, 1, None, service, (4.0, 8.0), 9_000_000);
+    p.task_requested(task, 1, None, service, (4.0, 8.0), 9_000_000);
 }
 
-pub fn end(p: &mut Planner<Trace>, task: usize, outcome: Outcome, why: i64, over: bool) {
-    p.resolved(task, outcome, why, over, &[]);
+pub fn end(p: &mut Planner<Trace>, task: usize, outcome: AttemptOutcome, why: i64, over: bool) {
+    p.attempt_ended(task, outcome, why, over, &[]);
 }
 
 pub fn at_time(p: &mut Planner<Trace>, now: i64) {
     p.host.now = now;
-    p.clock(now);
+    p.set_clock(now);
 }
 
 /// Lets time pass; timers that come due on the way are handed in, in order.
@@ -115,7 +115,7 @@
         }
         p.host.timers.remove(i);
         at_time(p, at);
-        p.timer_due(token);
+        p.timer_fired(token);
     }
     at_time(p, until);
 }
@@ -129,7 +129,7 @@
         pass(p, now);
         while let Some(m) = p.host.probes.pop() {
             all.push((now, m));
-            p.probed(m, Outcome::Ended, report);
+            p.probe_finished(m, AttemptOutcome::Ended, report);
         }
     }
     all
