--- a/cli/src/council.rs
+++ b/cli/src/council.rs
@@ -4,7 +4,7 @@
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{self, Body, Role};
 use basaltpitch_config::installation::Installation;
-use basaltpitch_lease::{agreed, Terms};
+use basaltpitch_lease::{majority_value, LeaseConfig};
 use basaltpitch_planner::voter_links::VoterEndpoint;
 use basaltpitch_planner::voter_server::{self, VoterConfig};
 use basaltpitch_snapshot_store::{Found, Store};
@@ -44,13 +44,13 @@
 }
 
 /// How long votes bind, and the ways to the voters, where an installation has a council.
-pub fn council_of(found: &Installation) -> Option<(Terms, Vec<VoterEndpoint>)> {
+pub fn council_of(found: &Installation) -> Option<(LeaseConfig, Vec<VoterEndpoint>)> {
     let council = found.all.get("council")?;
     let time = |field: &str| council.time(field).unwrap_or(0);
     let text = |v: &basaltpitch_config::Settled, field: &str| v.text(field).unwrap_or("").to_owned();
     let way = |v| VoterEndpoint { name: text(v, "name"), address: text(v, "address") };
     Some((
-        Terms { term: time("term"), drift: time("drift") },
+        LeaseConfig { duration_us: time("term"), clock_drift_us: time("drift") },
         council.list("voters").iter().map(way).collect(),
     ))
 }
@@ -64,7 +64,7 @@
     (0..planners).map(|n| format!("{SEATS}{n}").into()).collect()
 }
 
-pub fn needed(found: &Installation) -> Result<(Terms, Vec<VoterEndpoint>), Failure> {
+pub fn needed(found: &Installation) -> Result<(LeaseConfig, Vec<VoterEndpoint>), Failure> {
     let none = || Failure::Wrong("council: found none in these files; expected its voters".into());
     council_of(found).ok_or_else(none)
 }
@@ -113,7 +113,7 @@
                 println!("{} listens on {address}", self.name);
             }
             let _ = std::io::stdout().flush();
-            let start = VoterConfig { name: self.name, terms, voters, me, store };
+            let start = VoterConfig { name: self.name, lease_config: terms, voters, index: me, store };
             voter_server::serve(listener, start, told_to_stop()).await;
             Ok(())
         })
@@ -152,7 +152,7 @@
     let all = records(voters, true)?;
     let kept = all.iter().filter_map(|r| r.1.as_ref().ok()).flat_map(|k| &k.duties);
     let out = kept.filter(|d| d.duty == duty && d.left_us > 0).map(|d| (d.holder.clone(), d.token));
-    Ok(agreed(voters.len(), out))
+    Ok(majority_value(voters.len(), out))
 }
 
 impl Show {
@@ -217,7 +217,7 @@
 
 /// Passes the wish on to the holder, and waits until most voters have another.
 fn hand_on(
-    terms: &Terms,
+    terms: &LeaseConfig,
     voters: &[VoterEndpoint],
     duty: &str,
     to: Option<String>,
@@ -242,7 +242,7 @@
     if faults.len() == voters.len() {
         return Err(Failure::Failed(format!("--hand-on {duty}: {}", faults.join("; "))));
     }
-    let until = std::time::Instant::now() + Duration::from_micros(3 * terms.wait() as u64);
+    let until = std::time::Instant::now() + Duration::from_micros(3 * terms.recovery_wait_us() as u64);
     while std::time::Instant::now() < until {
         if let Some((holder, newer)) = holder(voters, duty)?.filter(|h| h.1 > token) {
             show(&json!({"duty": duty, "from": from, "holder": holder, "token": newer}), as_json);
--- a/cli/src/roll.rs
+++ b/cli/src/roll.rs
@@ -6,7 +6,7 @@
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::session::{Links, Party};
 use basaltpitch_agent::wire::{self, Role};
-use basaltpitch_lease::{agreed, Terms};
+use basaltpitch_lease::{majority_value, LeaseConfig};
 use basaltpitch_planner::lease_client::{self, LeaseClientConfig, LeaseCommand, LeaseDeadline, LeaseEvent};
 use basaltpitch_planner::rolling_restart::{PLAN_LEASE, RESTART_LEASE};
 use basaltpitch_planner::voter_links::VoterEndpoint;
@@ -51,7 +51,7 @@
 /// The note of a duty that a majority of the voters keeps.
 fn kept(voters: &[VoterEndpoint], answers: &[wire::Kept], duty: &str) -> Option<Vec<u8>> {
     let all = answers.iter().flat_map(|k| &k.duties).filter(|d| d.duty == duty && !d.note.is_empty());
-    let note = agreed(voters.len(), all.map(|d| (d.note_token, d.note_number, &d.note)));
+    let note = majority_value(voters.len(), all.map(|d| (d.note_token, d.note_number, &d.note)));
     note.map(|n| n.2.clone())
 }
 
@@ -80,7 +80,7 @@
 }
 
 /// Leaves a plan in the record, once a majority keeps it.
-async fn leave(terms: Terms, voters: Vec<VoterEndpoint>, plan: Plan) -> Result<Plan, Failure> {
+async fn leave(terms: LeaseConfig, voters: Vec<VoterEndpoint>, plan: Plan) -> Result<Plan, Failure> {
     let epoch = Clock::start().now() as u64;
     let name = format!("command-{}", std::process::id());
     let me = Party { role: Role::Planner, name, epoch, link: 0, login: String::new() };
@@ -101,7 +101,7 @@
     let ((words, _words), (wishes, wishes_in)) = (mpsc::channel(1), mpsc::channel(4));
     let council =
         tokio::task::spawn_local(lease_client::run(start, LeaseDeadline::default(), words, wishes_in));
-    let within = Duration::from_micros(3 * terms.wait() as u64) + Duration::from_secs(2);
+    let within = Duration::from_micros(3 * terms.recovery_wait_us() as u64) + Duration::from_secs(2);
     let done = tokio::time::timeout(within, async {
         let mut plan = plan;
         while let Some(word) = duties.recv().await {
--- a/lease/src/record.rs
+++ b/lease/src/record.rs
@@ -1,157 +1,171 @@
-//! What a voter keeps, told by what changed. A voter numbers the changes of its record with a revision of its
-//! own life; who asks says which life and revision it has, and gets the duties that changed since, or all
-//! of them where that life is not known. Revisions of two voters have nothing to do with each other, so an
-//! asker keeps one for each.
+//! What a voter stores, reported as deltas. A voter numbers the changes of its record by a revision of its own
+//! incarnation; a request names the incarnation and revision that the client has, and the reply brings the leases that
+//! changed since, or all of them where that incarnation is not known. Revisions of two voters have nothing to do with
+//! each other, so a client tracks one for each.
 //!
-//! Why nothing is missed: an answer names the revision from which on it tells, and the one that it brings to;
-//! it counts only where the asker has the first, and the second is had only once all of it was taken in. A
-//! doubled or late answer brings nothing new, or is one of a life that is over, with which the voter is asked
-//! for all again. Why nothing older is told: of each duty what was told last is kept, and only what is above
-//! it is news, whichever voter says it.
-use crate::voter::Kept;
+//! Why nothing is missed: a delta names the revision from which on it reports, and the one that it brings the client
+//! up to; it is accepted only where the client has the first, and the second counts only once all of it was applied. A
+//! doubled or late delta brings nothing new, or is one of an incarnation that is over, with which the voter is asked
+//! for everything again. Why nothing older is reported: of each lease the newest version reported is remembered, and
+//! only what is above it is newer, whichever voter reports it.
+use crate::voter::StoredVote;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The life of a voter, by the time of its start, and the revision of its record there. 0: none.
+/// The incarnation of a voter, by the time of its start, and the revision of its record there. 0: none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Have {
-    pub life: u64,
+pub struct RevisionState {
+    /// The time of the voter's start; 0: none.
+    pub incarnation: u64,
+    /// How many changes of its record the state includes.
     pub revision: u64,
 }
 
-/// How an answer tells: from after which revision on, and what it brings to. `since` 0: all is told.
+/// What a delta covers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Said {
+pub struct RecordDelta {
+    /// It holds what changed after this revision; 0: everything.
     pub since: u64,
-    pub to: Have,
+    /// What a client has once it applied the delta.
+    pub up_to: RevisionState,
 }
 
-/// What counts as a change: that a term lapsed, not that a holder renewed it.
+/// What counts as a change: that a vote expired, not that a holder renewed it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Face {
+struct RecordFingerprint {
     token: u64,
-    held: bool,
+    is_held: bool,
     renewed: bool,
-    note: (u64, u64),
+    metadata: LeaseVersion,
 }
 
-/// A voter's side: at which revision each duty changed last.
+/// A lease's token, and the number of the metadata written under it: versions of a lease are ordered by both.
+pub type LeaseVersion = (u64, u64);
+
+/// A voter's side: at which revision each lease changed last. `L` is the type of lease names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Revisions<D> {
-    now: Have,
-    changed: BTreeMap<D, (Face, u64)>,
+pub struct RevisionLog<L> {
+    current: RevisionState,
+    changed: BTreeMap<L, (RecordFingerprint, u64)>,
 }
 
-impl<D: Ord + Clone> Revisions<D> {
-    /// `life` is over 0, and another at each start of the voter.
-    pub fn new(life: u64) -> Self {
-        Revisions { now: Have { life, revision: 1 }, changed: BTreeMap::new() }
+impl<L: Ord + Clone> RevisionLog<L> {
+    /// `incarnation` is over 0, and another at each start of the voter.
+    pub fn new(incarnation: u64) -> Self {
+        RevisionLog { current: RevisionState { incarnation, revision: 1 }, changed: BTreeMap::new() }
     }
 
-    /// How to answer who has this, of a record that is kept like this now.
-    pub fn answer<'a, M: 'a>(
+    /// The delta for a client that has this state, of the votes as they are stored now.
+    pub fn delta_for<'a, C: 'a>(
         &mut self,
         now: i64,
-        has: Have,
-        kept: impl Iterator<Item = (&'a D, &'a Kept<M>)>,
-    ) -> Said
+        client_state: RevisionState,
+        votes: impl Iterator<Item = (&'a L, &'a StoredVote<C>)>,
+    ) -> RecordDelta
     where
-        D: 'a,
+        L: 'a,
     {
-        let next = self.now.revision + 1;
-        for (duty, k) in kept {
-            let (held, note) = (k.holder.is_some() && now < k.until, (k.note.token, k.note.number));
-            let face = Face { token: k.token, held, renewed: k.renewed, note };
-            if self.changed.get(duty).is_none_or(|(before, _)| *before != face) {
-                self.changed.insert(duty.clone(), (face, next));
-                self.now.revision = next;
+        let next = self.current.revision + 1;
+        for (lease, vote) in votes {
+            let fingerprint = RecordFingerprint {
+                token: vote.token,
+                is_held: vote.holder.is_some() && now < vote.expires_at_us,
+                renewed: vote.renewed,
+                metadata: (vote.metadata.token, vote.metadata.number),
+            };
+            if self.changed.get(lease).is_none_or(|(before, _)| *before != fingerprint) {
+                self.changed.insert(lease.clone(), (fingerprint, next));
+                self.current.revision = next;
             }
         }
-        let knows = has.life == self.now.life && has.revision <= self.now.revision;
-        Said { since: if knows { has.revision } else { 0 }, to: self.now }
+        let is_known = client_state.incarnation == self.current.incarnation
+            && client_state.revision <= self.current.revision;
+        RecordDelta { since: if is_known { client_state.revision } else { 0 }, up_to: self.current }
     }
 
-    /// Whether an answer has to name this duty. One that was not looked at is named.
-    pub fn names(&self, said: &Said, duty: &D) -> bool {
-        self.changed.get(duty).is_none_or(|(_, at)| *at > said.since)
+    /// Whether a delta has to name this lease. One that was not looked at is named.
+    pub fn includes(&self, delta: &RecordDelta, lease: &L) -> bool {
+        self.changed.get(lease).is_none_or(|(_, changed_at)| *changed_at > delta.since)
     }
 }
 
-/// An asker's side: what it has of each voter's record, by a part of it (`P`), and what it was told last of
-/// each duty.
+/// A client's side: what it has of each voter's record, by a part of it (`P`), and the newest version reported of each
+/// lease (`L`).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Known<P, D> {
-    has: BTreeMap<(usize, P), Have>,
-    told: BTreeMap<D, (u64, u64)>,
+pub struct RevisionTracker<P, L> {
+    states: BTreeMap<(usize, P), RevisionState>,
+    newest: BTreeMap<L, LeaseVersion>,
 }
 
-impl<P, D> Default for Known<P, D> {
+impl<P, L> Default for RevisionTracker<P, L> {
     fn default() -> Self {
-        Known { has: BTreeMap::new(), told: BTreeMap::new() }
+        RevisionTracker { states: BTreeMap::new(), newest: BTreeMap::new() }
     }
 }
 
-impl<P: Ord + Clone, D: Ord + Clone> Known<P, D> {
-    /// What to say in a question to this voter.
-    pub fn has(&self, voter: usize, part: &P) -> Have {
-        self.has.get(&(voter, part.clone())).copied().unwrap_or_default()
+impl<P: Ord + Clone, L: Ord + Clone> RevisionTracker<P, L> {
+    /// The state to name in a request to this voter.
+    pub fn state(&self, voter: usize, part: &P) -> RevisionState {
+        self.states.get(&(voter, part.clone())).copied().unwrap_or_default()
     }
 
-    /// Whether an answer may be taken in. One of an older build (life 0) tells all each time.
-    pub fn counts(&self, voter: usize, part: &P, said: &Said) -> bool {
-        let has = self.has(voter, part);
-        match said.to.life == has.life && has.life != 0 {
-            true => said.since <= has.revision,
-            false => said.since == 0,
+    /// Whether a delta may be applied. One of an older build (incarnation 0) reports everything each time.
+    pub fn accepts(&self, voter: usize, part: &P, delta: &RecordDelta) -> bool {
+        let state = self.state(voter, part);
+        if delta.up_to.incarnation == state.incarnation && state.incarnation != 0 {
+            delta.since <= state.revision
+        } else {
+            delta.since == 0
         }
     }
 
-    /// Whether it is above what was told last of a duty: its token, then the number of the note under it.
-    pub fn is_news(&self, duty: &D, of: (u64, u64)) -> bool {
-        self.told.get(duty).is_none_or(|told| of > *told)
+    /// Whether a version is above the newest one reported of a lease.
+    pub fn is_newer(&self, lease: &L, version: LeaseVersion) -> bool {
+        self.newest.get(lease).is_none_or(|newest| version > *newest)
     }
 
-    /// All news of an answer that counts were taken in.
-    pub fn took(
+    /// All newer versions of an accepted delta were applied.
+    pub fn applied(
         &mut self,
         voter: usize,
         part: &P,
-        said: &Said,
-        news: impl IntoIterator<Item = (D, (u64, u64))>,
+        delta: &RecordDelta,
+        newer: impl IntoIterator<Item = (L, LeaseVersion)>,
     ) {
-        if said.to.life != 0 {
-            self.has.insert((voter, part.clone()), said.to);
+        if delta.up_to.incarnation != 0 {
+            self.states.insert((voter, part.clone()), delta.up_to);
         }
-        self.told.extend(news);
+        self.newest.extend(newer);
     }
 }
 
-/// Which duties are held, as each voter tells it by what changed.
+/// Which leases are held, as each voter's deltas report it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holders<D>(BTreeMap<usize, BTreeSet<D>>);
+pub struct LeaseHolders<L>(BTreeMap<usize, BTreeSet<L>>);
 
-impl<D> Default for Holders<D> {
+impl<L> Default for LeaseHolders<L> {
     fn default() -> Self {
-        Holders(BTreeMap::new())
+        LeaseHolders(BTreeMap::new())
     }
 }
 
-impl<D: Ord> Holders<D> {
-    /// A voter's answer that counts names these duties, each held or not.
-    pub fn told(&mut self, voter: usize, said: &Said, named: impl IntoIterator<Item = (D, bool)>) {
+impl<L: Ord> LeaseHolders<L> {
+    /// An accepted delta of a voter names these leases, each held or not.
+    pub fn update(&mut self, voter: usize, delta: &RecordDelta, leases: impl IntoIterator<Item = (L, bool)>) {
         let held = self.0.entry(voter).or_default();
-        if said.since == 0 {
+        if delta.since == 0 {
             held.clear();
         }
-        for (duty, holds) in named {
-            match holds {
-                true => drop(held.insert(duty)),
-                false => drop(held.remove(&duty)),
+        for (lease, is_held) in leases {
+            if is_held {
+                held.insert(lease);
+            } else {
+                held.remove(&lease);
             }
         }
     }
 
-    /// Duties that are held, as this voter told last.
-    pub fn of(&self, voter: usize) -> impl Iterator<Item = &D> {
+    /// Leases that are held, as this voter reported last.
+    pub fn held_at(&self, voter: usize) -> impl Iterator<Item = &L> {
         self.0.get(&voter).into_iter().flatten()
     }
 }
--- a/lease/tests/every_state.rs
+++ b/lease/tests/every_state.rs
@@ -1,48 +1,48 @@
-//! Every state that three voters, two members and one duty can reach within stated bounds, with frames
-//! lost, late and overtaken, members that pause, clocks that differ, and a voter that starts again with and
-//! without what it kept. At no moment do two members hold the duty by their own clocks, tokens rise, and
-//! where the duty takes effect no act of an older holder follows one of a newer.
+//! Every state that three voters, two clients and one lease can reach within stated bounds, with frames
+//! lost, late and overtaken, clients that pause, clocks that differ, and a voter that starts again with and
+//! without what it stored. At no moment do two clients hold the lease by their own clocks, tokens rise, and
+//! where the lease takes effect no act of an older holder follows one of a newer.
 //!
 //! A frame comes at once, or is one of a bounded number that are late: those come at any time after, or
-//! never. A member that does not look at the clock pauses. As voters differ in nothing, the one that starts
+//! never. A client that does not look at the clock pauses. As voters differ in nothing, the one that starts
 //! again and the one whose clock is late is the first.
-use basaltpitch_lease::member::{Call, Member};
+use basaltpitch_lease::client::{LeaseAction, LeaseClient};
 use basaltpitch_lease::voter::Voter;
-use basaltpitch_lease::{Answer, Terms};
+use basaltpitch_lease::{LeaseConfig, VoteReply};
 use pathfinding::directed::bfs::bfs_reach;
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 
 const VOTERS: usize = 3;
-const MEMBERS: usize = 2;
-const DUTY: u8 = 0;
+const CLIENTS: usize = 2;
+const LEASE: u8 = 0;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Frame {
-    Ask { member: usize, token: u64, round: u64, to: usize },
-    Back { member: usize, token: u64, to: usize },
-    Answer { voter: usize, round: u64, to: usize, answer: Answer },
+    Request { client: usize, token: u64, round: u64, to: usize },
+    Release { client: usize, token: u64, to: usize },
+    Reply { voter: usize, round: u64, to: usize, reply: VoteReply },
     Act { token: u64 },
 }
 
-/// What is taken away from the council, to see that the check notices it.
+/// Which guard is removed, to see that the check notices it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Without {
+enum RemovedGuard {
     Nothing,
-    Drift,
-    Wait,
-    Learning,
-    Votes,
+    ClockDrift,
+    RecoveryWait,
+    Recovery,
+    VotingBeforeRestore,
     Fence,
 }
 
 /// How far a search goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Bounds {
-    /// A term, in ticks; the drift is one tick.
-    term: i64,
+    /// The lease duration, in ticks; the drift is one tick.
+    duration_us: i64,
     ticks: i64,
-    rounds: [u64; MEMBERS],
+    rounds: [u64; CLIENTS],
     /// Frames that are late or lost.
     late: u32,
     /// One clock of all falls behind by a tick, at any time.
@@ -51,12 +51,12 @@
     restarts: u32,
     /// What is late comes any number of times.
     doubled: bool,
-    /// Members act, at any time after they looked whether they may.
+    /// Clients act, at any time after they looked whether they may.
     acts: bool,
 }
 
 const PLAIN: Bounds = Bounds {
-    term: 3,
+    duration_us: 3,
     ticks: 5,
     rounds: [2, 2],
     late: 1,
@@ -68,125 +68,131 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    without: Without,
+    removed: RemovedGuard,
     bounds: Bounds,
     now: i64,
-    /// The clock that is a tick behind: a voter's, or after those a member's.
+    /// The clock that is a tick behind: a voter's, or after those a client's.
     behind: Option<usize>,
     // Shared among worlds, as a step changes one of them.
     voters: [Rc<Voter<u8, usize>>; VOTERS],
-    members: [Rc<Member<u8>>; MEMBERS],
-    net: Rc<BTreeSet<Frame>>,
+    clients: [Rc<LeaseClient<u8>>; CLIENTS],
+    late_frames: Rc<BTreeSet<Frame>>,
     /// Frames that are on their way at this moment; none in a state that is visited.
-    flying: VecDeque<Frame>,
+    in_flight: VecDeque<Frame>,
     late: u32,
-    asked: [u64; MEMBERS],
+    rounds_begun: [u64; CLIENTS],
     restarted: u32,
     /// The highest token that was won, and that acted; what is wrong, if anything.
     won: u64,
     acted: u64,
-    wrong: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 impl World {
-    fn new(without: Without, bounds: Bounds) -> Self {
-        let mut w = World {
-            without,
+    fn new(removed: RemovedGuard, bounds: Bounds) -> Self {
+        let mut world = World {
+            removed,
             bounds,
             now: 0,
             behind: None,
-            voters: [0; VOTERS].map(|_| Rc::new(Voter::new(Terms { term: 1, drift: 1 }, 0))),
-            members: [0; MEMBERS].map(|_| Rc::new(Member::new(Terms { term: 1, drift: 1 }, VOTERS, 1, 0))),
-            net: Rc::default(),
-            flying: VecDeque::new(),
+            voters: [0; VOTERS]
+                .map(|_| Rc::new(Voter::new(LeaseConfig { duration_us: 1, clock_drift_us: 1 }, 0))),
+            clients: [0; CLIENTS].map(|_| {
+                Rc::new(LeaseClient::new(LeaseConfig { duration_us: 1, clock_drift_us: 1 }, VOTERS, 1, 0))
+            }),
+            late_frames: Rc::default(),
+            in_flight: VecDeque::new(),
             late: 0,
-            asked: [0; MEMBERS],
+            rounds_begun: [0; CLIENTS],
             restarted: 0,
             won: 0,
             acted: 0,
-            wrong: None,
+            violation: None,
         };
-        let mut member = Member::new(w.terms(), VOTERS, 1, 0);
-        member.want(0, DUTY);
-        w.members = [0; MEMBERS].map(|_| Rc::new(member.clone()));
-        w.voters = [0; VOTERS].map(|_| Rc::new(Voter::new(w.terms(), 0)));
-        w
+        let mut client = LeaseClient::new(world.config(), VOTERS, 1, 0);
+        client.acquire(0, LEASE);
+        world.clients = [0; CLIENTS].map(|_| Rc::new(client.clone()));
+        world.voters = [0; VOTERS].map(|_| Rc::new(Voter::new(world.config(), 0)));
+        world
     }
 
-    fn terms(&self) -> Terms {
-        Terms { term: self.bounds.term, drift: i64::from(self.without != Without::Drift) }
+    fn config(&self) -> LeaseConfig {
+        LeaseConfig {
+            duration_us: self.bounds.duration_us,
+            clock_drift_us: i64::from(self.removed != RemovedGuard::ClockDrift),
+        }
     }
 
     fn clock(&self, process: usize) -> i64 {
         self.now - i64::from(self.behind == Some(process))
     }
 
-    fn holds(&self, m: usize) -> Option<u64> {
-        self.members[m].holds(self.clock(VOTERS + m), &DUTY)
+    fn held_token(&self, client: usize) -> Option<u64> {
+        self.clients[client].held_token(self.clock(VOTERS + client), &LEASE)
     }
 
-    /// What members called is on its way.
-    fn called(&mut self, m: usize) {
-        while let Some(call) = Rc::make_mut(&mut self.members[m]).next_call() {
-            match call {
-                Call::Ask { token, round, .. } => {
-                    self.asked[m] += 1;
-                    self.flying.extend((0..VOTERS).map(|to| Frame::Ask { member: m, token, round, to }));
+    /// What a client is to do is done: its frames are on their way.
+    fn run_actions(&mut self, client: usize) {
+        while let Some(action) = Rc::make_mut(&mut self.clients[client]).next_action() {
+            match action {
+                LeaseAction::RequestVotes { token, round, .. } => {
+                    self.rounds_begun[client] += 1;
+                    self.in_flight.extend((0..VOTERS).map(|to| Frame::Request { client, token, round, to }));
                     // What was said of a round before says nothing any more.
-                    Rc::make_mut(&mut self.net)
-                        .retain(|f| !matches!(f, Frame::Answer { to, .. } if *to == m));
+                    Rc::make_mut(&mut self.late_frames)
+                        .retain(|frame| !matches!(frame, Frame::Reply { to, .. } if *to == client));
                 }
-                Call::GiveBack { token, .. } => {
-                    self.flying.extend((0..VOTERS).map(|to| Frame::Back { member: m, token, to }));
+                LeaseAction::ReleaseVotes { token, .. } => {
+                    self.in_flight.extend((0..VOTERS).map(|to| Frame::Release { client, token, to }));
                 }
-                Call::Won { token, .. } => {
+                LeaseAction::Acquired { token, .. } => {
                     if token <= self.won {
-                        self.wrong = Some("a token is not above the one before");
+                        self.violation = Some("a token is not above the one before");
                     }
                     self.won = token;
                 }
-                Call::Lost { .. } | Call::Recorded { .. } => {}
+                LeaseAction::Lost { .. } | LeaseAction::MetadataRecorded { .. } => {}
             }
         }
     }
 
     /// Each frame on its way arrives, or is late.
     fn settle(mut self, all: &mut Vec<World>) {
-        while let Some(frame) = self.flying.pop_front() {
+        while let Some(frame) = self.in_flight.pop_front() {
             if self.late < self.bounds.late {
-                let mut w = World { late: self.late + 1, ..self.clone() };
-                Rc::make_mut(&mut w.net).insert(frame.clone());
-                w.settle(all);
+                let mut world = World { late: self.late + 1, ..self.clone() };
+                Rc::make_mut(&mut world.late_frames).insert(frame.clone());
+                world.settle(all);
             }
-            self.arrives(&frame);
+            self.deliver(&frame);
         }
         all.push(self);
     }
 
-    fn arrives(&mut self, frame: &Frame) {
+    fn deliver(&mut self, frame: &Frame) {
         match frame {
-            Frame::Ask { member, token, round, to } => {
+            Frame::Request { client, token, round, to } => {
                 let now = self.clock(*to);
                 let voter = Rc::make_mut(&mut self.voters[*to]);
-                let answer = voter.asked(now, &DUTY, member, *token, None);
-                if *round == self.asked[*member] {
-                    let answer = Frame::Answer { voter: *to, round: *round, to: *member, answer };
-                    self.flying.push_back(answer);
+                let reply = voter.request_vote(now, &LEASE, client, *token, None);
+                if *round == self.rounds_begun[*client] {
+                    let reply = Frame::Reply { voter: *to, round: *round, to: *client, reply };
+                    self.in_flight.push_back(reply);
                 }
             }
-            Frame::Back { member, token, to } => {
-                Rc::make_mut(&mut self.voters[*to]).given_back(&DUTY, member, *token);
+            Frame::Release { client, token, to } => {
+                Rc::make_mut(&mut self.voters[*to]).release_vote(&LEASE, client, *token);
             }
-            Frame::Answer { voter, round, to, answer } => {
+            Frame::Reply { voter, round, to, reply } => {
                 let now = self.clock(VOTERS + to);
-                let member = Rc::make_mut(&mut self.members[*to]);
-                member.answered(now, *voter, &DUTY, *round, answer.clone());
-                self.called(*to);
+                let client = Rc::make_mut(&mut self.clients[*to]);
+                client.on_vote_reply(now, *voter, &LEASE, *round, reply.clone());
+                self.run_actions(*to);
             }
             Frame::Act { token } => {
                 // The fence: a token under the highest that acted is refused.
-                if *token < self.acted && self.without == Without::Fence {
-                    self.wrong = Some("an older holder acted after a newer one");
+                if *token < self.acted && self.removed == RemovedGuard::Fence {
+                    self.violation = Some("an older holder acted after a newer one");
                 }
                 self.acted = self.acted.max(*token);
             }
@@ -199,71 +205,76 @@
             let tick = World { now: self.now + 1, ..self.clone() };
             if self.bounds.clocks && self.behind.is_none() {
                 let late = [0, VOTERS, VOTERS + 1];
-                all.extend(late.map(|i| World { behind: Some(i), ..tick.clone() }));
+                all.extend(late.map(|process| World { behind: Some(process), ..tick.clone() }));
             }
             all.push(tick);
         }
-        for m in 0..MEMBERS {
-            if self.asked[m] < self.bounds.rounds[m] {
-                let mut w = self.clone();
-                Rc::make_mut(&mut w.members[m]).clock(self.clock(VOTERS + m));
-                w.called(m);
-                w.settle(&mut all);
+        for client in 0..CLIENTS {
+            if self.rounds_begun[client] < self.bounds.rounds[client] {
+                let mut world = self.clone();
+                Rc::make_mut(&mut world.clients[client]).advance(self.clock(VOTERS + client));
+                world.run_actions(client);
+                world.settle(&mut all);
             }
-            if let Some(token) = self.holds(m).filter(|_| self.bounds.acts) {
-                let mut w = self.clone();
-                Rc::make_mut(&mut w.net).insert(Frame::Act { token });
-                all.push(w);
+            if let Some(token) = self.held_token(client).filter(|_| self.bounds.acts) {
+                let mut world = self.clone();
+                Rc::make_mut(&mut world.late_frames).insert(Frame::Act { token });
+                all.push(world);
             }
         }
-        for frame in self.net.iter() {
-            let mut w = self.clone();
+        for frame in self.late_frames.iter() {
+            let mut world = self.clone();
             if !self.bounds.doubled {
-                Rc::make_mut(&mut w.net).remove(frame);
+                Rc::make_mut(&mut world.late_frames).remove(frame);
             }
-            w.arrives(frame);
-            w.settle(&mut all);
+            world.deliver(frame);
+            world.settle(&mut all);
         }
         let first = &self.voters[0];
         if self.restarted < self.bounds.restarts {
-            let kept = first.kept().map(|(d, k)| (*d, k.clone()));
-            let lost = match self.without {
-                Without::Wait => Voter::lost(Terms { term: 0, drift: 0 }, self.clock(0), VOTERS),
-                Without::Learning => Voter::lost(self.terms(), self.clock(0), 1),
-                _ => Voter::lost(self.terms(), self.clock(0), VOTERS),
+            let stored = first.stored_votes().map(|(lease, vote)| (*lease, vote.clone()));
+            let lost = match self.removed {
+                RemovedGuard::RecoveryWait => Voter::without_state(
+                    LeaseConfig { duration_us: 0, clock_drift_us: 0 },
+                    self.clock(0),
+                    VOTERS,
+                ),
+                RemovedGuard::Recovery => Voter::without_state(self.config(), self.clock(0), 1),
+                _ => Voter::without_state(self.config(), self.clock(0), VOTERS),
             };
-            // What a life keeps counts from when it votes.
-            let votes = first.votes(self.clock(0)) || self.without == Without::Votes;
-            let restored = votes.then(|| Voter::restored(self.terms(), self.clock(0), kept));
+            // What an incarnation stored counts from when it voted.
+            let restores =
+                first.is_voting(self.clock(0)) || self.removed == RemovedGuard::VotingBeforeRestore;
+            let restored = restores.then(|| Voter::restored(self.config(), self.clock(0), stored));
             for voter in restored.into_iter().chain([lost]) {
-                let mut w = World { restarted: self.restarted + 1, ..self.clone() };
-                w.voters[0] = Rc::new(voter);
-                all.push(w);
+                let mut world = World { restarted: self.restarted + 1, ..self.clone() };
+                world.voters[0] = Rc::new(voter);
+                all.push(world);
             }
         }
-        if !first.is_whole() {
+        if !first.is_complete() {
             for other in 1..VOTERS {
-                let mut w = self.clone();
-                let kept = self.voters[other].told();
-                Rc::make_mut(&mut w.voters[0]).learnt(other, true, kept);
-                all.push(w);
+                let mut world = self.clone();
+                let votes = self.voters[other].votes_for_recovery();
+                Rc::make_mut(&mut world.voters[0]).recover_from(other, true, votes);
+                all.push(world);
             }
         }
         all
     }
 
-    fn wrong(&self) -> Option<&'static str> {
-        let both = self.holds(0).is_some() && self.holds(1).is_some();
-        both.then_some("two members hold the duty").or(self.wrong)
+    fn violation(&self) -> Option<&'static str> {
+        let both = self.held_token(0).is_some() && self.held_token(1).is_some();
+        both.then_some("two members hold the duty").or(self.violation)
     }
 }
 
 /// The number of states, or what is wrong in the first state in which something is.
-fn explore(without: Without, bounds: Bounds) -> Result<usize, &'static str> {
+fn explore(removed: RemovedGuard, bounds: Bounds) -> Result<usize, &'static str> {
     let mut states = 0;
-    for world in bfs_reach(World::new(without, bounds), World::next) {
+    for world in bfs_reach(World::new(removed, bounds), World::next) {
         states += 1;
-        if let Some(why) = world.wrong() {
+        if let Some(why) = world.violation() {
             return Err(why);
         }
     }
@@ -283,16 +294,23 @@
 #[test]
 fn no_two_members_hold_a_duty_in_any_state() {
     for bounds in [LATE, DOUBLED, CLOCKS, RENEWS, RESTARTS, BOTH, LOST, TWICE, ACTS] {
-        let states = explore(Without::Nothing, bounds);
+        let states = explore(RemovedGuard::Nothing, bounds);
+        println!("{states:?} states within {bounds:?}");
         assert!(states.is_ok(), "{states:?} within {bounds:?}");
     }
 }
 
 #[test]
 fn the_check_notices_what_is_missing() {
-    assert_eq!(explore(Without::Drift, CLOCKS), Err("two members hold the duty"));
-    assert_eq!(explore(Without::Wait, Bounds { rounds: [1, 2], ..LOST }), Err("two members hold the duty"));
-    assert_eq!(explore(Without::Learning, LOST), Err("a token is not above the one before"));
-    assert_eq!(explore(Without::Votes, Bounds { late: 1, ..TWICE }), Err("two members hold the duty"));
-    assert_eq!(explore(Without::Fence, ACTS), Err("an older holder acted after a newer one"));
+    assert_eq!(explore(RemovedGuard::ClockDrift, CLOCKS), Err("two members hold the duty"));
+    assert_eq!(
+        explore(RemovedGuard::RecoveryWait, Bounds { rounds: [1, 2], ..LOST }),
+        Err("two members hold the duty")
+    );
+    assert_eq!(explore(RemovedGuard::Recovery, LOST), Err("a token is not above the one before"));
+    assert_eq!(
+        explore(RemovedGuard::VotingBeforeRestore, Bounds { late: 1, ..TWICE }),
+        Err("two members hold the duty")
+    );
+    assert_eq!(explore(RemovedGuard::Fence, ACTS), Err("an older holder acted after a newer one"));
 }
--- a/planner/src/rolling_restart.rs
+++ b/planner/src/rolling_restart.rs
@@ -1,7 +1,7 @@
 //! A planner that conducts a roll, between the council, the register and the decisions of
 //! `basaltpitch_rolling_restart`: what is heard goes in, what is to be written and said comes out.
 use crate::lease_client::{LeaseCommand, LeaseDeadline, LeaseEvent};
-use crate::voter_server::LONGEST_NOTE;
+use crate::voter_server::LONGEST_METADATA;
 use basaltpitch_agent::wire::{self, Body, List, Readiness};
 use basaltpitch_rolling_restart::{Call, Conductor, Listed, Pace, Plan, Progress};
 use std::collections::{BTreeMap, HashMap};
@@ -158,7 +158,7 @@
             match call {
                 Call::Write(progress) => {
                     let text = serde_json::to_vec(&progress).expect("it has texts for keys");
-                    let long = text.len() > LONGEST_NOTE;
+                    let long = text.len() > LONGEST_METADATA;
                     let write = LeaseCommand::WriteMetadata {
                         lease: RESTART_LEASE.into(),
                         token: c.token,
--- a/planner/src/voter_links.rs
+++ b/planner/src/voter_links.rs
@@ -1,4 +1,4 @@
-//! Links to the voters, as planners, spares and other voters keep them; and the clock and the names that
+//! Links to the voters, as planners, spares and other voters keep them; and the clock and the process names that
 //! votes go by.
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Links, Party};
@@ -10,20 +10,22 @@
 
 const INBOX: usize = 256;
 const ORDERS: usize = 256;
-const CONNECTS: Duration = Duration::from_millis(500);
-/// A voter that did not answer is dialled again after this time.
-const AGAIN: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// A voter whose link ended is dialled again after this time.
+const REDIAL_DELAY: Duration = Duration::from_millis(100);
 
 /// Microseconds of a clock that runs on while the machine is suspended.
-pub fn awake() -> i64 {
-    let t = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    t.tv_sec * 1_000_000 + t.tv_nsec / 1000
+pub fn boottime_us() -> i64 {
+    let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
+    time.tv_sec * 1_000_000 + time.tv_nsec / 1000
 }
 
-/// The way to a voter.
+/// Where a voter listens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterEndpoint {
+    /// The voter's name; a link on which another answers is ended.
     pub name: String,
+    /// Host and port.
     pub address: String,
 }
 
@@ -32,74 +34,83 @@
     format!("{name} of {epoch}").into()
 }
 
-/// Runs one link: orders in, news out; `Ended` is the last of them.
-fn dial(
-    way: VoterEndpoint,
-    links: Links,
-    me: Party,
-    clock: Clock,
-) -> (mpsc::Sender<Order>, mpsc::Receiver<News>) {
-    let (orders, orders_in) = mpsc::channel(ORDERS);
-    let (news_out, news) = mpsc::channel(INBOX);
-    tokio::task::spawn_local(async move {
-        let why = match tokio::time::timeout(CONNECTS, TcpStream::connect(&way.address)).await {
-            Ok(Ok(stream)) => {
-                let _ = stream.set_nodelay(true);
-                return link::run_among(links, stream, me, clock, orders_in, news_out, |n| n).await;
-            }
-            Ok(Err(e)) => format!("no connection: {e}"),
-            Err(_) => "no connection in time".into(),
-        };
-        let _ = news_out.send(News::Ended { why, unsent: Vec::new() }).await;
-    });
-    (orders, news)
+/// What all links of one process to voters have in common.
+#[derive(Clone)]
+pub(crate) struct VoterDialer {
+    /// What the links share with the others of the process.
+    pub links: Links,
+    /// Who dials.
+    pub identity: Party,
+    /// The clock of the process.
+    pub clock: Clock,
+    /// Where events go, with the voter's index among all.
+    pub events: mpsc::Sender<(usize, VoterLinkEvent)>,
 }
 
-/// What is heard of one voter's link: a way to order it, a frame, or its end.
-pub(crate) enum Heard {
+/// What comes of a link to one voter.
+pub(crate) enum VoterLinkEvent {
+    /// The voter answered; frames are sent here.
     Up(mpsc::Sender<Order>),
+    /// A frame of the voter.
     Frame(Body),
+    /// The link ended, or the voter did not answer.
     Down,
 }
 
-/// Keeps a link to one voter, whose place among all is `v`.
-pub(crate) async fn follow(
-    v: usize,
-    way: VoterEndpoint,
-    links: Links,
-    me: Party,
-    clock: Clock,
-    heard: mpsc::Sender<(usize, Heard)>,
-) {
-    let mut link = 0;
-    loop {
-        link += 1;
-        let (orders, mut news) = dial(way.clone(), links.clone(), Party { link, ..me.clone() }, clock);
-        while let Some(news) = news.recv().await {
-            let word = match news {
-                News::Session(Event::Up(party))
-                    if party.role == wire::Role::Voter && party.name == way.name =>
-                {
-                    Heard::Up(orders.clone())
-                }
-                News::Session(Event::Up(party)) => {
-                    tracing::error!(voter = way.name, found = party.name, "another than the voter answers");
-                    break;
-                }
-                News::Session(Event::Frame(body)) => Heard::Frame(body),
-                News::Session(_) => continue,
-                News::Ended { why, .. } => {
-                    tracing::debug!(voter = way.name, why, "no link");
-                    break;
+impl VoterDialer {
+    /// Runs one link: orders in, news out; `Ended` is the last of them.
+    fn dial(&self, endpoint: &VoterEndpoint, link: u64) -> (mpsc::Sender<Order>, mpsc::Receiver<News>) {
+        let (orders, orders_in) = mpsc::channel(ORDERS);
+        let (news_out, news) = mpsc::channel(INBOX);
+        let (links, clock, address) = (self.links.clone(), self.clock, endpoint.address.clone());
+        let identity = Party { link, ..self.identity.clone() };
+        tokio::task::spawn_local(async move {
+            let why = match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&address)).await {
+                Ok(Ok(stream)) => {
+                    let _ = stream.set_nodelay(true);
+                    return link::run_among(links, stream, identity, clock, orders_in, news_out, |n| n).await;
                 }
+                Ok(Err(e)) => format!("no connection: {e}"),
+                Err(_) => "no connection in time".into(),
             };
-            if heard.send((v, word)).await.is_err() {
+            let _ = news_out.send(News::Ended { why, unsent: Vec::new() }).await;
+        });
+        (orders, news)
+    }
+
+    /// Keeps a link to one voter, until nobody receives its events.
+    pub(crate) async fn keep_link(self, voter: usize, endpoint: VoterEndpoint) {
+        let mut link = 0;
+        loop {
+            link += 1;
+            let (orders, mut news) = self.dial(&endpoint, link);
+            while let Some(news) = news.recv().await {
+                let event = match news {
+                    News::Session(Event::Up(party))
+                        if party.role == wire::Role::Voter && party.name == endpoint.name =>
+                    {
+                        VoterLinkEvent::Up(orders.clone())
+                    }
+                    News::Session(Event::Up(party)) => {
+                        let (voter, found) = (&endpoint.name, party.name);
+                        tracing::error!(voter, found, "another process than the voter answers");
+                        break;
+                    }
+                    News::Session(Event::Frame(body)) => VoterLinkEvent::Frame(body),
+                    News::Session(_) => continue,
+                    News::Ended { why, .. } => {
+                        tracing::debug!(voter = endpoint.name, why, "no link to the voter");
+                        break;
+                    }
+                };
+                if self.events.send((voter, event)).await.is_err() {
+                    return;
+                }
+            }
+            if self.events.send((voter, VoterLinkEvent::Down)).await.is_err() {
                 return;
             }
+            tokio::time::sleep(REDIAL_DELAY).await;
         }
-        if heard.send((v, Heard::Down)).await.is_err() {
-            return;
-        }
-        tokio::time::sleep(AGAIN).await;
     }
 }
--- a/planner/tests/record.rs
+++ b/planner/tests/record.rs
@@ -2,7 +2,7 @@
 use basaltpitch_agent::link::{self, Clock, News, Order};
 use basaltpitch_agent::session::{Event, Party};
 use basaltpitch_agent::wire::{self, Body, Role};
-use basaltpitch_lease::Terms;
+use basaltpitch_lease::LeaseConfig;
 use basaltpitch_planner::voter_links::VoterEndpoint;
 use basaltpitch_planner::voter_server;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-const TERMS: Terms = Terms { term: 40_000, drift: 2_000 };
+const CONFIG: LeaseConfig = LeaseConfig { duration_us: 40_000, clock_drift_us: 2_000 };
 
 struct Talk {
     orders: mpsc::Sender<Order>,
@@ -61,7 +61,7 @@
             match self.ask(Body::Ballots(wire::Ballots { ballots: vec![ballot] })).await {
                 Body::Votes(votes) if votes.votes[0].granted => return,
                 Body::Votes(votes) => {
-                    let left = votes.votes[0].left_us.clamp(1000, TERMS.term) as u64;
+                    let left = votes.votes[0].left_us.clamp(1000, CONFIG.duration_us) as u64;
                     tokio::time::sleep(Duration::from_micros(left)).await;
                 }
                 other => panic!("{other:?}"),
@@ -81,7 +81,13 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let voters = vec![VoterEndpoint { name: "v0".into(), address: address.clone() }];
-        let start = voter_server::VoterConfig { name: "v0".into(), terms: TERMS, voters, me: 0, store: None };
+        let start = voter_server::VoterConfig {
+            name: "v0".into(),
+            lease_config: CONFIG,
+            voters,
+            index: 0,
+            store: None,
+        };
         tokio::task::spawn_local(voter_server::serve(listener, start, std::future::pending()));
         let mut talk = Talk::to(&address).await;
         for duty in ["planner-0", "planner-1", "halls"] {
--- a/planner/tests/rolls.rs
+++ b/planner/tests/rolls.rs
@@ -5,7 +5,7 @@
 use basaltpitch_planner::rolling_restart::{
     RollingRestartConfig, RollingRestartCoordinator, PLAN_LEASE, RESTART_LEASE,
 };
-use basaltpitch_planner::voter_links::awake;
+use basaltpitch_planner::voter_links::boottime_us;
 use basaltpitch_rolling_restart::{Plan, Progress};
 use std::collections::HashMap;
 use tokio::sync::mpsc;
@@ -32,7 +32,7 @@
     }
 
     fn won(&mut self, token: u64, note: &[u8], left: i64) {
-        let tenure = LeaseDeadline::at_us(awake() + left);
+        let tenure = LeaseDeadline::at_us(boottime_us() + left);
         self.rolls.on_lease_event(
             self.now,
             LeaseEvent::Acquired {
