--- a/agent/src/accepting.rs
+++ b/agent/src/acceptor.rs
@@ -9,19 +9,19 @@
 
 /// A listener that rests for a moment when a connection could not be accepted: out of descriptors, everything
 /// else goes on.
-pub struct Accepting {
+pub struct Acceptor {
     listener: TcpListener,
     rests_until: Option<Instant>,
 }
 
-impl Accepting {
+impl Acceptor {
     pub fn new(listener: TcpListener) -> Self {
-        Accepting { listener, rests_until: None }
+        Acceptor { listener, rests_until: None }
     }
 
     /// The next connection, without delay of small writes. May be dropped at any time: no connection is lost,
     /// and a rest goes on with the next call.
-    pub async fn next(&mut self) -> (TcpStream, SocketAddr) {
+    pub async fn accept(&mut self) -> (TcpStream, SocketAddr) {
         loop {
             if let Some(until) = self.rests_until {
                 tokio::time::sleep_until(until).await;
--- a/agent/src/dial.rs
+++ b/agent/src/dial_queue.rs
@@ -6,7 +6,7 @@
 
 /// How attempts are paced.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct DialConfig {
     /// The pause after the first failure; it doubles with each.
     pub first_us: i64,
     pub most_us: i64,
@@ -17,9 +17,9 @@
     pub stands_us: i64,
 }
 
-impl Pace {
-    pub const USUAL: Pace =
-        Pace { first_us: 50_000, most_us: 5_000_000, per_s: 200.0, burst: 50.0, stands_us: 2_000_000 };
+impl DialConfig {
+    pub const DEFAULT: DialConfig =
+        DialConfig { first_us: 50_000, most_us: 5_000_000, per_s: 200.0, burst: 50.0, stands_us: 2_000_000 };
 }
 
 #[derive(Clone, Debug, Default)]
@@ -30,8 +30,8 @@
 }
 
 /// The peers that a planner wants to be connected to.
-pub struct Dials {
-    pace: Pace,
+pub struct DialQueue {
+    pace: DialConfig,
     chance: StdRng,
     peers: BTreeMap<usize, Peer>,
     line: BTreeSet<(i64, usize)>,
@@ -39,9 +39,9 @@
     filled_at: i64,
 }
 
-impl Dials {
-    pub fn new(seed: u64, now: i64, pace: Pace) -> Self {
-        Dials {
+impl DialQueue {
+    pub fn new(seed: u64, now: i64, pace: DialConfig) -> Self {
+        DialQueue {
             pace,
             chance: StdRng::seed_from_u64(seed),
             peers: BTreeMap::new(),
@@ -52,7 +52,7 @@
     }
 
     /// A peer that is wanted from now on; nothing changes if it is already.
-    pub fn want(&mut self, peer: usize, now: i64) {
+    pub fn add(&mut self, peer: usize, now: i64) {
         self.peers.entry(peer).or_insert_with(|| {
             self.line.insert((now, peer));
             Peer { due: Some(now), ..Peer::default() }
@@ -60,21 +60,21 @@
     }
 
     /// A peer that is wanted no more.
-    pub fn forget(&mut self, peer: usize) {
+    pub fn remove(&mut self, peer: usize) {
         if let Some(at) = self.peers.remove(&peer).and_then(|p| p.due) {
             self.line.remove(&(at, peer));
         }
     }
 
     /// The link to a peer stands.
-    pub fn up(&mut self, peer: usize, now: i64) {
+    pub fn link_up(&mut self, peer: usize, now: i64) {
         if let Some(p) = self.peers.get_mut(&peer) {
             p.up_at = Some(now);
         }
     }
 
     /// An attempt failed, or a link ended: the peer waits, the longer the more often that happened in a row.
-    pub fn down(&mut self, peer: usize, now: i64) {
+    pub fn link_down(&mut self, peer: usize, now: i64) {
         let Some(p) = self.peers.get_mut(&peer) else { return };
         if p.due.is_some() {
             return;
@@ -88,7 +88,7 @@
     }
 
     /// The next peer to connect to now, if one is due and the fleet's bound leaves room.
-    pub fn next(&mut self, now: i64) -> Option<usize> {
+    pub fn next_due(&mut self, now: i64) -> Option<usize> {
         let since = (now - self.filled_at).max(0) as f64 / 1e6;
         self.tokens = (self.tokens + since * self.pace.per_s).min(self.pace.burst);
         self.filled_at = self.filled_at.max(now);
@@ -105,7 +105,7 @@
     }
 
     /// When `next` may have something, if nothing else happens.
-    pub fn next_at(&self) -> Option<i64> {
+    pub fn next_due_at(&self) -> Option<i64> {
         let &(at, _) = self.line.first()?;
         let lack = (1.0 - self.tokens).max(0.0);
         Some(at.max(self.filled_at + (lack / self.pace.per_s * 1e6).ceil() as i64))
@@ -119,15 +119,15 @@
     /// Attempts of a thousand peers that all fail for ten seconds after a switch broke.
     #[test]
     fn a_healed_switch_is_no_storm() {
-        let mut dials = Dials::new(3, 0, Pace::USUAL);
-        (0..1000).for_each(|peer| dials.want(peer, 0));
+        let mut dials = DialQueue::new(3, 0, DialConfig::DEFAULT);
+        (0..1000).for_each(|peer| dials.add(peer, 0));
         let (mut times, mut now) = (Vec::new(), 0);
         while now < 10_000_000 {
-            while let Some(peer) = dials.next(now) {
+            while let Some(peer) = dials.next_due(now) {
                 times.push(now);
-                dials.down(peer, now);
+                dials.link_down(peer, now);
             }
-            now = dials.next_at().unwrap().max(now + 1);
+            now = dials.next_due_at().unwrap().max(now + 1);
         }
         for (i, &at) in times.iter().enumerate() {
             let within = times[i..].iter().take_while(|&&t| t < at + 1_000_000).count();
@@ -138,20 +138,20 @@
 
     #[test]
     fn a_link_that_falls_at_once_does_not_reset_the_wait() {
-        let mut dials = Dials::new(3, 0, Pace::USUAL);
-        dials.want(0, 0);
+        let mut dials = DialQueue::new(3, 0, DialConfig::DEFAULT);
+        dials.add(0, 0);
         let (mut now, mut waits) = (0, Vec::new());
         for _ in 0..6 {
-            assert_eq!(dials.next(now), Some(0));
-            dials.up(0, now);
-            dials.down(0, now + 1000);
-            waits.push(dials.next_at().unwrap() - now);
-            now = dials.next_at().unwrap();
+            assert_eq!(dials.next_due(now), Some(0));
+            dials.link_up(0, now);
+            dials.link_down(0, now + 1000);
+            waits.push(dials.next_due_at().unwrap() - now);
+            now = dials.next_due_at().unwrap();
         }
         assert!(waits.windows(2).all(|w| w[1] > w[0] / 2) && waits[5] > 8 * waits[0], "{waits:?}");
-        assert_eq!(dials.next(now), Some(0));
-        dials.up(0, now);
-        dials.down(0, now + 3_000_000);
-        assert!(dials.next_at().unwrap() - now - 3_000_000 <= 50_000, "it stood: soon again");
+        assert_eq!(dials.next_due(now), Some(0));
+        dials.link_up(0, now);
+        dials.link_down(0, now + 3_000_000);
+        assert!(dials.next_due_at().unwrap() - now - 3_000_000 <= 50_000, "it stood: soon again");
     }
 }
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -2,12 +2,12 @@
 //! conversation without I/O, `health` judges silence, `dial` says when to connect again, `link` carries a
 //! session over a stream on tokio, `accepting` takes in what connects, `traffic` counts what all links carry.
 //! The frames are published in `proto/agent.proto`.
-pub mod accepting;
-pub mod dial;
-pub mod framing;
-pub mod health;
-pub mod holder;
+pub mod acceptor;
+pub mod attempt_table;
+pub mod dial_queue;
+pub mod frame_decoder;
 pub mod link;
+pub mod link_health;
 pub mod session;
 pub mod traffic;
 
@@ -25,14 +25,14 @@
 }
 
 /// The version of the protocol that this code speaks.
-pub const VERSION: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 /// The largest frame that is read, in bytes without its length.
-pub const MOST_FRAME: usize = 1 << 20;
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
 /// Why a machine refused, as in `Refused.why` (the same numbers as the module reads).
-pub mod why {
+pub mod refusal_reason {
     pub const NO_CORES: u32 = 1;
     pub const NO_MEMORY: u32 = 2;
-    pub const LONG_LINE: u32 = 3;
+    pub const QUEUE_TOO_LONG: u32 = 3;
     /// Wrong kind, draining, too late, a copy stands, or the planner's epoch is an older one.
     pub const NOT_HERE: u32 = 4;
 }
--- a/agent/src/link.rs
+++ b/agent/src/link.rs
@@ -1,5 +1,5 @@
 //! Carries a session over a stream on tokio: reads, writes, ticks. It decides nothing.
-use crate::session::{Event, Links, Party, Session};
+use crate::session::{LinkConfig, PeerIdentity, Session, SessionEvent};
 use crate::wire::Body;
 use std::time::Instant;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -31,7 +31,7 @@
 
 /// What a link's owner may ask of it.
 #[derive(Debug)]
-pub enum Order {
+pub enum LinkCommand {
     /// A frame, with a mark if it must be known whether it was handed to the stream.
     Send(Body, Option<u64>),
     Close(String),
@@ -39,8 +39,8 @@
 
 /// What a link tells its owner: events of the session, then `Ended` once.
 #[derive(Debug)]
-pub enum News {
-    Session(Event),
+pub enum LinkEvent {
+    Session(SessionEvent),
     /// The link is gone; marks of frames of which no byte was handed to the stream.
     Ended {
         why: String,
@@ -51,66 +51,66 @@
 /// Bytes that are read at once.
 const READ: usize = 16 * 1024;
 
-/// Runs a session over a stream until it ends, as a link by itself: `run_among` for one of a process whose
+/// Runs a session over a stream until it ends, as a link by itself: `run_with_config` for one of a process whose
 /// links have something in common.
 pub async fn run<S, N>(
     stream: S,
-    me: Party,
+    me: PeerIdentity,
     clock: Clock,
-    orders: mpsc::Receiver<Order>,
+    orders: mpsc::Receiver<LinkCommand>,
     news: mpsc::Sender<N>,
-    wrap: impl Fn(News) -> N,
+    wrap: impl Fn(LinkEvent) -> N,
 ) where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    run_among(Links::default(), stream, me, clock, orders, news, wrap).await;
+    run_with_config(LinkConfig::default(), stream, me, clock, orders, news, wrap).await;
 }
 
 /// Runs a session over a stream until it ends. Orders come and news go by bounded channels; while the owner
 /// does not take the news, the peer is granted nothing more.
-pub async fn run_among<S, N>(
-    links: Links,
+pub async fn run_with_config<S, N>(
+    links: LinkConfig,
     mut stream: S,
-    me: Party,
+    me: PeerIdentity,
     clock: Clock,
-    mut orders: mpsc::Receiver<Order>,
+    mut orders: mpsc::Receiver<LinkCommand>,
     news: mpsc::Sender<N>,
-    wrap: impl Fn(News) -> N,
+    wrap: impl Fn(LinkEvent) -> N,
 ) where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    let mut session = Session::among(links, me, clock.now());
+    let mut session = Session::with_config(links, me, clock.now());
     let mut buffer = vec![0; READ];
     let mut why = String::from("the owner of the link left");
     'on: loop {
-        while let Some(event) = session.event() {
-            if let Event::Closed(text) = &event {
+        while let Some(event) = session.next_event() {
+            if let SessionEvent::Closed(text) = &event {
                 why = text.clone();
                 break 'on;
             }
-            if news.send(wrap(News::Session(event))).await.is_err() {
+            if news.send(wrap(LinkEvent::Session(event))).await.is_err() {
                 break 'on;
             }
         }
-        let tick = clock.at(session.next_tick());
+        let tick = clock.at(session.next_tick_at());
         let (mut reader, mut writer) = tokio::io::split(&mut stream);
-        let waits = !session.to_write().is_empty();
+        let waits = !session.pending_output().is_empty();
         tokio::select! {
             got = reader.read(&mut buffer) => match got {
-                Ok(0) => session.cut("the peer closed the connection"),
-                Ok(n) => session.bytes(clock.now(), &buffer[..n]),
-                Err(e) => session.cut(&format!("the connection broke: {e}")),
+                Ok(0) => session.stream_ended("the peer closed the connection"),
+                Ok(n) => session.receive(clock.now(), &buffer[..n]),
+                Err(e) => session.stream_ended(&format!("the connection broke: {e}")),
             },
-            done = writer.write(session.to_write()), if waits => match done {
-                Ok(n) => session.wrote(n),
-                Err(e) => session.cut(&format!("the connection broke: {e}")),
+            done = writer.write(session.pending_output()), if waits => match done {
+                Ok(n) => session.record_written(n),
+                Err(e) => session.stream_ended(&format!("the connection broke: {e}")),
             },
             order = orders.recv() => {
                 let mut next = order;
                 // Take what else is there, so that many frames share a write.
                 for _ in 0..64 {
                     match next {
-                        Some(Order::Send(body, mark)) => {
+                        Some(LinkCommand::Send(body, mark)) => {
                             if let Err(e) = session.send(body, mark) {
                                 // Not taken in at all: the mark is unsent, and the peer is beyond help.
                                 let unsent: Vec<u64> = mark.into_iter().collect();
@@ -118,7 +118,7 @@
                                 return end(session, stream, orders, news, wrap, e.to_string(), unsent).await;
                             }
                         }
-                        Some(Order::Close(text)) => session.goodbye(&text),
+                        Some(LinkCommand::Close(text)) => session.goodbye(&text),
                         None => {
                             session.goodbye("the planner leaves");
                             break;
@@ -139,26 +139,26 @@
 async fn end<S: AsyncWrite + Unpin, N>(
     mut session: Session,
     mut stream: S,
-    mut orders: mpsc::Receiver<Order>,
+    mut orders: mpsc::Receiver<LinkCommand>,
     news: mpsc::Sender<N>,
-    wrap: impl Fn(News) -> N,
+    wrap: impl Fn(LinkEvent) -> N,
     why: String,
     mut unsent: Vec<u64>,
 ) {
     orders.close();
     while let Some(order) = orders.recv().await {
-        if let Order::Send(_, Some(mark)) = order {
+        if let LinkCommand::Send(_, Some(mark)) = order {
             unsent.push(mark);
         }
     }
     // One try for the goodbye; what was not handed over before is not handed over now, so it stays unsent.
-    unsent.extend(session.unsent());
-    if unsent.is_empty() && !session.to_write().is_empty() {
-        let last = stream.write(session.to_write());
+    unsent.extend(session.unsent_marks());
+    if unsent.is_empty() && !session.pending_output().is_empty() {
+        let last = stream.write(session.pending_output());
         if let Ok(Ok(n)) = tokio::time::timeout(std::time::Duration::from_millis(50), last).await {
-            session.wrote(n);
+            session.record_written(n);
         }
     }
     let _ = stream.shutdown().await;
-    let _ = news.send(wrap(News::Ended { why, unsent })).await;
+    let _ = news.send(wrap(LinkEvent::Ended { why, unsent })).await;
 }
--- a/agent/src/health.rs
+++ b/agent/src/link_health.rs
@@ -14,14 +14,14 @@
 const STEADY: u32 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum LinkHealth {
     Well,
     Suspect,
     Lost,
 }
 
 #[derive(Clone, Debug)]
-pub struct Health {
+pub struct HealthMonitor {
     /// The peer's period between heartbeats, as it was agreed.
     period: f64,
     mean: f64,
@@ -29,20 +29,20 @@
     heard_at: i64,
     beat_at: i64,
     steady: u32,
-    state: State,
+    state: LinkHealth,
 }
 
-impl Health {
+impl HealthMonitor {
     pub fn new(now: i64, period_us: i64) -> Self {
         let period = period_us as f64;
-        Health {
+        HealthMonitor {
             period,
             mean: period,
             deviation: period / 2.0,
             heard_at: now,
             beat_at: now,
             steady: STEADY,
-            state: State::Well,
+            state: LinkHealth::Well,
         }
     }
 
@@ -72,18 +72,18 @@
             self.beat_at = now;
         }
         self.heard_at = now;
-        if self.state == State::Suspect && self.steady >= STEADY {
-            self.state = State::Well;
+        if self.state == LinkHealth::Suspect && self.steady >= STEADY {
+            self.state = LinkHealth::Well;
         }
     }
 
     /// The state at this time. Lost is final.
-    pub fn judge(&mut self, now: i64) -> State {
+    pub fn judge(&mut self, now: i64) -> LinkHealth {
         let silence = now - self.heard_at;
-        if self.state == State::Lost || silence >= self.lost_after() {
-            self.state = State::Lost;
+        if self.state == LinkHealth::Lost || silence >= self.lost_after() {
+            self.state = LinkHealth::Lost;
         } else if silence >= self.suspect_after() {
-            self.state = State::Suspect;
+            self.state = LinkHealth::Suspect;
             self.steady = 0;
         }
         self.state
@@ -92,7 +92,7 @@
     /// The next time at which `judge` may say something else, if nothing is heard before.
     pub fn next_at(&self) -> i64 {
         match self.state {
-            State::Well => self.heard_at + self.suspect_after(),
+            LinkHealth::Well => self.heard_at + self.suspect_after(),
             _ => self.heard_at + self.lost_after(),
         }
     }
@@ -102,7 +102,7 @@
 mod tests {
     use super::*;
 
-    fn beats(health: &mut Health, from: i64, gaps: &[i64]) -> i64 {
+    fn beats(health: &mut HealthMonitor, from: i64, gaps: &[i64]) -> i64 {
         gaps.iter().fold(from, |at, gap| {
             health.heard(at + gap, true);
             health.judge(at + gap);
@@ -112,30 +112,30 @@
 
     #[test]
     fn an_even_link_is_suspected_sooner_than_an_uneven_one() {
-        let (mut even, mut uneven) = (Health::new(0, 100), Health::new(0, 100));
+        let (mut even, mut uneven) = (HealthMonitor::new(0, 100), HealthMonitor::new(0, 100));
         let a = beats(&mut even, 0, &[100; 40]);
         let b = beats(&mut uneven, 0, &[60, 180].repeat(20));
         assert!(even.suspect_after() < uneven.suspect_after());
-        assert_eq!(even.judge(a + 200), State::Suspect);
-        assert_eq!(uneven.judge(b + 200), State::Well);
+        assert_eq!(even.judge(a + 200), LinkHealth::Suspect);
+        assert_eq!(uneven.judge(b + 200), LinkHealth::Well);
     }
 
     #[test]
     fn a_suspect_link_is_well_only_after_three_heartbeats_in_time() {
-        let mut h = Health::new(0, 100);
+        let mut h = HealthMonitor::new(0, 100);
         let at = beats(&mut h, 0, &[100; 40]);
-        assert_eq!(h.judge(at + 300), State::Suspect);
+        assert_eq!(h.judge(at + 300), LinkHealth::Suspect);
         let at = beats(&mut h, at + 300, &[10, 100]);
-        assert_eq!(h.judge(at), State::Suspect, "the late one started the count at none");
+        assert_eq!(h.judge(at), LinkHealth::Suspect, "the late one started the count at none");
         let at = beats(&mut h, at, &[100, 100]);
-        assert_eq!(h.judge(at), State::Well);
+        assert_eq!(h.judge(at), LinkHealth::Well);
     }
 
     #[test]
     fn lost_is_final() {
-        let mut h = Health::new(0, 100);
-        assert_eq!(h.judge(h.lost_after()), State::Lost);
+        let mut h = HealthMonitor::new(0, 100);
+        assert_eq!(h.judge(h.lost_after()), LinkHealth::Lost);
         h.heard(h.lost_after() + 1, true);
-        assert_eq!(h.judge(h.lost_after() + 1), State::Lost);
+        assert_eq!(h.judge(h.lost_after() + 1), LinkHealth::Lost);
     }
 }
--- a/agent/src/session.rs
+++ b/agent/src/session.rs
@@ -2,10 +2,10 @@
 //! machine serves all roles. It says hello, keeps heartbeats and credits, judges silence, refuses what is no
 //! frame, and knows of each frame that its caller marked whether a byte of it was handed to the stream: only
 //! what was not is proved never to have been received. Times are whole microseconds.
-use crate::health::{Health, State};
-use crate::traffic::{Kind, Traffic};
+use crate::link_health::{HealthMonitor, LinkHealth};
+use crate::traffic::{FrameKind, Traffic};
 use crate::wire::{Body, Credit, Frame, Goodbye, Heartbeat, Hello, Role};
-use crate::{MOST_FRAME, VERSION};
+use crate::{MAX_FRAME_BYTES, PROTOCOL_VERSION};
 use bytes::{Buf, BytesMut};
 use prost::Message;
 use std::collections::VecDeque;
@@ -13,20 +13,20 @@
 use tokio_util::codec::{Decoder, LengthDelimitedCodec};
 
 /// The usual period of heartbeats, which older builds go by.
-pub const BEAT: i64 = 250_000;
+pub const DEFAULT_HEARTBEAT_US: i64 = 250_000;
 /// A side that says another period is not talked to.
-pub const BEATS: std::ops::RangeInclusive<i64> = 10_000..=60_000_000;
+pub const HEARTBEAT_RANGE_US: std::ops::RangeInclusive<i64> = 10_000..=60_000_000;
 /// A hello must come within this time.
-pub const HELLO_WITHIN: i64 = 2_000_000;
+pub const HELLO_TIMEOUT_US: i64 = 2_000_000;
 /// Bytes of frames that a side takes before it grants more, and that it keeps for a peer without credit.
-pub const WINDOW: u64 = 1 << 20;
-pub const MOST_HELD: usize = 4 << 20;
+pub const CREDIT_WINDOW_BYTES: u64 = 1 << 20;
+pub const MAX_QUEUED_BYTES: usize = 4 << 20;
 /// Bytes of the length before each frame.
 const LENGTH: u64 = 4;
 
 /// Who speaks, on either side.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Party {
+pub struct PeerIdentity {
     pub role: Role,
     pub name: String,
     pub epoch: u64,
@@ -37,45 +37,45 @@
 
 /// What all links of a process have in common.
 #[derive(Clone, Debug)]
-pub struct Links {
-    /// The period of their heartbeats, in microseconds within `BEATS`; a peer may say a longer one.
+pub struct LinkConfig {
+    /// The period of their heartbeats, in microseconds within `HEARTBEAT_RANGE_US`; a peer may say a longer one.
     pub heartbeat_us: i64,
     /// Where they count what they carry.
     pub traffic: Rc<Traffic>,
 }
 
-impl Default for Links {
+impl Default for LinkConfig {
     fn default() -> Self {
-        Links { heartbeat_us: BEAT, traffic: Rc::default() }
+        LinkConfig { heartbeat_us: DEFAULT_HEARTBEAT_US, traffic: Rc::default() }
     }
 }
 
 /// What a conversation tells its caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event {
-    Up(Party),
+pub enum SessionEvent {
+    Up(PeerIdentity),
     Frame(Body),
     /// The link's silence is judged anew.
-    Health(State),
+    Health(LinkHealth),
     /// It is over; the text says why, in words for an operator.
     Closed(String),
 }
 
 /// The peer takes nothing and the line for it is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the peer takes nothing in and {MOST_HELD} bytes wait for it")]
-pub struct Full;
+#[error("the peer takes nothing in and {MAX_QUEUED_BYTES} bytes wait for it")]
+pub struct SendBufferFull;
 
 pub struct Session {
-    me: Party,
-    links: Links,
-    peer: Option<Party>,
+    me: PeerIdentity,
+    links: LinkConfig,
+    peer: Option<PeerIdentity>,
     codec: LengthDelimitedCodec,
     inbox: BytesMut,
     outbox: BytesMut,
-    events: VecDeque<(Event, u64)>,
-    health: Health,
-    told: State,
+    events: VecDeque<(SessionEvent, u64)>,
+    health: HealthMonitor,
+    told: LinkHealth,
     opened_at: i64,
     /// The period that both sides go by.
     beat: i64,
@@ -96,35 +96,35 @@
     written: u64,
     marks: VecDeque<(u64, u64)>,
     /// Frames that are put out, with the bytes of each that are not written yet.
-    unwritten: VecDeque<(Kind, u64)>,
+    unwritten: VecDeque<(FrameKind, u64)>,
     closed: bool,
 }
 
 impl Session {
     /// A conversation whose bytes are counted for itself alone.
-    pub fn new(me: Party, now: i64) -> Self {
-        Session::among(Links::default(), me, now)
+    pub fn new(me: PeerIdentity, now: i64) -> Self {
+        Session::with_config(LinkConfig::default(), me, now)
     }
 
     /// One of the links of a process.
-    pub fn among(links: Links, me: Party, now: i64) -> Self {
+    pub fn with_config(links: LinkConfig, me: PeerIdentity, now: i64) -> Self {
         let mut session = Session {
-            codec: LengthDelimitedCodec::builder().max_frame_length(MOST_FRAME).new_codec(),
+            codec: LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec(),
             peer: None,
             inbox: BytesMut::new(),
             outbox: BytesMut::new(),
             events: VecDeque::new(),
-            health: Health::new(now, BEAT),
-            told: State::Well,
+            health: HealthMonitor::new(now, DEFAULT_HEARTBEAT_US),
+            told: LinkHealth::Well,
             opened_at: now,
-            beat: BEAT,
+            beat: DEFAULT_HEARTBEAT_US,
             beat_at: now,
             numbers: true,
             seq: 0,
             seen: 0,
             credit: 0,
             taken: 0,
-            granted: WINDOW,
+            granted: CREDIT_WINDOW_BYTES,
             held: VecDeque::new(),
             held_bytes: 0,
             put: 0,
@@ -137,12 +137,12 @@
         };
         let me = &session.me;
         let hello = Hello {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             role: me.role as i32,
             name: me.name.clone(),
             epoch: me.epoch,
             link: me.link,
-            credit: WINDOW,
+            credit: CREDIT_WINDOW_BYTES,
             login: me.login.clone(),
             heartbeat_us: session.links.heartbeat_us,
         };
@@ -151,8 +151,8 @@
     }
 
     /// Bytes that came from the stream. What is no frame of this protocol ends the conversation.
-    pub fn bytes(&mut self, now: i64, bytes: &[u8]) {
-        self.links.traffic.read(bytes.len() as u64);
+    pub fn receive(&mut self, now: i64, bytes: &[u8]) {
+        self.links.traffic.record_read(bytes.len() as u64);
         if self.closed {
             return;
         }
@@ -162,7 +162,7 @@
                 Ok(Some(frame)) => match Frame::decode(&frame[..]) {
                     Ok(Frame { body: Some(body) }) => {
                         let size = frame.len() as u64;
-                        self.links.traffic.read_frame(Kind::of(&body), LENGTH + size);
+                        self.links.traffic.record_frame_read(FrameKind::from_body(&body), LENGTH + size);
                         self.take(now, body, size);
                     }
                     Ok(_) => self.refuse(
@@ -174,9 +174,9 @@
                     )),
                 },
                 Ok(None) => return,
-                Err(_) => {
-                    self.refuse(&format!("a frame of over {MOST_FRAME} bytes was announced; expected fewer"))
-                }
+                Err(_) => self.refuse(&format!(
+                    "a frame of over {MAX_FRAME_BYTES} bytes was announced; expected fewer"
+                )),
             }
         }
     }
@@ -194,7 +194,7 @@
             }
             (Body::Heartbeat(beat), _) => self.seen = beat.seq,
             (Body::Credit(credit), _) => {
-                self.credit = self.credit.saturating_add(credit.bytes).min(16 * WINDOW);
+                self.credit = self.credit.saturating_add(credit.bytes).min(16 * CREDIT_WINDOW_BYTES);
                 self.release();
             }
             (body, _) => {
@@ -203,15 +203,15 @@
                         .refuse(&format!("a frame of {size} bytes where {} were granted", self.granted));
                 }
                 self.granted -= size;
-                self.events.push_back((Event::Frame(body), size));
+                self.events.push_back((SessionEvent::Frame(body), size));
             }
         }
     }
 
     fn greet(&mut self, now: i64, hello: Hello) {
         let role = Role::try_from(hello.role).unwrap_or(Role::Unknown);
-        if hello.version != VERSION {
-            return self.refuse(&format!("hello: version {}; expected {VERSION}", hello.version));
+        if hello.version != PROTOCOL_VERSION {
+            return self.refuse(&format!("hello: version {}; expected {PROTOCOL_VERSION}", hello.version));
         }
         if role == Role::Unknown || hello.name.is_empty() || hello.name.len() > 200 {
             return self.refuse("hello: no role or no name of 1 to 200 bytes; expected both");
@@ -221,34 +221,36 @@
                 .refuse(&format!("hello: login of {} bytes; expected 200 at most", hello.login.len()));
         }
         if hello.heartbeat_us != 0 {
-            if !BEATS.contains(&hello.heartbeat_us) {
-                let (found, least, most) = (hello.heartbeat_us, BEATS.start(), BEATS.end());
+            if !HEARTBEAT_RANGE_US.contains(&hello.heartbeat_us) {
+                let (found, least, most) =
+                    (hello.heartbeat_us, HEARTBEAT_RANGE_US.start(), HEARTBEAT_RANGE_US.end());
                 return self
                     .refuse(&format!("hello: heartbeat_us of {found}; expected {least} to {most}, or none"));
             }
             // The longer one: an older build aside, both sides come to the same.
             (self.beat, self.numbers) = (self.links.heartbeat_us.max(hello.heartbeat_us), false);
-            self.health = Health::new(now, self.beat);
+            self.health = HealthMonitor::new(now, self.beat);
         }
-        self.credit = hello.credit.min(16 * WINDOW);
-        let peer = Party { role, name: hello.name, epoch: hello.epoch, link: hello.link, login: hello.login };
+        self.credit = hello.credit.min(16 * CREDIT_WINDOW_BYTES);
+        let peer =
+            PeerIdentity { role, name: hello.name, epoch: hello.epoch, link: hello.link, login: hello.login };
         self.peer = Some(peer.clone());
-        self.events.push_back((Event::Up(peer), 0));
+        self.events.push_back((SessionEvent::Up(peer), 0));
         self.release();
     }
 
     /// Sends a frame, or keeps it until the peer takes more. A `mark` lets `unsent` name it later.
-    pub fn send(&mut self, body: Body, mark: Option<u64>) -> Result<(), Full> {
+    pub fn send(&mut self, body: Body, mark: Option<u64>) -> Result<(), SendBufferFull> {
         if self.closed {
-            return Err(Full);
+            return Err(SendBufferFull);
         }
         let frame = Frame::from(body);
         let size = frame.encoded_len();
         if self.held.is_empty() && self.peer.is_some() && size as u64 <= self.credit {
             self.credit -= size as u64;
             self.put_out(&frame, mark);
-        } else if self.held_bytes + size > MOST_HELD {
-            return Err(Full);
+        } else if self.held_bytes + size > MAX_QUEUED_BYTES {
+            return Err(SendBufferFull);
         } else {
             self.held_bytes += size;
             self.held.push_back((frame, mark));
@@ -281,14 +283,14 @@
         frame.encode(&mut self.outbox).expect("a buffer that grows");
         let size = size as u64 + LENGTH;
         self.put += size;
-        self.unwritten.push_back((Kind::of(body), size));
+        self.unwritten.push_back((FrameKind::from_body(body), size));
     }
 
     /// The next event. A frame counts as taken in here, so that a caller who does not ask grants nothing.
-    pub fn event(&mut self) -> Option<Event> {
+    pub fn next_event(&mut self) -> Option<SessionEvent> {
         let (event, size) = self.events.pop_front()?;
         self.taken += size;
-        if self.taken >= WINDOW / 4 && !self.closed {
+        if self.taken >= CREDIT_WINDOW_BYTES / 4 && !self.closed {
             self.granted += self.taken;
             let credit = Credit { bytes: std::mem::take(&mut self.taken) };
             self.put_out(&Body::Credit(credit).into(), None);
@@ -297,11 +299,11 @@
     }
 
     /// Bytes to be written to the stream; `wrote` takes away those that were.
-    pub fn to_write(&self) -> &[u8] {
+    pub fn pending_output(&self) -> &[u8] {
         &self.outbox
     }
 
-    pub fn wrote(&mut self, bytes: usize) {
+    pub fn record_written(&mut self, bytes: usize) {
         self.outbox.advance(bytes);
         self.written += bytes as u64;
         let mut bytes = bytes as u64;
@@ -309,7 +311,7 @@
             let of = bytes.min(*left);
             (bytes, *left) = (bytes - of, *left - of);
             let last = *left == 0;
-            self.links.traffic.wrote(*kind, of, last);
+            self.links.traffic.record_written(*kind, of, last);
             if last {
                 self.unwritten.pop_front();
             }
@@ -325,7 +327,7 @@
             return;
         }
         if self.peer.is_none() {
-            if now >= self.opened_at + HELLO_WITHIN {
+            if now >= self.opened_at + HELLO_TIMEOUT_US {
                 self.refuse("no hello came in time");
             }
             return;
@@ -339,18 +341,18 @@
             self.beat_at = (self.beat_at + self.beat).max(now + self.beat / 2);
         }
         let state = self.health.judge(now);
-        if state == State::Lost {
+        if state == LinkHealth::Lost {
             self.close(format!("nothing heard for {} ms", self.health.lost_after() / 1000));
         } else if state != self.told {
             self.told = state;
-            self.events.push_back((Event::Health(state), 0));
+            self.events.push_back((SessionEvent::Health(state), 0));
         }
     }
 
     /// The time at which `tick` has something to do.
-    pub fn next_tick(&self) -> i64 {
+    pub fn next_tick_at(&self) -> i64 {
         match self.peer {
-            None => self.opened_at + HELLO_WITHIN,
+            None => self.opened_at + HELLO_TIMEOUT_US,
             Some(_) => self.beat_at.min(self.health.next_at()),
         }
     }
@@ -369,14 +371,14 @@
     }
 
     /// The stream ended.
-    pub fn cut(&mut self, why: &str) {
+    pub fn stream_ended(&mut self, why: &str) {
         self.close(why.to_owned());
     }
 
     fn close(&mut self, why: String) {
         if !self.closed {
             self.closed = true;
-            self.events.push_back((Event::Closed(why), 0));
+            self.events.push_back((SessionEvent::Closed(why), 0));
         }
     }
 
@@ -385,7 +387,7 @@
     }
 
     /// Marks of frames of which no byte was handed to the stream.
-    pub fn unsent(&self) -> Vec<u64> {
+    pub fn unsent_marks(&self) -> Vec<u64> {
         let put = self.marks.iter().filter(|(at, _)| *at >= self.written).map(|&(_, mark)| mark);
         put.chain(self.held.iter().filter_map(|(_, mark)| *mark)).collect()
     }
--- a/agent/src/traffic.rs
+++ b/agent/src/traffic.rs
@@ -6,7 +6,7 @@
 
 /// Kinds of frames, as operators see them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FrameKind {
     Heartbeats,
     /// Hello, credit, goodbye.
     Links,
@@ -25,52 +25,54 @@
     Unfinished,
 }
 
-impl Kind {
-    pub const ALL: [Kind; 10] = [
-        Kind::Heartbeats,
-        Kind::Links,
-        Kind::Tasks,
-        Kind::Inventories,
-        Kind::Probes,
-        Kind::Lists,
-        Kind::Council,
-        Kind::Summaries,
-        Kind::Operators,
-        Kind::Unfinished,
+impl FrameKind {
+    pub const ALL: [FrameKind; 10] = [
+        FrameKind::Heartbeats,
+        FrameKind::Links,
+        FrameKind::Tasks,
+        FrameKind::Inventories,
+        FrameKind::Probes,
+        FrameKind::Lists,
+        FrameKind::Council,
+        FrameKind::Summaries,
+        FrameKind::Operators,
+        FrameKind::Unfinished,
     ];
 
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
-            Kind::Heartbeats => "heartbeats",
-            Kind::Links => "links",
-            Kind::Tasks => "tasks",
-            Kind::Inventories => "inventories",
-            Kind::Probes => "probes",
-            Kind::Lists => "lists",
-            Kind::Council => "council",
-            Kind::Summaries => "summaries",
-            Kind::Operators => "operators",
-            Kind::Unfinished => "unfinished",
+            FrameKind::Heartbeats => "heartbeats",
+            FrameKind::Links => "links",
+            FrameKind::Tasks => "tasks",
+            FrameKind::Inventories => "inventories",
+            FrameKind::Probes => "probes",
+            FrameKind::Lists => "lists",
+            FrameKind::Council => "council",
+            FrameKind::Summaries => "summaries",
+            FrameKind::Operators => "operators",
+            FrameKind::Unfinished => "unfinished",
         }
     }
 
-    pub fn of(body: &Body) -> Kind {
+    pub fn from_body(body: &Body) -> FrameKind {
         match body {
-            Body::Heartbeat(_) => Kind::Heartbeats,
-            Body::Hello(_) | Body::Credit(_) | Body::Goodbye(_) => Kind::Links,
+            Body::Heartbeat(_) => FrameKind::Heartbeats,
+            Body::Hello(_) | Body::Credit(_) | Body::Goodbye(_) => FrameKind::Links,
             Body::Launch(_) | Body::Yes(_) | Body::Refused(_) | Body::Failed(_) | Body::Running(_) => {
-                Kind::Tasks
+                FrameKind::Tasks
             }
-            Body::Note(_) | Body::Ended(_) | Body::Noted(_) | Body::Cancel(_) | Body::Stop(_) => Kind::Tasks,
-            Body::Submit(_) | Body::Answer(_) | Body::Life(_) | Body::Withdraw(_) => Kind::Tasks,
-            Body::Inventory(_) => Kind::Inventories,
-            Body::Probe(_) | Body::Probed(_) => Kind::Probes,
-            Body::Watch(_) | Body::Fetch(_) | Body::List(_) => Kind::Lists,
-            Body::Ballots(_) | Body::Votes(_) | Body::GiveBack(_) | Body::Freed(_) => Kind::Council,
-            Body::Record(_) | Body::Kept(_) | Body::HandOn(_) => Kind::Council,
-            Body::Digest(_) | Body::Summaries(_) => Kind::Summaries,
+            Body::Note(_) | Body::Ended(_) | Body::Noted(_) | Body::Cancel(_) | Body::Stop(_) => {
+                FrameKind::Tasks
+            }
+            Body::Submit(_) | Body::Answer(_) | Body::Life(_) | Body::Withdraw(_) => FrameKind::Tasks,
+            Body::Inventory(_) => FrameKind::Inventories,
+            Body::Probe(_) | Body::Probed(_) => FrameKind::Probes,
+            Body::Watch(_) | Body::Fetch(_) | Body::List(_) => FrameKind::Lists,
+            Body::Ballots(_) | Body::Votes(_) | Body::GiveBack(_) | Body::Freed(_) => FrameKind::Council,
+            Body::Record(_) | Body::Kept(_) | Body::HandOn(_) => FrameKind::Council,
+            Body::Digest(_) | Body::Summaries(_) => FrameKind::Summaries,
             Body::Query(_) | Body::Told(_) | Body::Accept(_) | Body::Clauses(_) | Body::Drain(_) => {
-                Kind::Operators
+                FrameKind::Operators
             }
         }
     }
@@ -78,7 +80,7 @@
 
 /// Of one kind, since the process began. A frame counts once its last byte is read or handed over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct TrafficCount {
     pub bytes_in: u64,
     pub bytes_out: u64,
     pub frames_in: u64,
@@ -88,11 +90,11 @@
 /// The counts of all links of a process.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    counts: [Cell<Count>; Kind::ALL.len()],
+    counts: [Cell<TrafficCount>; FrameKind::ALL.len()],
 }
 
 impl Traffic {
-    fn change(&self, kind: Kind, how: impl FnOnce(&mut Count)) {
+    fn change(&self, kind: FrameKind, how: impl FnOnce(&mut TrafficCount)) {
         let cell = &self.counts[kind as usize];
         let mut count = cell.get();
         how(&mut count);
@@ -100,13 +102,13 @@
     }
 
     /// Bytes were read from a stream; of which frames they are shows later.
-    pub fn read(&self, bytes: u64) {
-        self.change(Kind::Unfinished, |c| c.bytes_in += bytes);
+    pub fn record_read(&self, bytes: u64) {
+        self.change(FrameKind::Unfinished, |c| c.bytes_in += bytes);
     }
 
     /// Bytes that were read are a whole frame of this kind.
-    pub fn read_frame(&self, kind: Kind, bytes: u64) {
-        self.change(Kind::Unfinished, |c| c.bytes_in -= bytes);
+    pub fn record_frame_read(&self, kind: FrameKind, bytes: u64) {
+        self.change(FrameKind::Unfinished, |c| c.bytes_in -= bytes);
         self.change(kind, |c| {
             c.bytes_in += bytes;
             c.frames_in += 1;
@@ -114,21 +116,21 @@
     }
 
     /// Bytes of a frame of this kind were handed to a stream; whether its last is among them.
-    pub fn wrote(&self, kind: Kind, bytes: u64, last: bool) {
+    pub fn record_written(&self, kind: FrameKind, bytes: u64, last: bool) {
         self.change(kind, |c| {
             c.bytes_out += bytes;
             c.frames_out += u64::from(last);
         });
     }
 
-    pub fn of(&self, kind: Kind) -> Count {
+    pub fn count(&self, kind: FrameKind) -> TrafficCount {
         self.counts[kind as usize].get()
     }
 
     /// Over all kinds: what the streams carried.
-    pub fn sum(&self) -> Count {
-        let all = Kind::ALL.into_iter().map(|kind| self.of(kind));
-        all.fold(Count::default(), |sum, c| Count {
+    pub fn total(&self) -> TrafficCount {
+        let all = FrameKind::ALL.into_iter().map(|kind| self.count(kind));
+        all.fold(TrafficCount::default(), |sum, c| TrafficCount {
             bytes_in: sum.bytes_in + c.bytes_in,
             bytes_out: sum.bytes_out + c.bytes_out,
             frames_in: sum.frames_in + c.frames_in,
--- a/agent/tests/heartbeat.rs
+++ b/agent/tests/heartbeat.rs
@@ -1,25 +1,28 @@
 //! The period of heartbeats: said in the hello, the longer one for both sides, and silence by it. A made-up
 //! clock.
-use basaltpitch_agent::health::{Health, State};
-use basaltpitch_agent::session::{Event, Links, Party, Session, BEAT, BEATS, WINDOW};
-use basaltpitch_agent::traffic::Kind;
+use basaltpitch_agent::link_health::{HealthMonitor, LinkHealth};
+use basaltpitch_agent::session::{
+    LinkConfig, PeerIdentity, Session, SessionEvent, CREDIT_WINDOW_BYTES, DEFAULT_HEARTBEAT_US,
+    HEARTBEAT_RANGE_US,
+};
+use basaltpitch_agent::traffic::FrameKind;
 use basaltpitch_agent::wire::{Body, Frame, Heartbeat, Hello, Role};
 use prost::Message;
 
-fn side(role: Role, heartbeat_us: i64) -> (Session, Links) {
-    let links = Links { heartbeat_us, ..Links::default() };
-    let me = Party { role, name: "side".into(), epoch: 1, link: 1, login: String::new() };
-    (Session::among(links.clone(), me, 0), links)
+fn side(role: Role, heartbeat_us: i64) -> (Session, LinkConfig) {
+    let links = LinkConfig { heartbeat_us, ..LinkConfig::default() };
+    let me = PeerIdentity { role, name: "side".into(), epoch: 1, link: 1, login: String::new() };
+    (Session::with_config(links.clone(), me, 0), links)
 }
 
 fn carry(now: i64, from: &mut Session, to: &mut Session) {
-    let bytes = from.to_write().to_vec();
-    from.wrote(bytes.len());
-    to.bytes(now, &bytes);
+    let bytes = from.pending_output().to_vec();
+    from.record_written(bytes.len());
+    to.receive(now, &bytes);
 }
 
-fn events(s: &mut Session) -> Vec<Event> {
-    std::iter::from_fn(|| s.event()).collect()
+fn events(s: &mut Session) -> Vec<SessionEvent> {
+    std::iter::from_fn(|| s.next_event()).collect()
 }
 
 fn raw(body: Body) -> Vec<u8> {
@@ -34,7 +37,7 @@
         version: 1,
         role: Role::Machine as i32,
         name: "m".into(),
-        credit: WINDOW,
+        credit: CREDIT_WINDOW_BYTES,
         heartbeat_us,
         ..Hello::default()
     }))
@@ -43,7 +46,12 @@
 /// Whoever says which period: both beat by the longer one, are well, and notice silence by it.
 #[test]
 fn both_sides_go_by_the_longer_period_and_notice_silence_by_it() {
-    for (ours, theirs) in [(BEAT, BEAT), (1_000_000, BEAT), (2_000_000, BEAT), (BEAT, 1_000_000)] {
+    for (ours, theirs) in [
+        (DEFAULT_HEARTBEAT_US, DEFAULT_HEARTBEAT_US),
+        (1_000_000, DEFAULT_HEARTBEAT_US),
+        (2_000_000, DEFAULT_HEARTBEAT_US),
+        (DEFAULT_HEARTBEAT_US, 1_000_000),
+    ] {
         let period = ours.max(theirs);
         let (mut a, of_a) = side(Role::Planner, ours);
         let (mut b, of_b) = side(Role::Machine, theirs);
@@ -52,16 +60,16 @@
         while now < until {
             a.tick(now);
             b.tick(now);
-            while !a.to_write().is_empty() || !b.to_write().is_empty() {
+            while !a.pending_output().is_empty() || !b.pending_output().is_empty() {
                 carry(now, &mut a, &mut b);
                 carry(now, &mut b, &mut a);
             }
-            now = a.next_tick().min(b.next_tick());
+            now = a.next_tick_at().min(b.next_tick_at());
         }
         for (s, links) in [(&mut a, &of_a), (&mut b, &of_b)] {
             let heard = events(s);
-            assert!(matches!(&heard[..], [Event::Up(_)]), "{heard:?}");
-            let beats = links.traffic.of(Kind::Heartbeats);
+            assert!(matches!(&heard[..], [SessionEvent::Up(_)]), "{heard:?}");
+            let beats = links.traffic.count(FrameKind::Heartbeats);
             assert!((40..=41).contains(&beats.frames_out), "{} beats in 40 periods", beats.frames_out);
             // The smallest frame: its length, its kind, nothing in it.
             assert_eq!(beats.bytes_out, 6 * beats.frames_out);
@@ -70,12 +78,12 @@
         let last = 40 * period;
         let (mut suspect_at, mut ended_at) = (0, 0);
         while ended_at == 0 {
-            now = a.next_tick();
+            now = a.next_tick_at();
             a.tick(now);
             for event in events(&mut a) {
                 match event {
-                    Event::Health(State::Suspect) => suspect_at = now,
-                    Event::Closed(why) => {
+                    SessionEvent::Health(LinkHealth::Suspect) => suspect_at = now,
+                    SessionEvent::Closed(why) => {
                         assert!(why.starts_with("nothing heard for"), "{why}");
                         ended_at = now;
                     }
@@ -95,16 +103,16 @@
 #[test]
 fn with_an_older_build_a_link_goes_by_its_period_and_numbers() {
     let (mut a, _) = side(Role::Planner, 2_000_000);
-    a.bytes(0, &hello(0));
-    let (mut health, mut now, mut seq, mut heard) = (Health::new(0, BEAT), 0, 0, 0);
-    while now < 40 * BEAT {
-        if now == seq as i64 * BEAT {
+    a.receive(0, &hello(0));
+    let (mut health, mut now, mut seq, mut heard) = (HealthMonitor::new(0, DEFAULT_HEARTBEAT_US), 0, 0, 0);
+    while now < 40 * DEFAULT_HEARTBEAT_US {
+        if now == seq as i64 * DEFAULT_HEARTBEAT_US {
             seq += 1;
-            a.bytes(now, &raw(Body::Heartbeat(Heartbeat { seq, seen: heard })));
+            a.receive(now, &raw(Body::Heartbeat(Heartbeat { seq, seen: heard })));
         }
         a.tick(now);
-        let mut bytes = a.to_write().to_vec();
-        a.wrote(bytes.len());
+        let mut bytes = a.pending_output().to_vec();
+        a.record_written(bytes.len());
         while !bytes.is_empty() {
             let size = u32::from_be_bytes(bytes[..4].try_into().unwrap()) as usize;
             let frame = Frame::decode(&bytes[4..4 + size]).unwrap();
@@ -115,32 +123,33 @@
                 health.heard(now, true);
             }
         }
-        assert_eq!(health.judge(now), State::Well, "at {now} us");
-        now = a.next_tick().min(seq as i64 * BEAT);
+        assert_eq!(health.judge(now), LinkHealth::Well, "at {now} us");
+        now = a.next_tick_at().min(seq as i64 * DEFAULT_HEARTBEAT_US);
     }
     assert!(heard >= 40, "{heard} beats in 40 periods");
     let told = events(&mut a);
-    assert!(matches!(&told[..], [Event::Up(_)]), "{told:?}");
+    assert!(matches!(&told[..], [SessionEvent::Up(_)]), "{told:?}");
     // And one without a number is refused, as it was.
-    a.bytes(now, &raw(Body::Heartbeat(Heartbeat::default())));
+    a.receive(now, &raw(Body::Heartbeat(Heartbeat::default())));
     let told = events(&mut a);
-    let refused = |e: &Event| matches!(e, Event::Closed(why) if why.contains("expected a higher number"));
+    let refused =
+        |e: &SessionEvent| matches!(e, SessionEvent::Closed(why) if why.contains("expected a higher number"));
     assert!(told.iter().any(refused), "{told:?}");
 }
 
 #[test]
 fn a_period_out_of_bounds_is_refused_with_what_was_found_and_expected() {
     let said = |heartbeat_us: i64| {
-        let (mut a, _) = side(Role::Planner, BEAT);
-        a.bytes(0, &hello(heartbeat_us));
+        let (mut a, _) = side(Role::Planner, DEFAULT_HEARTBEAT_US);
+        a.receive(0, &hello(heartbeat_us));
         events(&mut a)
     };
-    for period in [*BEATS.start(), *BEATS.end()] {
-        assert!(matches!(&said(period)[..], [Event::Up(_)]), "{period} us");
+    for period in [*HEARTBEAT_RANGE_US.start(), *HEARTBEAT_RANGE_US.end()] {
+        assert!(matches!(&said(period)[..], [SessionEvent::Up(_)]), "{period} us");
     }
-    for period in [-1, BEATS.start() - 1, BEATS.end() + 1, i64::MAX] {
+    for period in [-1, HEARTBEAT_RANGE_US.start() - 1, HEARTBEAT_RANGE_US.end() + 1, i64::MAX] {
         let want = format!("hello: heartbeat_us of {period}; expected 10000 to 60000000, or none");
         let said = said(period);
-        assert!(matches!(&said[..], [Event::Closed(why)] if why.ends_with(&want)), "{said:?}");
+        assert!(matches!(&said[..], [SessionEvent::Closed(why)] if why.ends_with(&want)), "{said:?}");
     }
 }
--- a/agent/tests/session.rs
+++ b/agent/tests/session.rs
@@ -1,12 +1,14 @@
 //! Two sessions over a stream that cuts bytes anywhere, and what a session refuses. A made-up clock.
-use basaltpitch_agent::health::State;
-use basaltpitch_agent::session::{Event, Party, Session, BEAT, MOST_HELD, WINDOW};
+use basaltpitch_agent::link_health::LinkHealth;
+use basaltpitch_agent::session::{
+    PeerIdentity, Session, SessionEvent, CREDIT_WINDOW_BYTES, DEFAULT_HEARTBEAT_US, MAX_QUEUED_BYTES,
+};
 use basaltpitch_agent::wire::{Body, Frame, Heartbeat, Hello, Probe, Role, Told};
 use proptest::prelude::*;
 use prost::Message;
 
-fn party(role: Role, name: &str) -> Party {
-    Party { role, name: name.into(), epoch: 1, link: 1, login: String::new() }
+fn party(role: Role, name: &str) -> PeerIdentity {
+    PeerIdentity { role, name: name.into(), epoch: 1, link: 1, login: String::new() }
 }
 
 fn pair() -> (Session, Session) {
@@ -15,14 +17,14 @@
 
 /// Moves up to `most` bytes.
 fn carry(now: i64, from: &mut Session, to: &mut Session, most: usize) {
-    let n = from.to_write().len().min(most);
-    let bytes = from.to_write()[..n].to_vec();
-    from.wrote(n);
-    to.bytes(now, &bytes);
+    let n = from.pending_output().len().min(most);
+    let bytes = from.pending_output()[..n].to_vec();
+    from.record_written(n);
+    to.receive(now, &bytes);
 }
 
 fn settle(now: i64, a: &mut Session, b: &mut Session) {
-    while !a.to_write().is_empty() || !b.to_write().is_empty() {
+    while !a.pending_output().is_empty() || !b.pending_output().is_empty() {
         carry(now, a, b, usize::MAX);
         carry(now, b, a, usize::MAX);
     }
@@ -42,7 +44,7 @@
         name: name.into(),
         epoch: 1,
         link: 1,
-        credit: WINDOW,
+        credit: CREDIT_WINDOW_BYTES,
         login: String::new(),
         heartbeat_us: 0,
     }))
@@ -51,10 +53,10 @@
 /// What a session says to a stranger's bytes.
 fn said_to(bytes: &[&[u8]]) -> String {
     let mut s = Session::new(party(Role::Planner, "p"), 0);
-    bytes.iter().for_each(|b| s.bytes(0, b));
-    std::iter::from_fn(|| s.event())
+    bytes.iter().for_each(|b| s.receive(0, b));
+    std::iter::from_fn(|| s.next_event())
         .find_map(|e| match e {
-            Event::Closed(why) => Some(why),
+            SessionEvent::Closed(why) => Some(why),
             _ => None,
         })
         .unwrap_or_else(|| "goes on".into())
@@ -80,8 +82,8 @@
         for cut in cuts.iter().cycle().take(100_000) {
             carry(0, &mut a, &mut b, *cut);
             carry(0, &mut b, &mut a, *cut);
-            while let Some(event) = b.event() {
-                if let Event::Frame(body) = event {
+            while let Some(event) = b.next_event() {
+                if let SessionEvent::Frame(body) = event {
                     got.push(body);
                 }
             }
@@ -90,7 +92,7 @@
             }
         }
         prop_assert!(got == want, "{} of {} frames came", got.len(), want.len());
-        prop_assert!(a.unsent().is_empty());
+        prop_assert!(a.unsent_marks().is_empty());
     }
 
     /// Bytes of any kind end in a frame, a word of goodbye, or a wait for more: never in a panic.
@@ -98,11 +100,11 @@
     fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..400), greets in any::<bool>()) {
         let mut s = Session::new(party(Role::Planner, "p"), 0);
         if greets {
-            s.bytes(0, &hello(1, Role::Machine as i32, "m"));
+            s.receive(0, &hello(1, Role::Machine as i32, "m"));
         }
-        s.bytes(0, &bytes);
+        s.receive(0, &bytes);
         s.tick(1_000_000);
-        while s.event().is_some() {}
+        while s.next_event().is_some() {}
     }
 }
 
@@ -141,10 +143,10 @@
     let mut bytes = (frame.len() as u32).to_be_bytes().to_vec();
     bytes.extend(&frame);
     let mut s = Session::new(party(Role::Machine, "m"), 0);
-    s.bytes(0, &hello(1, Role::Planner as i32, "p"));
-    s.bytes(0, &bytes);
-    let events: Vec<Event> = std::iter::from_fn(|| s.event()).collect();
-    assert_eq!(events.last(), Some(&Event::Frame(Body::Probe(Probe { number: 7 }))));
+    s.receive(0, &hello(1, Role::Planner as i32, "p"));
+    s.receive(0, &bytes);
+    let events: Vec<SessionEvent> = std::iter::from_fn(|| s.next_event()).collect();
+    assert_eq!(events.last(), Some(&SessionEvent::Frame(Body::Probe(Probe { number: 7 }))));
 }
 
 /// A peer that takes nothing in grants nothing: a bounded amount waits for it, then no more is taken.
@@ -160,12 +162,15 @@
         assert!(taken < 1000);
     }
     let bytes = taken * 100_000;
-    assert!(bytes as u64 >= WINDOW && bytes <= WINDOW as usize + MOST_HELD, "{bytes} bytes");
+    assert!(
+        bytes as u64 >= CREDIT_WINDOW_BYTES && bytes <= CREDIT_WINDOW_BYTES as usize + MAX_QUEUED_BYTES,
+        "{bytes} bytes"
+    );
     // Once it takes them in, all come.
     let mut got = 0;
     for _ in 0..1000 {
-        while let Some(event) = b.event() {
-            got += usize::from(matches!(event, Event::Frame(_)));
+        while let Some(event) = b.next_event() {
+            got += usize::from(matches!(event, SessionEvent::Frame(_)));
         }
         carry(0, &mut b, &mut a, usize::MAX);
         carry(0, &mut a, &mut b, usize::MAX);
@@ -182,9 +187,9 @@
         a.send(Body::Probe(Probe { number: mark }), Some(mark)).unwrap();
     }
     let first = raw(Body::Probe(Probe { number: 0 })).len();
-    a.wrote(first + 1);
-    a.cut("the wire broke");
-    assert_eq!(a.unsent(), [2]);
+    a.record_written(first + 1);
+    a.stream_ended("the wire broke");
+    assert_eq!(a.unsent_marks(), [2]);
 }
 
 #[test]
@@ -192,20 +197,23 @@
     let (mut a, mut b) = pair();
     settle(0, &mut a, &mut b);
     let mut now = 0;
-    while now < 20 * BEAT {
-        now = a.next_tick().min(b.next_tick());
+    while now < 20 * DEFAULT_HEARTBEAT_US {
+        now = a.next_tick_at().min(b.next_tick_at());
         a.tick(now);
         b.tick(now);
         settle(now, &mut a, &mut b);
     }
-    let events: Vec<Event> = std::iter::from_fn(|| a.event()).collect();
+    let events: Vec<SessionEvent> = std::iter::from_fn(|| a.next_event()).collect();
     assert_eq!(events.len(), 1, "{events:?}");
     let mut told = Vec::new();
     while !a.is_closed() {
-        now = a.next_tick();
+        now = a.next_tick_at();
         a.tick(now);
-        told.extend(std::iter::from_fn(|| a.event()));
+        told.extend(std::iter::from_fn(|| a.next_event()));
     }
-    assert_eq!(told[0], Event::Health(State::Suspect));
-    assert!(matches!(&told[1], Event::Closed(why) if why.starts_with("nothing heard for")), "{told:?}");
+    assert_eq!(told[0], SessionEvent::Health(LinkHealth::Suspect));
+    assert!(
+        matches!(&told[1], SessionEvent::Closed(why) if why.starts_with("nothing heard for")),
+        "{told:?}"
+    );
 }
--- a/agent/tests/traffic.rs
+++ b/agent/tests/traffic.rs
@@ -1,7 +1,7 @@
 //! What links count is what their streams carry, at any moment and however a link ends.
-use basaltpitch_agent::link::{run_among, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Links, Party, Session};
-use basaltpitch_agent::traffic::{Count, Kind};
+use basaltpitch_agent::link::{run_with_config, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{LinkConfig, PeerIdentity, Session, SessionEvent};
+use basaltpitch_agent::traffic::{FrameKind, TrafficCount};
 use basaltpitch_agent::wire::{self, Body, Frame, Role};
 use proptest::prelude::*;
 use prost::Message;
@@ -13,8 +13,8 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::sync::mpsc;
 
-fn party(role: Role, name: &str) -> Party {
-    Party { role, name: name.into(), epoch: 1, link: 1, login: String::new() }
+fn party(role: Role, name: &str) -> PeerIdentity {
+    PeerIdentity { role, name: name.into(), epoch: 1, link: 1, login: String::new() }
 }
 
 /// A frame of each kind that credit is needed for, with a text of so many bytes where it takes one.
@@ -31,14 +31,14 @@
     }
 }
 
-const KINDS: [Kind; 7] = [
-    Kind::Tasks,
-    Kind::Inventories,
-    Kind::Probes,
-    Kind::Lists,
-    Kind::Council,
-    Kind::Summaries,
-    Kind::Operators,
+const KINDS: [FrameKind; 7] = [
+    FrameKind::Tasks,
+    FrameKind::Inventories,
+    FrameKind::Probes,
+    FrameKind::Lists,
+    FrameKind::Council,
+    FrameKind::Summaries,
+    FrameKind::Operators,
 ];
 
 fn length(body: &Body) -> u64 {
@@ -47,11 +47,11 @@
 
 /// Moves up to `most` bytes; how many went.
 fn carry(from: &mut Session, to: &mut Session, most: usize) -> u64 {
-    let n = from.to_write().len().min(most);
-    let bytes = from.to_write()[..n].to_vec();
-    from.wrote(n);
-    to.bytes(0, &bytes);
-    while to.event().is_some() {}
+    let n = from.pending_output().len().min(most);
+    let bytes = from.pending_output()[..n].to_vec();
+    from.record_written(n);
+    to.receive(0, &bytes);
+    while to.next_event().is_some() {}
     n as u64
 }
 
@@ -66,8 +66,8 @@
         cuts in proptest::collection::vec(1usize..3000, 1..40),
         ends_after in 1usize..400,
     ) {
-        let (ours, theirs) = (Links::default(), Links::default());
-        let link = |links: &Links, role, name| Session::among(links.clone(), party(role, name), 0);
+        let (ours, theirs) = (LinkConfig::default(), LinkConfig::default());
+        let link = |links: &LinkConfig, role, name| Session::with_config(links.clone(), party(role, name), 0);
         let mut near = [link(&ours, Role::Planner, "p"), link(&ours, Role::Planner, "p")];
         let mut far = [link(&theirs, Role::Machine, "m"), link(&theirs, Role::Register, "r")];
         let mut want = [(0u64, 0u64); KINDS.len()];
@@ -81,17 +81,17 @@
             let n = step % 2;
             out += carry(&mut near[n], &mut far[n], *cut);
             back += carry(&mut far[n], &mut near[n], *cut);
-            let (here, there) = (ours.traffic.sum(), theirs.traffic.sum());
+            let (here, there) = (ours.traffic.total(), theirs.traffic.total());
             prop_assert_eq!((here.bytes_out, here.bytes_in), (out, back));
             prop_assert_eq!((there.bytes_in, there.bytes_out), (out, back));
         }
-        if near.iter().all(|s| s.to_write().is_empty()) {
+        if near.iter().all(|s| s.pending_output().is_empty()) {
             for (kind, want) in KINDS.into_iter().zip(want) {
-                let (sent, got) = (ours.traffic.of(kind), theirs.traffic.of(kind));
+                let (sent, got) = (ours.traffic.count(kind), theirs.traffic.count(kind));
                 prop_assert_eq!((sent.bytes_out, sent.frames_out), want);
                 prop_assert_eq!((got.bytes_in, got.frames_in), want);
             }
-            prop_assert_eq!(theirs.traffic.of(Kind::Unfinished), Count::default());
+            prop_assert_eq!(theirs.traffic.count(FrameKind::Unfinished), TrafficCount::default());
         }
     }
 }
@@ -143,16 +143,24 @@
 
 /// A link whose peer reads so many bytes, says what it is given to say, and is gone; what was counted, and
 /// what the stream carried.
-fn link_cut_after(reads: usize, says: &[u8]) -> (Count, Count, (u64, u64)) {
+fn link_cut_after(reads: usize, says: &[u8]) -> (TrafficCount, TrafficCount, (u64, u64)) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (links, (read, wrote)) = (Links::default(), (Rc::default(), Rc::default()));
+        let (links, (read, wrote)) = (LinkConfig::default(), (Rc::default(), Rc::default()));
         let (near, mut far) = tokio::io::duplex(700);
         let stream = Counted { stream: near, read: Rc::clone(&read), wrote: Rc::clone(&wrote) };
         let (orders, inbox) = mpsc::channel(16);
         let (news, mut heard) = mpsc::channel(16);
         let me = party(Role::Planner, "p");
-        tokio::task::spawn_local(run_among(links.clone(), stream, me, Clock::start(), inbox, news, |n| n));
+        tokio::task::spawn_local(run_with_config(
+            links.clone(),
+            stream,
+            me,
+            Clock::start(),
+            inbox,
+            news,
+            |n| n,
+        ));
         let hello = wire::Hello {
             version: 1,
             role: Role::Machine as i32,
@@ -163,8 +171,8 @@
         let hello = raw(Body::Hello(hello));
         far.write_all(&hello).await.unwrap();
         let up = heard.recv().await;
-        assert!(matches!(up, Some(News::Session(Event::Up(_)))), "{up:?}");
-        orders.send(Order::Send(body(0, 5000), Some(1))).await.unwrap();
+        assert!(matches!(up, Some(LinkEvent::Session(SessionEvent::Up(_)))), "{up:?}");
+        orders.send(LinkCommand::Send(body(0, 5000), Some(1))).await.unwrap();
         let mut taken = vec![0; reads];
         far.read_exact(&mut taken).await.unwrap();
         far.write_all(says).await.unwrap();
@@ -176,11 +184,11 @@
         assert_eq!(read.get(), all, "the link reads all that comes");
         drop(far);
         while let Some(news) = heard.recv().await {
-            if matches!(news, News::Ended { .. }) {
+            if matches!(news, LinkEvent::Ended { .. }) {
                 break;
             }
         }
-        (links.traffic.sum(), links.traffic.of(Kind::Unfinished), (read.get(), wrote.get()))
+        (links.traffic.total(), links.traffic.count(FrameKind::Unfinished), (read.get(), wrote.get()))
     })
 }
 
@@ -193,7 +201,7 @@
         let (sum, unfinished, (read, wrote)) = link_cut_after(reads, says);
         assert_eq!((sum.bytes_in, sum.bytes_out), (read, wrote), "cut after {reads} and {}", says.len());
         let rest = if says.len() == launch.len() { 0 } else { says.len() as u64 };
-        assert_eq!(unfinished, Count { bytes_in: rest, ..Count::default() });
+        assert_eq!(unfinished, TrafficCount { bytes_in: rest, ..TrafficCount::default() });
         assert!(wrote >= reads as u64 && wrote < 5000, "{wrote} bytes were handed over");
     }
 }
--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -3,7 +3,7 @@
 use basaltpitch::host::{AttemptOutcome, Host, Readiness};
 use basaltpitch::placement::Planner;
 use basaltpitch_interner::{fnv1a_64, IdAllocator};
-use basaltpitch_json_fields::{lay_out, names, Fields, Names};
+use basaltpitch_json_fields::{flatten, names, Fields, NameLists};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -21,7 +21,7 @@
     /// Per task: launches without an outcome, and whether it has had its final answer.
     out: Vec<u32>,
     over: Vec<bool>,
-    names: Names,
+    names: NameLists,
 }
 
 impl Line {
@@ -122,12 +122,12 @@
 }
 
 fn report(f: &Fields) -> Result<Vec<f64>, String> {
-    let row = f.opt("gauge", |v| v.as_array()?.iter().map(Value::as_f64).collect())?;
+    let row = f.optional("gauge", |v| v.as_array()?.iter().map(Value::as_f64).collect())?;
     Ok(row.unwrap_or_default())
 }
 
 fn outcome(f: &Fields) -> Result<AttemptOutcome, String> {
-    Ok(match f.whole("verdict")? {
+    Ok(match f.integer("verdict")? {
         0 => AttemptOutcome::Ended,
         5 => AttemptOutcome::Error,
         11 => AttemptOutcome::Full,
@@ -153,14 +153,14 @@
     fn read(&mut self, line: &str) -> Result<bool, String> {
         let message: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
         let f = Fields(&message);
-        let kind = f.text("type")?;
+        let kind = f.string("type")?;
         let named = |e: String| format!("message '{kind}': {e}");
         match kind.as_str() {
-            "sync" => self.now = f.whole("wallUs").map_err(named)?,
+            "sync" => self.now = f.integer("wallUs").map_err(named)?,
             "flush" => return Ok(true),
             "sheet" => {
                 let entries = f.get("entries", |v| v.as_array().cloned()).map_err(named)?;
-                self.sheets.insert(f.whole("sheet").map_err(named)?, entries);
+                self.sheets.insert(f.integer("sheet").map_err(named)?, entries);
             }
             _ => {
                 let who = f.get("who", Value::as_u64).map_err(named)?;
@@ -173,7 +173,7 @@
     fn event(&mut self, kind: &str, who: u64, f: &Fields) -> Result<(), String> {
         if kind == "configure" {
             let config = f.get("config", |v| v.is_object().then(|| v.clone()))?;
-            let given = lay_out(&config);
+            let given = flatten(&config);
             let line = Line { who, names: names(&config), ..Line::default() };
             let seed = f.get("salt", |v| v.as_u64().or_else(|| v.as_i64().map(|n| n as u64)))?;
             let mut planner = Planner::new(line, seed, self.now, given);
@@ -211,12 +211,12 @@
     p.set_clock(now);
     match kind {
         "membership" => {
-            let how = f.text("how")?;
+            let how = f.string("how")?;
             if how == "lost" {
                 p.list_lost();
                 return Ok(());
             }
-            let sheet = sheets.get(&f.whole("sheet")?).ok_or("field 'sheet' names no list")?;
+            let sheet = sheets.get(&f.integer("sheet")?).ok_or("field 'sheet' names no list")?;
             match how.as_str() {
                 "incr" => p.list_started(false, true),
                 "total" => p.list_started(true, true),
@@ -225,18 +225,18 @@
             }
             for entry in sheet {
                 let e = Fields(entry);
-                let readiness = match e.text("readiness")?.as_str() {
+                let readiness = match e.string("readiness")?.as_str() {
                     "ready" => Readiness::Ready,
                     "draining" => Readiness::Draining,
                     "gone" => Readiness::Gone,
                     _ => return Err("field 'readiness' is none of the known states".into()),
                 };
-                let machine = p.host.machines.intern(e.text("machine")?);
-                let zone = e.name_of("az", "localities", &p.host.names)?.unwrap_or(0);
+                let machine = p.host.machines.intern(e.string("machine")?);
+                let zone = e.optional_name_index("az", "localities", &p.host.names)?.unwrap_or(0);
                 let kind = e.name_index("model", "machineTypes", &p.host.names)?;
-                let cell = e.opt("bay", Value::as_u64)?.unwrap_or(0) as usize;
-                let started = e.opt("startedAtUs", Value::as_i64)?.unwrap_or(0);
-                let left = |name| Ok::<f64, String>(e.opt(name, Value::as_f64)?.unwrap_or(0.0));
+                let cell = e.optional("bay", Value::as_u64)?.unwrap_or(0) as usize;
+                let started = e.optional("startedAtUs", Value::as_i64)?.unwrap_or(0);
+                let left = |name| Ok::<f64, String>(e.optional(name, Value::as_f64)?.unwrap_or(0.0));
                 let left = (left("cpuLeft")?, left("memLeft")?);
                 p.set_machine_number(machine, fnv1a_64(p.host.machines.id(machine)));
                 p.machine_listed(machine, (kind, zone, cell), readiness, started, left);
@@ -245,11 +245,11 @@
         }
         "wanted" | "found" => {
             let framework = f.name_index("priority", "classes", &p.host.names)?;
-            let tenant = f.name_of("account", "tenants", &p.host.names)?;
+            let tenant = f.optional_name_index("account", "tenants", &p.host.names)?;
             let service = f.get("deployment", Value::as_u64)?;
             let asks = (f.number("cpuAsk")?, f.number("memory")?);
-            let time_left = f.whole("expiresInUs")?;
-            let id = f.text("opId")?;
+            let time_left = f.integer("expiresInUs")?;
+            let id = f.string("opId")?;
             let number = service;
             let service = p.host.services.intern(service);
             p.set_service_number(service, number);
@@ -257,25 +257,25 @@
                 let task = p.host.enter_task(id, 0);
                 p.task_requested(task, framework, tenant, service, asks, time_left);
             } else {
-                let machine = p.host.machines.intern(f.text("machine")?);
+                let machine = p.host.machines.intern(f.string("machine")?);
                 let task = p.host.enter_task(id, 1);
                 p.running_task_found(task, framework, tenant, service, asks, machine);
             }
         }
         "expired" => {
-            if let Some(task) = p.host.tasks.index_of(&f.text("opId")?) {
+            if let Some(task) = p.host.tasks.index_of(&f.string("opId")?) {
                 p.task_expired(task);
                 p.host.close(task);
             }
         }
         "accepted" | "interim" | "resolved" => {
-            let task = p.host.tasks.index_of(&f.text("opId")?).ok_or("field 'opId' names no open task")?;
+            let task = p.host.tasks.index_of(&f.string("opId")?).ok_or("field 'opId' names no open task")?;
             match kind {
                 "accepted" => p.attempt_accepted(task),
-                "interim" => p.task_status(task, f.whole("sort")?, f.number("level")?),
+                "interim" => p.task_status(task, f.integer("sort")?, f.number("level")?),
                 _ => {
-                    let over = f.mark("noMore")?;
-                    let why = f.opt("info", Value::as_i64)?.unwrap_or(0);
+                    let over = f.flag("noMore")?;
+                    let why = f.optional("info", Value::as_i64)?.unwrap_or(0);
                     let (outcome, report) = (outcome(f)?, report(f)?);
                     p.host.out[task] = p.host.out[task].saturating_sub(1);
                     p.attempt_ended(task, outcome, why, over, &report);
@@ -287,7 +287,7 @@
         }
         "elapsed" => p.timer_fired(f.get("ref", Value::as_u64)?),
         "checked" => {
-            let machine = p.host.machines.intern(f.text("machine")?);
+            let machine = p.host.machines.intern(f.string("machine")?);
             p.probe_finished(machine, outcome(f)?, &report(f)?);
         }
         "memo" => {}
--- a/cli/src/ask.rs
+++ b/cli/src/ask.rs
@@ -1,7 +1,7 @@
 //! The commands that ask a running planner.
 use crate::Failure;
-use basaltpitch_agent::link::{self, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Party};
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, AnswerKind, Body, Role};
 use serde_json::Value;
 use std::time::Duration;
@@ -74,7 +74,7 @@
         let stream = TcpStream::connect(planner).await.map_err(|e| failed(format!("no connection: {e}")))?;
         let (orders, inbox) = mpsc::channel(16);
         let (news, mut heard) = mpsc::channel(16);
-        let me = Party {
+        let me = PeerIdentity {
             role,
             name: format!("command-{}", std::process::id()),
             epoch: 1,
@@ -83,12 +83,15 @@
         };
         let run = link::run(stream, me, Clock::start(), inbox, news, |n| n);
         let wait = async {
-            orders.send(Order::Send(body, None)).await.map_err(|_| failed("the connection ended".into()))?;
+            orders
+                .send(LinkCommand::Send(body, None))
+                .await
+                .map_err(|_| failed("the connection ended".into()))?;
             while let Some(news) = heard.recv().await {
                 match news {
-                    News::Session(Event::Frame(body)) => return Ok(body),
-                    News::Ended { why, .. } => return Err(Failure::Wrong(format!("{planner}: {why}"))),
-                    News::Session(_) => {}
+                    LinkEvent::Session(SessionEvent::Frame(body)) => return Ok(body),
+                    LinkEvent::Ended { why, .. } => return Err(Failure::Wrong(format!("{planner}: {why}"))),
+                    LinkEvent::Session(_) => {}
                 }
             }
             Err(failed("the connection ended".into()))
--- a/cli/src/council.rs
+++ b/cli/src/council.rs
@@ -46,8 +46,8 @@
 /// How long votes bind, and the ways to the voters, where an installation has a council.
 pub fn council_of(found: &Installation) -> Option<(LeaseConfig, Vec<VoterEndpoint>)> {
     let council = found.all.get("council")?;
-    let time = |field: &str| council.time(field).unwrap_or(0);
-    let text = |v: &basaltpitch_config::Settled, field: &str| v.text(field).unwrap_or("").to_owned();
+    let time = |field: &str| council.duration_us(field).unwrap_or(0);
+    let text = |v: &basaltpitch_config::ResolvedValue, field: &str| v.text(field).unwrap_or("").to_owned();
     let way = |v| VoterEndpoint { name: text(v, "name"), address: text(v, "address") };
     Some((
         LeaseConfig { duration_us: time("term"), clock_drift_us: time("drift") },
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -15,7 +15,7 @@
 mod tenants;
 
 use basaltpitch_config::installation::{self, Installation};
-use basaltpitch_config::{Fault, Sources};
+use basaltpitch_config::{ConfigError, Sources};
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -164,13 +164,13 @@
 }
 
 /// All that is wrong with files, each with its lines.
-fn wrong(sources: &Sources, faults: &[Fault]) -> Failure {
-    let text = faults.iter().map(|f| format!("{}\n{:?}", f.line(sources), f.report(sources)));
+fn wrong(sources: &Sources, faults: &[ConfigError]) -> Failure {
+    let text = faults.iter().map(|f| format!("{}\n{:?}", f.render(sources), f.report(sources)));
     Failure::Wrong(text.collect::<Vec<_>>().join("\n"))
 }
 
 /// The directory that an installation's files name, or all that is wrong with it.
-fn directory_of(found: &Installation) -> Result<Option<basaltpitch_ldap::Directory>, Failure> {
+fn directory_of(found: &Installation) -> Result<Option<basaltpitch_ldap::DirectorySettings>, Failure> {
     basaltpitch_ldap::read_settings(&found.all).map_err(|faults| wrong(&found.sources, &faults))
 }
 
@@ -179,7 +179,7 @@
     let read =
         basaltpitch_constraints::parse::parse(&found.all).map_err(|faults| wrong(&found.sources, &faults))?;
     let placed = |c: basaltpitch_constraints::Constraint| {
-        let (file, line, _) = found.sources.place(c.at);
+        let (file, line, _) = found.sources.location(c.at);
         let words = format!("{} ({file}:{line})", c.name);
         (c, words)
     };
--- a/cli/src/measure.rs
+++ b/cli/src/measure.rs
@@ -5,8 +5,8 @@
 mod tenants;
 
 use crate::Failure;
-use basaltpitch_agent::link::{self, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Party};
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, AnswerKind, Body, LaunchId, LifeHow, Report, Role};
 use basaltpitch_planner::recording;
 use hdrhistogram::Histogram;
@@ -106,7 +106,7 @@
         while let Ok((stream, _)) = register.accept().await {
             let (orders, inbox) = mpsc::channel(16);
             let (news, mut heard) = mpsc::channel(16);
-            let me = Party {
+            let me = PeerIdentity {
                 role: Role::Register,
                 name: "register".into(),
                 epoch: 1,
@@ -117,8 +117,8 @@
             tokio::task::spawn_local(link::run(stream, me, clock, inbox, news, |n| n));
             tokio::task::spawn_local(async move {
                 while let Some(news) = heard.recv().await {
-                    if matches!(news, News::Session(Event::Frame(Body::Watch(_)))) {
-                        let _ = orders.send(Order::Send(Body::List(list.clone()), None)).await;
+                    if matches!(news, LinkEvent::Session(SessionEvent::Frame(Body::Watch(_)))) {
+                        let _ = orders.send(LinkCommand::Send(Body::List(list.clone()), None)).await;
                     }
                 }
             });
@@ -129,31 +129,32 @@
 async fn machine(stream: TcpStream, name: String, clock: Clock, zero: Instant, seen: channel::Sender<u64>) {
     let (orders, inbox) = mpsc::channel(8192);
     let (news, mut heard) = mpsc::channel(1024);
-    let me = Party { role: Role::Machine, name, epoch: 1, link: 1, login: String::new() };
+    let me = PeerIdentity { role: Role::Machine, name, epoch: 1, link: 1, login: String::new() };
     tokio::task::spawn_local(link::run(stream, me, clock, inbox, news, |n| n));
     let running = Rc::new(Cell::new(0u32));
     let report =
         |n: u32| Some(Report { values: vec![64.0 - 0.01 * f64::from(n), 256.0 - 0.01 * f64::from(n)] });
     while let Some(news) = heard.recv().await {
         match news {
-            News::Session(Event::Up(_)) => {
-                let _ = orders.send(Order::Send(Body::Inventory(wire::Inventory::default()), None)).await;
+            LinkEvent::Session(SessionEvent::Up(_)) => {
+                let _ =
+                    orders.send(LinkCommand::Send(Body::Inventory(wire::Inventory::default()), None)).await;
             }
-            News::Session(Event::Frame(Body::Launch(l))) => {
+            LinkEvent::Session(SessionEvent::Frame(Body::Launch(l))) => {
                 let _ = seen.send(since(zero, &l.key));
                 let id: Option<LaunchId> = l.id;
                 running.set(running.get() + 1);
                 let yes = wire::Yes { id, key: String::new(), report: report(running.get()) };
-                let _ = orders.send(Order::Send(Body::Yes(yes), None)).await;
+                let _ = orders.send(LinkCommand::Send(Body::Yes(yes), None)).await;
                 let run = wire::Running { id, key: String::new() };
-                let _ = orders.send(Order::Send(Body::Running(run), None)).await;
+                let _ = orders.send(LinkCommand::Send(Body::Running(run), None)).await;
                 let (orders, running) = (orders.clone(), running.clone());
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(Duration::from_micros(l.runs_for_us.max(0) as u64)).await;
                     running.set(running.get() - 1);
                     let report = report(running.get());
                     let ended = wire::Ended { id, key: String::new(), how: 0, report };
-                    let _ = orders.send(Order::Send(Body::Ended(ended), None)).await;
+                    let _ = orders.send(LinkCommand::Send(Body::Ended(ended), None)).await;
                 });
             }
             _ => {}
@@ -201,13 +202,13 @@
             let (orders, inbox) = mpsc::channel(65_536);
             let (news, mut heard) = mpsc::channel(1024);
             let (login, name) = (submits.login.clone(), format!("owner-{n}"));
-            let me = Party { role: Role::Owner, name, epoch: 1, link: 1, login };
+            let me = PeerIdentity { role: Role::Owner, name, epoch: 1, link: 1, login };
             tokio::task::spawn_local(link::run(stream, me, clock, inbox, news, |n| n));
             let (answers, placed, out, freed) = (answers.clone(), placed.clone(), out.clone(), freed.clone());
             tokio::task::spawn_local(async move {
                 while let Some(news) = heard.recv().await {
                     match news {
-                        News::Session(Event::Frame(Body::Answer(a))) => {
+                        LinkEvent::Session(SessionEvent::Frame(Body::Answer(a))) => {
                             answers.borrow_mut().saturating_record(since(zero, &a.key));
                             out.set(out.get() - 1);
                             if a.kind == AnswerKind::Placed as i32 {
@@ -215,7 +216,8 @@
                             }
                             freed.notify_one();
                         }
-                        News::Session(Event::Frame(Body::Life(l))) if l.how != LifeHow::LifeEnded as i32 => {}
+                        LinkEvent::Session(SessionEvent::Frame(Body::Life(l)))
+                            if l.how != LifeHow::LifeEnded as i32 => {}
                         _ => {}
                     }
                 }
@@ -253,7 +255,8 @@
                 time_left_us: 6_000_000,
             };
             out.set(out.get() + 1);
-            let _ = owners[n as usize % owners.len()].send(Order::Send(Body::Submit(submit), None)).await;
+            let _ =
+                owners[n as usize % owners.len()].send(LinkCommand::Send(Body::Submit(submit), None)).await;
             n += 1;
             if n.is_multiple_of(32) {
                 tokio::task::yield_now().await;
--- a/cli/src/roll.rs
+++ b/cli/src/roll.rs
@@ -4,7 +4,7 @@
 use crate::council::{needed, records};
 use crate::{load, Failure};
 use basaltpitch_agent::link::Clock;
-use basaltpitch_agent::session::{Links, Party};
+use basaltpitch_agent::session::{LinkConfig, PeerIdentity};
 use basaltpitch_agent::wire::{self, Role};
 use basaltpitch_lease::{majority_value, LeaseConfig};
 use basaltpitch_planner::lease_client::{self, LeaseClientConfig, LeaseCommand, LeaseDeadline, LeaseEvent};
@@ -83,7 +83,7 @@
 async fn leave(terms: LeaseConfig, voters: Vec<VoterEndpoint>, plan: Plan) -> Result<Plan, Failure> {
     let epoch = Clock::start().now() as u64;
     let name = format!("command-{}", std::process::id());
-    let me = Party { role: Role::Planner, name, epoch, link: 0, login: String::new() };
+    let me = PeerIdentity { role: Role::Planner, name, epoch, link: 0, login: String::new() };
     let (acts, mut duties) = mpsc::channel(16);
     let start = LeaseClientConfig {
         slot_prefix: None,
@@ -95,7 +95,7 @@
         followed: Vec::new(),
         events: Some(acts),
         identity: me,
-        links: Links::default(),
+        links: LinkConfig::default(),
         seed: epoch,
     };
     let ((words, _words), (wishes, wishes_in)) = (mpsc::channel(1), mpsc::channel(4));
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -2,10 +2,10 @@
 use crate::council::{council_of, open, seats, told_to_stop, SEATS};
 use crate::{load, Failure};
 use basaltpitch::host::{Settings, Value};
-use basaltpitch_agent::session::{Links, Party};
+use basaltpitch_agent::session::{LinkConfig, PeerIdentity};
 use basaltpitch_agent::wire::Role;
-use basaltpitch_config::installation::{Installation, Laid, Seat};
-use basaltpitch_config::Settled;
+use basaltpitch_config::installation::{FlattenedValue, Installation, PlannerSlot};
+use basaltpitch_config::ResolvedValue;
 use basaltpitch_planner::halls;
 use basaltpitch_planner::lease_client::{self, LeaseClientConfig, LeaseCommand, LeaseDeadline, SlotEvent};
 use basaltpitch_planner::peers::Meeting;
@@ -70,7 +70,7 @@
     /// Of a seat.
     under: Option<Under>,
     /// What all links of the process share.
-    links: Links,
+    links: LinkConfig,
 }
 
 /// What a life under a seat has beside its name.
@@ -83,15 +83,16 @@
 
 /// Cores and memory of each kind of machine.
 fn sizes(installation: &Installation) -> HashMap<String, (f64, f64)> {
-    let number = |k: &Settled, field: &str| k.number(field).unwrap_or(f64::MAX);
-    let size =
-        |k: &Settled| (k.text("name").unwrap_or("").to_owned(), (number(k, "cores"), number(k, "memory")));
+    let number = |k: &ResolvedValue, field: &str| k.number(field).unwrap_or(f64::MAX);
+    let size = |k: &ResolvedValue| {
+        (k.text("name").unwrap_or("").to_owned(), (number(k, "cores"), number(k, "memory")))
+    };
     installation.all.list("kinds").iter().map(size).collect()
 }
 
 /// The terms of a planner's part, where the installation has parts, and all seats.
 fn part(installation: &Installation, seats: &[Rc<str>], me: usize) -> Option<(Terms, Vec<Rc<str>>)> {
-    let (copies, term) = (installation.copies()?, installation.all.time("council.term")?);
+    let (copies, term) = (installation.copies()?, installation.all.duration_us("council.term")?);
     let names = seats.iter().map(|seat| hash(seat)).collect();
     Some((Terms::of_term(copies, names, me, term), seats.to_vec()))
 }
@@ -119,7 +120,7 @@
             tried.map_err(|e| Failure::Wrong(format!("--listen {}: {e}", self.listen)))?;
         }
         let council = council_of(&installation);
-        let links = Links { heartbeat_us: installation.heartbeat_us(), ..Links::default() };
+        let links = LinkConfig { heartbeat_us: installation.heartbeat_us(), ..LinkConfig::default() };
         match (&self.name, &self.seat, council) {
             // Two planners under one number would each spend the whole of its part of the budgets.
             (Some(name), _, Some(_)) => Err(Failure::Wrong(format!(
@@ -139,7 +140,8 @@
                     )));
                 }
                 let name = format!("process-{}", std::process::id());
-                let me = Party { role: Role::Planner, name, epoch: started, link: 0, login: String::new() };
+                let me =
+                    PeerIdentity { role: Role::Planner, name, epoch: started, link: 0, login: String::new() };
                 let seed = self.seed.unwrap_or(started);
                 let (duties, follows) = (
                     vec![rolling_restart::RESTART_LEASE.into(), halls::DUTY.into()],
@@ -205,7 +207,7 @@
             };
             let number = all.iter().position(|s| *s == seat).unwrap_or(0);
             let sizes = sizes(installation);
-            let grace = installation.all.time("rules.drain_grace").unwrap_or(0);
+            let grace = installation.all.duration_us("rules.drain_grace").unwrap_or(0);
             let duties = RollingRestartConfig {
                 lease_events: heard,
                 lease_commands: wishes.clone(),
@@ -249,12 +251,12 @@
             let most = planners - 1;
             return Err(Failure::Wrong(format!("--number: found {number}; expected 0 to {most}")));
         }
-        let seat = Seat { number, planners, zone: self.zone.clone() };
+        let seat = PlannerSlot { number, planners, zone: self.zone.clone() };
         let value = |laid| match laid {
-            Laid::Number(n) => Value::Number(n),
-            Laid::Text(t) => Value::Text(t),
+            FlattenedValue::Number(n) => Value::Number(n),
+            FlattenedValue::Text(t) => Value::Text(t),
         };
-        let given: Settings = installation.lay_out(&seat).into_iter().map(|(k, v)| (k, value(v))).collect();
+        let given: Settings = installation.flatten(&seat).into_iter().map(|(k, v)| (k, value(v))).collect();
         let part = under.as_ref().and_then(|under| part(installation, &under.seats, number));
         let clauses = crate::clauses_of(installation)?;
         let directory = crate::directory_of(installation)?;
--- a/cli/src/tenants.rs
+++ b/cli/src/tenants.rs
@@ -2,7 +2,7 @@
 use crate::ask::{question, show, At};
 use crate::Failure;
 use basaltpitch_agent::wire::{self, Body};
-use basaltpitch_ldap::{sweep, Before, Directory};
+use basaltpitch_ldap::{sync, DirectorySettings, SyncState};
 use basaltpitch_tenants::What;
 use clap::Subcommand;
 use std::time::Instant;
@@ -51,7 +51,7 @@
 }
 
 /// Reads everything from each server of a directory and says what came. No planner is touched.
-pub fn try_directory(directory: &Directory, json: bool) -> Result<(), Failure> {
+pub fn try_directory(directory: &DirectorySettings, json: bool) -> Result<(), Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| Failure::Failed(e.to_string()))?;
     let mut rows = Vec::new();
@@ -59,10 +59,10 @@
     for (server, url) in directory.source.urls.iter().enumerate() {
         let began = Instant::now();
         let swept = tokio::task::LocalSet::new()
-            .block_on(&runtime, sweep(&directory.source, server, Before::default(), || ()));
+            .block_on(&runtime, sync(&directory.source, server, SyncState::default(), || ()));
         let took_ms = began.elapsed().as_millis() as u64;
         let (entries, lacks) = match swept {
-            Ok(swept) => (swept.sweep.entries, swept.lacks),
+            Ok(swept) => (swept.sweep.entries, swept.problems),
             Err(fault) => (Vec::new(), vec![fault.to_string()]),
         };
         wrong += usize::from(!lacks.is_empty());
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -30,7 +30,7 @@
     }
 
     /// File, line and column, both from 1.
-    pub fn place(&self, at: Span) -> (String, usize, usize) {
+    pub fn location(&self, at: Span) -> (String, usize, usize) {
         let (name, text) = &self.0[at.file];
         let before = &text[..at.from.min(text.len())];
         let line = before.matches('\n').count() + 1;
@@ -45,28 +45,28 @@
 
 /// Something wrong in the files: where, what, and where the other side stands.
 #[derive(Clone, Debug)]
-pub struct Fault {
-    pub what: String,
+pub struct ConfigError {
+    pub message: String,
     pub at: Span,
     pub other: Option<(Span, String)>,
 }
 
-impl Fault {
+impl ConfigError {
     pub fn new(at: Span, what: impl Into<String>) -> Self {
-        Fault { what: what.into(), at, other: None }
+        ConfigError { message: what.into(), at, other: None }
     }
 
-    pub fn with(mut self, at: Span, note: impl Into<String>) -> Self {
+    pub fn with_note(mut self, at: Span, note: impl Into<String>) -> Self {
         self.other = Some((at, note.into()));
         self
     }
 
     /// One line a side: `file:line:column: what`.
-    pub fn line(&self, sources: &Sources) -> String {
-        let (file, line, column) = sources.place(self.at);
-        let mut text = format!("{file}:{line}:{column}: {}", self.what);
+    pub fn render(&self, sources: &Sources) -> String {
+        let (file, line, column) = sources.location(self.at);
+        let mut text = format!("{file}:{line}:{column}: {}", self.message);
         if let Some((at, note)) = &self.other {
-            let (file, line, column) = sources.place(*at);
+            let (file, line, column) = sources.location(*at);
             text += &format!("\n  {file}:{line}:{column}: {note}");
         }
         text
@@ -76,12 +76,12 @@
     pub fn report(&self, sources: &Sources) -> miette::Report {
         let side = |at: Span, what: &str| Side {
             what: what.to_owned(),
-            place: sources.place(at),
+            place: sources.location(at),
             source: sources.named(at),
             label: LabeledSpan::underline(at.from..at.to.max(at.from + 1)),
             other: None,
         };
-        let mut main = side(self.at, &self.what);
+        let mut main = side(self.at, &self.message);
         main.other = self.other.as_ref().map(|(at, note)| Box::new(side(*at, note)));
         miette::Report::new(main)
     }
@@ -121,79 +121,79 @@
 
 /// A value in which nothing is open any more.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settled {
+pub struct ResolvedValue {
     pub at: Span,
-    pub value: Plain,
+    pub value: PlainValue,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Plain {
-    Mark(bool),
+pub enum PlainValue {
+    Boolean(bool),
     Number(f64),
     /// Whole microseconds.
-    Time(i64),
+    DurationUs(i64),
     Text(String),
-    List(Vec<Settled>),
-    Record(IndexMap<String, Settled>),
+    List(Vec<ResolvedValue>),
+    Record(IndexMap<String, ResolvedValue>),
 }
 
-impl Settled {
+impl ResolvedValue {
     /// The value under a dotted path of field names.
-    pub fn get(&self, path: &str) -> Option<&Settled> {
+    pub fn get(&self, path: &str) -> Option<&ResolvedValue> {
         path.split('.').try_fold(self, |at, name| match &at.value {
-            Plain::Record(fields) => fields.get(name),
+            PlainValue::Record(fields) => fields.get(name),
             _ => None,
         })
     }
 
     pub fn number(&self, path: &str) -> Option<f64> {
         match self.get(path)?.value {
-            Plain::Number(n) => Some(n),
+            PlainValue::Number(n) => Some(n),
             _ => None,
         }
     }
 
     /// Whole microseconds.
-    pub fn time(&self, path: &str) -> Option<i64> {
+    pub fn duration_us(&self, path: &str) -> Option<i64> {
         match self.get(path)?.value {
-            Plain::Time(us) => Some(us),
+            PlainValue::DurationUs(us) => Some(us),
             _ => None,
         }
     }
 
     pub fn text(&self, path: &str) -> Option<&str> {
         match &self.get(path)?.value {
-            Plain::Text(t) => Some(t),
+            PlainValue::Text(t) => Some(t),
             _ => None,
         }
     }
 
-    pub fn mark(&self, path: &str) -> Option<bool> {
+    pub fn boolean(&self, path: &str) -> Option<bool> {
         match self.get(path)?.value {
-            Plain::Mark(b) => Some(b),
+            PlainValue::Boolean(b) => Some(b),
             _ => None,
         }
     }
 
-    pub fn list(&self, path: &str) -> &[Settled] {
+    pub fn list(&self, path: &str) -> &[ResolvedValue] {
         match self.get(path).map(|s| &s.value) {
-            Some(Plain::List(items)) => items,
+            Some(PlainValue::List(items)) => items,
             _ => &[],
         }
     }
 
     /// The texts of a list, with their places.
     pub fn texts(&self, path: &str) -> Vec<(String, Span)> {
-        let text = |x: &Settled| match &x.value {
-            Plain::Text(t) => Some((t.clone(), x.at)),
+        let text = |x: &ResolvedValue| match &x.value {
+            PlainValue::Text(t) => Some((t.clone(), x.at)),
             _ => None,
         };
         self.list(path).iter().filter_map(text).collect()
     }
 
-    pub fn fields(&self) -> impl Iterator<Item = (&String, &Settled)> {
+    pub fn fields(&self) -> impl Iterator<Item = (&String, &ResolvedValue)> {
         let fields = match &self.value {
-            Plain::Record(fields) => Some(fields),
+            PlainValue::Record(fields) => Some(fields),
             _ => None,
         };
         fields.into_iter().flatten()
@@ -201,7 +201,7 @@
 }
 
 /// Reads texts, unifies them in order with the types of `schema`, and settles what is left.
-pub fn read(sources: &Sources, schema: &str) -> Result<Settled, Vec<Fault>> {
+pub fn read(sources: &Sources, schema: &str) -> Result<ResolvedValue, Vec<ConfigError>> {
     let mut all = Vec::new();
     for (file, (_, text)) in sources.0.iter().enumerate() {
         all.push(syntax::parse(file, text).map_err(|f| vec![f])?);
--- a/config/src/syntax.rs
+++ b/config/src/syntax.rs
@@ -9,7 +9,7 @@
 //!            | ( "<" | "<=" | ">" | ">=" | "!=" ) number [ unit ]
 //!     list   = "[" { expr "," } [ "..." expr ] "]"     record = "{" { field } "}"
 //! ```
-use crate::{Fault, Span};
+use crate::{ConfigError, Span};
 use logos::Logos;
 
 #[derive(Logos, Clone, Debug, PartialEq)]
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expr {
     pub at: Span,
-    pub is: Is,
+    pub is: ExprKind,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -80,9 +80,9 @@
 pub enum Type {
     Number,
     Int,
-    Time,
+    Duration,
     Text,
-    Mark,
+    Boolean,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -95,13 +95,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Is {
+pub enum ExprKind {
     Any,
     Type(Type),
-    Mark(bool),
+    Boolean(bool),
     Number(f64),
     /// Microseconds.
-    Time(i64),
+    DurationUs(i64),
     Text(String),
     Bound(Compare, Box<Expr>),
     Record(Vec<Field>),
@@ -112,19 +112,19 @@
 }
 
 /// Units of time in microseconds, and of amounts in the unit itself (memory units are GiB).
-fn unit(word: &str) -> Option<Is> {
+fn unit(word: &str) -> Option<ExprKind> {
     Some(match word {
-        "" => Is::Number(1.0),
-        "%" => Is::Number(0.01),
-        "us" => Is::Time(1),
-        "ms" => Is::Time(1_000),
-        "s" => Is::Time(1_000_000),
-        "m" => Is::Time(60_000_000),
-        "h" => Is::Time(3_600_000_000),
-        "KiB" => Is::Number(1.0 / 1024.0 / 1024.0),
-        "MiB" => Is::Number(1.0 / 1024.0),
-        "GiB" => Is::Number(1.0),
-        "TiB" => Is::Number(1024.0),
+        "" => ExprKind::Number(1.0),
+        "%" => ExprKind::Number(0.01),
+        "us" => ExprKind::DurationUs(1),
+        "ms" => ExprKind::DurationUs(1_000),
+        "s" => ExprKind::DurationUs(1_000_000),
+        "m" => ExprKind::DurationUs(60_000_000),
+        "h" => ExprKind::DurationUs(3_600_000_000),
+        "KiB" => ExprKind::Number(1.0 / 1024.0 / 1024.0),
+        "MiB" => ExprKind::Number(1.0 / 1024.0),
+        "GiB" => ExprKind::Number(1.0),
+        "TiB" => ExprKind::Number(1024.0),
         _ => return None,
     })
 }
@@ -141,7 +141,7 @@
 /// Records nested deeper than this are refused.
 const MOST_DEPTH: usize = 64;
 
-pub fn parse(file: usize, text: &str) -> Result<Expr, Fault> {
+pub fn parse(file: usize, text: &str) -> Result<Expr, ConfigError> {
     let mut tokens = Vec::new();
     for (token, range) in Token::lexer(text).spanned() {
         let at = Span { file, from: range.start, to: range.end };
@@ -149,7 +149,7 @@
             Ok(token) => tokens.push((token, at)),
             Err(()) => {
                 let found = &text[range];
-                return Err(Fault::new(
+                return Err(ConfigError::new(
                     at,
                     format!("found {found:?}; expected a name, a value or a mark of records"),
                 ));
@@ -160,7 +160,7 @@
     let mut parser = Parser { file, tokens, at: 0, depth: 0, end, text };
     let fields = parser.fields()?;
     match parser.peek() {
-        None => Ok(Expr { at: Span { file, from: 0, to: text.len() }, is: Is::Record(fields) }),
+        None => Ok(Expr { at: Span { file, from: 0, to: text.len() }, is: ExprKind::Record(fields) }),
         Some(_) => Err(parser.wrong("a field")),
     }
 }
@@ -174,10 +174,10 @@
         self.tokens.get(self.at).map_or(self.end, |t| t.1)
     }
 
-    fn wrong(&self, expected: &str) -> Fault {
+    fn wrong(&self, expected: &str) -> ConfigError {
         let at = self.here();
         let found = if at.from == at.to { "the end of the file" } else { &self.text[at.from..at.to] };
-        Fault::new(at, format!("found {found}; expected {expected}"))
+        ConfigError::new(at, format!("found {found}; expected {expected}"))
     }
 
     fn take(&mut self, token: &Token) -> bool {
@@ -186,7 +186,7 @@
         is
     }
 
-    fn need(&mut self, token: &Token, expected: &str) -> Result<(), Fault> {
+    fn need(&mut self, token: &Token, expected: &str) -> Result<(), ConfigError> {
         if self.take(token) {
             Ok(())
         } else {
@@ -194,7 +194,7 @@
         }
     }
 
-    fn fields(&mut self) -> Result<Vec<Field>, Fault> {
+    fn fields(&mut self) -> Result<Vec<Field>, ConfigError> {
         let mut fields = Vec::new();
         while matches!(self.peek(), Some(Token::Name(_) | Token::Defined(_) | Token::Text(_))) {
             fields.push(self.field()?);
@@ -204,7 +204,7 @@
     }
 
     /// One field; in `a: b: 1` the value of `a` is a record of one field.
-    fn field(&mut self) -> Result<Field, Fault> {
+    fn field(&mut self) -> Result<Field, ConfigError> {
         let at = self.here();
         let name = match self.peek() {
             Some(Token::Name(name) | Token::Defined(name)) => name.clone(),
@@ -220,7 +220,7 @@
         let from = self.here();
         let value = if chain {
             let inner = vec![self.field()?];
-            Expr { at: Span { to: self.last_to(), ..from }, is: Is::Record(inner) }
+            Expr { at: Span { to: self.last_to(), ..from }, is: ExprKind::Record(inner) }
         } else {
             self.expr()?
         };
@@ -231,7 +231,7 @@
         self.tokens[self.at.saturating_sub(1)].1.to
     }
 
-    fn expr(&mut self) -> Result<Expr, Fault> {
+    fn expr(&mut self) -> Result<Expr, ConfigError> {
         self.depth += 1;
         if self.depth > MOST_DEPTH {
             return Err(self.wrong(&format!("at most {MOST_DEPTH} levels")));
@@ -249,10 +249,10 @@
         if parts.len() == 1 && !parts[0].1 {
             return Ok(parts.remove(0).0);
         }
-        Ok(Expr { at: Span { to: self.last_to(), ..from }, is: Is::Either(parts) })
+        Ok(Expr { at: Span { to: self.last_to(), ..from }, is: ExprKind::Either(parts) })
     }
 
-    fn both(&mut self) -> Result<Expr, Fault> {
+    fn both(&mut self) -> Result<Expr, ConfigError> {
         let from = self.here();
         let mut parts = vec![self.one()?];
         while self.take(&Token::And) {
@@ -261,29 +261,29 @@
         if parts.len() == 1 {
             return Ok(parts.remove(0));
         }
-        Ok(Expr { at: Span { to: self.last_to(), ..from }, is: Is::Both(parts) })
+        Ok(Expr { at: Span { to: self.last_to(), ..from }, is: ExprKind::Both(parts) })
     }
 
-    fn one(&mut self) -> Result<Expr, Fault> {
+    fn one(&mut self) -> Result<Expr, ConfigError> {
         let at = self.here();
         let Some(token) = self.peek().cloned() else { return Err(self.wrong("a value or a type")) };
         self.at += 1;
         let is = match token {
             Token::Number(text) => self.number(&text, at)?,
-            Token::Text(text) => Is::Text(unquote(&text)),
-            Token::Defined(name) => Is::Defined(name),
+            Token::Text(text) => ExprKind::Text(unquote(&text)),
+            Token::Defined(name) => ExprKind::Defined(name),
             Token::Name(name) => match name.as_str() {
-                "true" => Is::Mark(true),
-                "false" => Is::Mark(false),
-                "number" => Is::Type(Type::Number),
-                "int" => Is::Type(Type::Int),
-                "time" => Is::Type(Type::Time),
-                "string" => Is::Type(Type::Text),
-                "bool" => Is::Type(Type::Mark),
-                "_" => Is::Any,
+                "true" => ExprKind::Boolean(true),
+                "false" => ExprKind::Boolean(false),
+                "number" => ExprKind::Type(Type::Number),
+                "int" => ExprKind::Type(Type::Int),
+                "time" => ExprKind::Type(Type::Duration),
+                "string" => ExprKind::Type(Type::Text),
+                "bool" => ExprKind::Type(Type::Boolean),
+                "_" => ExprKind::Any,
                 _ => {
                     let expected = "a value, a type (number, int, time, string, bool, _) or #Name";
-                    return Err(Fault::new(at, format!("found {name}; expected {expected}")));
+                    return Err(ConfigError::new(at, format!("found {name}; expected {expected}")));
                 }
             },
             Token::Below | Token::Above | Token::AtMost | Token::AtLeast | Token::Not => {
@@ -295,18 +295,18 @@
                     _ => Compare::Not,
                 };
                 let to = self.one()?;
-                if !matches!(to.is, Is::Number(_) | Is::Time(_) | Is::Text(_)) {
-                    return Err(Fault::new(
+                if !matches!(to.is, ExprKind::Number(_) | ExprKind::DurationUs(_) | ExprKind::Text(_)) {
+                    return Err(ConfigError::new(
                         to.at,
                         "found no plain value; expected a number, a time or a text",
                     ));
                 }
-                Is::Bound(compare, Box::new(to))
+                ExprKind::Bound(compare, Box::new(to))
             }
             Token::Open => {
                 let fields = self.fields()?;
                 self.need(&Token::Close, "a field or '}'")?;
-                Is::Record(fields)
+                ExprKind::Record(fields)
             }
             Token::ListOpen => self.list()?,
             Token::GroupOpen => {
@@ -322,7 +322,7 @@
         Ok(Expr { at: Span { file: self.file, from: at.from, to: self.last_to() }, is })
     }
 
-    fn list(&mut self) -> Result<Is, Fault> {
+    fn list(&mut self) -> Result<ExprKind, ConfigError> {
         let (mut items, mut rest) = (Vec::new(), None);
         while !self.take(&Token::ListClose) {
             if self.take(&Token::Rest) {
@@ -336,23 +336,23 @@
                 return Err(self.wrong("',' or ']'"));
             }
         }
-        Ok(Is::List(items, rest))
+        Ok(ExprKind::List(items, rest))
     }
 
-    fn number(&self, text: &str, at: Span) -> Result<Is, Fault> {
+    fn number(&self, text: &str, at: Span) -> Result<ExprKind, ConfigError> {
         let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic() || c == '%');
         let word = &text[digits.len()..];
-        let wrong = |expected: &str| Fault::new(at, format!("found {text}; expected {expected}"));
+        let wrong = |expected: &str| ConfigError::new(at, format!("found {text}; expected {expected}"));
         let n: f64 = digits.replace('_', "").parse().map_err(|_| wrong("a number"))?;
         match unit(word) {
-            Some(Is::Time(us)) => {
+            Some(ExprKind::DurationUs(us)) => {
                 let us = n * us as f64;
                 if us.abs() > 9.0e15 || us.fract() != 0.0 {
                     return Err(wrong("a time of whole microseconds"));
                 }
-                Ok(Is::Time(us as i64))
+                Ok(ExprKind::DurationUs(us as i64))
             }
-            Some(Is::Number(times)) => Ok(Is::Number(n * times)),
+            Some(ExprKind::Number(times)) => Ok(ExprKind::Number(n * times)),
             _ => Err(wrong("a unit of us, ms, s, m, h, KiB, MiB, GiB, TiB or %")),
         }
     }
--- a/config/src/unify.rs
+++ b/config/src/unify.rs
@@ -1,8 +1,8 @@
 //! Puts values together: two that say the same or narrow one another become one; two that differ are a
 //! conflict with both places named. A record that comes from a definition (`#Name`) is closed: it takes no
 //! other fields.
-use crate::syntax::{Compare, Expr, Is, Type};
-use crate::{Fault, Plain, Settled, Span};
+use crate::syntax::{Compare, Expr, ExprKind, Type};
+use crate::{ConfigError, PlainValue, ResolvedValue, Span};
 use indexmap::IndexMap;
 use std::collections::HashMap;
 
@@ -17,9 +17,9 @@
 enum Value {
     Any,
     Type(Type),
-    Atom(Plain),
+    Atom(PlainValue),
     /// A type with bounds, each with its own place.
-    Bounds(Type, Vec<(Compare, Plain, Span)>),
+    Bounds(Type, Vec<(Compare, PlainValue, Span)>),
     List(Vec<Node>, Option<Box<Node>>),
     Record(IndexMap<String, Slot>, bool),
     Either(Vec<(Node, bool)>),
@@ -36,19 +36,21 @@
 
 /// Unifies files with the definition `schema`, and settles the rest: defaults are taken, and nothing may be
 /// open.
-pub fn settle(files: Vec<Expr>, schema: &str) -> Result<Settled, Vec<Fault>> {
+pub fn settle(files: Vec<Expr>, schema: &str) -> Result<ResolvedValue, Vec<ConfigError>> {
     let mut defined = Defined::new();
     let mut plain = Vec::new();
     for mut file in files {
-        let Is::Record(fields) = &mut file.is else { continue };
+        let ExprKind::Record(fields) = &mut file.is else { continue };
         let (definitions, rest): (Vec<_>, Vec<_>) = fields.drain(..).partition(|f| f.name.starts_with('#'));
         for field in definitions {
             defined.entry(field.name).or_default().push(field.value);
         }
-        plain.push(Expr { at: file.at, is: Is::Record(rest) });
+        plain.push(Expr { at: file.at, is: ExprKind::Record(rest) });
     }
-    let root =
-        Expr { at: plain.first().map_or(Span::default(), |e| e.at), is: Is::Defined(schema.to_owned()) };
+    let root = Expr {
+        at: plain.first().map_or(Span::default(), |e| e.at),
+        is: ExprKind::Defined(schema.to_owned()),
+    };
     let mut all = evaluate(&root, &defined, 0).map_err(|f| vec![f])?;
     for file in &plain {
         let node = evaluate(file, &defined, 0).map_err(|f| vec![f])?;
@@ -62,22 +64,22 @@
     }
 }
 
-fn evaluate(expr: &Expr, defined: &Defined, depth: usize) -> Result<Node, Fault> {
+fn evaluate(expr: &Expr, defined: &Defined, depth: usize) -> Result<Node, ConfigError> {
     let deeper = |e: &Expr| evaluate(e, defined, depth + 1);
     let value = match &expr.is {
-        Is::Any => Value::Any,
-        Is::Type(t) => Value::Type(*t),
-        Is::Mark(b) => Value::Atom(Plain::Mark(*b)),
-        Is::Number(n) => Value::Atom(Plain::Number(*n)),
-        Is::Time(us) => Value::Atom(Plain::Time(*us)),
-        Is::Text(t) => Value::Atom(Plain::Text(t.clone())),
-        Is::Bound(compare, to) => {
+        ExprKind::Any => Value::Any,
+        ExprKind::Type(t) => Value::Type(*t),
+        ExprKind::Boolean(b) => Value::Atom(PlainValue::Boolean(*b)),
+        ExprKind::Number(n) => Value::Atom(PlainValue::Number(*n)),
+        ExprKind::DurationUs(us) => Value::Atom(PlainValue::DurationUs(*us)),
+        ExprKind::Text(t) => Value::Atom(PlainValue::Text(t.clone())),
+        ExprKind::Bound(compare, to) => {
             let Value::Atom(to) = deeper(to)?.value else {
                 unreachable!("the parser takes plain values only")
             };
             Value::Bounds(type_of(&to), vec![(*compare, to, expr.at)])
         }
-        Is::Record(fields) => {
+        ExprKind::Record(fields) => {
             let mut slots: IndexMap<String, Slot> = IndexMap::new();
             for field in fields {
                 let node = deeper(&field.value)?;
@@ -92,30 +94,30 @@
             }
             Value::Record(slots, false)
         }
-        Is::List(items, rest) => {
+        ExprKind::List(items, rest) => {
             let items = items.iter().map(&deeper).collect::<Result<_, _>>()?;
             Value::List(items, rest.as_deref().map(deeper).transpose()?.map(Box::new))
         }
-        Is::Either(parts) => {
+        ExprKind::Either(parts) => {
             let parts = parts.iter().map(|(e, default)| Ok((deeper(e)?, *default)));
-            Value::Either(parts.collect::<Result<_, Fault>>()?)
+            Value::Either(parts.collect::<Result<_, ConfigError>>()?)
         }
-        Is::Both(parts) => {
+        ExprKind::Both(parts) => {
             let mut all = deeper(&parts[0])?;
             for part in &parts[1..] {
                 all = unify(&all, &deeper(part)?, "")?;
             }
             all.value
         }
-        Is::Defined(name) => {
+        ExprKind::Defined(name) => {
             let Some(bodies) = defined.get(name) else {
-                return Err(Fault::new(
+                return Err(ConfigError::new(
                     expr.at,
                     format!("found {name}; expected a definition that is in these files"),
                 ));
             };
             if depth > 100 {
-                return Err(Fault::new(expr.at, format!("{name} holds itself without end")));
+                return Err(ConfigError::new(expr.at, format!("{name} holds itself without end")));
             }
             let mut all = deeper(&bodies[0])?;
             for body in &bodies[1..] {
@@ -144,20 +146,20 @@
     }
 }
 
-fn type_of(value: &Plain) -> Type {
+fn type_of(value: &PlainValue) -> Type {
     match value {
-        Plain::Mark(_) => Type::Mark,
-        Plain::Number(_) => Type::Number,
-        Plain::Time(_) => Type::Time,
+        PlainValue::Boolean(_) => Type::Boolean,
+        PlainValue::Number(_) => Type::Number,
+        PlainValue::DurationUs(_) => Type::Duration,
         _ => Type::Text,
     }
 }
 
-fn holds(compare: Compare, value: &Plain, bound: &Plain) -> bool {
+fn holds(compare: Compare, value: &PlainValue, bound: &PlainValue) -> bool {
     let order = match (value, bound) {
-        (Plain::Number(a), Plain::Number(b)) => a.partial_cmp(b),
-        (Plain::Time(a), Plain::Time(b)) => Some(a.cmp(b)),
-        (Plain::Text(a), Plain::Text(b)) => Some(a.cmp(b)),
+        (PlainValue::Number(a), PlainValue::Number(b)) => a.partial_cmp(b),
+        (PlainValue::DurationUs(a), PlainValue::DurationUs(b)) => Some(a.cmp(b)),
+        (PlainValue::Text(a), PlainValue::Text(b)) => Some(a.cmp(b)),
         _ => None,
     };
     order.is_some_and(|o| match compare {
@@ -169,12 +171,12 @@
     })
 }
 
-fn unify(a: &Node, b: &Node, path: &str) -> Result<Node, Fault> {
+fn unify(a: &Node, b: &Node, path: &str) -> Result<Node, ConfigError> {
     use Value::{Any, Atom, Bounds, Either, List, Record};
     // The later file's side is the one that an error points at.
     let conflict = || {
         let what = format!("{}found {}; expected {}", under(path), words(b), words(a));
-        Fault::new(b.at, what).with(a.at, "this is what it was to be unified with")
+        ConfigError::new(b.at, what).with_note(a.at, "this is what it was to be unified with")
     };
     let at = if matches!(a.value, Atom(_)) { a.at } else { b.at };
     let node = |value| Ok(Node { at, value });
@@ -190,7 +192,7 @@
         },
         (Atom(x), Atom(y)) if x == y => Ok(b.clone()),
         (Value::Type(t), Atom(x)) | (Atom(x), Value::Type(t)) => {
-            let whole = matches!(x, Plain::Number(n) if n.fract() == 0.0);
+            let whole = matches!(x, PlainValue::Number(n) if n.fract() == 0.0);
             let fits = type_of(x) == *t || (*t == Type::Int && whole);
             if fits {
                 node(Atom(x.clone()))
@@ -199,7 +201,7 @@
             }
         }
         (Bounds(t, bounds), Atom(x)) | (Atom(x), Bounds(t, bounds)) => {
-            let whole = *t != Type::Int || matches!(x, Plain::Number(n) if n.fract() == 0.0);
+            let whole = *t != Type::Int || matches!(x, PlainValue::Number(n) if n.fract() == 0.0);
             if whole && bounds.iter().all(|(c, to, _)| holds(*c, x, to)) {
                 return node(Atom(x.clone()));
             }
@@ -208,7 +210,7 @@
             let atom = if matches!(a.value, Atom(_)) { a } else { b };
             let bound = if matches!(a.value, Atom(_)) { b } else { a };
             let what = format!("{}found {}; expected {}", under(path), words(atom), words(bound));
-            Err(Fault::new(atom.at, what).with(other, "the bound stands here"))
+            Err(ConfigError::new(atom.at, what).with_note(other, "the bound stands here"))
         }
         (Bounds(t, x), Bounds(u, y)) => {
             let (s, fits) = narrower(*t, *u);
@@ -268,10 +270,10 @@
     }
 }
 
-fn unknown(path: &str, slot: &Slot, known: &IndexMap<String, Slot>, at: Span) -> Fault {
+fn unknown(path: &str, slot: &Slot, known: &IndexMap<String, Slot>, at: Span) -> ConfigError {
     let names: Vec<&str> = known.keys().map(String::as_str).collect();
     let what = format!("found field {path}; expected one of {}", names.join(", "));
-    Fault::new(slot.node.at, what).with(at, "the record is closed here")
+    ConfigError::new(slot.node.at, what).with_note(at, "the record is closed here")
 }
 
 fn narrower(t: Type, u: Type) -> (Type, bool) {
@@ -286,8 +288,8 @@
     parts: &[(Node, bool)],
     with: &Node,
     path: &str,
-    conflict: impl Fn() -> Fault,
-) -> Result<Node, Fault> {
+    conflict: impl Fn() -> ConfigError,
+) -> Result<Node, ConfigError> {
     let tried: Vec<_> = parts.iter().map(|(p, default)| (unify(p, with, path), *default)).collect();
     let mut fits: Vec<(Node, bool)> =
         tried.iter().filter_map(|(r, d)| r.as_ref().ok().map(|n| (n.clone(), *d))).collect();
@@ -323,22 +325,22 @@
     match t {
         Type::Number => "a number",
         Type::Int => "a whole number",
-        Type::Time => "a time such as 600ms",
+        Type::Duration => "a time such as 600ms",
         Type::Text => "a text in quotes",
-        Type::Mark => "true or false",
+        Type::Boolean => "true or false",
     }
 }
 
-fn atom_words(value: &Plain) -> String {
+fn atom_words(value: &PlainValue) -> String {
     match value {
-        Plain::Mark(b) => b.to_string(),
-        Plain::Number(n) => n.to_string(),
-        Plain::Time(us) if us % 1_000_000 == 0 => format!("{}s", us / 1_000_000),
-        Plain::Time(us) if us % 1_000 == 0 => format!("{}ms", us / 1_000),
-        Plain::Time(us) => format!("{us}us"),
-        Plain::Text(t) => format!("{t:?}"),
-        Plain::List(_) => "a list".into(),
-        Plain::Record(_) => "a record".into(),
+        PlainValue::Boolean(b) => b.to_string(),
+        PlainValue::Number(n) => n.to_string(),
+        PlainValue::DurationUs(us) if us % 1_000_000 == 0 => format!("{}s", us / 1_000_000),
+        PlainValue::DurationUs(us) if us % 1_000 == 0 => format!("{}ms", us / 1_000),
+        PlainValue::DurationUs(us) => format!("{us}us"),
+        PlainValue::Text(t) => format!("{t:?}"),
+        PlainValue::List(_) => "a list".into(),
+        PlainValue::Record(_) => "a record".into(),
     }
 }
 
@@ -367,10 +369,10 @@
 }
 
 /// Takes defaults and reports whatever is still open.
-fn close(node: &Node, path: &str, within: Span, faults: &mut Vec<Fault>) -> Option<Settled> {
+fn close(node: &Node, path: &str, within: Span, faults: &mut Vec<ConfigError>) -> Option<ResolvedValue> {
     let missing = || {
         let what = format!("{path} is not given; expected {}", words(node));
-        Fault::new(within, what).with(node.at, "its type stands here")
+        ConfigError::new(within, what).with_note(node.at, "its type stands here")
     };
     let value = match &node.value {
         Value::Atom(x) => x.clone(),
@@ -396,19 +398,19 @@
                     fields.insert(name.clone(), settled);
                 }
             }
-            Plain::Record(fields)
+            PlainValue::Record(fields)
         }
         Value::List(items, _) => {
             let items = items
                 .iter()
                 .enumerate()
                 .map(|(i, item)| close(item, &format!("{path}[{i}]"), node.at, faults));
-            Plain::List(items.collect::<Vec<_>>().into_iter().collect::<Option<Vec<_>>>()?)
+            PlainValue::List(items.collect::<Vec<_>>().into_iter().collect::<Option<Vec<_>>>()?)
         }
         _ => {
             faults.push(missing());
             return None;
         }
     };
-    Some(Settled { at: node.at, value })
+    Some(ResolvedValue { at: node.at, value })
 }
--- a/config/tests/records.rs
+++ b/config/tests/records.rs
@@ -1,5 +1,5 @@
 //! What the reader of records says, good and bad, as an operator sees it.
-use basaltpitch_config::installation::{load_texts, Installation, Laid, Seat};
+use basaltpitch_config::installation::{load_texts, FlattenedValue, Installation, PlannerSlot};
 use expect_test::expect;
 
 const GOOD: &str = r#"
@@ -14,7 +14,7 @@
 fn faults(texts: &[(&str, &str)]) -> String {
     match load_texts(texts) {
         Ok(_) => "none\n".into(),
-        Err((sources, faults)) => faults.iter().map(|f| f.line(&sources) + "\n").collect(),
+        Err((sources, faults)) => faults.iter().map(|f| f.render(&sources) + "\n").collect(),
     }
 }
 
@@ -27,15 +27,15 @@
     let more =
         "rules: cold: 20s\nplanners: 3\ntenants: [{name: \"x\", share: 40%}, {name: \"y\", share: 0.6}]";
     let all = load_texts(&[("a.rec", GOOD), ("b.rec", more)]).unwrap();
-    let laid = all.lay_out(&Seat { number: 2, planners: 3, zone: "hall-b".into() });
+    let laid = all.flatten(&PlannerSlot { number: 2, planners: 3, zone: "hall-b".into() });
     let get = |name: &str| laid.iter().find(|x| x.0 == name).map(|x| x.1.clone());
-    assert_eq!(get("rules.coldUs"), Some(Laid::Number(20e6)));
-    assert_eq!(get("classes.1.windowUs"), Some(Laid::Number(6e6)));
-    assert_eq!(get("classes.1.semantics"), Some(Laid::Text("dedup".into())));
-    assert_eq!(get("familyInfo.sizeMemory.0"), Some(Laid::Number(64.0)));
-    assert_eq!(get("familyInfo.coldSends"), Some(Laid::Number(8.0)), "a default");
-    assert_eq!(get("tenants.1.name"), Some(Laid::Text("y".into())));
-    assert_eq!(get("myZone"), Some(Laid::Text("hall-b".into())));
+    assert_eq!(get("rules.coldUs"), Some(FlattenedValue::Number(20e6)));
+    assert_eq!(get("classes.1.windowUs"), Some(FlattenedValue::Number(6e6)));
+    assert_eq!(get("classes.1.semantics"), Some(FlattenedValue::Text("dedup".into())));
+    assert_eq!(get("familyInfo.sizeMemory.0"), Some(FlattenedValue::Number(64.0)));
+    assert_eq!(get("familyInfo.coldSends"), Some(FlattenedValue::Number(8.0)), "a default");
+    assert_eq!(get("tenants.1.name"), Some(FlattenedValue::Text("y".into())));
+    assert_eq!(get("myZone"), Some(FlattenedValue::Text("hall-b".into())));
 }
 
 #[test]
@@ -133,17 +133,21 @@
     assert_eq!(all.regions(), [("all".to_owned(), vec![0, 1])], "one region where none is named");
     assert_eq!((all.heartbeat_us(), all.copies(), all.bytes_a_second()), (250_000, None, None));
     let view = |all: &Installation| {
-        let laid = all.lay_out(&Seat { number: 0, planners: 1, zone: "hall-a".into() });
+        let laid = all.flatten(&PlannerSlot { number: 0, planners: 1, zone: "hall-a".into() });
         laid.into_iter().find(|x| x.0 == "familyInfo.view").map(|x| x.1)
     };
-    assert_eq!(view(&all), Some(Laid::Number(1.0)), "the list shows room by default");
+    assert_eq!(view(&all), Some(FlattenedValue::Number(1.0)), "the list shows room by default");
     let council = "council: voters: [{name: \"v0\", address: \"127.0.0.1:1\"}]\n";
     let more = "regions: [{name: \"east\", zones: [\"hall-b\"]}, {name: \"west\", zones: [\"hall-a\"]}]\n\
                 heartbeat: 2s\nparts: copies: 2\ncontrol: bytes_a_second: 4000\n";
     let all = load_texts(&[("a.rec", GOOD), ("b.rec", more), ("c.rec", council)]).unwrap();
     assert_eq!(all.regions(), [("east".to_owned(), vec![1]), ("west".to_owned(), vec![0])]);
     assert_eq!((all.heartbeat_us(), all.copies()), (2_000_000, Some(2)));
-    assert_eq!(view(&all), Some(Laid::Number(0.0)), "the brief list of planners with parts tells no room");
+    assert_eq!(
+        view(&all),
+        Some(FlattenedValue::Number(0.0)),
+        "the brief list of planners with parts tells no room"
+    );
     assert_eq!(all.bytes_a_second(), Some(4000.0));
     let wrong = with(
         "regions: [{name: \"east\", zones: [\"hall-a\", \"hall-c\"]}, {name: \"west\", zones: [\"hall-a\"]}]\n\
--- a/constraints/src/parse.rs
+++ b/constraints/src/parse.rs
@@ -2,12 +2,12 @@
 //! places: names that stand for nothing, a rack of no hall, a spread of nothing, clauses that can never hold
 //! together, and one that another swallows.
 use crate::{Constraint, MachineSelector, Rule, Scope, SpreadGrouping, TopologyLevel, UnavailableDomains};
-use basaltpitch_config::{Fault, Settled};
+use basaltpitch_config::{ConfigError, ResolvedValue};
 
 /// Names that clauses may use.
 struct Known<'a> {
-    all: &'a Settled,
-    faults: Vec<Fault>,
+    all: &'a ResolvedValue,
+    faults: Vec<ConfigError>,
 }
 
 impl Known<'_> {
@@ -19,11 +19,11 @@
         if !names.iter().any(|n| n == name) {
             let list = if list == "zones" { "halls (zones)" } else { list };
             let what = format!("found {name:?}; expected one of the {list}: {}", names.join(", "));
-            self.faults.push(Fault::new(at, what));
+            self.faults.push(ConfigError::new(at, what));
         }
     }
 
-    fn scope(&mut self, s: &Settled) -> Scope {
+    fn scope(&mut self, s: &ResolvedValue) -> Scope {
         if let Some(f) = s.get("framework").and_then(|f| Some((s.text("framework")?, f.at))) {
             self.named("frameworks", f.0, f.1);
         }
@@ -41,7 +41,7 @@
         }
     }
 
-    fn which(&mut self, w: &Settled) -> MachineSelector {
+    fn which(&mut self, w: &ResolvedValue) -> MachineSelector {
         for (list, names) in [("kinds", "kinds"), ("halls", "zones"), ("racks", "racks")] {
             for (name, at) in w.texts(list) {
                 self.named(names, &name, at);
@@ -61,12 +61,12 @@
         };
         if w.texts("racks").is_empty() && which == MachineSelector::default() {
             let what = "found no kinds, halls, racks or labels; expected at least one";
-            self.faults.push(Fault::new(w.at, what));
+            self.faults.push(ConfigError::new(w.at, what));
         }
         which
     }
 
-    fn rule(&mut self, c: &Settled, name: &str) -> Option<Rule> {
+    fn rule(&mut self, c: &ResolvedValue, name: &str) -> Option<Rule> {
         let of = ["in", "not_in", "with", "apart", "spread"];
         let given: Vec<&str> = of.into_iter().filter(|f| c.get(f).is_some()).collect();
         let [one] = given[..] else {
@@ -74,7 +74,7 @@
                 "{name}: found {}; expected one of in, not_in, with, apart, spread",
                 if given.is_empty() { "none".to_owned() } else { given.join(" and ") }
             );
-            self.faults.push(Fault::new(c.at, what));
+            self.faults.push(ConfigError::new(c.at, what));
             return None;
         };
         let rule = c.get(one)?;
@@ -88,7 +88,7 @@
                 let (most, skew) = (count("most"), count("skew"));
                 if most.is_none() && skew.is_none() {
                     let what = format!("{name}: found a spread of nothing; expected most, skew or both");
-                    self.faults.push(Fault::new(rule.at, what));
+                    self.faults.push(ConfigError::new(rule.at, what));
                 }
                 let by = if rule.text("by") == Some("all") {
                     SpreadGrouping::All
@@ -106,11 +106,11 @@
     }
 }
 
-fn number(of: &Settled, field: &str) -> u32 {
+fn number(of: &ResolvedValue, field: &str) -> u32 {
     of.number(field).unwrap_or(0.0) as u32
 }
 
-fn level(of: &Settled, field: &str) -> TopologyLevel {
+fn level(of: &ResolvedValue, field: &str) -> TopologyLevel {
     match of.text(field) {
         Some("machine") => TopologyLevel::Machine,
         Some("rack") => TopologyLevel::Rack,
@@ -119,7 +119,7 @@
 }
 
 /// The clauses of an installation, in the order of its files, or all that is wrong with them.
-pub fn parse(all: &Settled) -> Result<Vec<Constraint>, Vec<Fault>> {
+pub fn parse(all: &ResolvedValue) -> Result<Vec<Constraint>, Vec<ConfigError>> {
     let mut known = Known { all, faults: Vec::new() };
     for rack in all.list("racks") {
         let (name, hall) = (rack.text("name").unwrap_or(""), rack.text("hall").unwrap_or(""));
@@ -127,7 +127,7 @@
             let halls: Vec<String> = all.texts("zones").into_iter().map(|x| x.0).collect();
             let at = rack.get("hall").map_or(rack.at, |h| h.at);
             let what = format!("rack {name}: found hall {hall:?}; expected one of {}", halls.join(", "));
-            known.faults.push(Fault::new(at, what));
+            known.faults.push(ConfigError::new(at, what));
         }
     }
     let mut clauses = Vec::new();
@@ -150,13 +150,13 @@
 }
 
 /// Clauses that can never hold, alone or together, or that another makes needless.
-fn nonsense(clauses: &[Constraint]) -> Vec<Fault> {
+fn nonsense(clauses: &[Constraint]) -> Vec<ConfigError> {
     let mut faults = Vec::new();
     for (i, a) in clauses.iter().enumerate() {
         for b in &clauses[..i] {
             if a.name == b.name {
                 let what = format!("clauses: found {:?} twice; expected each name once", a.name);
-                faults.push(Fault::new(a.at, what).with(b.at, "the first"));
+                faults.push(ConfigError::new(a.at, what).with_note(b.at, "the first"));
             }
             // Either may be the one that covers the other.
             for (a, b) in [(a, b), (b, a)] {
@@ -165,8 +165,8 @@
                         let what =
                             format!("{}: found {why}; expected clauses that can hold together", a.name);
                         faults.push(
-                            Fault::new(a.at, what)
-                                .with(b.at, format!("{}, which binds the same tasks", b.name)),
+                            ConfigError::new(a.at, what)
+                                .with_note(b.at, format!("{}, which binds the same tasks", b.name)),
                         );
                         break;
                     }
@@ -176,8 +176,10 @@
                             a.name
                         );
                         faults.push(
-                            Fault::new(a.at, what)
-                                .with(b.at, format!("{}, which says as much of all these tasks", b.name)),
+                            ConfigError::new(a.at, what).with_note(
+                                b.at,
+                                format!("{}, which says as much of all these tasks", b.name),
+                            ),
                         );
                         break;
                     }
@@ -254,7 +256,7 @@
 }
 
 /// Tasks that must each be with others which must be with them, when none may begin.
-fn circles(clauses: &[Constraint]) -> Vec<Fault> {
+fn circles(clauses: &[Constraint]) -> Vec<ConfigError> {
     let waits: Vec<(&Constraint, &Scope)> = clauses
         .iter()
         .filter(|c| c.must())
@@ -279,7 +281,7 @@
                         names.join(", ")
                     );
                     let last = waits[*way.last().unwrap_or(&i)].0;
-                    faults.push(Fault::new(first.at, what).with(last.at, last.name.clone()));
+                    faults.push(ConfigError::new(first.at, what).with_note(last.at, last.name.clone()));
                 }
                 break;
             }
--- a/constraints/tests/reading.rs
+++ b/constraints/tests/reading.rs
@@ -57,9 +57,9 @@
             Ok(clauses) => {
                 clauses.iter().map(|c| format!("{}: {:?} {}\n", c.name, c.of, in_words(&c.rule))).collect()
             }
-            Err(faults) => faults.iter().map(|f| format!("{}\n", f.line(&site.sources))).collect(),
+            Err(faults) => faults.iter().map(|f| format!("{}\n", f.render(&site.sources))).collect(),
         },
-        Err((sources, faults)) => faults.iter().map(|f| format!("{}\n", f.line(&sources))).collect(),
+        Err((sources, faults)) => faults.iter().map(|f| format!("{}\n", f.render(&sources))).collect(),
     }
 }
 
--- a/json_fields/src/lib.rs
+++ b/json_fields/src/lib.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 /// The lists of names in the settings, by the list's own name.
-pub type Names = HashMap<&'static str, Vec<String>>;
+pub type NameLists = HashMap<&'static str, Vec<String>>;
 
 /// One object's fields, read as their types or reported as missing or mistyped.
 #[derive(Clone, Copy)]
@@ -13,17 +13,21 @@
 
 impl<'a> Fields<'a> {
     pub fn get<T>(&self, name: &str, read: impl Fn(&'a Value) -> Option<T>) -> Result<T, String> {
-        self.opt(name, read)?.ok_or_else(|| format!("field '{name}' is missing"))
+        self.optional(name, read)?.ok_or_else(|| format!("field '{name}' is missing"))
     }
 
-    pub fn opt<T>(&self, name: &str, read: impl Fn(&'a Value) -> Option<T>) -> Result<Option<T>, String> {
+    pub fn optional<T>(
+        &self,
+        name: &str,
+        read: impl Fn(&'a Value) -> Option<T>,
+    ) -> Result<Option<T>, String> {
         match self.0.get(name) {
             None | Some(Value::Null) => Ok(None),
             Some(v) => read(v).map(Some).ok_or_else(|| format!("field '{name}' is of the wrong type")),
         }
     }
 
-    pub fn whole(&self, name: &str) -> Result<i64, String> {
+    pub fn integer(&self, name: &str) -> Result<i64, String> {
         self.get(name, Value::as_i64)
     }
 
@@ -35,20 +39,25 @@
         self.get(name, Value::as_str)
     }
 
-    pub fn text(&self, name: &str) -> Result<String, String> {
+    pub fn string(&self, name: &str) -> Result<String, String> {
         self.str(name).map(str::to_owned)
     }
 
-    pub fn mark(&self, name: &str) -> Result<bool, String> {
-        Ok(self.opt(name, Value::as_bool)?.unwrap_or(false))
+    pub fn flag(&self, name: &str) -> Result<bool, String> {
+        Ok(self.optional(name, Value::as_bool)?.unwrap_or(false))
     }
 
     /// The place of a name in a list of the settings; `None` where the field is absent or 0.
-    pub fn name_of(&self, field: &str, list: &str, names: &Names) -> Result<Option<usize>, String> {
+    pub fn optional_name_index(
+        &self,
+        field: &str,
+        list: &str,
+        names: &NameLists,
+    ) -> Result<Option<usize>, String> {
         if self.0.get(field).and_then(Value::as_i64) == Some(0) {
             return Ok(None);
         }
-        match self.opt(field, Value::as_str)? {
+        match self.optional(field, Value::as_str)? {
             None => Ok(None),
             Some(name) => name_index(names, list, name)
                 .map(Some)
@@ -56,17 +65,17 @@
         }
     }
 
-    pub fn name_index(&self, field: &str, list: &str, names: &Names) -> Result<usize, String> {
-        self.name_of(field, list, names)?.ok_or_else(|| format!("field '{field}' is missing"))
+    pub fn name_index(&self, field: &str, list: &str, names: &NameLists) -> Result<usize, String> {
+        self.optional_name_index(field, list, names)?.ok_or_else(|| format!("field '{field}' is missing"))
     }
 }
 
-pub fn name_index(names: &Names, list: &str, name: &str) -> Option<usize> {
+pub fn name_index(names: &NameLists, list: &str, name: &str) -> Option<usize> {
     names.get(list)?.iter().position(|n| n == name)
 }
 
 /// The names that the settings give to frameworks, tenants, zones and kinds of machine.
-pub fn names(settings: &Value) -> Names {
+pub fn names(settings: &Value) -> NameLists {
     let name = |v: &Value| v.as_str().or_else(|| v.get("name")?.as_str()).unwrap_or("").to_owned();
     let of = |list| {
         let items = settings.get(list).and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
@@ -76,13 +85,13 @@
 }
 
 /// Lays settings out under dotted names: objects by key, lists by position.
-pub fn lay_out(settings: &Value) -> Settings {
+pub fn flatten(settings: &Value) -> Settings {
     let mut given = Settings::new();
-    lay_out_under("", settings, &mut given);
+    flatten_under("", settings, &mut given);
     given
 }
 
-fn lay_out_under(name: &str, value: &Value, given: &mut Settings) {
+fn flatten_under(name: &str, value: &Value, given: &mut Settings) {
     let under = |key: &str| {
         if name.is_empty() {
             key.to_owned()
@@ -91,9 +100,9 @@
         }
     };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(k, v)| lay_out_under(&under(k), v, given)),
+        Value::Object(fields) => fields.iter().for_each(|(k, v)| flatten_under(&under(k), v, given)),
         Value::Array(items) => {
-            items.iter().enumerate().for_each(|(i, v)| lay_out_under(&under(&i.to_string()), v, given))
+            items.iter().enumerate().for_each(|(i, v)| flatten_under(&under(&i.to_string()), v, given))
         }
         Value::Number(n) => {
             given.insert(name.into(), Setting::Number(n.as_f64().unwrap_or(0.0)));
--- a/ldap/src/entry.rs
+++ b/ldap/src/entry.rs
@@ -5,7 +5,7 @@
 
 /// The attributes that are read, and the object classes that tell what an entry is. Compared without case.
 #[derive(Clone, Debug)]
-pub struct Names {
+pub struct AttributeNames {
     pub id: String,
     pub stamp: String,
     pub class: String,
@@ -20,10 +20,10 @@
     pub mark: Option<String>,
 }
 
-impl Default for Names {
+impl Default for AttributeNames {
     fn default() -> Self {
         let of = |s: &str| s.to_owned();
-        Names {
+        AttributeNames {
             id: of("entryUUID"),
             stamp: of("modifyTimestamp"),
             class: of("objectClass"),
@@ -39,7 +39,7 @@
     }
 }
 
-impl Names {
+impl AttributeNames {
     pub fn all(&self) -> Vec<String> {
         let all = [&self.id, &self.stamp, &self.class, &self.name, &self.login, &self.member, &self.share];
         all.iter().map(|s| (*s).clone()).collect()
@@ -48,7 +48,7 @@
 
 /// An entry as it came.
 #[derive(Clone, Debug, Default)]
-pub struct Raw {
+pub struct RawEntry {
     pub dn: String,
     pub texts: HashMap<String, Vec<String>>,
     pub bytes: HashMap<String, Vec<Vec<u8>>>,
@@ -86,11 +86,11 @@
 
 /// One entry while it is read.
 struct Reading<'a> {
-    raw: &'a Raw,
+    raw: &'a RawEntry,
 }
 
 impl<'a> Reading<'a> {
-    fn new(raw: &'a Raw) -> Result<Self, String> {
+    fn new(raw: &'a RawEntry) -> Result<Self, String> {
         let reading = Reading { raw };
         if raw.dn.is_empty() || raw.dn.len() > 10 * MOST_NAME {
             return Err(reading.wrong("its name", format!("{} bytes", raw.dn.len()), "1 to 5000"));
@@ -125,7 +125,7 @@
     }
 
     /// The entry's id, as a number and as it came, and its stamp.
-    fn stamp(&self, names: &Names) -> Result<(Id, &'a str, &'a str), String> {
+    fn stamp(&self, names: &AttributeNames) -> Result<(Id, &'a str, &'a str), String> {
         let text = self.need(&names.id)?;
         let id = Id::read(text).ok_or_else(|| self.wrong(&names.id, format!("{text:?}"), "32 hex digits"))?;
         let stamp = self.need(&names.stamp)?;
@@ -138,12 +138,12 @@
 }
 
 /// Id, the text of it, and stamp of an entry of which nothing else was asked for.
-pub fn read_stamp(names: &Names, raw: &Raw) -> Result<(Id, String, String), String> {
+pub fn read_stamp(names: &AttributeNames, raw: &RawEntry) -> Result<(Id, String, String), String> {
     let (id, text, stamp) = Reading::new(raw)?.stamp(names)?;
     Ok((id, text.to_owned(), stamp.to_owned()))
 }
 
-pub fn read(names: &Names, raw: Raw) -> Result<Entry, String> {
+pub fn read(names: &AttributeNames, raw: RawEntry) -> Result<Entry, String> {
     let reading = Reading::new(&raw)?;
     let wrong = |attribute: &str, found: String, expected: &str| reading.wrong(attribute, found, expected);
     let values = |name: &str| reading.values(name);
--- a/ldap/src/lib.rs
+++ b/ldap/src/lib.rs
@@ -8,13 +8,14 @@
 mod entry;
 mod settings;
 
-pub use entry::{plain_dn, read, Names, Raw};
-pub use settings::{read_settings, Directory};
+pub use entry::{plain_dn, read, AttributeNames, RawEntry};
+pub use settings::{read_settings, DirectorySettings};
 
 use basaltpitch_tenants::{Id, Mark, Sweep};
 use ldap3::adapters::{Adapter, EntriesOnly, PagedResults};
 use ldap3::controls::{
-    parse_syncinfo, Control, ControlType, EntryState, SyncDone, SyncInfo, SyncRequest, SyncState,
+    parse_syncinfo, Control, ControlType, EntryState, SyncDone, SyncInfo, SyncRequest,
+    SyncState as SyncStateControl,
 };
 use ldap3::{ldap_escape, Ldap, LdapConnAsync, LdapConnSettings, ResultEntry, Scope, SearchEntry};
 use std::collections::{BTreeSet, HashMap};
@@ -30,39 +31,39 @@
 
 /// How a directory is reached and asked. Filters are the settings' own text; values enter them escaped.
 #[derive(Clone, Debug)]
-pub struct Source {
+pub struct LdapSource {
     /// `ldap://` (with StartTLS where `starttls` is set) or `ldaps://`, in order.
     pub urls: Vec<String>,
     pub starttls: bool,
     /// A file with the certificates (PEM) that vouch for the servers, read anew at each sweep; none: the
     /// system's.
-    pub vouchers: Option<PathBuf>,
+    pub ca_file: Option<PathBuf>,
     pub bind_dn: String,
     /// The file that holds the password, read anew at each sweep, so that it may change in service.
     pub password: PathBuf,
     pub base: String,
     pub filter: String,
-    pub names: Names,
+    pub names: AttributeNames,
     pub page: i32,
     /// Servers offer content synchronisation.
     pub sync: bool,
     /// A connection, and each page, must come within this time.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// What a server gave before, by id: a sum over stamp and name. Empty: nothing.
-pub type Seen = HashMap<u128, u64>;
+pub type SeenEntries = HashMap<u128, u64>;
 
 /// What an earlier sweep of the same server left; nothing: everything is read.
 #[derive(Clone, Debug, Default)]
-pub struct Before {
-    pub seen: Seen,
+pub struct SyncState {
+    pub seen: SeenEntries,
     pub cookie: Option<Vec<u8>>,
 }
 
 /// Why a sweep brought nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum SyncError {
     #[error("{file}: {what}")]
     File { file: String, what: String },
     #[error("{url}: no connection: {what}")]
@@ -75,23 +76,23 @@
 
 /// What a sweep brought.
 #[derive(Clone, Debug, Default)]
-pub struct Swept {
+pub struct SyncResult {
     pub sweep: Sweep,
     /// Why it is not complete, where it is not; one text a cause.
-    pub lacks: Vec<String>,
+    pub problems: Vec<String>,
     /// What this server has now, for the next sweep.
-    pub seen: Seen,
+    pub seen: SeenEntries,
 }
 
-impl Swept {
-    fn lacks(&mut self, why: impl Into<String>) {
-        self.lacks.push(why.into());
+impl SyncResult {
+    fn problems(&mut self, why: impl Into<String>) {
+        self.problems.push(why.into());
     }
 }
 
 /// One conversation with a server.
 struct Talk<'a> {
-    source: &'a Source,
+    source: &'a LdapSource,
     ldap: Ldap,
     url: String,
     /// The connection is gone.
@@ -101,23 +102,22 @@
 
 /// Sweeps one server. Pages that came before a break are handed over as an incomplete sweep. `answered` is
 /// called once something came.
-pub async fn sweep(
-    source: &Source,
+pub async fn sync(
+    source: &LdapSource,
     server: usize,
-    before: Before,
+    before: SyncState,
     answered: impl FnOnce() + 'static,
-) -> Result<Swept, Fault> {
+) -> Result<SyncResult, SyncError> {
     let url = source.urls[server].clone();
-    let file = |path: &PathBuf, what: String| Fault::File { file: path.display().to_string(), what };
+    let file = |path: &PathBuf, what: String| SyncError::File { file: path.display().to_string(), what };
     let secret =
         std::fs::read_to_string(&source.password).map_err(|e| file(&source.password, e.to_string()))?;
-    let mut settings =
-        LdapConnSettings::new().set_conn_timeout(source.patience).set_starttls(source.starttls);
-    if let Some(path) = &source.vouchers {
+    let mut settings = LdapConnSettings::new().set_conn_timeout(source.timeout).set_starttls(source.starttls);
+    if let Some(path) = &source.ca_file {
         settings = settings.set_config(trusting(path).map_err(|e| file(path, e))?);
     }
-    let connect = |what: String| Fault::Connect { url: url.clone(), what };
-    let opened = tokio::time::timeout(source.patience, LdapConnAsync::with_settings(settings, &url)).await;
+    let connect = |what: String| SyncError::Connect { url: url.clone(), what };
+    let opened = tokio::time::timeout(source.timeout, LdapConnAsync::with_settings(settings, &url)).await;
     let opened = opened.map_err(|_| connect("nothing came in time".into()))?;
     let (conn, mut ldap) = opened.map_err(|e| connect(e.to_string()))?;
     let (ends, ended) = watch::channel(false);
@@ -128,10 +128,10 @@
         let _ = ends.send(true);
     });
     let _ends = Ends(driven);
-    let bound = ldap.with_timeout(source.patience).simple_bind(&source.bind_dn, secret.trim_end()).await;
+    let bound = ldap.with_timeout(source.timeout).simple_bind(&source.bind_dn, secret.trim_end()).await;
     let bound = bound.map_err(|e| connect(e.to_string()))?;
     if bound.rc != 0 {
-        return Err(Fault::Bind { url, dn: source.bind_dn.clone(), rc: bound.rc, text: bound.text });
+        return Err(SyncError::Bind { url, dn: source.bind_dn.clone(), rc: bound.rc, text: bound.text });
     }
     let mut talk = Talk { source, ldap, url, ended, answered: Some(Box::new(answered)) };
     let mark = talk.mark().await;
@@ -144,27 +144,27 @@
     };
     match mark {
         Ok(mark) => swept.sweep.mark = mark,
-        Err(why) => swept.lacks(why),
+        Err(why) => swept.problems(why),
     }
-    let _ = talk.ldap.with_timeout(source.patience).unbind().await;
-    if swept.sweep.entries.is_empty() && swept.sweep.present.is_empty() && !swept.lacks.is_empty() {
-        return Err(Fault::Search { url: talk.url, what: swept.lacks.join("; ") });
+    let _ = talk.ldap.with_timeout(source.timeout).unbind().await;
+    if swept.sweep.entries.is_empty() && swept.sweep.present.is_empty() && !swept.problems.is_empty() {
+        return Err(SyncError::Search { url: talk.url, what: swept.problems.join("; ") });
     }
-    swept.sweep.complete = swept.lacks.is_empty();
+    swept.sweep.complete = swept.problems.is_empty();
     Ok(swept)
 }
 
-/// What comes next, unless the patience or the connection ends first. What came before the connection ended
+/// What comes next, unless the timeout or the connection ends first. What came before the connection ended
 /// goes first.
 async fn within<T>(
-    patience: Duration,
+    timeout: Duration,
     ended: &mut watch::Receiver<bool>,
     next: impl std::future::Future<Output = T>,
 ) -> Result<T, String> {
     tokio::select! {
         biased;
-        next = tokio::time::timeout(patience, next) => {
-            next.map_err(|_| format!("nothing came for {} ms", patience.as_millis()))
+        next = tokio::time::timeout(timeout, next) => {
+            next.map_err(|_| format!("nothing came for {} ms", timeout.as_millis()))
         }
         _ = ended.wait_for(|over| *over) => Err("the connection ended".into()),
     }
@@ -211,16 +211,16 @@
 
 /// Two changes within one tick of a server's clock bear one stamp: an entry with the newest of all stamps may
 /// change again under it, and is read again.
-fn settled(list: Vec<(Id, u64, String)>) -> Seen {
+fn settled(list: Vec<(Id, u64, String)>) -> SeenEntries {
     let newest = list.iter().map(|x| x.2.clone()).max().unwrap_or_default();
     list.into_iter().filter(|x| x.2 != newest).map(|x| (x.0 .0, x.1)).collect()
 }
 
-fn raw(entry: ResultEntry) -> Result<Raw, String> {
+fn raw(entry: ResultEntry) -> Result<RawEntry, String> {
     // The client panics on an entry whose bytes make no sense.
     let raw = catch_unwind(AssertUnwindSafe(|| SearchEntry::construct(entry)));
     let raw = raw.map_err(|_| "an entry whose bytes make no sense".to_owned())?;
-    Ok(Raw { dn: raw.dn, texts: raw.attrs, bytes: raw.bin_attrs })
+    Ok(RawEntry { dn: raw.dn, texts: raw.attrs, bytes: raw.bin_attrs })
 }
 
 impl Talk<'_> {
@@ -229,12 +229,12 @@
         &mut self,
         filter: &str,
         attributes: Vec<String>,
-        mut each: impl FnMut(Raw) -> Result<(), String>,
+        mut each: impl FnMut(RawEntry) -> Result<(), String>,
     ) -> Vec<String> {
-        let (source, mut lacks) = (self.source, Vec::new());
+        let (source, mut problems) = (self.source, Vec::new());
         let adapters: Vec<Box<dyn Adapter<_, _>>> =
             vec![Box::new(EntriesOnly::new()), Box::new(PagedResults::new(source.page))];
-        let search = self.ldap.with_timeout(source.patience);
+        let search = self.ldap.with_timeout(source.timeout);
         let opened =
             search.streaming_search_with(adapters, &source.base, Scope::Subtree, filter, attributes).await;
         let mut stream = match opened {
@@ -242,13 +242,13 @@
             Err(e) => return vec![e.to_string()],
         };
         loop {
-            match within(source.patience, &mut self.ended, stream.next()).await {
-                Err(why) => lacks.push(why),
-                Ok(Err(e)) => lacks.push(e.to_string()),
+            match within(source.timeout, &mut self.ended, stream.next()).await {
+                Err(why) => problems.push(why),
+                Ok(Err(e)) => problems.push(e.to_string()),
                 Ok(Ok(Some(entry))) => {
                     self.answered.take().into_iter().for_each(|said| said());
                     if let Err(what) = raw(entry).and_then(&mut each) {
-                        lacks.push(what);
+                        problems.push(what);
                     }
                     continue;
                 }
@@ -256,21 +256,21 @@
                     let end = stream.finish().await;
                     if end.rc != 0 {
                         let (rc, text) = (end.rc, end.text);
-                        lacks.push(format!("the search ended with result {rc} ({text}); expected 0"));
+                        problems.push(format!("the search ended with result {rc} ({text}); expected 0"));
                     }
                     if !end.refs.is_empty() {
-                        lacks.push("a referral".into());
+                        problems.push("a referral".into());
                     }
                 }
             }
-            return lacks;
+            return problems;
         }
     }
 
     /// How far the server says that it is, where settings name the attribute that says it.
     async fn mark(&mut self) -> Result<Mark, String> {
         let Some(attribute) = &self.source.names.mark else { return Ok(Mark::new()) };
-        let search = self.ldap.with_timeout(self.source.patience);
+        let search = self.ldap.with_timeout(self.source.timeout);
         let found = search
             .search(&self.source.base, Scope::Base, "(objectClass=*)", vec![attribute])
             .await
@@ -287,11 +287,11 @@
         Ok(mark)
     }
 
-    async fn whole(&mut self) -> Swept {
-        let (mut swept, mut list) = (Swept::default(), Vec::new());
+    async fn whole(&mut self) -> SyncResult {
+        let (mut swept, mut list) = (SyncResult::default(), Vec::new());
         let names = &self.source.names;
         let filter = self.source.filter.clone();
-        swept.lacks = self
+        swept.problems = self
             .paged(&filter, names.all(), |raw| {
                 let entry = read(names, raw)?;
                 list.push((entry.id, sum_of(&entry.dn, &entry.stamp), entry.stamp.clone()));
@@ -303,12 +303,12 @@
         swept
     }
 
-    async fn changes(&mut self, before: Seen) -> Swept {
-        let (mut swept, mut list, mut differ) = (Swept::default(), Vec::new(), Vec::new());
+    async fn changes(&mut self, before: SeenEntries) -> SyncResult {
+        let (mut swept, mut list, mut differ) = (SyncResult::default(), Vec::new(), Vec::new());
         let names = &self.source.names;
         let filter = self.source.filter.clone();
         let attributes = vec![names.id.clone(), names.stamp.clone()];
-        swept.lacks = self
+        swept.problems = self
             .paged(&filter, attributes, |raw| {
                 let (id, text, stamp) = entry::read_stamp(names, &raw)?;
                 let sum = sum_of(&raw.dn, &stamp);
@@ -323,49 +323,49 @@
             .await;
         for some in differ.chunks(IDS_AT_ONCE) {
             let filter = filter_of_ids(&filter, &names.id, some);
-            let lacks = self
+            let problems = self
                 .paged(&filter, names.all(), |raw| {
                     swept.sweep.entries.push(read(names, raw)?);
                     Ok(())
                 })
                 .await;
-            swept.lacks.extend(lacks);
+            swept.problems.extend(problems);
         }
         swept.seen = settled(list);
         swept
     }
 
     /// Content synchronisation, refresh only: what changed since the cookie, or everything without one.
-    async fn synchronised(&mut self, cookie: Option<Vec<u8>>) -> Swept {
-        let mut swept = Swept::default();
-        let patience = self.source.patience;
+    async fn synchronised(&mut self, cookie: Option<Vec<u8>>) -> SyncResult {
+        let mut swept = SyncResult::default();
+        let timeout = self.source.timeout;
         let request = SyncRequest { cookie, ..SyncRequest::default() };
-        let search = self.ldap.with_timeout(patience).with_controls(vec![request.into()]);
+        let search = self.ldap.with_timeout(timeout).with_controls(vec![request.into()]);
         let (source, names) = (self.source, &self.source.names);
         let opened = search.streaming_search(&source.base, Scope::Subtree, &source.filter, names.all()).await;
         let mut stream = match opened {
             Ok(stream) => stream,
             Err(e) => {
-                swept.lacks(e.to_string());
+                swept.problems(e.to_string());
                 return swept;
             }
         };
         let mut gone = BTreeSet::new();
         loop {
-            match within(patience, &mut self.ended, stream.next()).await {
-                Err(why) => swept.lacks(why),
-                Ok(Err(e)) => swept.lacks(e.to_string()),
+            match within(timeout, &mut self.ended, stream.next()).await {
+                Err(why) => swept.problems(why),
+                Ok(Err(e)) => swept.problems(e.to_string()),
                 Ok(Ok(Some(entry))) => {
                     self.answered.take().into_iter().for_each(|said| said());
                     if let Err(what) = synced(names, entry, &mut swept, &mut gone) {
-                        swept.lacks(what);
+                        swept.problems(what);
                     }
                     continue;
                 }
                 Ok(Ok(None)) => {
                     let end = stream.finish().await;
                     if end.rc != 0 {
-                        swept.lacks(format!(
+                        swept.problems(format!(
                             "the search ended with result {} ({}); expected 0",
                             end.rc, end.text
                         ));
@@ -383,8 +383,9 @@
                             // named.
                             swept.sweep.gone = done.refresh_deletes.then(|| gone.into_iter().collect());
                         }
-                        None => swept
-                            .lacks("found no end of the synchronisation; expected the control of RFC 4533"),
+                        None => swept.problems(
+                            "found no end of the synchronisation; expected the control of RFC 4533",
+                        ),
                     }
                 }
             }
@@ -395,9 +396,9 @@
 
 /// Takes in one message of a synchronisation.
 fn synced(
-    names: &Names,
+    names: &AttributeNames,
     entry: ResultEntry,
-    swept: &mut Swept,
+    swept: &mut SyncResult,
     gone: &mut BTreeSet<Id>,
 ) -> Result<(), String> {
     let id = |bytes: &[u8]| {
@@ -425,7 +426,7 @@
     }
     let state = entry.1.iter().find_map(|c| match c {
         Control(Some(ControlType::SyncState), raw) => {
-            catch_unwind(AssertUnwindSafe(|| raw.parse::<SyncState>())).ok()
+            catch_unwind(AssertUnwindSafe(|| raw.parse::<SyncStateControl>())).ok()
         }
         _ => None,
     });
--- a/ldap/src/settings.rs
+++ b/ldap/src/settings.rs
@@ -1,8 +1,8 @@
 //! The record `directory` of an installation's files: how a directory is reached, and what the decisions are
 //! told. What types alone do not find is checked here: addresses, filters, names and paces that make no sense
 //! together.
-use crate::{Names, Source};
-use basaltpitch_config::{Fault, Settled};
+use crate::{AttributeNames, LdapSource};
+use basaltpitch_config::{ConfigError, ResolvedValue};
 use basaltpitch_tenants::health::Pace;
 use basaltpitch_tenants::rights::Terms;
 use basaltpitch_tenants::trust::Caution;
@@ -11,8 +11,8 @@
 
 /// All that the record says.
 #[derive(Clone, Debug)]
-pub struct Directory {
-    pub source: Source,
+pub struct DirectorySettings {
+    pub source: LdapSource,
     pub terms: Terms,
     pub pace: Pace,
     pub caution: Caution,
@@ -35,16 +35,16 @@
 }
 
 /// Reads the record `directory`, if the files have one.
-pub fn read_settings(all: &Settled) -> Result<Option<Directory>, Vec<Fault>> {
+pub fn read_settings(all: &ResolvedValue) -> Result<Option<DirectorySettings>, Vec<ConfigError>> {
     let Some(d) = all.get("directory") else { return Ok(None) };
     let mut faults = Vec::new();
     let mut wrong = |field: &str, found: String, expected: &str| {
         let at = d.get(field).map_or(d.at, |x| x.at);
-        faults.push(Fault::new(at, format!("directory.{field}: found {found}; expected {expected}")));
+        faults.push(ConfigError::new(at, format!("directory.{field}: found {found}; expected {expected}")));
     };
     let text = |field: &str| d.text(field).unwrap_or("").to_owned();
-    let time = |field: &str| d.time(field).unwrap_or(0);
-    let mark = |field: &str| d.mark(field).unwrap_or(false);
+    let time = |field: &str| d.duration_us(field).unwrap_or(0);
+    let mark = |field: &str| d.boolean(field).unwrap_or(false);
     let count = |field: &str| d.number(field).unwrap_or(0.0) as usize;
     let urls: Vec<String> = d.texts("servers").into_iter().map(|x| x.0).collect();
     if urls.is_empty() {
@@ -90,8 +90,8 @@
         );
     }
     for (record, fields) in [("attributes", d.get("attributes")), ("classes", d.get("classes"))] {
-        for (field, value) in fields.into_iter().flat_map(Settled::fields) {
-            let basaltpitch_config::Plain::Text(name) = &value.value else { continue };
+        for (field, value) in fields.into_iter().flat_map(ResolvedValue::fields) {
+            let basaltpitch_config::PlainValue::Text(name) = &value.value else { continue };
             let none = field == "mark" && name.is_empty();
             if !none && !is_name(name) {
                 wrong(
@@ -114,7 +114,7 @@
     }
     let path = |field: &str| d.text(field).map(PathBuf::from);
     let attribute = |field: &str| text(&format!("attributes.{field}"));
-    let names = Names {
+    let names = AttributeNames {
         id: attribute("id"),
         stamp: attribute("changed"),
         class: attribute("class"),
@@ -128,11 +128,11 @@
         person_class: text("classes.person"),
     };
     let plain = |list: &str| d.texts(list).into_iter().map(|x| crate::plain_dn(&x.0)).collect();
-    Ok(Some(Directory {
-        source: Source {
+    Ok(Some(DirectorySettings {
+        source: LdapSource {
             urls,
             starttls: mark("starttls"),
-            vouchers: path("vouchers"),
+            ca_file: path("vouchers"),
             bind_dn: text("bind"),
             password: path("password_file").unwrap_or_default(),
             base: text("base"),
@@ -140,7 +140,7 @@
             names,
             page: count("page") as i32,
             sync: mark("sync"),
-            patience: Duration::from_micros(time("patience") as u64),
+            timeout: Duration::from_micros(time("patience") as u64),
         },
         terms: Terms {
             operators: plain("operators"),
--- a/ldap/tests/over_a_restart.rs
+++ b/ldap/tests/over_a_restart.rs
@@ -1,6 +1,6 @@
 //! The whole way on loopback: a directory is swept, remembered in a store, goes away, and a successor serves
 //! on.
-use basaltpitch_ldap::{sweep, Before, Names, Source};
+use basaltpitch_ldap::{sync, AttributeNames, LdapSource, SyncState};
 use basaltpitch_snapshot_store::{Found, Store};
 use basaltpitch_tenants::health::{State, PACE};
 use basaltpitch_tenants::keeper::{Keeper, FORMAT};
@@ -48,18 +48,18 @@
                 ],
             ),
         ];
-        let source = Source {
+        let source = LdapSource {
             urls: vec![format!("ldap://{}", there.address)],
             starttls: false,
-            vouchers: None,
+            ca_file: None,
             sync: false,
             bind_dn: "cn=p".into(),
             password: folder.join("secret"),
             base: "dc=x".into(),
             filter: "(objectClass=*)".into(),
-            names: Names::default(),
+            names: AttributeNames::default(),
             page: 100,
-            patience: Duration::from_millis(300),
+            timeout: Duration::from_millis(300),
         };
         let path = folder.join("planner.store");
         let terms = Terms { place_stale: true, ..Terms::default() };
@@ -68,7 +68,7 @@
             let (store, _) = Store::open(&path).unwrap();
             let mut k = Keeper::new(1, 0, &names(1), None, PACE, CAUTION).unwrap();
             assert_eq!(k.next(0), Some(0));
-            k.swept(S, sweep(&source, 0, Before::default(), || ()).await.ok().map(|s| s.sweep));
+            k.swept(S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
             assert!(k.rule(S, &terms, "asha", asks).may);
             let (at, bytes) = k.memory().unwrap();
             store.put("tenants", FORMAT, at, &bytes).unwrap();
@@ -79,14 +79,14 @@
         let kept = store.get("tenants", FORMAT).unwrap().unwrap();
         let mut k = Keeper::new(2, 400 * S, &names(1), Some((kept.at, &kept.bytes)), PACE, CAUTION).unwrap();
         assert_eq!(k.next(400 * S), Some(0));
-        k.swept(401 * S, sweep(&source, 0, Before::default(), || ()).await.ok().map(|s| s.sweep));
+        k.swept(401 * S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
         let r = k.rule(401 * S, &terms, "asha", asks);
         assert_eq!((r.may, r.stale, k.state(401 * S)), (true, true, State::Stale));
         there.fault.set(DirectoryFault::None);
         let at = k.next_at();
         assert_eq!(k.next(at), Some(0));
         assert_eq!(
-            k.swept(at, sweep(&source, 0, Before::default(), || ()).await.ok().map(|s| s.sweep)),
+            k.swept(at, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep)),
             [],
             "nothing changed"
         );
--- a/ldap/tests/settings.rs
+++ b/ldap/tests/settings.rs
@@ -14,12 +14,12 @@
     let site = match load_texts(&[("site.rec", SITE), ("directory.rec", &text)]) {
         Ok(site) => site,
         Err((sources, faults)) => {
-            return faults.iter().map(|f| format!("{}\n", f.line(&sources))).collect();
+            return faults.iter().map(|f| format!("{}\n", f.render(&sources))).collect();
         }
     };
     match read_settings(&site.all) {
         Ok(d) => format!("{:#?}\n", d.map(|d| (d.terms, d.pace, d.source.names.mark))),
-        Err(faults) => faults.iter().map(|f| format!("{}\n", f.what)).collect(),
+        Err(faults) => faults.iter().map(|f| format!("{}\n", f.message)).collect(),
     }
 }
 
@@ -97,7 +97,7 @@
     let clear = |more: &str| {
         let text = format!("{GOOD}{more}}}\n").replace("ldaps://one.example", "ldap://one.example");
         let site = load_texts(&[("site.rec", SITE), ("directory.rec", &text)]).map_err(|e| e.1).unwrap();
-        read_settings(&site.all).map(|d| d.unwrap().source.urls.len()).map_err(|f| f[0].what.clone())
+        read_settings(&site.all).map(|d| d.unwrap().source.urls.len()).map_err(|f| f[0].message.clone())
     };
     assert_eq!(clear("clear: true\n"), Ok(2));
     expect![[r#"directory.servers: found "ldap://one.example", which sends the password in the clear; expected ldaps, starttls, or clear"#]].assert_eq(&clear("").unwrap_err());
--- a/ldap/tests/sweeps.rs
+++ b/ldap/tests/sweeps.rs
@@ -1,6 +1,8 @@
 //! Sweeps of a stand-in directory on loopback, well and with each of its troubles; entries of every kind of
 //! nonsense.
-use basaltpitch_ldap::{plain_dn, read, sweep, Before, Fault, Names, Raw, Source, Swept};
+use basaltpitch_ldap::{
+    plain_dn, read, sync, AttributeNames, LdapSource, RawEntry, SyncError, SyncResult, SyncState,
+};
 use basaltpitch_tenants::trust::{Trust, CAUTION};
 use basaltpitch_tenants::{Id, Tenants, What};
 use basaltpitch_testbed::ldap_server::{self, ldap_entry, DirectoryFault, LdapEntry, LdapServer};
@@ -52,23 +54,23 @@
 }
 
 /// A directory with those entries, and how it is asked. The name keeps the tests' secrets apart.
-async fn begin(name: &str) -> (Rc<LdapServer>, Source) {
+async fn begin(name: &str) -> (Rc<LdapServer>, LdapSource) {
     let there = ldap_server::start("open sesame").await.unwrap();
     *there.entries.borrow_mut() = entries();
     let password = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.secret"));
     std::fs::write(&password, "open sesame\n").unwrap();
-    let source = Source {
+    let source = LdapSource {
         urls: vec![format!("ldap://{}", there.address)],
         starttls: false,
-        vouchers: None,
+        ca_file: None,
         sync: false,
         bind_dn: "cn=planner,dc=campus".into(),
         password,
         base: "dc=campus".into(),
         filter: "(|(objectClass=inetOrgPerson)(objectClass=groupOfNames))".into(),
-        names: Names::default(),
+        names: AttributeNames::default(),
         page: 7,
-        patience: Duration::from_millis(400),
+        timeout: Duration::from_millis(400),
     };
     (there, source)
 }
@@ -77,8 +79,8 @@
 fn all_pages_come_and_members_are_found_whatever_their_spelling() {
     on_sockets(async {
         let (there, source) = begin("all").await;
-        let swept = sweep(&source, 0, Before::default(), || ()).await.unwrap();
-        assert_eq!((swept.sweep.entries.len(), swept.lacks.len(), swept.sweep.complete), (44, 0, true));
+        let swept = sync(&source, 0, SyncState::default(), || ()).await.unwrap();
+        assert_eq!((swept.sweep.entries.len(), swept.problems.len(), swept.sweep.complete), (44, 0, true));
         assert_eq!(there.searches.get(), 7);
         let (mut ours, mut trust) = (Tenants::default(), Trust::default());
         let believed = trust.judge(0, &ours, swept.sweep, CAUTION);
@@ -96,20 +98,22 @@
     on_sockets(async {
         let (there, source) = begin("cut").await;
         let (mut ours, mut trust) = (Tenants::default(), Trust::default());
-        let mut take = |swept: Swept| {
+        let mut take = |swept: SyncResult| {
             let believed = trust.judge(0, &ours, swept.sweep, CAUTION);
             ours.take(0, believed.entries, &believed.gone);
             ours.tenants(0).count()
         };
-        assert_eq!(take(sweep(&source, 0, Before::default(), || ()).await.unwrap()), 4);
+        assert_eq!(take(sync(&source, 0, SyncState::default(), || ()).await.unwrap()), 4);
         for most in 0..44 {
             there.fault.set(DirectoryFault::CutsAfter(most));
-            match sweep(&source, 0, Before::default(), || ()).await {
+            match sync(&source, 0, SyncState::default(), || ()).await {
                 Ok(swept) => {
-                    assert!(!swept.sweep.complete, "cut after {most}: {:?}", swept.lacks);
+                    assert!(!swept.sweep.complete, "cut after {most}: {:?}", swept.problems);
                     assert_eq!(take(swept), 4, "cut after {most}");
                 }
-                Err(e) => assert!(most == 0 && matches!(e, Fault::Search { .. }), "cut after {most}: {e}"),
+                Err(e) => {
+                    assert!(most == 0 && matches!(e, SyncError::Search { .. }), "cut after {most}: {e}")
+                }
             }
         }
     });
@@ -120,32 +124,35 @@
     on_sockets(async {
         let (there, mut source) = begin("words").await;
         there.fault.set(DirectoryFault::SizeLimit(20));
-        let swept = sweep(&source, 0, Before::default(), || ()).await.unwrap();
-        assert_eq!(swept.lacks, ["the search ended with result 4 (); expected 0"]);
+        let swept = sync(&source, 0, SyncState::default(), || ()).await.unwrap();
+        assert_eq!(swept.problems, ["the search ended with result 4 (); expected 0"]);
         there.fault.set(DirectoryFault::Stalls);
-        let said = sweep(&source, 0, Before::default(), || ()).await.unwrap_err().to_string();
+        let said = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err().to_string();
         assert!(said.contains("the search broke off"), "{said}");
         there.fault.set(DirectoryFault::Refuses);
-        assert!(matches!(sweep(&source, 0, Before::default(), || ()).await, Err(Fault::Connect { .. })));
+        assert!(matches!(
+            sync(&source, 0, SyncState::default(), || ()).await,
+            Err(SyncError::Connect { .. })
+        ));
         there.fault.set(DirectoryFault::Slow(20));
         assert!(
-            sweep(&source, 0, Before::default(), || ()).await.unwrap().sweep.complete,
+            sync(&source, 0, SyncState::default(), || ()).await.unwrap().sweep.complete,
             "slow, and all of it"
         );
         there.fault.set(DirectoryFault::None);
         *there.password.borrow_mut() = "changed".into();
-        let said = sweep(&source, 0, Before::default(), || ()).await.unwrap_err().to_string();
+        let said = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err().to_string();
         assert!(
             said.contains("bind as cn=planner,dc=campus: found result 49") && !said.contains("sesame"),
             "{said}"
         );
         std::fs::write(&source.password, "changed").unwrap();
         assert!(
-            sweep(&source, 0, Before::default(), || ()).await.unwrap().sweep.complete,
+            sync(&source, 0, SyncState::default(), || ()).await.unwrap().sweep.complete,
             "a secret that changed in service"
         );
         source.password = "/no/such/secret".into();
-        assert!(matches!(sweep(&source, 0, Before::default(), || ()).await, Err(Fault::File { .. })));
+        assert!(matches!(sync(&source, 0, SyncState::default(), || ()).await, Err(SyncError::File { .. })));
     });
 }
 
@@ -162,19 +169,19 @@
             ],
         );
         there.entries.borrow_mut().insert(5, bad);
-        let swept = sweep(&source, 0, Before::default(), || ()).await.unwrap();
+        let swept = sync(&source, 0, SyncState::default(), || ()).await.unwrap();
         assert_eq!((swept.sweep.entries.len(), swept.sweep.complete), (44, false));
         assert_eq!(
-            swept.lacks,
+            swept.problems,
             ["entry \"cn=odd,dc=campus\": entryUUID: found \"seven\"; expected 32 hex digits"]
         );
     });
 }
 
-fn raw(attributes: &[(&str, &[&str])]) -> Raw {
+fn raw(attributes: &[(&str, &[&str])]) -> RawEntry {
     let texts =
         attributes.iter().map(|(k, v)| ((*k).to_owned(), v.iter().map(|s| (*s).to_owned()).collect()));
-    Raw { dn: "cn=x,dc=campus".into(), texts: texts.collect(), bytes: HashMap::new() }
+    RawEntry { dn: "cn=x,dc=campus".into(), texts: texts.collect(), bytes: HashMap::new() }
 }
 
 #[test]
@@ -187,13 +194,13 @@
         ("cn", &["x"]),
         ("basaltpitchShare", &["0.4"]),
     ];
-    let entry = read(&Names::default(), raw(&good)).unwrap();
+    let entry = read(&AttributeNames::default(), raw(&good)).unwrap();
     assert_eq!((entry.id, entry.what), (Id(7), What::Tenant { share: 0.4 }));
     let long = "x".repeat(600);
     let with = |at: usize, values: &[&str]| {
         let mut all = good;
         all[at].1 = values;
-        read(&Names::default(), raw(&all)).unwrap_err()
+        read(&AttributeNames::default(), raw(&all)).unwrap_err()
     };
     let cases = [
         (with(3, &[]), "cn: found none; expected one value"),
@@ -211,7 +218,9 @@
     }
     let mut binary = raw(&good);
     binary.bytes.insert("cn".into(), vec![vec![0xff, 0xfe]]);
-    assert!(read(&Names::default(), binary).unwrap_err().contains("cn: found bytes that are no text"));
+    assert!(read(&AttributeNames::default(), binary)
+        .unwrap_err()
+        .contains("cn: found bytes that are no text"));
 }
 
 #[test]
@@ -232,8 +241,8 @@
     ) {
         let plain = plain_dn(&dn);
         prop_assert_eq!(&plain_dn(&plain), &plain);
-        let raw = Raw { dn, texts, bytes: HashMap::new() };
-        if let Err(said) = read(&Names::default(), raw) {
+        let raw = RawEntry { dn, texts, bytes: HashMap::new() };
+        if let Err(said) = read(&AttributeNames::default(), raw) {
             prop_assert!(said.contains("found") && said.contains("expected"), "{}", said);
         }
     }
--- a/ldap/tests/ways.rs
+++ b/ldap/tests/ways.rs
@@ -1,6 +1,6 @@
 //! The three ways to read a directory beside each other, under random edits and cuts; TLS; two servers that
 //! disagree.
-use basaltpitch_ldap::{filter_of_ids, sweep, Before, Fault, Names, Seen, Source};
+use basaltpitch_ldap::{filter_of_ids, sync, AttributeNames, LdapSource, SeenEntries, SyncError, SyncState};
 use basaltpitch_tenants::health::Pace;
 use basaltpitch_tenants::keeper::Keeper;
 use basaltpitch_tenants::trust::Caution;
@@ -33,19 +33,19 @@
     path
 }
 
-fn source(name: &str, urls: Vec<String>) -> Source {
-    Source {
+fn source(name: &str, urls: Vec<String>) -> LdapSource {
+    LdapSource {
         urls,
         starttls: false,
-        vouchers: None,
+        ca_file: None,
         bind_dn: "cn=planner,dc=campus".into(),
         password: file(&format!("{name}.secret"), "s"),
         base: "dc=campus".into(),
         filter: "(objectClass=*)".into(),
-        names: Names::default(),
+        names: AttributeNames::default(),
         page: 5,
         sync: false,
-        patience: Duration::from_millis(500),
+        timeout: Duration::from_millis(500),
     }
 }
 
@@ -105,11 +105,11 @@
         self.all.iter().map(entry).collect()
     }
 
-    fn entries(&self, names: &Names) -> BTreeMap<Id, Entry> {
+    fn entries(&self, names: &AttributeNames) -> BTreeMap<Id, Entry> {
         let raw = |(dn, attributes): LdapEntry| {
             let text = |v: Vec<u8>| String::from_utf8(v).unwrap();
             let texts = attributes.into_iter().map(|(k, v)| (k, v.into_iter().map(text).collect()));
-            basaltpitch_ldap::Raw { dn, texts: texts.collect(), bytes: Default::default() }
+            basaltpitch_ldap::RawEntry { dn, texts: texts.collect(), bytes: Default::default() }
         };
         let all = self.laid().into_iter().map(|l| basaltpitch_ldap::read(names, raw(l)).unwrap());
         all.map(|e| (e.id, e)).collect()
@@ -119,22 +119,22 @@
 /// A keeper with its edge, as a planner has them.
 struct Ours {
     keeper: Keeper,
-    seen: Vec<Seen>,
+    seen: Vec<SeenEntries>,
     now: i64,
 }
 
 impl Ours {
-    fn new(source: &Source) -> Ours {
+    fn new(source: &LdapSource) -> Ours {
         let keeper = Keeper::new(1, 0, &source.urls, None, PACE, BOLD).unwrap();
-        Ours { keeper, seen: vec![Seen::default(); source.urls.len()], now: 0 }
+        Ours { keeper, seen: vec![SeenEntries::default(); source.urls.len()], now: 0 }
     }
 
-    async fn sweep(&mut self, source: &Source) -> Result<(), Fault> {
+    async fn sweep(&mut self, source: &LdapSource) -> Result<(), SyncError> {
         self.now = self.keeper.next_at().max(self.now + 1);
         let server = self.keeper.next(self.now).expect("time for a sweep");
-        let seen = if self.keeper.whole() { Seen::default() } else { self.seen[server].clone() };
-        let before = Before { seen, cookie: self.keeper.cookie() };
-        match sweep(source, server, before, || ()).await {
+        let seen = if self.keeper.whole() { SeenEntries::default() } else { self.seen[server].clone() };
+        let before = SyncState { seen, cookie: self.keeper.cookie() };
+        match sync(source, server, before, || ()).await {
             Ok(swept) => {
                 self.seen[server] = swept.seen;
                 self.keeper.swept(self.now + 1, Some(swept.sweep));
@@ -237,7 +237,7 @@
     });
 }
 
-/// The answers to a sweep end after each byte of them, in each way of reading: nobody who is there is lost,
+/// The answers to a sync end after each byte of them, in each way of reading: nobody who is there is lost,
 /// and unless all came it is not taken for all.
 #[test]
 fn a_page_cut_at_each_byte_loses_no_tenant() {
@@ -257,7 +257,7 @@
             for most in 0..all {
                 there.bytes.set(0);
                 there.fault.set(DirectoryFault::CutsAtByte(most));
-                let swept = sweep(&source, 0, Before::default(), || ()).await;
+                let swept = basaltpitch_ldap::sync(&source, 0, SyncState::default(), || ()).await;
                 let whole = swept.as_ref().is_ok_and(|s| s.sweep.complete);
                 assert!(!whole, "byte {most} of {all}, synchronised: {sync}");
                 ours.now = ours.keeper.next_at().max(ours.now + 1);
@@ -343,21 +343,21 @@
             let scheme = if starttls { "ldap" } else { "ldaps" };
             let mut source = source("tls", vec![format!("{scheme}://{}", there.address)]);
             source.starttls = starttls;
-            source.vouchers = Some(file("one.pem", &pem));
-            let swept = sweep(&source, 0, Before::default(), || ()).await.unwrap();
+            source.ca_file = Some(file("one.pem", &pem));
+            let swept = sync(&source, 0, SyncState::default(), || ()).await.unwrap();
             assert_eq!((swept.sweep.entries.len(), swept.sweep.complete), (12, true));
             // The same file with another's certificate: it is read anew, and the server is not believed.
             file("one.pem", &stranger);
-            let said = sweep(&source, 0, Before::default(), || ()).await.unwrap_err();
-            assert!(matches!(said, Fault::Connect { .. }), "{said}");
+            let said = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err();
+            assert!(matches!(said, SyncError::Connect { .. }), "{said}");
             file("one.pem", "no certificate");
-            let said = sweep(&source, 0, Before::default(), || ()).await.unwrap_err().to_string();
+            let said = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err().to_string();
             assert!(said.contains("found no certificate; expected at least one in PEM"), "{said}");
         }
         // A server that wants TLS gets no password without it.
         let there = ldap_server::start_with_security("s", TransportSecurity::StartTls(one)).await.unwrap();
         let source = source("clear", vec![format!("ldap://{}", there.address)]);
-        let said = sweep(&source, 0, Before::default(), || ()).await.unwrap_err().to_string();
+        let said = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err().to_string();
         assert!(said.contains("found result 13"), "{said}");
     });
 }
--- a/ledger/tests/every_state.rs
+++ b/ledger/tests/every_state.rs
@@ -3,7 +3,7 @@
 //! call that the module's rules allow; links may be cut at any point, with frames in the air lost, or late by
 //! a whole link.
 use basaltpitch::host::AttemptOutcome;
-use basaltpitch_agent::holder::{Holder, Say, State};
+use basaltpitch_agent::attempt_table::{AttemptReply, AttemptState, AttemptTable};
 use basaltpitch_ledger::{
     Act, Answer, Asking, CopyState, Ending, Held, Kind, Launch, Ledger, Phase, PROMISES,
 };
@@ -27,14 +27,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Up {
-    Said(Launch, Say),
+    Said(Launch, AttemptReply),
     Inventory(Vec<(Launch, bool)>),
 }
 
 /// One machine and what is in the air to and from it. An old link may still deliver what it had.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Far {
-    holder: Holder<u8, ()>,
+    holder: AttemptTable<u8, ()>,
     down: VecDeque<Down>,
     old: VecDeque<Down>,
     up: VecDeque<Up>,
@@ -188,19 +188,19 @@
         let far = &mut self.far[m];
         let Some(frame) = (if old { far.old.pop_front() } else { far.down.pop_front() }) else { return };
         let mut say = |launch, say| {
-            if say != Say::Nothing && far.stands && !old {
+            if say != AttemptReply::Nothing && far.stands && !old {
                 far.up.push_back(Up::Said(launch, say));
             }
         };
         match frame {
             Down::Hello(link) => {
-                if far.holder.hello(&0, 1, link) {
+                if far.holder.admit_link(&0, 1, link) {
                     // Every older link is out of use.
                     far.old.clear();
                     let (endings, held) = far.holder.inventory(&0);
                     let launch = |id: (u64, u64)| Launch { epoch: id.0, number: id.1 };
                     far.up.extend(endings.into_iter().map(|(i, s)| Up::Said(launch(i), s)));
-                    let held = held.into_iter().map(|(i, s, ())| (launch(i), s != State::Queued));
+                    let held = held.into_iter().map(|(i, s, ())| (launch(i), s != AttemptState::Queued));
                     far.up.push_back(Up::Inventory(held.collect()));
                 }
             }
@@ -213,16 +213,16 @@
                 say(l, answer);
             }
             Down::Stop(l) => match far.holder.state(&0, id(l)) {
-                Some(State::Accepted | State::Running) => {
-                    far.holder.set(&0, id(l), State::Ended(4));
-                    say(l, Say::Ended(4));
+                Some(AttemptState::Accepted | AttemptState::Running) => {
+                    far.holder.set_state(&0, id(l), AttemptState::Ended(4));
+                    say(l, AttemptReply::Ended(4));
                 }
                 _ => {
                     let answer = far.holder.cancel(&0, id(l));
                     say(l, answer);
                 }
             },
-            Down::Noted(l) => far.holder.noted(&0, id(l)),
+            Down::Noted(l) => far.holder.acknowledge(&0, id(l)),
         }
     }
 
@@ -230,10 +230,10 @@
         let Some(frame) = self.far[m].up.pop_front() else { return };
         let mut acts = Vec::new();
         match frame {
-            Up::Said(l, Say::Yes) => self.ledger.yes(l, &mut acts),
-            Up::Said(l, Say::NotHere) => self.ledger.refused(l, 4, &mut acts),
-            Up::Said(l, Say::Ended(4)) => self.ledger.ended(l, m, Ending::Stopped, &mut acts),
-            Up::Said(l, Say::Ended(_)) => self.ledger.ended(l, m, Ending::Done, &mut acts),
+            Up::Said(l, AttemptReply::Accepted) => self.ledger.yes(l, &mut acts),
+            Up::Said(l, AttemptReply::NotHere) => self.ledger.refused(l, 4, &mut acts),
+            Up::Said(l, AttemptReply::Ended(4)) => self.ledger.ended(l, m, Ending::Stopped, &mut acts),
+            Up::Said(l, AttemptReply::Ended(_)) => self.ledger.ended(l, m, Ending::Done, &mut acts),
             Up::Said(l, _) => self.ledger.failed(l, m, &mut acts),
             Up::Inventory(held) => {
                 let held = held.into_iter().map(|(launch, accepted)| Held {
@@ -293,20 +293,20 @@
                     }
                 };
                 match state {
-                    State::Queued => {
+                    AttemptState::Queued => {
                         with(&|w| {
-                            w.far[m].holder.set(&0, launch, State::Running);
+                            w.far[m].holder.set_state(&0, launch, AttemptState::Running);
                             w.starts += 1;
-                            say(w, Say::Yes);
+                            say(w, AttemptReply::Accepted);
                         });
                         with(&|w| {
                             w.far[m].holder.forget(&0, launch);
-                            say(w, Say::NotHere);
+                            say(w, AttemptReply::NotHere);
                         });
                     }
                     _ => with(&|w| {
-                        w.far[m].holder.set(&0, launch, State::Ended(0));
-                        say(w, Say::Ended(0));
+                        w.far[m].holder.set_state(&0, launch, AttemptState::Ended(0));
+                        say(w, AttemptReply::Ended(0));
                     }),
                 }
             }
@@ -380,7 +380,8 @@
         if record.is_some_and(|r| r.phase == Phase::Placed) && copies().all(|c| c.state != CopyState::Held) {
             return Err("placed without a copy");
         }
-        let runs = |far: &Far| far.holder.inventory(&0).1.iter().filter(|h| h.1 == State::Running).count();
+        let runs =
+            |far: &Far| far.holder.inventory(&0).1.iter().filter(|h| h.1 == AttemptState::Running).count();
         let running: usize = self.far.iter().map(runs).sum();
         if kind == Kind::OnceOnly && running > 1 {
             return Err("a once-only task runs twice");
--- a/planner/src/lease_client.rs
+++ b/planner/src/lease_client.rs
@@ -8,7 +8,7 @@
 use crate::voter_links::{boottime_us, VoterDialer, VoterEndpoint};
 use actor::Actor;
 use basaltpitch_agent::link::Clock;
-use basaltpitch_agent::session::{Links, Party};
+use basaltpitch_agent::session::{LinkConfig, PeerIdentity};
 use basaltpitch_lease::LeaseConfig;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -40,9 +40,9 @@
     /// Where events of leases go, for a process that wants them without a slot.
     pub events: Option<mpsc::Sender<LeaseEvent>>,
     /// Who it is: a name of its own and the time of its start.
-    pub identity: Party,
+    pub identity: PeerIdentity,
     /// What its links to voters share with the others of the process.
-    pub links: Links,
+    pub links: LinkConfig,
     /// Where chance starts from.
     pub seed: u64,
 }
--- a/planner/src/lease_client/actions.rs
+++ b/planner/src/lease_client/actions.rs
@@ -2,7 +2,7 @@
 use super::actor::{Actor, HeldLease};
 use super::{LeaseDeadline, LeaseEvent, SlotEvent, INBOX};
 use crate::voter_links::boottime_us;
-use basaltpitch_agent::link::Order;
+use basaltpitch_agent::link::LinkCommand;
 use basaltpitch_agent::wire::{self, Body};
 use basaltpitch_lease::client::LeaseAction;
 use basaltpitch_lease::record::{LeaseHolders, RevisionTracker};
@@ -15,7 +15,7 @@
     pub fn send_to_voters(&mut self, body: impl Fn() -> Body) {
         for orders in self.voters.iter().flatten() {
             // What a voter that does not read is not handed counts as lost.
-            let _ = orders.try_send(Order::Send(body(), None));
+            let _ = orders.try_send(LinkCommand::Send(body(), None));
         }
     }
 
--- a/planner/src/lease_client/actor.rs
+++ b/planner/src/lease_client/actor.rs
@@ -1,7 +1,7 @@
 //! The state of a lease client, and what it does on frames of voters and commands of its process.
 use super::{LeaseClientConfig, LeaseDeadline, LeaseEvent, SlotEvent};
 use crate::voter_links::{boottime_us, process_name, VoterLinkEvent};
-use basaltpitch_agent::link::Order;
+use basaltpitch_agent::link::LinkCommand;
 use basaltpitch_agent::wire::{self, Body};
 use basaltpitch_lease::client::LeaseClient;
 use basaltpitch_lease::record::{LeaseHolders, RevisionTracker};
@@ -24,7 +24,7 @@
     pub client: LeaseClient<Rc<str>>,
     pub slots: SlotSelector<Rc<str>>,
     pub process: Rc<str>,
-    pub voters: Vec<Option<mpsc::Sender<Order>>>,
+    pub voters: Vec<Option<mpsc::Sender<LinkCommand>>>,
     /// Of the slot.
     pub deadline: LeaseDeadline,
     pub slot_events: mpsc::Sender<SlotEvent>,
@@ -103,7 +103,7 @@
         match event {
             VoterLinkEvent::Up(orders) => {
                 let brief = wire::Record { brief: true, ..wire::Record::default() };
-                let _ = orders.try_send(Order::Send(Body::Record(brief), None));
+                let _ = orders.try_send(LinkCommand::Send(Body::Record(brief), None));
                 self.voters[voter] = Some(orders);
             }
             VoterLinkEvent::Down => {
--- a/planner/src/lease_client/records.rs
+++ b/planner/src/lease_client/records.rs
@@ -2,7 +2,7 @@
 use super::actor::Actor;
 use super::{LeaseEvent, LeaseRecord};
 use crate::voter_links::boottime_us;
-use basaltpitch_agent::link::Order;
+use basaltpitch_agent::link::LinkCommand;
 use basaltpitch_agent::wire::{self, Body};
 use basaltpitch_lease::record::{LeaseVersion, RecordDelta, RevisionState};
 use basaltpitch_lease::{majority_value, LeaseMetadata};
@@ -56,7 +56,7 @@
         let RevisionState { incarnation, revision } = self.tracker.state(voter, prefix);
         let request = wire::Record { brief: true, prefix: prefix.to_string(), life: incarnation, revision };
         if let Some(orders) = &self.voters[voter] {
-            let _ = orders.try_send(Order::Send(Body::Record(request), None));
+            let _ = orders.try_send(LinkCommand::Send(Body::Record(request), None));
         }
     }
 
--- a/planner/src/peers.rs
+++ b/planner/src/peers.rs
@@ -8,8 +8,8 @@
 use crate::summaries;
 use basaltpitch::host::Readiness;
 use basaltpitch_admission::PeerSummary;
-use basaltpitch_agent::link::Order;
-use basaltpitch_agent::session::Party;
+use basaltpitch_agent::link::LinkCommand;
+use basaltpitch_agent::session::PeerIdentity;
 use basaltpitch_agent::wire::Body;
 use basaltpitch_gossip::{Call, Exchange, Figures, Heard, Layout, Pace, Place, Site, Wrong};
 use basaltpitch_zone_failover::{OfHall, OF_HALL};
@@ -49,7 +49,7 @@
     meeting: Meeting,
     exchange: Exchange<Layout>,
     /// Where frames for each link go.
-    orders: HashMap<u64, mpsc::Sender<Order>>,
+    orders: HashMap<u64, mpsc::Sender<LinkCommand>>,
     /// The seats that are dialled, by link.
     dialled: HashMap<u64, usize>,
     links: u64,
@@ -226,8 +226,8 @@
         &mut self,
         now: i64,
         link: u64,
-        peer: &Party,
-        orders: mpsc::Sender<Order>,
+        peer: &PeerIdentity,
+        orders: mpsc::Sender<LinkCommand>,
     ) -> Result<(), Wrong> {
         let dialled = self.dialled.get(&link).copied();
         let seats = self.meeting.seats.len();
@@ -299,10 +299,12 @@
                     self.dialled.insert(self.links, seat);
                     return Some((self.links, address));
                 }
-                Call::Hang { link } => self.order(link, Order::Close("linked to another planner".into())),
+                Call::Hang { link } => {
+                    self.order(link, LinkCommand::Close("linked to another planner".into()))
+                }
                 call => {
                     if let Some((link, body)) = summaries::frame(&call) {
-                        self.order(link, Order::Send(body, None));
+                        self.order(link, LinkCommand::Send(body, None));
                     }
                 }
             }
@@ -311,7 +313,7 @@
     }
 
     /// What a link does not take counts as lost: the next round asks again.
-    fn order(&self, link: u64, order: Order) {
+    fn order(&self, link: u64, order: LinkCommand) {
         if let Some(orders) = self.orders.get(&link) {
             let _ = orders.try_send(order);
         }
