--- a/planner/src/service.rs
+++ b/planner/src/service.rs
@@ -10,12 +10,12 @@
 use crate::tenancy::{Learnt, Task, Ways};
 use crate::view;
 use basaltpitch::host::Settings;
-use basaltpitch_agent::accepting::Accepting;
-use basaltpitch_agent::link::{self, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Links, Party};
+use basaltpitch_agent::acceptor::Acceptor;
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{LinkConfig, PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{Body, Role};
 use basaltpitch_constraints::Constraint;
-use basaltpitch_ldap::{Before, Directory, Fault, Seen, Swept};
+use basaltpitch_ldap::{DirectorySettings, SeenEntries, SyncError, SyncResult, SyncState};
 use basaltpitch_snapshot_store::Store;
 use basaltpitch_subsetting::Terms;
 use basaltpitch_tenants::keeper::FORMAT;
@@ -48,7 +48,7 @@
 
 struct Linked {
     link: u64,
-    orders: mpsc::Sender<Order>,
+    orders: mpsc::Sender<LinkCommand>,
 }
 
 /// What a planner is started with.
@@ -60,7 +60,7 @@
     /// Where tasks may run, and where each clause stands, in words.
     pub constraints: Vec<(Constraint, String)>,
     /// Where tenants are learnt from.
-    pub directory: Option<Directory>,
+    pub directory: Option<DirectorySettings>,
     /// What outlives this planner.
     pub store: Option<Store>,
     /// The seat that it serves under, where there is a council.
@@ -72,7 +72,7 @@
     /// How it meets the other planners, under a seat.
     pub peer_links: Option<Meeting>,
     /// What its links share with the others of the process.
-    pub links: Links,
+    pub links: LinkConfig,
     /// The part of the fleet that it links to, where it has one, and the names of all seats.
     pub subset: Option<(Terms, Vec<Rc<str>>)>,
 }
@@ -95,14 +95,14 @@
 /// News of a sweep.
 enum Heard {
     Answered(u64),
-    Ended(u64, Result<Swept, Fault>),
+    Ended(u64, Result<SyncResult, SyncError>),
 }
 
 /// The directory's side of the service: one sweep at a time, beside the planner's other work.
 struct Sweeps {
-    directory: Directory,
+    directory: DirectorySettings,
     /// What each server gave last.
-    seen: Vec<Seen>,
+    seen: Vec<SeenEntries>,
     under: Option<(Task, tokio::task::JoinHandle<()>)>,
     news: mpsc::Sender<Heard>,
 }
@@ -113,8 +113,8 @@
             given_up.abort();
         }
         let last = std::mem::take(&mut self.seen[task.server]);
-        let seen = if task.whole { Seen::default() } else { last };
-        let before = Before { seen, cookie: task.cookie.clone() };
+        let seen = if task.whole { SeenEntries::default() } else { last };
+        let before = SyncState { seen, cookie: task.cookie.clone() };
         let (source, news, number, server) =
             (self.directory.source.clone(), self.news.clone(), task.number, task.server);
         let running = tokio::task::spawn_local(async move {
@@ -122,14 +122,14 @@
             let answered = move || {
                 let _ = first.try_send(Heard::Answered(number));
             };
-            let swept = basaltpitch_ldap::sweep(&source, server, before, answered).await;
+            let swept = basaltpitch_ldap::sync(&source, server, before, answered).await;
             let _ = news.send(Heard::Ended(number, swept)).await;
         });
         self.under = Some((task, running));
     }
 
     /// Keeps what the next sweep of the same server can go on from.
-    fn ended(&mut self, number: u64, swept: &mut Swept) {
+    fn ended(&mut self, number: u64, swept: &mut SyncResult) {
         if let Some((task, _)) = self.under.take_if(|u| u.0.number == number) {
             self.seen[task.server] = std::mem::take(&mut swept.seen);
         }
@@ -167,7 +167,7 @@
 }
 
 /// Begins to learn from a directory, with what an earlier life remembered.
-fn learnt(seed: u64, now: i64, directory: &Directory, store: Option<&Store>) -> Learnt {
+fn learnt(seed: u64, now: i64, directory: &DirectorySettings, store: Option<&Store>) -> Learnt {
     let ways = Ways {
         servers: directory.source.urls.clone(),
         terms: directory.terms.clone(),
@@ -185,12 +185,12 @@
 struct Actor {
     core: PlannerState,
     clock: Clock,
-    me: Party,
-    links: Links,
+    me: PeerIdentity,
+    links: LinkConfig,
     /// Machines and the register that are dialled or linked.
     linked: HashMap<usize, Linked>,
-    conns: HashMap<u64, mpsc::Sender<Order>>,
-    first: mpsc::Sender<(From, News)>,
+    conns: HashMap<u64, mpsc::Sender<LinkCommand>>,
+    first: mpsc::Sender<(From, LinkEvent)>,
     sweeps: Option<Sweeps>,
     memories: Option<std::sync::mpsc::SyncSender<(i64, Option<Vec<u8>>)>>,
     tenure: Option<LeaseDeadline>,
@@ -199,7 +199,7 @@
     /// All seats in the installation's order, where the planner works a part.
     seats: Vec<Rc<str>>,
     /// Where news of links to other planners go: they may be dropped, those of machines may not.
-    later: mpsc::Sender<(From, News)>,
+    later: mpsc::Sender<(From, LinkEvent)>,
 }
 
 /// The next word of the council, where there is one.
@@ -223,7 +223,7 @@
         links,
     } = config;
     let clock = Clock::start();
-    let me = Party {
+    let me = PeerIdentity {
         role: Role::Planner,
         name: who.name.clone(),
         epoch: who.epoch,
@@ -245,7 +245,7 @@
     core.set_constraints(clauses, places);
     let sweeps = directory.map(|directory| {
         core.use_directory(clock.now(), learnt(seed, clock.now(), &directory, store.as_ref()));
-        let seen = vec![Seen::default(); directory.source.urls.len()];
+        let seen = vec![SeenEntries::default(); directory.source.urls.len()];
         Sweeps { directory, seen, under: None, news }
     });
     let memories = store.map(writer);
@@ -269,7 +269,7 @@
         later,
     };
     let mut conns = 0;
-    let mut accepting = Accepting::new(listener);
+    let mut accepting = Acceptor::new(listener);
     tokio::pin!(stop);
     loop {
         a.carry_out();
@@ -304,17 +304,17 @@
                     a.hear(from, news);
                 }
             }
-            (stream, _) = accepting.next() => {
+            (stream, _) = accepting.accept() => {
                 conns += 1;
                 a.accept(stream, conns);
             }
         }
     }
     for (_, linked) in a.linked.drain() {
-        let _ = linked.orders.try_send(Order::Close("the planner stops".into()));
+        let _ = linked.orders.try_send(LinkCommand::Close("the planner stops".into()));
     }
     for (_, orders) in a.conns.drain() {
-        let _ = orders.try_send(Order::Close("the planner stops".into()));
+        let _ = orders.try_send(LinkCommand::Close("the planner stops".into()));
     }
     tokio::time::sleep(Duration::from_millis(20)).await;
 }
@@ -326,7 +326,7 @@
         let news = self.later.clone();
         let (links, me, clock) = (self.links.clone(), self.me.clone(), self.clock);
         let wrap = move |n| (From::Conn(conn), n);
-        tokio::task::spawn_local(link::run_among(links, stream, me, clock, inbox, news, wrap));
+        tokio::task::spawn_local(link::run_with_config(links, stream, me, clock, inbox, news, wrap));
     }
 
     fn dial(&mut self, peer: usize, link: u64, name: &str, address: &str) {
@@ -348,10 +348,10 @@
         from: From,
         link: u64,
         address: &str,
-        inbox: mpsc::Receiver<Order>,
-        news: mpsc::Sender<(From, News)>,
+        inbox: mpsc::Receiver<LinkCommand>,
+        news: mpsc::Sender<(From, LinkEvent)>,
     ) {
-        let me = Party { link, ..self.me.clone() };
+        let me = PeerIdentity { link, ..self.me.clone() };
         let (links, clock) = (self.links.clone(), self.clock);
         let within = Duration::from_micros(self.core.connect_timeout_us() as u64);
         let address = address.to_owned();
@@ -360,12 +360,12 @@
             let why = match tokio::time::timeout(within, TcpStream::connect(&address)).await {
                 Ok(Ok(stream)) => {
                     let _ = stream.set_nodelay(true);
-                    return link::run_among(links, stream, me, clock, inbox, news, wrap).await;
+                    return link::run_with_config(links, stream, me, clock, inbox, news, wrap).await;
                 }
                 Ok(Err(e)) => format!("no connection: {e}"),
                 Err(_) => "no connection in time".into(),
             };
-            let _ = news.send(wrap(News::Ended { why, unsent: Vec::new() })).await;
+            let _ = news.send(wrap(LinkEvent::Ended { why, unsent: Vec::new() })).await;
         });
     }
 
@@ -377,7 +377,7 @@
                 if let Some(sweeps) = &mut self.sweeps {
                     sweeps.ended(number, &mut swept);
                 }
-                self.core.directory_synced(now, number, Some(swept.sweep), swept.lacks);
+                self.core.directory_synced(now, number, Some(swept.sweep), swept.problems);
             }
             Heard::Ended(number, Err(fault)) => {
                 tracing::info!(error = %fault, "a sweep of the directory brought nothing");
@@ -386,7 +386,7 @@
         }
     }
 
-    fn hear(&mut self, from: From, news: News) {
+    fn hear(&mut self, from: From, news: LinkEvent) {
         let now = self.clock.now();
         match from {
             From::Peer { peer: REGISTRY, link } => self.hear_register(now, link, news),
@@ -426,19 +426,21 @@
     }
 
     /// News of a link to another planner, of either side's dialling.
-    fn hear_planner(&mut self, now: i64, link: u64, news: News) {
+    fn hear_planner(&mut self, now: i64, link: u64, news: LinkEvent) {
         let Some(peers) = &mut self.peers else {
             return self.close_conn(link, "role: found a planner; this one has no seat and meets none");
         };
         let done = match news {
-            News::Session(Event::Up(party)) if party.role == Role::Planner => {
+            LinkEvent::Session(SessionEvent::Up(party)) if party.role == Role::Planner => {
                 let Some(orders) = self.conns.get(&link).cloned() else { return };
                 peers.up(now, link, &party, orders)
             }
-            News::Session(Event::Up(_)) => return self.close_conn(link, "role: expected a planner"),
-            News::Session(Event::Frame(body)) => peers.frame(now, link, body),
-            News::Session(_) => return,
-            News::Ended { why, .. } => {
+            LinkEvent::Session(SessionEvent::Up(_)) => {
+                return self.close_conn(link, "role: expected a planner")
+            }
+            LinkEvent::Session(SessionEvent::Frame(body)) => peers.frame(now, link, body),
+            LinkEvent::Session(_) => return,
+            LinkEvent::Ended { why, .. } => {
                 tracing::debug!(link, why, "no link to a planner any more");
                 self.conns.remove(&link);
                 peers.down(now, link);
@@ -453,21 +455,21 @@
 
     fn close_peer(&mut self, peer: usize, link: u64, why: &str) {
         if let Some(linked) = self.linked.get(&peer).filter(|x| x.link == link) {
-            let _ = linked.orders.try_send(Order::Close(why.to_owned()));
+            let _ = linked.orders.try_send(LinkCommand::Close(why.to_owned()));
         }
     }
 
-    fn hear_register(&mut self, now: i64, link: u64, news: News) {
+    fn hear_register(&mut self, now: i64, link: u64, news: LinkEvent) {
         match news {
-            News::Session(Event::Up(party)) if party.role == Role::Register => {
+            LinkEvent::Session(SessionEvent::Up(party)) if party.role == Role::Register => {
                 tracing::info!(register = party.name, "the register answers");
                 self.core.registry_up(now);
             }
-            News::Session(Event::Up(party)) => {
+            LinkEvent::Session(SessionEvent::Up(party)) => {
                 tracing::error!(role = ?party.role, "register: found another role; expected a register");
                 self.close_peer(REGISTRY, link, "role: expected a register");
             }
-            News::Session(Event::Frame(body)) => {
+            LinkEvent::Session(SessionEvent::Frame(body)) => {
                 if let (Body::List(list), Some(rolls)) = (&body, &mut self.rolls) {
                     rolls.on_machine_list(now, list);
                 }
@@ -475,8 +477,8 @@
                     tracing::error!(error = e, "register");
                 }
             }
-            News::Session(_) => {}
-            News::Ended { why, .. } => {
+            LinkEvent::Session(_) => {}
+            LinkEvent::Ended { why, .. } => {
                 tracing::warn!(why, "the register does not answer; the last list stands");
                 self.linked.remove(&REGISTRY);
                 self.core.registry_down(now);
@@ -487,9 +489,9 @@
         }
     }
 
-    fn hear_machine(&mut self, now: i64, m: usize, link: u64, news: News) {
+    fn hear_machine(&mut self, now: i64, m: usize, link: u64, news: LinkEvent) {
         match news {
-            News::Session(Event::Up(party)) => {
+            LinkEvent::Session(SessionEvent::Up(party)) => {
                 let right = party.role == Role::Machine
                     && self.core.machine_up(now, m, link, &party.name, party.epoch);
                 if right {
@@ -503,19 +505,19 @@
                     self.close_peer(m, link, "another machine, or an older start of it, was expected");
                 }
             }
-            News::Session(Event::Frame(body)) => {
+            LinkEvent::Session(SessionEvent::Frame(body)) => {
                 if let Err(e) = self.core.machine_frame(now, m, link, body) {
                     tracing::error!(machine = m, error = e, "a frame that makes no sense; the link ends");
                     self.close_peer(m, link, &e);
                 }
             }
-            News::Session(Event::Health(state)) => {
+            LinkEvent::Session(SessionEvent::Health(state)) => {
                 tracing::info!(machine = self.core.machine_name(m), state = ?state, "link");
-                let suspect = state != basaltpitch_agent::health::State::Well;
+                let suspect = state != basaltpitch_agent::link_health::LinkHealth::Well;
                 self.core.machine_suspect(now, m, link, suspect);
             }
-            News::Session(Event::Closed(_)) => {}
-            News::Ended { why, unsent } => {
+            LinkEvent::Session(SessionEvent::Closed(_)) => {}
+            LinkEvent::Ended { why, unsent } => {
                 tracing::info!(
                     machine = self.core.machine_name(m),
                     link,
@@ -531,17 +533,21 @@
         }
     }
 
-    fn hear_conn(&mut self, now: i64, conn: u64, news: News) {
+    fn hear_conn(&mut self, now: i64, conn: u64, news: LinkEvent) {
         match news {
             news if self.peers.as_ref().is_some_and(|p| p.knows(conn)) => self.hear_planner(now, conn, news),
-            News::Session(Event::Up(party)) if party.role == Role::Planner && self.peers.is_some() => {
-                self.hear_planner(now, conn, News::Session(Event::Up(party)));
+            LinkEvent::Session(SessionEvent::Up(party))
+                if party.role == Role::Planner && self.peers.is_some() =>
+            {
+                self.hear_planner(now, conn, LinkEvent::Session(SessionEvent::Up(party)));
             }
-            News::Session(Event::Up(party)) if !matches!(party.role, Role::Owner | Role::Operator) => {
+            LinkEvent::Session(SessionEvent::Up(party))
+                if !matches!(party.role, Role::Owner | Role::Operator) =>
+            {
                 self.close_conn(conn, "role: expected an owner or an operator");
             }
-            News::Session(Event::Up(party)) => self.core.client_connected(conn, &party.login),
-            News::Session(Event::Frame(body)) => {
+            LinkEvent::Session(SessionEvent::Up(party)) => self.core.client_connected(conn, &party.login),
+            LinkEvent::Session(SessionEvent::Frame(body)) => {
                 let beside = || {
                     let mut told = serde_json::json!({"traffic": view::traffic(&self.links.traffic)});
                     if let Some(peers) = &self.peers {
@@ -554,8 +560,8 @@
                     self.close_conn(conn, &e);
                 }
             }
-            News::Session(_) => {}
-            News::Ended { why, .. } => {
+            LinkEvent::Session(_) => {}
+            LinkEvent::Ended { why, .. } => {
                 tracing::debug!(conn, why, "owner gone");
                 self.conns.remove(&conn);
                 self.core.client_disconnected(conn);
@@ -565,7 +571,7 @@
 
     fn close_conn(&mut self, conn: u64, why: &str) {
         if let Some(orders) = self.conns.get(&conn) {
-            let _ = orders.try_send(Order::Close(why.to_owned()));
+            let _ = orders.try_send(LinkCommand::Close(why.to_owned()));
         }
     }
 
@@ -577,7 +583,7 @@
                 Output::Dial { peer, link, name, address } => self.dial(peer, link, &name, &address),
                 Output::Registry(body) => {
                     if let Some(linked) = self.linked.get(&REGISTRY) {
-                        let _ = linked.orders.try_send(Order::Send(body, None));
+                        let _ = linked.orders.try_send(LinkCommand::Send(body, None));
                     }
                 }
                 Output::Machine { machine, body, mark } => self.send_machine(machine, body, mark),
@@ -596,7 +602,7 @@
                 }
                 Output::Disconnect { machine, why } => {
                     if let Some(linked) = self.linked.get(&machine) {
-                        let _ = linked.orders.try_send(Order::Close(why.to_owned()));
+                        let _ = linked.orders.try_send(LinkCommand::Close(why.to_owned()));
                     }
                 }
             }
@@ -606,7 +612,7 @@
         }
         while let Some(body) = self.rolls.as_mut().and_then(RollingRestartCoordinator::next_frame) {
             if let Some(linked) = self.linked.get(&REGISTRY) {
-                let _ = linked.orders.try_send(Order::Send(body, None));
+                let _ = linked.orders.try_send(LinkCommand::Send(body, None));
             }
         }
     }
@@ -615,7 +621,7 @@
         // A process that was stopped wakes with launches decided: by then another may have its seat.
         let unseated = mark.is_some() && self.tenure.as_ref().is_some_and(|t| !t.is_held());
         if let Some(linked) = self.linked.get(&machine).filter(|_| !unseated) {
-            match linked.orders.try_send(Order::Send(body, mark)) {
+            match linked.orders.try_send(LinkCommand::Send(body, mark)) {
                 Ok(()) => return,
                 Err(TrySendError::Full(_)) => {
                     tracing::warn!(
@@ -635,7 +641,7 @@
 
     fn send_conn(&mut self, conn: u64, body: Body) {
         let Some(orders) = self.conns.get(&conn) else { return };
-        if let Err(TrySendError::Full(_)) = orders.try_send(Order::Send(body, None)) {
+        if let Err(TrySendError::Full(_)) = orders.try_send(LinkCommand::Send(body, None)) {
             tracing::warn!(conn, "an owner does not read; its connection ends");
             self.conns.remove(&conn);
         }
--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -19,7 +19,7 @@
 use crate::tenancy::{Asked, Learnt, Task, Tenancy};
 use basaltpitch::host::{number, text, AttemptOutcome, MachineEstimate, Readiness, Settings};
 use basaltpitch::placement::Planner;
-use basaltpitch_agent::dial::{Dials, Pace};
+use basaltpitch_agent::dial_queue::{DialConfig, DialQueue};
 use basaltpitch_agent::wire::{self, Body};
 use basaltpitch_constraints::state::MachineState;
 use basaltpitch_constraints::{Constraint, MachineAttributes, TaskAttributes};
@@ -118,7 +118,7 @@
     service_ids: RefCountedIds<u64>,
     /// The service of each task of the module's.
     service_of_task: Vec<usize>,
-    dials: Dials,
+    dials: DialQueue,
     last_link: u64,
     registry_up: bool,
     watching: bool,
@@ -215,8 +215,8 @@
         let connect_timeout_us = number(&given, "permissions.connectTimeoutUs").unwrap_or(250_000.0) as i64;
         let pushes = text(&given, "discovery") != "ask";
         let recorder = record.map(|out| Recorder::start(out, who.seed, now, &given));
-        let mut dials = Dials::new(who.seed, now, Pace::USUAL);
-        dials.want(REGISTRY, now);
+        let mut dials = DialQueue::new(who.seed, now, DialConfig::DEFAULT);
+        dials.add(REGISTRY, now);
         let mut core = PlannerState {
             placement: Planner::new(hands, who.seed, now, given),
             identity: who,
@@ -264,7 +264,7 @@
 
     /// The time at which `clock` has something to do.
     pub fn next_at(&self) -> i64 {
-        let dial = self.dials.next_at().unwrap_or(i64::MAX);
+        let dial = self.dials.next_due_at().unwrap_or(i64::MAX);
         self.placement.host.timers.next_at().unwrap_or(i64::MAX).min(dial).min(self.tenancy.next_at())
     }
 
@@ -284,7 +284,7 @@
             }
             self.perform_pending();
         }
-        while let Some(peer) = self.dials.next(now) {
+        while let Some(peer) = self.dials.next_due(now) {
             self.dial(peer);
         }
         if let Some(learnt) = self.tenancy.learnt() {
@@ -332,7 +332,7 @@
             let address = self.identity.register.as_str().into();
             return self.outputs.push_back(Output::Dial { peer, link, name: "register".into(), address });
         }
-        let Some(machine) = self.machines[peer].as_mut() else { return self.dials.forget(peer) };
+        let Some(machine) = self.machines[peer].as_mut() else { return self.dials.remove(peer) };
         (machine.availability.link, machine.link) = (LinkState::Connecting, link);
         let (name, address) = (self.machine_ids.ids.id(peer).clone(), machine.address.clone());
         self.outputs.push_back(Output::Dial { peer, link, name, address });
--- a/planner/src/state/machines.rs
+++ b/planner/src/state/machines.rs
@@ -6,7 +6,7 @@
 
     pub fn registry_up(&mut self, now: i64) {
         self.set_clock(now);
-        self.dials.up(REGISTRY, now);
+        self.dials.link_up(REGISTRY, now);
         self.registry_up = true;
         if self.registry_pushes {
             self.watching = true;
@@ -16,7 +16,7 @@
 
     pub fn registry_down(&mut self, now: i64) {
         self.set_clock(now);
-        self.dials.down(REGISTRY, now);
+        self.dials.link_down(REGISTRY, now);
         if std::mem::take(&mut self.registry_up) && std::mem::take(&mut self.watching) {
             self.notify_placement(PlacementEvent::ListLost);
         }
@@ -119,7 +119,7 @@
     /// The list has a machine no longer: no new connection is made. What is on it is lost once no link
     /// stands.
     pub(super) fn machine_unlisted(&mut self, m: usize) {
-        self.dials.forget(m);
+        self.dials.remove(m);
         self.part_unlisted(m);
         let now = self.now();
         let Some(machine) = self.machines[m].as_mut() else { return };
@@ -255,7 +255,7 @@
         if !self.is_current(m, link) || **self.machine_ids.ids.id(m) != *name {
             return false;
         }
-        self.dials.up(m, now);
+        self.dials.link_up(m, now);
         let machine = self.machines[m].as_mut().expect("current links are of known machines");
         if (epoch as i64) < machine.availability.started_us {
             return false;
@@ -290,7 +290,7 @@
             }
             return self.perform_pending();
         }
-        self.dials.down(m, now);
+        self.dials.link_down(m, now);
         self.machines[m].as_mut().expect("current").availability.link = LinkState::None;
         self.placement.host.on_ledger(|l, acts| l.link_cut(m, unsent, acts));
         let dead: Vec<u64> = self.probes.iter().filter(|x| *x.1 == m).map(|x| *x.0).collect();
--- a/planner/src/state/parts.rs
+++ b/planner/src/state/parts.rs
@@ -81,9 +81,9 @@
         let Some(machine) = self.machines.get_mut(m).and_then(Option::as_mut) else { return };
         machine.availability.outside_subset = !offers;
         if links && machine.availability.is_wanted() {
-            self.dials.want(m, now);
+            self.dials.add(m, now);
         } else if machine.availability.is_wanted() {
-            self.dials.forget(m);
+            self.dials.remove(m);
             // A link that still comes up is of no use; what was not sent over one that ends is told.
             if machine.availability.link != LinkState::None {
                 (machine.availability.link, machine.link) = (LinkState::None, 0);
@@ -96,7 +96,7 @@
     /// The list has a machine, ready or draining.
     pub(super) fn want(&mut self, m: usize) {
         let now = self.now();
-        let Some(parts) = &mut self.part else { return self.dials.want(m, now) };
+        let Some(parts) = &mut self.part else { return self.dials.add(m, now) };
         let Some(standing) = self.machines[m].as_mut().map(|x| &mut x.availability) else { return };
         let (kind, zone, _) = standing.location;
         if parts.part.listed(m, hash(self.machine_ids.ids.id(m)), zone, kind) {
--- a/planner/src/view.rs
+++ b/planner/src/view.rs
@@ -1,7 +1,7 @@
 //! What a planner tells operators, as JSON.
 use crate::state::{idempotency_text, PlannerState, MOST_ROWS};
 use basaltpitch::host::Readiness;
-use basaltpitch_agent::traffic::{Kind, Traffic};
+use basaltpitch_agent::traffic::{FrameKind, Traffic};
 use basaltpitch_agent::wire::Body;
 use basaltpitch_ledger::{CopyState, Phase};
 use serde_json::{json, Value};
@@ -110,15 +110,15 @@
 
 /// What the links of a process carried since it began, by kind of frame.
 pub fn traffic(traffic: &Traffic) -> Value {
-    let row = |kind: Kind| {
-        let c = traffic.of(kind);
+    let row = |kind: FrameKind| {
+        let c = traffic.count(kind);
         let row = json!({
             "bytes_in": c.bytes_in, "bytes_out": c.bytes_out,
             "frames_in": c.frames_in, "frames_out": c.frames_out,
         });
-        (kind.word().to_owned(), row)
+        (kind.label().to_owned(), row)
     };
-    Value::Object(Kind::ALL.into_iter().map(row).collect())
+    Value::Object(FrameKind::ALL.into_iter().map(row).collect())
 }
 
 fn machines(core: &PlannerState) -> Value {
--- a/planner/src/voter_links.rs
+++ b/planner/src/voter_links.rs
@@ -1,7 +1,7 @@
 //! Links to the voters, as planners, spares and other voters keep them; and the clock and the process names that
 //! votes go by.
-use basaltpitch_agent::link::{self, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Links, Party};
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{LinkConfig, PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, Body};
 use std::rc::Rc;
 use std::time::Duration;
@@ -38,9 +38,9 @@
 #[derive(Clone)]
 pub(crate) struct VoterDialer {
     /// What the links share with the others of the process.
-    pub links: Links,
+    pub links: LinkConfig,
     /// Who dials.
-    pub identity: Party,
+    pub identity: PeerIdentity,
     /// The clock of the process.
     pub clock: Clock,
     /// Where events go, with the voter's index among all.
@@ -50,7 +50,7 @@
 /// What comes of a link to one voter.
 pub(crate) enum VoterLinkEvent {
     /// The voter answered; frames are sent here.
-    Up(mpsc::Sender<Order>),
+    Up(mpsc::Sender<LinkCommand>),
     /// A frame of the voter.
     Frame(Body),
     /// The link ended, or the voter did not answer.
@@ -59,21 +59,26 @@
 
 impl VoterDialer {
     /// Runs one link: orders in, news out; `Ended` is the last of them.
-    fn dial(&self, endpoint: &VoterEndpoint, link: u64) -> (mpsc::Sender<Order>, mpsc::Receiver<News>) {
+    fn dial(
+        &self,
+        endpoint: &VoterEndpoint,
+        link: u64,
+    ) -> (mpsc::Sender<LinkCommand>, mpsc::Receiver<LinkEvent>) {
         let (orders, orders_in) = mpsc::channel(ORDERS);
         let (news_out, news) = mpsc::channel(INBOX);
         let (links, clock, address) = (self.links.clone(), self.clock, endpoint.address.clone());
-        let identity = Party { link, ..self.identity.clone() };
+        let identity = PeerIdentity { link, ..self.identity.clone() };
         tokio::task::spawn_local(async move {
             let why = match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&address)).await {
                 Ok(Ok(stream)) => {
                     let _ = stream.set_nodelay(true);
-                    return link::run_among(links, stream, identity, clock, orders_in, news_out, |n| n).await;
+                    return link::run_with_config(links, stream, identity, clock, orders_in, news_out, |n| n)
+                        .await;
                 }
                 Ok(Err(e)) => format!("no connection: {e}"),
                 Err(_) => "no connection in time".into(),
             };
-            let _ = news_out.send(News::Ended { why, unsent: Vec::new() }).await;
+            let _ = news_out.send(LinkEvent::Ended { why, unsent: Vec::new() }).await;
         });
         (orders, news)
     }
@@ -86,19 +91,19 @@
             let (orders, mut news) = self.dial(&endpoint, link);
             while let Some(news) = news.recv().await {
                 let event = match news {
-                    News::Session(Event::Up(party))
+                    LinkEvent::Session(SessionEvent::Up(party))
                         if party.role == wire::Role::Voter && party.name == endpoint.name =>
                     {
                         VoterLinkEvent::Up(orders.clone())
                     }
-                    News::Session(Event::Up(party)) => {
+                    LinkEvent::Session(SessionEvent::Up(party)) => {
                         let (voter, found) = (&endpoint.name, party.name);
                         tracing::error!(voter, found, "another process than the voter answers");
                         break;
                     }
-                    News::Session(Event::Frame(body)) => VoterLinkEvent::Frame(body),
-                    News::Session(_) => continue,
-                    News::Ended { why, .. } => {
+                    LinkEvent::Session(SessionEvent::Frame(body)) => VoterLinkEvent::Frame(body),
+                    LinkEvent::Session(_) => continue,
+                    LinkEvent::Ended { why, .. } => {
                         tracing::debug!(voter = endpoint.name, why, "no link to the voter");
                         break;
                     }
--- a/planner/src/voter_server.rs
+++ b/planner/src/voter_server.rs
@@ -4,9 +4,9 @@
 mod stored;
 
 use crate::voter_links::{boottime_us, VoterDialer, VoterEndpoint, VoterLinkEvent};
-use basaltpitch_agent::accepting::Accepting;
-use basaltpitch_agent::link::{self, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Links, Party};
+use basaltpitch_agent::acceptor::Acceptor;
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{LinkConfig, PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, Body, Role};
 use basaltpitch_lease::record::RevisionLog;
 use basaltpitch_lease::voter::Voter;
@@ -48,8 +48,8 @@
 type HolderHistory = HashMap<Rc<str>, VecDeque<wire::Holding>>;
 
 struct Conn {
-    orders: mpsc::Sender<Order>,
-    party: Option<Party>,
+    orders: mpsc::Sender<LinkCommand>,
+    party: Option<PeerIdentity>,
 }
 
 struct Actor {
@@ -61,12 +61,12 @@
     conns: HashMap<u64, Conn>,
     last_conn: u64,
     /// The other voters that are linked, by their index among all.
-    others: HashMap<usize, mpsc::Sender<Order>>,
+    others: HashMap<usize, mpsc::Sender<LinkCommand>>,
     /// Links to the other voters, while there is something to recover from them.
     recovery_links: tokio::task::JoinSet<()>,
     store: Option<Store>,
-    links: Links,
-    identity: Party,
+    links: LinkConfig,
+    identity: PeerIdentity,
     clock: Clock,
 }
 
@@ -80,7 +80,7 @@
     let (events, mut link_events) = mpsc::channel(INBOX);
     let mut actor = Actor::start(config, events);
     let mut recovery_polls = tokio::time::interval(RECOVERY_INTERVAL);
-    let mut accepting = Accepting::new(listener);
+    let mut accepting = Acceptor::new(listener);
     tokio::pin!(stop);
     loop {
         let recovers = !actor.recovery_links.is_empty();
@@ -96,7 +96,7 @@
                 }
                 actor.on_batch(batch);
             }
-            (stream, _) = accepting.next() => actor.accept(stream, news.clone()),
+            (stream, _) = accepting.accept() => actor.accept(stream, news.clone()),
         }
     }
 }
@@ -108,7 +108,7 @@
         let (voter, history) = stored::restore(&config);
         let epoch = clock.now() as u64;
         let (role, name) = (Role::Voter, config.name.clone());
-        let identity = Party { role, name, epoch, link: 0, login: String::new() };
+        let identity = PeerIdentity { role, name, epoch, link: 0, login: String::new() };
         let mut actor = Actor {
             duration_us: config.lease_config.duration_us,
             voter,
@@ -119,7 +119,7 @@
             others: HashMap::new(),
             recovery_links: tokio::task::JoinSet::new(),
             store: config.store,
-            links: Links::default(),
+            links: LinkConfig::default(),
             identity,
             clock,
         };
@@ -135,21 +135,21 @@
         actor
     }
 
-    fn accept(&mut self, stream: TcpStream, news: mpsc::Sender<(u64, News)>) {
+    fn accept(&mut self, stream: TcpStream, news: mpsc::Sender<(u64, LinkEvent)>) {
         self.last_conn += 1;
         let conn = self.last_conn;
         let (orders, orders_in) = mpsc::channel(ORDERS);
         self.conns.insert(conn, Conn { orders, party: None });
         let (links, identity, clock) = (self.links.clone(), self.identity.clone(), self.clock);
         let wrap = move |news| (conn, news);
-        let link = link::run_among(links, stream, identity, clock, orders_in, news, wrap);
+        let link = link::run_with_config(links, stream, identity, clock, orders_in, news, wrap);
         tokio::task::spawn_local(link);
     }
 
     /// Asks the other voters what they store.
     fn request_recovery(&self) {
         for orders in self.others.values() {
-            let _ = orders.try_send(Order::Send(Body::Record(wire::Record::default()), None));
+            let _ = orders.try_send(LinkCommand::Send(Body::Record(wire::Record::default()), None));
         }
     }
 
@@ -170,18 +170,20 @@
         }
     }
 
-    fn on_batch(&mut self, batch: Vec<(u64, News)>) {
+    fn on_batch(&mut self, batch: Vec<(u64, LinkEvent)>) {
         let (mut replies, mut has_voted) = (Vec::new(), false);
         for (conn, news) in batch {
             match news {
-                News::Session(Event::Up(party)) => {
+                LinkEvent::Session(SessionEvent::Up(party)) => {
                     if let Some(conn) = self.conns.get_mut(&conn) {
                         conn.party = Some(party);
                     }
                 }
-                News::Session(Event::Frame(body)) => has_voted |= self.on_frame(conn, body, &mut replies),
-                News::Session(_) => {}
-                News::Ended { .. } => drop(self.conns.remove(&conn)),
+                LinkEvent::Session(SessionEvent::Frame(body)) => {
+                    has_voted |= self.on_frame(conn, body, &mut replies)
+                }
+                LinkEvent::Session(_) => {}
+                LinkEvent::Ended { .. } => drop(self.conns.remove(&conn)),
             }
         }
         // A vote that is not stored must not be said: after a start it would be granted twice.
@@ -202,7 +204,7 @@
     }
 
     fn send(&mut self, conn: u64, body: Body) {
-        let is_full = |conn: &Conn| conn.orders.try_send(Order::Send(body, None)).is_err();
+        let is_full = |conn: &Conn| conn.orders.try_send(LinkCommand::Send(body, None)).is_err();
         if self.conns.get(&conn).is_some_and(is_full) {
             self.conns.remove(&conn);
         }
--- a/planner/src/voter_server/frames.rs
+++ b/planner/src/voter_server/frames.rs
@@ -2,8 +2,8 @@
 use super::stored::RecordReply;
 use super::{Actor, Conn, LONGEST_LEASE_NAME, LONGEST_METADATA};
 use crate::voter_links::{boottime_us, process_name};
-use basaltpitch_agent::link::{Clock, Order};
-use basaltpitch_agent::session::Party;
+use basaltpitch_agent::link::{Clock, LinkCommand};
+use basaltpitch_agent::session::PeerIdentity;
 use basaltpitch_agent::wire::{self, Body, Role};
 use basaltpitch_lease::record::{RecordDelta, RevisionState};
 use basaltpitch_lease::{LeaseMetadata, VoteReply};
@@ -180,12 +180,12 @@
         RecordReply { voter, history, now, request, delta }.frame(includes)
     }
 
-    fn refuse(&self, conn: u64, party: &Party) {
+    fn refuse(&self, conn: u64, party: &PeerIdentity) {
         let why = "found a frame that no voter takes; expected ballots (a duty of up to 200 bytes, \
                    a note of up to 64 KiB), give_back, hand_on, record or a query of traffic";
         tracing::warn!(peer = party.name, why);
         if let Some(conn) = self.conns.get(&conn) {
-            let _ = conn.orders.try_send(Order::Close(why.into()));
+            let _ = conn.orders.try_send(LinkCommand::Close(why.into()));
         }
     }
 }
--- a/planner/tests/net/mod.rs
+++ b/planner/tests/net/mod.rs
@@ -3,8 +3,8 @@
 //! order in which the planner wrote or read it, so that it judges without slack.
 #![allow(dead_code)]
 use basaltpitch::host::{Settings, Value};
-use basaltpitch_agent::holder::{Holder, Id, Say, State};
-use basaltpitch_agent::why;
+use basaltpitch_agent::attempt_table::{AttemptId, AttemptReply, AttemptState, AttemptTable};
+use basaltpitch_agent::refusal_reason;
 use basaltpitch_agent::wire::{self, Body, EndedHow, Entry, Launch, LaunchId, Readiness};
 use basaltpitch_invariants::{
     Framework, InvariantChecker, InvariantConfig, Location, TrafficTotals, Violation,
@@ -79,9 +79,9 @@
     pub name: String,
     pub zone: usize,
     pub started: i64,
-    pub holder: Holder<String, Launch>,
-    pub line: VecDeque<Id>,
-    pub runs: Vec<Id>,
+    pub holder: AttemptTable<String, Launch>,
+    pub line: VecDeque<AttemptId>,
+    pub runs: Vec<AttemptId>,
     pub draining: bool,
     pub refuses: bool,
     pub reachable: bool,
@@ -118,7 +118,7 @@
     pub asked: Vec<Body>,
 }
 
-fn wire_id(id: Id) -> Option<LaunchId> {
+fn wire_id(id: AttemptId) -> Option<LaunchId> {
     Some(LaunchId { epoch: id.0, number: id.1 })
 }
 
@@ -141,7 +141,7 @@
             name: format!("m{m}"),
             zone: m % 2,
             started: 1_000_000,
-            holder: Holder::default(),
+            holder: AttemptTable::default(),
             line: VecDeque::new(),
             runs: Vec::new(),
             draining: false,
@@ -362,7 +362,7 @@
         let Some(w) = mac.links.get_mut(&link).filter(|w| !w.dead) else { return };
         if !w.hello_to_machine {
             w.hello_to_machine = true;
-            if !mac.holder.hello(&"p".into(), epoch, link) {
+            if !mac.holder.admit_link(&"p".into(), epoch, link) {
                 w.dead = true;
                 return;
             }
@@ -373,8 +373,8 @@
             }
             let held = held.into_iter().map(|(_, state, launch)| wire::Held {
                 launch: Some(launch),
-                accepted: state != State::Queued,
-                running: state == State::Running,
+                accepted: state != AttemptState::Queued,
+                running: state == AttemptState::Running,
             });
             w.to_planner
                 .push_back(Body::Inventory(wire::Inventory { held: held.collect(), draining: mac.draining }));
@@ -404,9 +404,9 @@
             Body::Stop(x) => {
                 let id = id(x.id);
                 match mac.holder.state(&"p".into(), id) {
-                    Some(State::Accepted | State::Running) => {
+                    Some(AttemptState::Accepted | AttemptState::Running) => {
                         ended = Some(id);
-                        (id, Say::Nothing)
+                        (id, AttemptReply::Nothing)
                     }
                     _ => {
                         mac.line.retain(|l| *l != id);
@@ -415,7 +415,7 @@
                 }
             }
             Body::Noted(x) => {
-                mac.holder.noted(&"p".into(), id(x.id));
+                mac.holder.acknowledge(&"p".into(), id(x.id));
                 return;
             }
             Body::Probe(x) => {
@@ -425,7 +425,7 @@
             }
             _ => return,
         };
-        if answer.1 != Say::Nothing {
+        if answer.1 != AttemptReply::Nothing {
             self.say(m, said(answer.0, answer.1));
         }
         if let Some(id) = ended {
@@ -468,16 +468,17 @@
     pub fn look(&mut self, m: usize) {
         let mac = &mut self.machines[m];
         let Some(id) = mac.line.pop_front() else { return };
-        if mac.holder.state(&"p".into(), id) != Some(State::Queued) {
+        if mac.holder.state(&"p".into(), id) != Some(AttemptState::Queued) {
             return;
         }
-        let l = mac.holder.with(&"p".into(), id).expect("queued").clone();
+        let l = mac.holder.payload(&"p".into(), id).expect("queued").clone();
         if mac.draining || mac.refuses {
             mac.holder.forget(&"p".into(), id);
-            let refused = wire::Refused { id: wire_id(id), key: l.key, why: why::NOT_HERE, report: None };
+            let refused =
+                wire::Refused { id: wire_id(id), key: l.key, why: refusal_reason::NOT_HERE, report: None };
             return self.say(m, Body::Refused(refused));
         }
-        mac.holder.set(&"p".into(), id, State::Running);
+        mac.holder.set_state(&"p".into(), id, AttemptState::Running);
         mac.runs.push(id);
         if l.kind == "once-only" {
             let n = self.standing.entry(l.key.clone()).or_insert(0);
@@ -487,17 +488,17 @@
                     Some(format!("{} runs twice, on {} too, at {}", l.key, self.machines[m].name, self.now));
             }
         }
-        self.say(m, said(id, Say::Yes));
+        self.say(m, said(id, AttemptReply::Accepted));
     }
 
-    pub fn ends(&mut self, m: usize, id: Id, how: EndedHow) {
+    pub fn ends(&mut self, m: usize, id: AttemptId, how: EndedHow) {
         let mac = &mut self.machines[m];
         mac.runs.retain(|r| *r != id);
-        if let Some(l) = mac.holder.with(&"p".into(), id).filter(|l| l.kind == "once-only") {
+        if let Some(l) = mac.holder.payload(&"p".into(), id).filter(|l| l.kind == "once-only") {
             *self.standing.entry(l.key.clone()).or_insert(1) -= 1;
         }
-        mac.holder.set(&"p".into(), id, State::Ended(how as u8));
-        self.say(m, said(id, Say::Ended(how as u8)));
+        mac.holder.set_state(&"p".into(), id, AttemptState::Ended(how as u8));
+        self.say(m, said(id, AttemptReply::Ended(how as u8)));
     }
 
     /// The machine starts anew with nothing.
@@ -505,12 +506,14 @@
         self.now += 1;
         let runs = std::mem::take(&mut self.machines[m].runs);
         for id in runs {
-            if let Some(l) = self.machines[m].holder.with(&"p".into(), id).filter(|l| l.kind == "once-only") {
+            if let Some(l) =
+                self.machines[m].holder.payload(&"p".into(), id).filter(|l| l.kind == "once-only")
+            {
                 *self.standing.entry(l.key.clone()).or_insert(1) -= 1;
             }
         }
         let mac = &mut self.machines[m];
-        (mac.holder, mac.started, mac.draining) = (Holder::default(), self.now, false);
+        (mac.holder, mac.started, mac.draining) = (AttemptTable::default(), self.now, false);
         mac.line.clear();
         mac.links.values_mut().for_each(|w| w.dead = true);
         let name = mac.name.clone();
@@ -625,14 +628,14 @@
     (m as u64) << 32 | link
 }
 
-fn said(id: Id, say: Say) -> Body {
+fn said(id: AttemptId, say: AttemptReply) -> Body {
     let (id, key) = (wire_id(id), String::new());
     match say {
-        Say::Yes => Body::Yes(wire::Yes { id, key, report: None }),
-        Say::Failed => Body::Failed(wire::Failed { id, key, report: None }),
-        Say::Ended(how) => Body::Ended(wire::Ended { id, key, how: i32::from(how), report: None }),
-        Say::NotHere | Say::Nothing => {
-            Body::Refused(wire::Refused { id, key, why: why::NOT_HERE, report: None })
+        AttemptReply::Accepted => Body::Yes(wire::Yes { id, key, report: None }),
+        AttemptReply::Failed => Body::Failed(wire::Failed { id, key, report: None }),
+        AttemptReply::Ended(how) => Body::Ended(wire::Ended { id, key, how: i32::from(how), report: None }),
+        AttemptReply::NotHere | AttemptReply::Nothing => {
+            Body::Refused(wire::Refused { id, key, why: refusal_reason::NOT_HERE, report: None })
         }
     }
 }
--- a/planner/tests/record.rs
+++ b/planner/tests/record.rs
@@ -1,6 +1,6 @@
 //! A voter on a real socket tells its record by what changed.
-use basaltpitch_agent::link::{self, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Party};
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, Body, Role};
 use basaltpitch_lease::LeaseConfig;
 use basaltpitch_planner::voter_links::VoterEndpoint;
@@ -13,8 +13,8 @@
 const CONFIG: LeaseConfig = LeaseConfig { duration_us: 40_000, clock_drift_us: 2_000 };
 
 struct Talk {
-    orders: mpsc::Sender<Order>,
-    heard: mpsc::Receiver<News>,
+    orders: mpsc::Sender<LinkCommand>,
+    heard: mpsc::Receiver<LinkEvent>,
 }
 
 impl Talk {
@@ -22,20 +22,25 @@
         let stream = TcpStream::connect(address).await.unwrap();
         let (orders, inbox) = mpsc::channel(64);
         let (news, heard) = mpsc::channel(64);
-        let me =
-            Party { role: Role::Planner, name: "tester".into(), epoch: 1, link: 1, login: String::new() };
+        let me = PeerIdentity {
+            role: Role::Planner,
+            name: "tester".into(),
+            epoch: 1,
+            link: 1,
+            login: String::new(),
+        };
         tokio::task::spawn_local(link::run(stream, me, Clock::start(), inbox, news, |n| n));
         Talk { orders, heard }
     }
 
     async fn ask(&mut self, body: Body) -> Body {
-        self.orders.send(Order::Send(body, None)).await.unwrap();
+        self.orders.send(LinkCommand::Send(body, None)).await.unwrap();
         loop {
             let news = tokio::time::timeout(Duration::from_secs(20), self.heard.recv()).await;
             match news.expect("a frame within 20 s").expect("a link that stands") {
-                News::Session(Event::Frame(body)) => return body,
-                News::Session(_) => {}
-                News::Ended { why, .. } => panic!("{why}"),
+                LinkEvent::Session(SessionEvent::Frame(body)) => return body,
+                LinkEvent::Session(_) => {}
+                LinkEvent::Ended { why, .. } => panic!("{why}"),
             }
         }
     }
--- a/planner/tests/sockets.rs
+++ b/planner/tests/sockets.rs
@@ -1,10 +1,10 @@
 //! A planner on real sockets, beside stand-ins in the same process. Nothing waits for luck: each test waits
 //! for the frame that it wants, within a bound.
 use basaltpitch::host::{Settings, Value};
-use basaltpitch_agent::link::{self, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Links, Party};
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{LinkConfig, PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, AnswerKind, Body, LifeHow, Role};
-use basaltpitch_config::installation::{load_texts, Laid, Seat};
+use basaltpitch_config::installation::{load_texts, FlattenedValue, PlannerSlot};
 use basaltpitch_planner::service::{serve, PlannerConfig};
 use basaltpitch_planner::state::Identity;
 use basaltpitch_testbed::drill;
@@ -42,12 +42,12 @@
     let register = registry::start(world.clone(), fleet, late).await.unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let seat = Seat { number: 0, planners: 1, zone: "hall-a".into() };
+    let seat = PlannerSlot { number: 0, planners: 1, zone: "hall-a".into() };
     let value = |laid| match laid {
-        Laid::Number(n) => Value::Number(n),
-        Laid::Text(t) => Value::Text(t),
+        FlattenedValue::Number(n) => Value::Number(n),
+        FlattenedValue::Text(t) => Value::Text(t),
     };
-    let given: Settings = site.lay_out(&seat).into_iter().map(|(k, v)| (k, value(v))).collect();
+    let given: Settings = site.flatten(&seat).into_iter().map(|(k, v)| (k, value(v))).collect();
     let who = Identity { name: "p".into(), epoch: 1, seed: 1, register: register.address.clone() };
     let config = PlannerConfig {
         identity: who,
@@ -60,7 +60,7 @@
         rolling_restart: None,
         admission_enabled: false,
         peer_links: None,
-        links: Links::default(),
+        links: LinkConfig::default(),
         subset: None,
     };
     tokio::task::spawn_local(serve(listener, config, std::future::pending()));
@@ -68,8 +68,8 @@
 }
 
 struct Talk {
-    orders: mpsc::Sender<Order>,
-    heard: mpsc::Receiver<News>,
+    orders: mpsc::Sender<LinkCommand>,
+    heard: mpsc::Receiver<LinkEvent>,
 }
 
 impl Talk {
@@ -77,13 +77,13 @@
         let stream = TcpStream::connect(address).await.unwrap();
         let (orders, inbox) = mpsc::channel(64);
         let (news, heard) = mpsc::channel(64);
-        let me = Party { role, name: "tester".into(), epoch: 1, link: 1, login: String::new() };
+        let me = PeerIdentity { role, name: "tester".into(), epoch: 1, link: 1, login: String::new() };
         tokio::task::spawn_local(link::run(stream, me, Clock::start(), inbox, news, |n| n));
         Talk { orders, heard }
     }
 
     async fn say(&self, body: Body) {
-        self.orders.send(Order::Send(body, None)).await.unwrap();
+        self.orders.send(LinkCommand::Send(body, None)).await.unwrap();
     }
 
     /// The next frame, or why the connection ended.
@@ -91,9 +91,9 @@
         loop {
             let news = tokio::time::timeout(Duration::from_secs(20), self.heard.recv()).await;
             match news.expect("a frame within 20 s") {
-                Some(News::Session(Event::Frame(body))) => return Ok(body),
-                Some(News::Ended { why, .. }) => return Err(why),
-                Some(News::Session(_)) => {}
+                Some(LinkEvent::Session(SessionEvent::Frame(body))) => return Ok(body),
+                Some(LinkEvent::Ended { why, .. }) => return Err(why),
+                Some(LinkEvent::Session(_)) => {}
                 None => return Err("ended".into()),
             }
         }
--- a/testbed/src/client.rs
+++ b/testbed/src/client.rs
@@ -3,8 +3,8 @@
 //! answer.
 use crate::faulty_link::{self, FaultInjection, LinkObservation};
 use crate::machine::TestbedContext;
-use basaltpitch_agent::link::{self, News, Order};
-use basaltpitch_agent::session::{Event, Party};
+use basaltpitch_agent::link::{self, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, AnswerKind, Body, LifeHow, Role, Submit};
 use basaltpitch_invariants::Incarnation;
 use hdrhistogram::Histogram;
@@ -75,7 +75,7 @@
     planner: usize,
     fails: u32,
     conn: u64,
-    orders: Option<mpsc::Sender<Order>>,
+    orders: Option<mpsc::Sender<LinkCommand>>,
     life: Rc<RefCell<Option<Incarnation>>>,
     retry_at: i64,
     works: BTreeMap<String, Work>,
@@ -115,7 +115,7 @@
 
 impl SimulatedClient {
     async fn run(mut self, mut inbox: mpsc::Receiver<SubmitPlan>) {
-        let (news, mut heard) = mpsc::channel::<(u64, News)>(1024);
+        let (news, mut heard) = mpsc::channel::<(u64, LinkEvent)>(1024);
         let mut tick = tokio::time::interval(std::time::Duration::from_millis(10));
         loop {
             tokio::select! {
@@ -152,13 +152,13 @@
         if let Some(feast) = &*self.world.directory.borrow() {
             work.wish.submit.tenant = feast.called(&work.wish.tenant);
         }
-        if orders.try_send(Order::Send(Body::Submit(work.wish.submit.clone()), None)).is_ok() {
+        if orders.try_send(LinkCommand::Send(Body::Submit(work.wish.submit.clone()), None)).is_ok() {
             self.seens.borrow_mut().asked += 1;
             (work.asked_at, work.phase, work.of) = (now, Phase::Asking(now + work.wish.limit_us), Some(life));
         }
     }
 
-    async fn tick(&mut self, news: &mpsc::Sender<(u64, News)>) {
+    async fn tick(&mut self, news: &mpsc::Sender<(u64, LinkEvent)>) {
         let now = self.now();
         if self.orders.is_none() && now >= self.retry_at {
             self.connect(news).await;
@@ -187,7 +187,7 @@
         let body = wire::Withdraw { key: key.to_owned(), ask: work.wish.submit.ask };
         match (&self.orders, &work.of) {
             (Some(orders), _) => {
-                let _ = orders.try_send(Order::Send(Body::Withdraw(body), None));
+                let _ = orders.try_send(LinkCommand::Send(Body::Withdraw(body), None));
             }
             // No connection, so no answer can come.
             (None, Some(life)) => {
@@ -210,7 +210,7 @@
         }
     }
 
-    async fn connect(&mut self, news: &mpsc::Sender<(u64, News)>) {
+    async fn connect(&mut self, news: &mpsc::Sender<(u64, LinkEvent)>) {
         let address = self.front.borrow()[self.planner].clone();
         let clock = self.world.clock;
         self.retry_at = self.now() + 100_000;
@@ -250,7 +250,7 @@
             clock,
             show,
         ));
-        let me = Party {
+        let me = PeerIdentity {
             role: Role::Owner,
             name: format!("owner-{}", self.number),
             epoch: 1,
@@ -262,16 +262,16 @@
         self.orders = Some(orders);
     }
 
-    fn hear(&mut self, news: News) {
+    fn hear(&mut self, news: LinkEvent) {
         match news {
-            News::Session(Event::Up(party)) => self.meet((party.name, party.epoch)),
-            News::Session(Event::Frame(Body::Answer(a))) => self.answered(a),
-            News::Session(Event::Frame(Body::Life(l))) => self.life(l),
-            News::Ended { .. } => {
+            LinkEvent::Session(SessionEvent::Up(party)) => self.meet((party.name, party.epoch)),
+            LinkEvent::Session(SessionEvent::Frame(Body::Answer(a))) => self.answered(a),
+            LinkEvent::Session(SessionEvent::Frame(Body::Life(l))) => self.life(l),
+            LinkEvent::Ended { .. } => {
                 (self.orders, self.retry_at) = (None, self.now() + 20_000);
                 *self.life.borrow_mut() = None;
             }
-            News::Session(_) => {}
+            LinkEvent::Session(_) => {}
         }
     }
 
@@ -288,7 +288,8 @@
                 Phase::Asking(until) if same && until > now => {
                     work.wish.submit.time_left_us = until - now;
                     if let Some(orders) = &self.orders {
-                        let _ = orders.try_send(Order::Send(Body::Submit(work.wish.submit.clone()), None));
+                        let _ =
+                            orders.try_send(LinkCommand::Send(Body::Submit(work.wish.submit.clone()), None));
                     }
                 }
                 Phase::Asking(_) if !same => {
--- a/testbed/src/directory_scenario.rs
+++ b/testbed/src/directory_scenario.rs
@@ -4,7 +4,7 @@
 use crate::ldap_server::{self, ldap_entry, DirectoryFault, LdapEntry, LdapServer};
 use crate::machine::TestbedContext;
 use basaltpitch_agent::wire::Answer;
-use basaltpitch_config::Settled;
+use basaltpitch_config::ResolvedValue;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
@@ -48,10 +48,14 @@
 }
 
 impl DirectoryScenario {
-    pub async fn start(day: &Settled, owners: u64, now: i64) -> io::Result<Option<Rc<DirectoryScenario>>> {
+    pub async fn start(
+        day: &ResolvedValue,
+        owners: u64,
+        now: i64,
+    ) -> io::Result<Option<Rc<DirectoryScenario>>> {
         let Some(d) = day.get("directory") else { return Ok(None) };
         let people: Vec<String> = (0..owners).map(|n| format!("owner-{n}")).collect();
-        let tenant = |(n, t): (usize, &Settled)| Tenant {
+        let tenant = |(n, t): (usize, &ResolvedValue)| Tenant {
             id: format!("{:032x}", n + 1),
             name: t.text("name").unwrap_or("").to_owned(),
             share: t.number("share").unwrap_or(0.0),
@@ -69,8 +73,8 @@
             people: RefCell::new(people),
             changes: Cell::new(0),
             called: RefCell::default(),
-            fresh_us: d.time("fresh").unwrap_or(0),
-            every_us: d.time("every").unwrap_or(0),
+            fresh_us: d.duration_us("fresh").unwrap_or(0),
+            every_us: d.duration_us("every").unwrap_or(0),
             away_since: Cell::new(0),
             unsure_until: Cell::new(now + RECOVERS),
             stale: Cell::new(0),
@@ -83,11 +87,11 @@
     }
 
     /// A file of settings for planners, with the secret beside it.
-    pub fn file(&self, day: &Settled, folder: &Path) -> io::Result<PathBuf> {
+    pub fn file(&self, day: &ResolvedValue, folder: &Path) -> io::Result<PathBuf> {
         let secret = folder.join("directory.secret");
         std::fs::write(&secret, "feast")?;
         let urls: Vec<String> = self.servers.iter().map(|s| format!("\"ldap://{}\"", s.address)).collect();
-        let sync = day.mark("directory.sync").unwrap_or(false);
+        let sync = day.boolean("directory.sync").unwrap_or(false);
         let text = format!(
             "directory: {{\n\tservers: [{}]\n\tclear: true\n\tbind: \"cn=planner,dc=campus\"\n\
              \tpassword_file: {:?}\n\tbase: \"dc=campus\"\n\tevery: {}us\n\tfresh: {}us\n\tsync: {sync}\n\
--- a/testbed/src/drill.rs
+++ b/testbed/src/drill.rs
@@ -10,7 +10,7 @@
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::Submit;
 use basaltpitch_config::installation::Installation;
-use basaltpitch_config::{Plain, Settled};
+use basaltpitch_config::{PlainValue, ResolvedValue};
 use basaltpitch_invariants::placement::{PlacementInvariant, PlacementRequirement, TaskSelector};
 use basaltpitch_invariants::{
     Framework, InvariantChecker, InvariantConfig, Location, TrafficTotals, Violation,
@@ -149,18 +149,18 @@
     }
 }
 
-fn terms(all: &Settled) -> InvariantConfig {
-    let time = |path: &str| all.time(path).unwrap_or(0);
-    let framework = |f: &Settled| Framework {
+fn terms(all: &ResolvedValue) -> InvariantConfig {
+    let time = |path: &str| all.duration_us(path).unwrap_or(0);
+    let framework = |f: &ResolvedValue| Framework {
         repeats: f.text("repeat").unwrap_or("").to_owned(),
         group: f.text("group").unwrap_or("all").to_owned(),
-        window_us: f.time("window").unwrap_or(0),
+        window_us: f.duration_us("window").unwrap_or(0),
         spread: f.text("spread").unwrap_or("none").to_owned(),
         max_together: f.number("most").unwrap_or(1.0) as usize,
         priority_weight: f.number("value").unwrap_or(1.0),
-        latency_objective_us: f.time("goal").unwrap_or(0),
+        latency_objective_us: f.duration_us("goal").unwrap_or(0),
     };
-    let named = |f: &Settled| (f.text("name").unwrap_or("").to_owned(), framework(f));
+    let named = |f: &ResolvedValue| (f.text("name").unwrap_or("").to_owned(), framework(f));
     InvariantConfig {
         answer_grace_us: time("rules.answer_grace"),
         drain_grace_us: time("rules.drain_grace"),
@@ -172,17 +172,18 @@
     }
 }
 
-fn manners(all: &Settled, day: &Settled) -> MachineBehaviour {
+fn manners(all: &ResolvedValue, day: &ResolvedValue) -> MachineBehaviour {
     let by_framework = |field: &str| -> HashMap<String, String> {
-        let of = |f: &Settled| Some((f.text("name")?.to_owned(), f.text(field)?.to_owned()));
+        let of = |f: &ResolvedValue| Some((f.text("name")?.to_owned(), f.text(field)?.to_owned()));
         all.list("frameworks").iter().filter_map(of).collect()
     };
-    let priority =
-        |f: &Settled| (f.text("name").unwrap_or("").to_owned(), f.number("priority").unwrap_or(0.0) as i64);
+    let priority = |f: &ResolvedValue| {
+        (f.text("name").unwrap_or("").to_owned(), f.number("priority").unwrap_or(0.0) as i64)
+    };
     let count = |path: &str| day.number(path).unwrap_or(1.0) as usize;
     MachineBehaviour {
-        look_us: day.time("look").unwrap_or(3_000),
-        start_us: day.time("start").unwrap_or(30_000),
+        look_us: day.duration_us("look").unwrap_or(3_000),
+        start_us: day.duration_us("start").unwrap_or(30_000),
         cold_start: day.number("cold_start").unwrap_or(8.0),
         starts: count("starts"),
         line: count("line"),
@@ -190,31 +191,33 @@
         accept_cores: all.number("machines.accept_cores").unwrap_or(2.0),
         accept_memory: all.number("machines.accept_memory").unwrap_or(1.5),
         yes_when_running: all.text("machines.yes") == Some("running"),
-        cold_us: all.time("rules.cold").unwrap_or(0),
+        cold_us: all.duration_us("rules.cold").unwrap_or(0),
         cold_offers: all.number("rules.cold_offers").unwrap_or(1.0) as usize,
-        cold_window: all.time("rules.cold_window").unwrap_or(1),
+        cold_window: all.duration_us("rules.cold_window").unwrap_or(1),
         report_every: 200_000,
         kinds: by_framework("kind"),
         groups: by_framework("group"),
         priorities: all.list("frameworks").iter().map(priority).collect(),
         // A front knows how long a seat may stand without a planner: three terms, a try each 100 ms.
-        front_tries: 8 + day.time("seats.term").map_or(0, |term| 3 * term / 100_000) as u32,
-        updater: day.get("updater").map(|u| (u.time("most").unwrap_or(0), u.time("away").unwrap_or(0))),
+        front_tries: 8 + day.duration_us("seats.term").map_or(0, |term| 3 * term / 100_000) as u32,
+        updater: day
+            .get("updater")
+            .map(|u| (u.duration_us("most").unwrap_or(0), u.duration_us("away").unwrap_or(0))),
     }
 }
 
-fn texts(of: &Settled, list: &str) -> Vec<String> {
+fn texts(of: &ResolvedValue, list: &str) -> Vec<String> {
     of.texts(list).into_iter().map(|x| x.0).collect()
 }
 
 /// The clauses that a drill judges, read anew from the records: hard ones, skews aside.
-fn laws(all: &Settled) -> Vec<PlacementInvariant> {
-    let whose = |s: Option<&Settled>| {
+fn laws(all: &ResolvedValue) -> Vec<PlacementInvariant> {
+    let whose = |s: Option<&ResolvedValue>| {
         let text = |f: &str| s.and_then(|s| s.text(f)).unwrap_or("").to_owned();
         let service = s.and_then(|s| s.number("service")).map(|n| n as u64);
         TaskSelector { framework: text("framework"), tenant: text("tenant"), service, task: text("task") }
     };
-    let be = |w: &Settled, inside| {
+    let be = |w: &ResolvedValue, inside| {
         let list = |l: &str| texts(w, l);
         PlacementRequirement::Be {
             kinds: list("kinds"),
@@ -223,8 +226,8 @@
             inside,
         }
     };
-    let law = |c: &Settled| {
-        let near = |s: &Settled, f: &str| s.text(f).unwrap_or("hall").to_owned();
+    let law = |c: &ResolvedValue| {
+        let near = |s: &ResolvedValue, f: &str| s.text(f).unwrap_or("hall").to_owned();
         let must = if let Some(w) = c.get("in") {
             be(w, true)
         } else if let Some(w) = c.get("not_in") {
@@ -285,7 +288,7 @@
     let world = context(&how.installation, load.clone());
     world.checker.borrow_mut().set_placement_invariants(laws(&all));
     let fleet = start_fleet(&all, &day, &world, &mut chance).await?;
-    let time = |path: &str| day.time(path).unwrap_or(0);
+    let time = |path: &str| day.duration_us(path).unwrap_or(0);
     let late = RegistryDelays {
         notice_us: time("notice"),
         silent_notice_us: time("silent_notice"),
@@ -340,7 +343,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let seens = Rc::new(RefCell::new(ClientTotals::default()));
-    let settle_us = all.time("rules.settle").unwrap_or(3_000_000);
+    let settle_us = all.duration_us("rules.settle").unwrap_or(3_000_000);
     let own = |n: u64, login: &str| {
         client::start(world.clone(), login, front.clone(), seens.clone(), n, seed ^ n, settle_us)
     };
@@ -414,14 +417,14 @@
     }
 }
 
-fn size_of(all: &Settled, kind: &str) -> (f64, f64) {
+fn size_of(all: &ResolvedValue, kind: &str) -> (f64, f64) {
     let sized = all.list("kinds").iter().find(|k| k.text("name") == Some(kind));
     sized.map_or((1.0, 1.0), |k| (k.number("cores").unwrap_or(1.0), k.number("memory").unwrap_or(1.0)))
 }
 
 /// Stand-in machines of one kind in one zone.
 pub async fn start_machines(
-    all: &Settled,
+    all: &ResolvedValue,
     world: &Rc<TestbedContext>,
     kind: &str,
     zone: &str,
@@ -439,8 +442,8 @@
 }
 
 async fn start_fleet(
-    all: &Settled,
-    day: &Settled,
+    all: &ResolvedValue,
+    day: &ResolvedValue,
     world: &Rc<TestbedContext>,
     chance: &mut StdRng,
 ) -> io::Result<Vec<Rc<machine::SimulatedMachine>>> {
@@ -472,28 +475,28 @@
 
 /// Asks for tasks by the clock, until the day's length is over: arrivals do not wait for answers.
 async fn ask_all(
-    all: &Settled,
-    day: &Settled,
+    all: &ResolvedValue,
+    day: &ResolvedValue,
     load: &LoadModifiers,
     owners: &[tokio::sync::mpsc::Sender<SubmitPlan>],
     newcomer: Option<&tokio::sync::mpsc::Sender<SubmitPlan>>,
     chance: &mut StdRng,
 ) -> u64 {
-    let number = |s: &Settled| match s.value {
-        Plain::Number(n) => n,
+    let number = |s: &ResolvedValue| match s.value {
+        PlainValue::Number(n) => n,
         _ => 0.0,
     };
     let sources = day.list("tasks");
     let start = tokio::time::Instant::now();
-    let length = day.time("length").unwrap_or(0) as f64 / 1e6;
-    let rate = |t: &Settled| {
+    let length = day.duration_us("length").unwrap_or(0) as f64 / 1e6;
+    let rate = |t: &ResolvedValue| {
         let burst = if load.burst.get() > 0.0 { load.burst.get() } else { 1.0 };
         let tenant = load.tenant.borrow();
         let of_tenant =
             tenant.as_ref().filter(|x| t.text("tenant") == Some(x.0.as_str())).map_or(1.0, |x| x.1);
         t.number("per_s").unwrap_or(1.0) * burst * of_tenant
     };
-    let gap = |t: &Settled, chance: &mut StdRng| Exp::new(rate(t)).map_or(1.0, |e| e.sample(chance));
+    let gap = |t: &ResolvedValue, chance: &mut StdRng| Exp::new(rate(t)).map_or(1.0, |e| e.sample(chance));
     let mut next: Vec<f64> = sources.iter().map(|t| gap(t, chance)).collect();
     let mut wanted = 0;
     let soonest = |next: &[f64]| next.iter().copied().enumerate().min_by(|a, b| a.1.total_cmp(&b.1));
@@ -504,7 +507,7 @@
         wanted += 1;
         let framework = t.text("framework").unwrap_or("");
         let of = all.list("frameworks").iter().find(|f| f.text("name") == Some(framework));
-        let limit_us = of.and_then(|f| f.time("limit")).unwrap_or(1_000_000);
+        let limit_us = of.and_then(|f| f.duration_us("limit")).unwrap_or(1_000_000);
         let repeatable = of.and_then(|f| f.text("repeat")) == Some("repeatable");
         let size = chance.random_range(0..t.list("cores").len());
         let submit = Submit {
@@ -515,7 +518,7 @@
             service: (i as u64) * 1000 + chance.random_range(0..t.number("services").unwrap_or(1.0) as u64),
             cores: number(&t.list("cores")[size]),
             memory: number(&t.list("memory")[size]),
-            runs_for_us: t.time("runs").unwrap_or(1_000_000),
+            runs_for_us: t.duration_us("runs").unwrap_or(1_000_000),
             time_left_us: 0,
         };
         let tries = day.number("tries").unwrap_or(3.0) as u32;
--- a/testbed/src/fault_scenario.rs
+++ b/testbed/src/fault_scenario.rs
@@ -3,7 +3,7 @@
 use crate::machine::{MachineCommand, SimulatedMachine, TestbedContext};
 use crate::registry::SimulatedRegistry;
 use basaltpitch_config::installation::Installation;
-use basaltpitch_config::Settled;
+use basaltpitch_config::ResolvedValue;
 use rand::seq::SliceRandom;
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -25,18 +25,18 @@
 }
 
 /// The troubles of a day, in the order of the file; one that comes several times, each time.
-pub fn troubles(day: &Settled) -> Vec<ScheduledFault> {
-    let one = |t: &Settled| ScheduledFault {
+pub fn troubles(day: &ResolvedValue) -> Vec<ScheduledFault> {
+    let one = |t: &ResolvedValue| ScheduledFault {
         what: t.text("what").unwrap_or("").to_owned(),
-        at_us: t.time("at").unwrap_or(0),
-        for_us: t.time("for").unwrap_or(0),
+        at_us: t.duration_us("at").unwrap_or(0),
+        for_us: t.duration_us("for").unwrap_or(0),
         part: t.number("part").unwrap_or(0.2),
         zone: t.text("zone").map(str::to_owned),
         machine: t.text("machine").map(str::to_owned),
         size: t.number("size").unwrap_or(2.0),
     };
-    let of = |t: &Settled| {
-        let (times, every) = (t.number("times").unwrap_or(1.0) as i64, t.time("every").unwrap_or(0));
+    let of = |t: &ResolvedValue| {
+        let (times, every) = (t.number("times").unwrap_or(1.0) as i64, t.duration_us("every").unwrap_or(0));
         let first = one(t);
         (0..times).map(move |n| ScheduledFault { at_us: first.at_us + n * every, ..first.clone() })
     };
--- a/testbed/src/faulty_link.rs
+++ b/testbed/src/faulty_link.rs
@@ -1,7 +1,7 @@
 //! A rough link: it carries bytes between a socket and a stand-in's conversation, and spoils them on command.
 //! What comes and goes is shown to the checker frame by frame, twice each way: while bytes are held back, a
 //! frame is on the socket at one time and with the stand-in at another.
-use basaltpitch_agent::framing::Cutter;
+use basaltpitch_agent::frame_decoder::FrameDecoder;
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{Body, Hello, Role};
 use std::cell::Cell;
@@ -64,7 +64,7 @@
     clock: Clock,
     show: impl Fn(&Hello, LinkObservation),
 ) {
-    let (mut reads, mut writes) = (Cutter::default(), Cutter::default());
+    let (mut reads, mut writes) = (FrameDecoder::default(), FrameDecoder::default());
     let (mut to_inner, mut to_socket): (Vec<u8>, Vec<u8>) = (Vec::new(), Vec::new());
     let (mut from_socket, mut from_inner) = (vec![0; 32 * 1024], vec![0; 32 * 1024]);
     // The whole frames among those bytes.
@@ -110,9 +110,9 @@
                 if n == 0 {
                     break;
                 }
-                reads.feed(&from_socket[..n]);
+                reads.push_bytes(&from_socket[..n]);
                 to_inner.extend_from_slice(&from_socket[..n]);
-                while let Some((_, body)) = reads.cut() {
+                while let Some((_, body)) = reads.next_frame() {
                     if let Some(Body::Hello(hello)) = &body {
                         peer = Some(hello.clone());
                     }
@@ -128,8 +128,8 @@
                 if n == 0 {
                     break;
                 }
-                writes.feed(&from_inner[..n]);
-                while let Some((bytes, body)) = writes.cut() {
+                writes.push_bytes(&from_inner[..n]);
+                while let Some((bytes, body)) = writes.next_frame() {
                     if matches!(body, Some(Body::Heartbeat(_))) && now < knobs.no_beats_until.get() {
                         continue;
                     }
--- a/testbed/src/machine.rs
+++ b/testbed/src/machine.rs
@@ -4,10 +4,10 @@
 //! if pushed while cold.
 use crate::directory_scenario::DirectoryScenario;
 use crate::faulty_link::{self, FaultInjection, LinkObservation};
-use basaltpitch_agent::holder::{Holder, Id, Say, State};
-use basaltpitch_agent::link::{self, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Party};
-use basaltpitch_agent::why;
+use basaltpitch_agent::attempt_table::{AttemptId, AttemptReply, AttemptState, AttemptTable};
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::refusal_reason;
+use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, Body, EndedHow, Launch, LaunchId, Report, Role};
 use basaltpitch_invariants::InvariantChecker;
 use rand::{rngs::StdRng, Rng, SeedableRng};
@@ -77,7 +77,7 @@
 
 #[derive(Debug)]
 enum In {
-    Conn(u64, News),
+    Conn(u64, LinkEvent),
     Offer(MachineCommand),
 }
 
@@ -124,7 +124,7 @@
     running: bool,
 }
 
-type Of = (String, Id);
+type Of = (String, AttemptId);
 
 enum At {
     Look,
@@ -138,9 +138,9 @@
     me: Rc<SimulatedMachine>,
     world: Rc<TestbedContext>,
     chance: StdRng,
-    holder: Holder<String, Launch>,
-    links: BTreeMap<String, (u64, mpsc::Sender<Order>)>,
-    conns: HashMap<u64, (mpsc::Sender<Order>, Option<Party>)>,
+    holder: AttemptTable<String, Launch>,
+    links: BTreeMap<String, (u64, mpsc::Sender<LinkCommand>)>,
+    conns: HashMap<u64, (mpsc::Sender<LinkCommand>, Option<PeerIdentity>)>,
     line: VecDeque<Of>,
     looking: bool,
     waits: VecDeque<Of>,
@@ -193,7 +193,7 @@
         me: me.clone(),
         world,
         chance: StdRng::seed_from_u64(seed),
-        holder: Holder::default(),
+        holder: AttemptTable::default(),
         links: BTreeMap::new(),
         conns: HashMap::new(),
         line: VecDeque::new(),
@@ -212,7 +212,7 @@
     Ok(me)
 }
 
-fn wire_id(id: Id) -> Option<LaunchId> {
+fn wire_id(id: AttemptId) -> Option<LaunchId> {
     Some(LaunchId { epoch: id.0, number: id.1 })
 }
 
@@ -275,7 +275,7 @@
             }
         };
         tokio::task::spawn_local(faulty_link::carry(stream, inner, conn, self.me.knobs.clone(), clock, show));
-        let me = Party {
+        let me = PeerIdentity {
             role: Role::Machine,
             name: self.me.name.clone(),
             epoch: self.me.started.get() as u64,
@@ -285,12 +285,12 @@
         tokio::task::spawn_local(link::run(outer, me, clock, inbox, news, move |n| In::Conn(conn, n)));
     }
 
-    fn hear(&mut self, conn: u64, news: News) {
+    fn hear(&mut self, conn: u64, news: LinkEvent) {
         match news {
-            News::Session(Event::Up(party))
+            LinkEvent::Session(SessionEvent::Up(party))
                 if party.role == Role::Planner && self.conns.contains_key(&conn) =>
             {
-                if !self.holder.hello(&party.name, party.epoch, party.link) {
+                if !self.holder.admit_link(&party.name, party.epoch, party.link) {
                     return self.close(conn, "an older life or link of this planner");
                 }
                 // A connection of before a restart is gone from here, though its news still come.
@@ -303,24 +303,24 @@
                 self.line.retain(|of| self.holder.state(&of.0, of.1).is_some());
                 let (endings, held) = self.holder.inventory(&party.name);
                 for (id, say) in endings {
-                    let key = self.holder.with(&party.name, id).map(|l| l.key.clone()).unwrap_or_default();
+                    let key = self.holder.payload(&party.name, id).map(|l| l.key.clone()).unwrap_or_default();
                     self.say(&party.name, id, key, say);
                 }
                 let held = held.into_iter().map(|(_, state, launch)| wire::Held {
                     launch: Some(launch),
-                    accepted: state != State::Queued,
-                    running: state == State::Running,
+                    accepted: state != AttemptState::Queued,
+                    running: state == AttemptState::Running,
                 });
                 let inventory = wire::Inventory { held: held.collect(), draining: self.me.draining.get() };
                 self.send(&party.name, Body::Inventory(inventory));
             }
-            News::Session(Event::Frame(body)) => {
+            LinkEvent::Session(SessionEvent::Frame(body)) => {
                 let party = self.conns.get(&conn).and_then(|c| c.1.clone());
                 if let Some(p) = party.filter(|p| self.holder.is_current(&p.name, p.epoch, p.link)) {
                     self.frame(p.name, body);
                 }
             }
-            News::Ended { .. } => {
+            LinkEvent::Ended { .. } => {
                 if let Some((_, Some(party))) = self.conns.remove(&conn) {
                     if self.links.get(&party.name).is_some_and(|l| l.0 == conn) {
                         self.links.remove(&party.name);
@@ -333,13 +333,13 @@
 
     fn close(&self, conn: u64, why: &str) {
         if let Some((orders, _)) = self.conns.get(&conn) {
-            let _ = orders.try_send(Order::Close(why.to_owned()));
+            let _ = orders.try_send(LinkCommand::Close(why.to_owned()));
         }
     }
 
     fn send(&self, planner: &str, body: Body) {
         if let Some((_, orders)) = self.links.get(planner) {
-            let _ = orders.try_send(Order::Send(body, None));
+            let _ = orders.try_send(LinkCommand::Send(body, None));
         }
     }
 
@@ -349,7 +349,7 @@
             Body::Launch(l) => self.offered(planner, l),
             Body::Cancel(x) => {
                 let id = id(x.id);
-                let key = self.holder.with(&planner, id).map(|l| l.key.clone()).unwrap_or_default();
+                let key = self.holder.payload(&planner, id).map(|l| l.key.clone()).unwrap_or_default();
                 let say = self.holder.cancel(&planner, id);
                 self.line.retain(|of| *of != (planner.clone(), id));
                 self.say(&planner, id, key, say);
@@ -357,11 +357,13 @@
             Body::Stop(x) => {
                 let of = (planner, id(x.id));
                 match self.holder.state(&of.0, of.1) {
-                    Some(State::Accepted | State::Running) => self.ends(&of, EndedHow::EndedStopped),
+                    Some(AttemptState::Accepted | AttemptState::Running) => {
+                        self.ends(&of, EndedHow::EndedStopped)
+                    }
                     _ => self.frame(of.0, Body::Cancel(wire::Cancel { id: x.id })),
                 }
             }
-            Body::Noted(x) => self.holder.noted(&planner, id(x.id)),
+            Body::Noted(x) => self.holder.acknowledge(&planner, id(x.id)),
             Body::Probe(x) => {
                 let report = self.report();
                 self.send(&planner, Body::Probed(wire::Probed { number: x.number, why: 0, report }));
@@ -370,20 +372,22 @@
         }
     }
 
-    fn say(&self, planner: &str, id: Id, key: String, say: Say) {
+    fn say(&self, planner: &str, id: AttemptId, key: String, say: AttemptReply) {
         let (report, id) = (self.report(), wire_id(id));
         let body = match say {
-            Say::Nothing => return,
-            Say::Yes => Body::Yes(wire::Yes { id, key, report }),
-            Say::NotHere => Body::Refused(wire::Refused { id, key, why: why::NOT_HERE, report }),
-            Say::Failed => Body::Failed(wire::Failed { id, key, report }),
-            Say::Ended(how) => Body::Ended(wire::Ended { id, key, how: i32::from(how), report }),
+            AttemptReply::Nothing => return,
+            AttemptReply::Accepted => Body::Yes(wire::Yes { id, key, report }),
+            AttemptReply::NotHere => {
+                Body::Refused(wire::Refused { id, key, why: refusal_reason::NOT_HERE, report })
+            }
+            AttemptReply::Failed => Body::Failed(wire::Failed { id, key, report }),
+            AttemptReply::Ended(how) => Body::Ended(wire::Ended { id, key, how: i32::from(how), report }),
         };
         self.send(planner, body);
     }
 
     fn refuse(&mut self, of: &Of, why: u32) {
-        let key = self.holder.with(&of.0, of.1).map(|l| l.key.clone()).unwrap_or_default();
+        let key = self.holder.payload(&of.0, of.1).map(|l| l.key.clone()).unwrap_or_default();
         self.holder.forget(&of.0, of.1);
         let body = wire::Refused { id: wire_id(of.1), key, why, report: self.report() };
         self.send(&of.0, Body::Refused(body));
@@ -399,7 +403,7 @@
         let of = (planner, id);
         self.pushed();
         if self.line.len() >= self.world.behaviour.line {
-            return self.refuse(&of, why::LONG_LINE);
+            return self.refuse(&of, refusal_reason::QUEUE_TOO_LONG);
         }
         self.line.push_back(of);
         self.look();
@@ -431,7 +435,7 @@
     fn looked(&mut self) {
         self.looking = false;
         if let Some(of) = self.line.pop_front() {
-            if let Some(l) = self.holder.with(&of.0, of.1).cloned() {
+            if let Some(l) = self.holder.payload(&of.0, of.1).cloned() {
                 match self.judge(&l) {
                     Ok(()) => self.accept_task(of, l),
                     Err(why) => self.refuse(&of, why),
@@ -453,12 +457,12 @@
         let m = &self.world.behaviour;
         let kind = m.kinds.get(&l.framework);
         if self.me.draining.get() || kind.is_some_and(|k| *k != self.me.kind) {
-            return Err(why::NOT_HERE);
+            return Err(refusal_reason::NOT_HERE);
         }
         if l.kind == "keyed" {
             let group = self.group(&l.framework);
             if self.world.standing.borrow().get(&(group, l.key.clone())).is_some_and(|&n| n > 0) {
-                return Err(why::NOT_HERE);
+                return Err(refusal_reason::NOT_HERE);
             }
         }
         let most = (m.accept_cores * self.me.cores, m.accept_memory * self.me.memory);
@@ -473,7 +477,7 @@
                 |r: &Run| self.world.behaviour.priorities.get(&r.framework).copied().unwrap_or(0) < priority;
             let victim = self.tasks.iter().find(|(_, r)| lower(r)).map(|(of, _)| of.clone());
             let Some(of) = victim else {
-                return Err(if no_cores { why::NO_CORES } else { why::NO_MEMORY });
+                return Err(if no_cores { refusal_reason::NO_CORES } else { refusal_reason::NO_MEMORY });
             };
             self.ends(&of, EndedHow::EndedPushedOut);
         }
@@ -481,10 +485,10 @@
 
     fn accept_task(&mut self, of: Of, l: Launch) {
         if self.chance.random_bool(self.me.fails.get().clamp(0.0, 1.0)) {
-            self.holder.set(&of.0, of.1, State::Failed);
-            return self.say(&of.0, of.1, l.key, Say::Failed);
+            self.holder.set_state(&of.0, of.1, AttemptState::Failed);
+            return self.say(&of.0, of.1, l.key, AttemptReply::Failed);
         }
-        self.holder.set(&of.0, of.1, State::Accepted);
+        self.holder.set_state(&of.0, of.1, AttemptState::Accepted);
         let (cores, memory, runs_us) = (self.world.uses.borrow())(&l);
         if l.kind == "keyed" {
             *self
@@ -509,7 +513,7 @@
         };
         self.tasks.insert(of.clone(), run);
         if !self.world.behaviour.yes_when_running {
-            self.say(&of.0, of.1, l.key, Say::Yes);
+            self.say(&of.0, of.1, l.key, AttemptReply::Accepted);
         }
         self.waits.push_back(of);
         self.starts();
@@ -540,10 +544,10 @@
             run.ends_at = now + run.runs_us;
             let (runs_us, cores, memory) = (run.runs_us, run.cores, run.memory);
             self.me.ran.set(self.me.ran.get() + 1);
-            self.holder.set(&of.0, of.1, State::Running);
-            let key = self.holder.with(&of.0, of.1).map(|l| l.key.clone()).unwrap_or_default();
+            self.holder.set_state(&of.0, of.1, AttemptState::Running);
+            let key = self.holder.payload(&of.0, of.1).map(|l| l.key.clone()).unwrap_or_default();
             if self.world.behaviour.yes_when_running {
-                self.say(&of.0, of.1, key.clone(), Say::Yes);
+                self.say(&of.0, of.1, key.clone(), AttemptReply::Accepted);
             }
             let id = wire_id(of.1);
             self.send(&of.0, Body::Running(wire::Running { id, key: key.clone() }));
@@ -560,15 +564,15 @@
         let Some(run) = self.tasks.remove(of) else { return };
         let asked = self.me.asked.get();
         self.me.asked.set((asked.0 - run.asks.0, asked.1 - run.asks.1));
-        if let Some(l) = self.holder.with(&of.0, of.1).cloned() {
+        if let Some(l) = self.holder.payload(&of.0, of.1).cloned() {
             if l.kind == "keyed" {
                 let mut standing = self.world.standing.borrow_mut();
                 if let Some(n) = standing.get_mut(&(self.group(&l.framework), l.key.clone())) {
                     *n = n.saturating_sub(1);
                 }
             }
-            self.holder.set(&of.0, of.1, State::Ended(how as u8));
-            self.say(&of.0, of.1, l.key, Say::Ended(how as u8));
+            self.holder.set_state(&of.0, of.1, AttemptState::Ended(how as u8));
+            self.say(&of.0, of.1, l.key, AttemptReply::Ended(how as u8));
         }
         self.kept.retain(|&s| s != run.service);
         self.kept.push_back(run.service);
@@ -711,7 +715,7 @@
         self.links.clear();
         let all: Vec<Of> = self.tasks.keys().cloned().collect();
         all.iter().for_each(|of| self.ends(of, EndedHow::EndedStopped));
-        (self.holder, self.starting, self.looking) = (Holder::default(), 0, false);
+        (self.holder, self.starting, self.looking) = (AttemptTable::default(), 0, false);
         self.line.clear();
         self.waits.clear();
         self.kept.clear();
--- a/testbed/src/process_harness.rs
+++ b/testbed/src/process_harness.rs
@@ -7,7 +7,7 @@
 use crate::fault_scenario::{drawn, PlannerControl, ScheduledFault};
 use crate::machine::TestbedContext;
 use crate::relay::{self, RelayControl};
-use basaltpitch_config::Settled;
+use basaltpitch_config::ResolvedValue;
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -109,8 +109,8 @@
 }
 
 /// An installation's file of the council with these ways to the voters.
-fn council_file(folder: &Path, name: &str, seats: &Settled, ways: &[String]) -> io::Result<PathBuf> {
-    let time = |field: &str| seats.time(field).unwrap_or(1_000_000);
+fn council_file(folder: &Path, name: &str, seats: &ResolvedValue, ways: &[String]) -> io::Result<PathBuf> {
+    let time = |field: &str| seats.duration_us(field).unwrap_or(1_000_000);
     let voters = ways.iter().enumerate().map(|(n, a)| format!("{{name: \"voter-{n}\", address: {a:?}}}"));
     let (term, drift, voters) = (time("term"), time("drift"), voters.collect::<Vec<_>>().join(", "));
     let file = folder.join(format!("{name}.rec"));
@@ -140,7 +140,7 @@
     /// Lays out voters and planners of `day.seats`; nothing is started yet.
     pub async fn new(
         how: Rc<DrillConfig>,
-        day: &Settled,
+        day: &ResolvedValue,
         world: Rc<TestbedContext>,
         front: PlannerAddresses,
         register: &str,
@@ -206,7 +206,7 @@
             world,
             front,
             files,
-            term_us: seats.time("term").unwrap_or(1_000_000),
+            term_us: seats.duration_us("term").unwrap_or(1_000_000),
             seats: (0..count).map(|_| Seat::default()).collect(),
             planners,
             voters: all,
--- a/testbed/src/registry.rs
+++ b/testbed/src/registry.rs
@@ -1,8 +1,8 @@
 //! A stand-in register of machines: late, later still about machines that fell silent, and silent on command.
 use crate::faulty_link::{self, FaultInjection, LinkObservation};
 use crate::machine::{MachineCommand, SimulatedMachine, TestbedContext};
-use basaltpitch_agent::link::{self, News, Order};
-use basaltpitch_agent::session::{Event, Party};
+use basaltpitch_agent::link::{self, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, Body, Entry, Readiness, Role};
 use rand::{rngs::StdRng, seq::SliceRandom, SeedableRng};
 use std::cell::Cell;
@@ -54,7 +54,7 @@
 }
 
 struct Watcher {
-    orders: mpsc::Sender<Order>,
+    orders: mpsc::Sender<LinkCommand>,
     watches: bool,
     brief: bool,
     /// What it was sent, by machine.
@@ -124,7 +124,7 @@
         }
     }
 
-    fn accept(&mut self, stream: tokio::net::TcpStream, conn: u64, news: mpsc::Sender<(u64, News)>) {
+    fn accept(&mut self, stream: tokio::net::TcpStream, conn: u64, news: mpsc::Sender<(u64, LinkEvent)>) {
         let _ = stream.set_nodelay(true);
         let (outer, inner) = tokio::io::duplex(256 * 1024);
         let (orders, inbox) = mpsc::channel(1024);
@@ -137,7 +137,7 @@
             }
         };
         tokio::task::spawn_local(faulty_link::carry(stream, inner, conn, self.me.knobs.clone(), clock, show));
-        let me = Party {
+        let me = PeerIdentity {
             role: Role::Register,
             name: "register".into(),
             epoch: 1,
@@ -147,17 +147,19 @@
         tokio::task::spawn_local(link::run(outer, me, clock, inbox, news, move |n| (conn, n)));
     }
 
-    fn hear(&mut self, conn: u64, news: News) {
+    fn hear(&mut self, conn: u64, news: LinkEvent) {
         match news {
-            News::Session(Event::Frame(Body::Watch(watch))) => {
+            LinkEvent::Session(SessionEvent::Frame(Body::Watch(watch))) => {
                 if let Some(w) = self.watchers.get_mut(&conn) {
                     (w.watches, w.brief) = (watch.on, watch.brief);
                 }
                 self.send(conn, true);
             }
-            News::Session(Event::Frame(Body::Fetch(fetch))) if fetch.question > 0 => self.offer(conn, &fetch),
-            News::Session(Event::Frame(Body::Fetch(_))) => self.send(conn, true),
-            News::Session(Event::Frame(Body::Drain(drain))) => {
+            LinkEvent::Session(SessionEvent::Frame(Body::Fetch(fetch))) if fetch.question > 0 => {
+                self.offer(conn, &fetch)
+            }
+            LinkEvent::Session(SessionEvent::Frame(Body::Fetch(_))) => self.send(conn, true),
+            LinkEvent::Session(SessionEvent::Frame(Body::Drain(drain))) => {
                 if let Some(machine) = self.fleet.iter().find(|m| m.name == drain.machine).cloned() {
                     if drain.token == 0 {
                         return machine.tell(MachineCommand::Drain(drain.on));
@@ -165,10 +167,10 @@
                     self.of_roll(&machine, &drain);
                 }
             }
-            News::Ended { .. } => {
+            LinkEvent::Ended { .. } => {
                 self.watchers.remove(&conn);
             }
-            News::Session(_) => {}
+            LinkEvent::Session(_) => {}
         }
     }
 
@@ -229,7 +231,7 @@
         self.stamp += 1;
         let list = wire::List { whole: false, stamp: self.stamp, entries, question: fetch.question };
         if let Some(w) = self.watchers.get(&conn) {
-            let _ = w.orders.try_send(Order::Send(Body::List(list), None));
+            let _ = w.orders.try_send(LinkCommand::Send(Body::List(list), None));
         }
     }
 
@@ -250,7 +252,7 @@
         let entries: Vec<Entry> = news.map(|(_, e)| e.clone()).collect();
         if whole || !entries.is_empty() {
             let list = wire::List { whole, stamp, entries, question: 0 };
-            if w.orders.try_send(Order::Send(Body::List(list), None)).is_ok() {
+            if w.orders.try_send(LinkCommand::Send(Body::List(list), None)).is_ok() {
                 w.knows = shown;
             }
         }
--- a/testbed/src/relay.rs
+++ b/testbed/src/relay.rs
@@ -1,7 +1,7 @@
 //! A relay between processes: it carries bytes between who connects and one address, and spoils the way on
 //! command: cut both ways or one, stalled, slow, or refused. A connection that is cut one way stays open, as
 //! where a switch loses frames: who is cut off is not told.
-use basaltpitch_agent::framing::Cutter;
+use basaltpitch_agent::frame_decoder::FrameDecoder;
 use basaltpitch_agent::wire::Body;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -62,12 +62,12 @@
         }
     };
     // Who dials says so in its first frame.
-    let (who, cutter) = (RefCell::new(String::new()), RefCell::new(Some(Cutter::default())));
+    let (who, cutter) = (RefCell::new(String::new()), RefCell::new(Some(FrameDecoder::default())));
     let hears = |bytes: &[u8]| {
         let mut first = cutter.borrow_mut();
         let Some(cutter) = first.as_mut() else { return };
-        cutter.feed(bytes);
-        if let Some((_, body)) = cutter.cut() {
+        cutter.push_bytes(bytes);
+        if let Some((_, body)) = cutter.next_frame() {
             if let Some(Body::Hello(hello)) = body {
                 *who.borrow_mut() = hello.name;
             }
--- a/testbed/src/scale/clients.rs
+++ b/testbed/src/scale/clients.rs
@@ -1,8 +1,8 @@
 //! Clients of an open load: requests come by the clock, whatever became of those before, and a wait before
 //! sending counts. Each connection asks one planner, and turns to the next when it does not answer.
 use super::traffic::{CountingStream, Traffic};
-use basaltpitch_agent::link::{self, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Party};
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, AnswerKind, Body, LifeHow, Role, Submit};
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
@@ -91,7 +91,7 @@
 }
 
 struct Conn {
-    orders: Option<mpsc::Sender<Order>>,
+    orders: Option<mpsc::Sender<LinkCommand>>,
     link: u64,
     /// Who answers, and what this link carried.
     planner: String,
@@ -101,8 +101,8 @@
 }
 
 enum In {
-    Up(usize, u64, mpsc::Sender<Order>, Rc<RefCell<Traffic>>),
-    News(usize, u64, News),
+    Up(usize, u64, mpsc::Sender<LinkCommand>, Rc<RefCell<Traffic>>),
+    News(usize, u64, LinkEvent),
 }
 
 struct Load {
@@ -232,8 +232,8 @@
             if submit.time_left_us <= 0 {
                 continue;
             }
-            if let Err(e) = orders.try_send(Order::Send(Body::Submit(submit), None)) {
-                if let mpsc::error::TrySendError::Full(Order::Send(Body::Submit(submit), _)) = e {
+            if let Err(e) = orders.try_send(LinkCommand::Send(Body::Submit(submit), None)) {
+                if let mpsc::error::TrySendError::Full(LinkCommand::Send(Body::Submit(submit), _)) = e {
                     conn.waits.push_front(submit);
                 }
                 return;
@@ -249,17 +249,19 @@
                 (conn.orders, conn.link, conn.traffic) = (Some(orders), link, traffic);
                 self.send(c);
             }
-            In::News(c, link, News::Session(Event::Up(party))) if link == self.conns[c].link => {
+            In::News(c, link, LinkEvent::Session(SessionEvent::Up(party))) if link == self.conns[c].link => {
                 self.conns[c].planner = party.name;
             }
-            In::News(c, link, News::Session(Event::Frame(body))) if link == self.conns[c].link => {
+            In::News(c, link, LinkEvent::Session(SessionEvent::Frame(body)))
+                if link == self.conns[c].link =>
+            {
                 match body {
                     Body::Answer(a) => self.answer(a),
                     Body::Life(l) => self.life(l),
                     _ => {}
                 }
             }
-            In::News(c, link, News::Ended { .. }) if link == self.conns[c].link => {
+            In::News(c, link, LinkEvent::Ended { .. }) if link == self.conns[c].link => {
                 let conn = &mut self.conns[c];
                 conn.orders = None;
                 let carried = conn.traffic.take();
@@ -387,7 +389,7 @@
         let dialled = TcpStream::connect(&planners[at % planners.len()]);
         if let Ok(Ok(stream)) = tokio::time::timeout(Duration::from_millis(250), dialled).await {
             let (orders, inbox) = mpsc::channel(4096);
-            let me = Party {
+            let me = PeerIdentity {
                 role: Role::Owner,
                 name: format!("client-{seed}-{c}"),
                 epoch: 1,
--- a/testbed/src/scale/machines.rs
+++ b/testbed/src/scale/machines.rs
@@ -4,10 +4,10 @@
 //! that vanish as when their power is lost.
 use super::registry::host_of;
 use super::traffic::{CountingStream, Traffic};
-use basaltpitch_agent::holder::{Holder, Id, Say, State};
-use basaltpitch_agent::link::{self, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Party};
-use basaltpitch_agent::why;
+use basaltpitch_agent::attempt_table::{AttemptId, AttemptReply, AttemptState, AttemptTable};
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::refusal_reason;
+use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, Body, EndedHow, Entry, Launch, LaunchId, Readiness, Report, Role};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -62,13 +62,13 @@
     Roll(usize),
 }
 
-type Of = (String, Id);
+type Of = (String, AttemptId);
 
 enum In {
     Accepted(usize, TcpStream),
-    Conn(usize, u64, News),
-    Register(News),
-    Registered(mpsc::Sender<Order>),
+    Conn(usize, u64, LinkEvent),
+    Register(LinkEvent),
+    Registered(mpsc::Sender<LinkCommand>),
 }
 
 #[derive(Debug)]
@@ -89,8 +89,8 @@
 }
 
 struct Conn {
-    orders: mpsc::Sender<Order>,
-    party: Option<Party>,
+    orders: mpsc::Sender<LinkCommand>,
+    party: Option<PeerIdentity>,
     task: AbortHandle,
     traffic: Rc<RefCell<Traffic>>,
 }
@@ -103,7 +103,7 @@
     started: i64,
     /// A life: what is due of an earlier one is nothing.
     life: u64,
-    holder: Holder<String, Launch>,
+    holder: AttemptTable<String, Launch>,
     links: BTreeMap<String, u64>,
     conns: HashMap<u64, Conn>,
     tasks: BTreeMap<Of, Run>,
@@ -127,7 +127,7 @@
     changed: BTreeSet<usize>,
     rolls: VecDeque<usize>,
     at_once: usize,
-    register: Option<mpsc::Sender<Order>>,
+    register: Option<mpsc::Sender<LinkCommand>>,
     news: mpsc::Sender<In>,
     inbox: mpsc::Receiver<In>,
     /// By planner: what ended connections carried.
@@ -144,7 +144,7 @@
     restarts: u64,
 }
 
-fn wire_id(id: Id) -> Option<LaunchId> {
+fn wire_id(id: AttemptId) -> Option<LaunchId> {
     Some(LaunchId { epoch: id.0, number: id.1 })
 }
 
@@ -166,7 +166,7 @@
             // Long enough ago that it is not cold.
             started: now - 60_000_000,
             life: 0,
-            holder: Holder::default(),
+            holder: AttemptTable::default(),
             links: BTreeMap::new(),
             conns: HashMap::new(),
             tasks: BTreeMap::new(),
@@ -326,10 +326,10 @@
             In::Conn(m, conn, news) => self.hear_conn(m, conn, news),
             In::Registered(orders) => {
                 let list = wire::List { whole: true, stamp: 1, entries: self.entries(), question: 0 };
-                let _ = orders.try_send(Order::Send(Body::List(list), None));
+                let _ = orders.try_send(LinkCommand::Send(Body::List(list), None));
                 self.register = Some(orders);
             }
-            In::Register(News::Session(Event::Frame(Body::Drain(drain)))) => {
+            In::Register(LinkEvent::Session(SessionEvent::Frame(Body::Drain(drain)))) => {
                 if let Some(&m) = self.numbers.get(&drain.machine) {
                     let started = self.machines[m].started;
                     if !drain.on || drain.started_us == 0 || drain.started_us == started {
@@ -337,7 +337,7 @@
                     }
                 }
             }
-            In::Register(News::Ended { .. }) => self.register = None,
+            In::Register(LinkEvent::Ended { .. }) => self.register = None,
             In::Register(_) => {}
         }
     }
@@ -349,7 +349,7 @@
         let traffic = Rc::new(RefCell::new(Traffic::default()));
         let x = &mut self.machines[m];
         let stream = CountingStream::new(stream, x.still.clone(), traffic.clone());
-        let me = Party {
+        let me = PeerIdentity {
             role: Role::Machine,
             name: x.name.clone(),
             epoch: x.started as u64,
@@ -361,27 +361,29 @@
         x.conns.insert(conn, Conn { orders, party: None, task, traffic });
     }
 
-    fn hear_conn(&mut self, m: usize, conn: u64, news: News) {
+    fn hear_conn(&mut self, m: usize, conn: u64, news: LinkEvent) {
         match news {
-            News::Session(Event::Up(party)) if party.role == Role::Planner => self.meet(m, conn, party),
-            News::Session(Event::Frame(body)) => {
+            LinkEvent::Session(SessionEvent::Up(party)) if party.role == Role::Planner => {
+                self.meet(m, conn, party)
+            }
+            LinkEvent::Session(SessionEvent::Frame(body)) => {
                 let x = &self.machines[m];
                 let party = x.conns.get(&conn).and_then(|c| c.party.clone());
                 if let Some(p) = party.filter(|p| x.holder.is_current(&p.name, p.epoch, p.link)) {
                     self.frame(m, p.name, body);
                 }
             }
-            News::Ended { .. } => self.ended(m, conn),
-            News::Session(_) => {}
+            LinkEvent::Ended { .. } => self.ended(m, conn),
+            LinkEvent::Session(_) => {}
         }
     }
 
-    fn meet(&mut self, m: usize, conn: u64, party: Party) {
+    fn meet(&mut self, m: usize, conn: u64, party: PeerIdentity) {
         let x = &mut self.machines[m];
         if !x.conns.contains_key(&conn) {
             return;
         }
-        if !x.holder.hello(&party.name, party.epoch, party.link) {
+        if !x.holder.admit_link(&party.name, party.epoch, party.link) {
             return x.close(conn, "an older life or link of this planner");
         }
         if let Some(c) = x.conns.get_mut(&conn) {
@@ -396,8 +398,8 @@
         }
         let held = held.into_iter().map(|(_, state, launch)| wire::Held {
             launch: Some(launch),
-            accepted: state != State::Queued,
-            running: state == State::Running,
+            accepted: state != AttemptState::Queued,
+            running: state == AttemptState::Running,
         });
         let x = &self.machines[m];
         let inventory = wire::Inventory { held: held.collect(), draining: x.draining };
@@ -434,11 +436,13 @@
             Body::Stop(x) => {
                 let of = (planner, id(x.id));
                 match self.machines[m].holder.state(&of.0, of.1) {
-                    Some(State::Accepted | State::Running) => self.ends(m, &of, EndedHow::EndedStopped),
+                    Some(AttemptState::Accepted | AttemptState::Running) => {
+                        self.ends(m, &of, EndedHow::EndedStopped)
+                    }
                     _ => self.frame(m, of.0, Body::Cancel(wire::Cancel { id: x.id })),
                 }
             }
-            Body::Noted(x) => self.machines[m].holder.noted(&planner, id(x.id)),
+            Body::Noted(x) => self.machines[m].holder.acknowledge(&planner, id(x.id)),
             Body::Probe(x) => {
                 let report = self.report(m);
                 let probed = wire::Probed { number: x.number, why: 0, report };
@@ -454,34 +458,36 @@
         Some(Report { values: vec![self.plan.cores - asked.0, self.plan.memory - asked.1] })
     }
 
-    fn say(&self, m: usize, planner: &str, id: Id, say: Say) {
+    fn say(&self, m: usize, planner: &str, id: AttemptId, say: AttemptReply) {
         let (x, report) = (&self.machines[m], self.report(m));
-        let key = x.holder.with(&planner.to_owned(), id).map(|l| l.key.clone()).unwrap_or_default();
+        let key = x.holder.payload(&planner.to_owned(), id).map(|l| l.key.clone()).unwrap_or_default();
         let id = wire_id(id);
         let body = match say {
-            Say::Nothing => return,
-            Say::Yes => Body::Yes(wire::Yes { id, key, report }),
-            Say::NotHere => Body::Refused(wire::Refused { id, key, why: why::NOT_HERE, report }),
-            Say::Failed => Body::Failed(wire::Failed { id, key, report }),
-            Say::Ended(how) => Body::Ended(wire::Ended { id, key, how: i32::from(how), report }),
+            AttemptReply::Nothing => return,
+            AttemptReply::Accepted => Body::Yes(wire::Yes { id, key, report }),
+            AttemptReply::NotHere => {
+                Body::Refused(wire::Refused { id, key, why: refusal_reason::NOT_HERE, report })
+            }
+            AttemptReply::Failed => Body::Failed(wire::Failed { id, key, report }),
+            AttemptReply::Ended(how) => Body::Ended(wire::Ended { id, key, how: i32::from(how), report }),
         };
         x.send(planner, body);
     }
 
     fn looked(&mut self, m: usize, of: Of) {
         let (x, plan) = (&mut self.machines[m], &self.plan);
-        if x.holder.state(&of.0, of.1) != Some(State::Queued) {
+        if x.holder.state(&of.0, of.1) != Some(AttemptState::Queued) {
             return;
         }
-        let Some(l) = x.holder.with(&of.0, of.1).cloned() else { return };
+        let Some(l) = x.holder.payload(&of.0, of.1).cloned() else { return };
         let room = (
             x.asked.0 + l.cores <= plan.accepts.0 * plan.cores,
             x.asked.1 + l.memory <= plan.accepts.1 * plan.memory,
         );
         let refused = match room {
-            _ if x.draining => Some(why::NOT_HERE),
-            (false, _) => Some(why::NO_CORES),
-            (_, false) => Some(why::NO_MEMORY),
+            _ if x.draining => Some(refusal_reason::NOT_HERE),
+            (false, _) => Some(refusal_reason::NO_CORES),
+            (_, false) => Some(refusal_reason::NO_MEMORY),
             _ => None,
         };
         if let Some(why) = refused {
@@ -490,12 +496,12 @@
             let body = wire::Refused { id: wire_id(of.1), key: l.key, why, report: self.report(m) };
             return self.machines[m].send(&of.0, Body::Refused(body));
         }
-        x.holder.set(&of.0, of.1, State::Accepted);
+        x.holder.set_state(&of.0, of.1, AttemptState::Accepted);
         x.asked = (x.asked.0 + l.cores, x.asked.1 + l.memory);
         x.tasks.insert(of.clone(), Run { asks: (l.cores, l.memory), running: false });
         self.changed.insert(m);
         if !self.plan.yes_when_running {
-            self.say(m, &of.0, of.1, Say::Yes);
+            self.say(m, &of.0, of.1, AttemptReply::Accepted);
         }
         let takes = START as f64 * (0.7 + 0.6 * self.chance.f64());
         self.later(m, takes as i64, At::Start(of));
@@ -506,11 +512,11 @@
         let Some(run) = x.tasks.get_mut(&of) else { return };
         (run.running, self.counts.started) = (true, self.counts.started + 1);
         let asks = run.asks;
-        x.holder.set(&of.0, of.1, State::Running);
-        let l = x.holder.with(&of.0, of.1);
+        x.holder.set_state(&of.0, of.1, AttemptState::Running);
+        let l = x.holder.payload(&of.0, of.1);
         let (key, runs_us) = l.map(|l| (l.key.clone(), l.runs_for_us)).unwrap_or_default();
         if self.plan.yes_when_running {
-            self.say(m, &of.0, of.1, Say::Yes);
+            self.say(m, &of.0, of.1, AttemptReply::Accepted);
         }
         let (x, id) = (&self.machines[m], wire_id(of.1));
         x.send(&of.0, Body::Running(wire::Running { id, key: key.clone() }));
@@ -524,10 +530,10 @@
         let x = &mut self.machines[m];
         let Some(run) = x.tasks.remove(of) else { return };
         x.asked = (x.asked.0 - run.asks.0, x.asked.1 - run.asks.1);
-        x.holder.set(&of.0, of.1, State::Ended(how as u8));
+        x.holder.set_state(&of.0, of.1, AttemptState::Ended(how as u8));
         self.counts.ended += 1;
         self.changed.insert(m);
-        self.say(m, &of.0, of.1, Say::Ended(how as u8));
+        self.say(m, &of.0, of.1, AttemptReply::Ended(how as u8));
     }
 
     fn due(&mut self, m: usize, life: u64, at: At) {
@@ -619,7 +625,7 @@
         }
         let x = &mut self.machines[m];
         x.life += 1;
-        (x.holder, x.asked, x.draining) = (Holder::default(), (0.0, 0.0), false);
+        (x.holder, x.asked, x.draining) = (AttemptTable::default(), (0.0, 0.0), false);
         x.others = 0;
         x.tasks.clear();
     }
@@ -651,7 +657,7 @@
         let Some(register) = self.register.clone().filter(|_| !self.changed.is_empty()) else { return };
         let entries = self.changed.iter().map(|&m| self.entry(m)).collect();
         let list = wire::List { whole: false, stamp: 1, entries, question: 0 };
-        if register.try_send(Order::Send(Body::List(list), None)).is_ok() {
+        if register.try_send(LinkCommand::Send(Body::List(list), None)).is_ok() {
             self.changed.clear();
         }
     }
@@ -685,13 +691,13 @@
 impl Machine {
     fn close(&self, conn: u64, why: &str) {
         if let Some(c) = self.conns.get(&conn) {
-            let _ = c.orders.try_send(Order::Close(why.to_owned()));
+            let _ = c.orders.try_send(LinkCommand::Close(why.to_owned()));
         }
     }
 
     fn send(&self, planner: &str, body: Body) {
         if let Some(c) = self.links.get(planner).and_then(|conn| self.conns.get(conn)) {
-            let _ = c.orders.try_send(Order::Send(body, None));
+            let _ = c.orders.try_send(LinkCommand::Send(body, None));
         }
     }
 }
@@ -703,7 +709,7 @@
         if let Ok(stream) = TcpStream::connect(&address).await {
             links += 1;
             let (orders, inbox) = mpsc::channel(256);
-            let me = Party {
+            let me = PeerIdentity {
                 role: Role::Machine,
                 name: name.clone(),
                 epoch: 1,
--- a/testbed/src/scale/registry.rs
+++ b/testbed/src/scale/registry.rs
@@ -3,8 +3,8 @@
 //! change, so that a watcher costs a number here, not a copy of the list.
 use super::traffic::{CountingStream, Traffic};
 use crate::registry::{differ_in_capacity_only, with_capacity_for};
-use basaltpitch_agent::link::{self, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Party};
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, Body, Entry, Readiness, Role};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -31,8 +31,8 @@
 }
 
 struct Conn {
-    orders: mpsc::Sender<Order>,
-    party: Option<Party>,
+    orders: mpsc::Sender<LinkCommand>,
+    party: Option<PeerIdentity>,
     watches: bool,
     brief: bool,
     /// The number of the newest change that it was told.
@@ -70,7 +70,7 @@
     out: impl Fn(Value),
 ) -> io::Result<()> {
     let clock = Clock::start();
-    let (news, mut heard) = mpsc::channel::<(u64, News)>(4096);
+    let (news, mut heard) = mpsc::channel::<(u64, LinkEvent)>(4096);
     let mut period = tokio::time::interval(std::time::Duration::from_micros(PERIOD));
     let mut register = RegistryState::default();
     lists.into_iter().for_each(|e| register.takes(0, e));
@@ -92,13 +92,13 @@
 }
 
 impl RegistryState {
-    fn accept(&mut self, stream: TcpStream, conn: u64, clock: Clock, news: mpsc::Sender<(u64, News)>) {
+    fn accept(&mut self, stream: TcpStream, conn: u64, clock: Clock, news: mpsc::Sender<(u64, LinkEvent)>) {
         let (orders, inbox) = mpsc::channel(1024);
         let traffic = Rc::new(RefCell::new(Traffic::default()));
         let stream = CountingStream::new(stream, Rc::new(Cell::new(false)), traffic.clone());
         self.conns.insert(conn, Conn { orders, party: None, watches: false, brief: false, told: 0, traffic });
         let (name, login) = ("register".into(), String::new());
-        let me = Party { role: Role::Register, name, epoch: 1, link: conn, login };
+        let me = PeerIdentity { role: Role::Register, name, epoch: 1, link: conn, login };
         tokio::task::spawn_local(link::run(stream, me, clock, inbox, news, move |n| (conn, n)));
     }
 
@@ -113,35 +113,35 @@
         self.rows.insert(entry.machine.clone(), Row { entry, changed, other, by });
     }
 
-    fn hear(&mut self, conn: u64, news: News) {
+    fn hear(&mut self, conn: u64, news: LinkEvent) {
         match news {
-            News::Session(Event::Up(party)) => {
+            LinkEvent::Session(SessionEvent::Up(party)) => {
                 if let Some(c) = self.conns.get_mut(&conn) {
                     c.party = Some(party);
                 }
             }
-            News::Session(Event::Frame(Body::List(list))) => {
+            LinkEvent::Session(SessionEvent::Frame(Body::List(list))) => {
                 let tells = self.conns.get(&conn).and_then(|c| c.party.as_ref());
                 if tells.is_some_and(|p| p.role == Role::Machine) {
                     list.entries.into_iter().for_each(|e| self.takes(conn, e));
                 }
             }
-            News::Session(Event::Frame(Body::Watch(watch))) => {
+            LinkEvent::Session(SessionEvent::Frame(Body::Watch(watch))) => {
                 if let Some(c) = self.conns.get_mut(&conn) {
                     (c.watches, c.brief) = (watch.on, watch.brief);
                 }
                 self.send(conn, true);
             }
-            News::Session(Event::Frame(Body::Fetch(fetch))) if fetch.question > 0 => {
+            LinkEvent::Session(SessionEvent::Frame(Body::Fetch(fetch))) if fetch.question > 0 => {
                 let entries = with_capacity_for(self.rows.values().map(|r| &r.entry), conn, &fetch);
                 self.stamp += 1;
                 let list = wire::List { whole: false, stamp: self.stamp, entries, question: fetch.question };
                 if let Some(c) = self.conns.get(&conn) {
-                    let _ = c.orders.try_send(Order::Send(Body::List(list), None));
+                    let _ = c.orders.try_send(LinkCommand::Send(Body::List(list), None));
                 }
             }
-            News::Session(Event::Frame(Body::Fetch(_))) => self.send(conn, true),
-            News::Session(Event::Frame(Body::Drain(drain))) => {
+            LinkEvent::Session(SessionEvent::Frame(Body::Fetch(_))) => self.send(conn, true),
+            LinkEvent::Session(SessionEvent::Frame(Body::Drain(drain))) => {
                 // A conductor's word under an older token is refused.
                 if drain.token != 0 && drain.token < self.fence {
                     return;
@@ -149,10 +149,10 @@
                 self.fence = self.fence.max(drain.token);
                 let to = self.rows.get(&drain.machine).and_then(|r| self.conns.get(&r.by));
                 if let Some(c) = to {
-                    let _ = c.orders.try_send(Order::Send(Body::Drain(drain), None));
+                    let _ = c.orders.try_send(LinkCommand::Send(Body::Drain(drain), None));
                 }
             }
-            News::Ended { .. } => {
+            LinkEvent::Ended { .. } => {
                 let Some(c) = self.conns.remove(&conn) else { return };
                 match c.party {
                     Some(p) if p.role == Role::Machine => self.lost(conn),
@@ -160,7 +160,7 @@
                     None => {}
                 }
             }
-            News::Session(_) => {}
+            LinkEvent::Session(_) => {}
         }
     }
 
@@ -189,7 +189,7 @@
         }
         self.stamp += 1;
         let list = wire::List { whole, stamp: self.stamp, entries, question: 0 };
-        if c.orders.try_send(Order::Send(Body::List(list), None)).is_ok() {
+        if c.orders.try_send(LinkCommand::Send(Body::List(list), None)).is_ok() {
             c.told = self.changes;
         }
     }
--- a/testbed/src/scale/traffic.rs
+++ b/testbed/src/scale/traffic.rs
@@ -1,7 +1,7 @@
 //! Bytes and frames by kind, as the sockets carry them: read off the length and the first field of each
 //! frame, so that counting decodes nothing. And a relay that counts both ways of what it carries.
 use super::registry::host_of;
-use basaltpitch_agent::framing::Cutter;
+use basaltpitch_agent::frame_decoder::FrameDecoder;
 use basaltpitch_agent::wire::Body;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -232,14 +232,14 @@
     way: &RelayCounts,
     who: &RefCell<Option<String>>,
 ) {
-    let (mut frames, mut bytes, mut first) = (Frames::default(), vec![0; 16 * 1024], Cutter::default());
+    let (mut frames, mut bytes, mut first) = (Frames::default(), vec![0; 16 * 1024], FrameDecoder::default());
     // What the other side said before it was known to whom.
     let mut early = Traffic::default();
     while let Ok(n @ 1..) = from.read(&mut bytes).await {
         way.carried.set(way.carried.get() + n as u64);
         if goes_in && who.borrow().is_none() {
-            first.feed(&bytes[..n]);
-            if let Some((_, Some(Body::Hello(hello)))) = first.cut() {
+            first.push_bytes(&bytes[..n]);
+            if let Some((_, Some(Body::Hello(hello)))) = first.next_frame() {
                 *who.borrow_mut() = Some(hello.name);
             }
         }
--- a/testbed/tests/faulty_link.rs
+++ b/testbed/tests/faulty_link.rs
@@ -1,5 +1,5 @@
 //! A rough link shows each frame twice each way: on the socket, and with the stand-in.
-use basaltpitch_agent::framing::Cutter;
+use basaltpitch_agent::frame_decoder::FrameDecoder;
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{Body, Frame, Heartbeat, Hello, Role};
 use basaltpitch_testbed::faulty_link::{carry, FaultInjection, LinkObservation};
@@ -17,11 +17,11 @@
 
 /// Reads one whole frame.
 async fn reads(from: &mut (impl AsyncReadExt + Unpin)) -> Option<Body> {
-    let (mut cutter, mut some) = (Cutter::default(), [0; 256]);
+    let (mut cutter, mut some) = (FrameDecoder::default(), [0; 256]);
     loop {
         let n = from.read(&mut some).await.ok().filter(|&n| n > 0)?;
-        cutter.feed(&some[..n]);
-        if let Some((_, body)) = cutter.cut() {
+        cutter.push_bytes(&some[..n]);
+        if let Some((_, body)) = cutter.next_frame() {
             return body;
         }
     }
--- a/testbed/tests/registry.rs
+++ b/testbed/tests/registry.rs
@@ -1,7 +1,7 @@
 //! The stand-in register: what watchers of the list are told, whole, of each change, or brief; and who is named
 //! to those that ask for room.
-use basaltpitch_agent::link::{self, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Party};
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{Body, Fetch, List, Role, Watch};
 use basaltpitch_config::installation::load_texts;
 use basaltpitch_testbed::drill::{context, start_machines};
@@ -17,26 +17,28 @@
     tasks: [{framework: \"small\", per_s: 1, cores: [1], memory: [1]}]}\n";
 
 struct Watcher {
-    orders: mpsc::Sender<Order>,
-    news: mpsc::Receiver<News>,
+    orders: mpsc::Sender<LinkCommand>,
+    news: mpsc::Receiver<LinkEvent>,
 }
 
 impl Watcher {
     async fn start(address: &str, name: &str, brief: bool) -> Watcher {
         let (role, login) = (Role::Planner, String::new());
-        let me = Party { role, name: name.into(), epoch: 1, link: 1, login };
+        let me = PeerIdentity { role, name: name.into(), epoch: 1, link: 1, login };
         let stream = tokio::net::TcpStream::connect(address).await.unwrap();
         let ((orders, inbox), (out, news)) = (mpsc::channel(16), mpsc::channel(64));
         tokio::task::spawn_local(link::run(stream, me, Clock::start(), inbox, out, |n| n));
         let watch = Body::Watch(Watch { on: true, brief });
-        orders.send(Order::Send(watch, None)).await.unwrap();
+        orders.send(LinkCommand::Send(watch, None)).await.unwrap();
         Watcher { orders, news }
     }
 
     async fn list(&mut self) -> List {
         loop {
             let next = tokio::time::timeout(Duration::from_secs(20), self.news.recv()).await;
-            if let Some(News::Session(Event::Frame(Body::List(list)))) = next.expect("a list in time") {
+            if let Some(LinkEvent::Session(SessionEvent::Frame(Body::List(list)))) =
+                next.expect("a list in time")
+            {
                 return list;
             }
         }
@@ -71,14 +73,14 @@
         fleet[1].asked.set((1.0, 1.0));
         assert_eq!(brief.names().await, ["machine-1"]);
         let fetch = Fetch { question: 7, cores: 8.0, memory: 8.0, most: 8, ..Fetch::default() };
-        brief.orders.send(Order::Send(Body::Fetch(fetch.clone()), None)).await.unwrap();
+        brief.orders.send(LinkCommand::Send(Body::Fetch(fetch.clone()), None)).await.unwrap();
         let list = brief.list().await;
         let mut named: Vec<&str> = list.entries.iter().map(|e| e.machine.as_str()).collect();
         named.sort_unstable();
         assert_eq!((list.question, list.whole, named), (7, false, vec!["machine-2", "machine-3"]));
         let among = vec!["machine-0".into(), "machine-3".into()];
         let one = Fetch { question: 8, among, ..fetch };
-        brief.orders.send(Order::Send(Body::Fetch(one), None)).await.unwrap();
+        brief.orders.send(LinkCommand::Send(Body::Fetch(one), None)).await.unwrap();
         assert_eq!(brief.names().await, ["machine-3"]);
     });
 }
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -1,6 +1,6 @@
 //! Hollow stand-ins: counting of frames by kind, a fit_line through points, and a register.
-use basaltpitch_agent::link::{self, Clock, News, Order};
-use basaltpitch_agent::session::{Event, Party};
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, Body, Entry, Frame, Readiness, Role};
 use basaltpitch_testbed::scale::linear_fit::fit_line;
 use basaltpitch_testbed::scale::registry;
@@ -122,13 +122,13 @@
 
 /// Who talks to the register: a watcher, or a process that tells of its machines.
 struct Side {
-    orders: mpsc::Sender<Order>,
-    news: mpsc::Receiver<News>,
+    orders: mpsc::Sender<LinkCommand>,
+    news: mpsc::Receiver<LinkEvent>,
 }
 
 impl Side {
     async fn start(address: &str, role: Role, name: &str) -> Side {
-        let me = Party { role, name: name.into(), epoch: 1, link: 1, login: String::new() };
+        let me = PeerIdentity { role, name: name.into(), epoch: 1, link: 1, login: String::new() };
         let stream = TcpStream::connect(address).await.unwrap();
         let ((orders, inbox), (out, news)) = (mpsc::channel(16), mpsc::channel(64));
         tokio::task::spawn_local(link::run(stream, me, Clock::start(), inbox, out, |n| n));
@@ -136,7 +136,7 @@
     }
 
     async fn say(&self, body: Body) {
-        self.orders.send(Order::Send(body, None)).await.unwrap();
+        self.orders.send(LinkCommand::Send(body, None)).await.unwrap();
     }
 
     async fn tell(&self, entries: &[&Entry]) {
@@ -147,7 +147,7 @@
     async fn frame(&mut self) -> Body {
         loop {
             let next = tokio::time::timeout(Duration::from_secs(20), self.news.recv()).await;
-            if let Some(News::Session(Event::Frame(body))) = next.expect("a frame in time") {
+            if let Some(LinkEvent::Session(SessionEvent::Frame(body))) = next.expect("a frame in time") {
                 return body;
             }
         }
@@ -215,7 +215,7 @@
             let Body::Drain(drain) = source.frame().await else { panic!("another frame than a drain") };
             assert_eq!(drain.machine, expected);
         }
-        source.orders.send(Order::Close("over".into())).await.unwrap();
+        source.orders.send(LinkCommand::Close("over".into())).await.unwrap();
         assert_eq!(
             brief.names().await,
             ["machine-0", "machine-1", "machine-2"],
