--- a/planner/src/admission.rs
+++ b/planner/src/admission.rs
@@ -145,7 +145,7 @@
         let free_cores = |machine: &MachineEstimate| {
             let free_share = |size: f64, used: f64| ((size - used) / size.max(1e-9)).clamp(0.0, 1.0);
             let memory = free_share(machine.memory, machine.used_memory);
-            machine.cores * free_share(machine.cores, machine.ucac).min(memory)
+            machine.cores * free_share(machine.cores, machine.cores_at_confidence).min(memory)
         };
         self.demand.set_machines(machines.map(|machine| {
             let free = if machine.may_launch { free_cores(&machine) } else { 0.0 };
--- a/planner/src/peer_links.rs
+++ b/planner/src/peer_links.rs
@@ -232,7 +232,7 @@
             if availability.readiness() == Readiness::Ready {
                 metrics[READY] += 1.0;
                 metrics[CORES] += fleet_share * belief.cores;
-                metrics[CORES_USED] += fleet_share * belief.ucac;
+                metrics[CORES_USED] += fleet_share * belief.cores_at_confidence;
             }
         }
         zones
--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -313,8 +313,11 @@
         let ready = self.machines().filter(|(_, s, _)| s.readiness() == Readiness::Ready);
         let fleet = self.fleet_to_subset_ratio();
         // The line is that of the whole fleet, of which a part is a sample.
-        let scaled =
-            |x: MachineEstimate| MachineEstimate { cores: fleet * x.cores, ucac: fleet * x.ucac, ..x };
+        let scaled = |x: MachineEstimate| MachineEstimate {
+            cores: fleet * x.cores,
+            cores_at_confidence: fleet * x.cores_at_confidence,
+            ..x
+        };
         admission.recompute(now, ready.map(|x| scaled(x.2)));
         self.admission = Some(admission);
     }
--- a/planner/src/view.rs
+++ b/planner/src/view.rs
@@ -138,12 +138,12 @@
             "role": core.link_role_text(m),
             "drains": s.draining || s.listed == Some(Readiness::Draining),
             "cores": b.cores, "memory": b.memory,
-            "c": rounded(b.c), "b": rounded(b.b), "ucac": rounded(b.ucac),
+            "c": rounded(b.mean_cores), "b": rounded(b.cores_variance), "ucac": rounded(b.cores_at_confidence),
             "used_memory": rounded(b.used_memory),
-            "own": b.held,
-            "report_ms_ago": ms(b.report_at),
-            "cold_ms": left(b.cold_until),
-            "barred_ms": left(b.shun_until),
+            "own": b.own_tasks,
+            "report_ms_ago": ms(b.reported_at),
+            "cold_ms": left(b.slow_start_until),
+            "barred_ms": left(b.ejected_until),
             "cold_budget_left": b.may_launch,
         })
     });
