--- a/benchlink/src/error.rs
+++ b/benchlink/src/error.rs
@@ -1,4 +1,5 @@
 //! What can be wrong with a line of the wire. Each ends the adapter, with the number of the line.
+use basaltpitch_json_fields::FieldError;
 
 /// A line that cannot be handled.
 #[derive(Debug, thiserror::Error)]
@@ -26,8 +27,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
     /// A field is missing, of the wrong type, or names nothing in the settings.
-    #[error("{0}")]
-    Field(String),
+    #[error(transparent)]
+    Field(#[from] FieldError),
     /// An outcome's number is not one that the bench knows.
     #[error("field 'verdict' is none of the known outcomes")]
     UnknownOutcome,
@@ -50,9 +51,3 @@
     #[error("unknown message type")]
     UnknownType,
 }
-
-impl From<String> for MessageError {
-    fn from(text: String) -> Self {
-        MessageError::Field(text)
-    }
-}
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -92,7 +92,8 @@
 
 /// The terms of a planner's part, where the installation has parts, and all seats.
 fn part(installation: &Installation, seats: &[Rc<str>], me: usize) -> Option<(Terms, Vec<Rc<str>>)> {
-    let (copies, term) = (installation.copies()?, installation.all.duration_us("council.term")?);
+    let (copies, term) =
+        (installation.planners_per_machine()?, installation.all.duration_us("council.term")?);
     let names = seats.iter().map(|seat| hash(seat)).collect();
     Some((Terms::of_term(copies, names, me, term), seats.to_vec()))
 }
@@ -305,7 +306,7 @@
             let region =
                 |zone: usize| regions.iter().position(|(_, zones)| zones.contains(&zone)).unwrap_or(0);
             let regions = (0..halls.len()).map(region).collect();
-            let bytes_a_second = installation.bytes_a_second();
+            let bytes_a_second = installation.control_bytes_per_s();
             let seats = under.seats;
             let meeting = PeerLinksConfig {
                 slots: seats,
--- a/config/src/syntax.rs
+++ b/config/src/syntax.rs
@@ -1,4 +1,4 @@
-//! The text of records, read into expressions.
+//! Parses the text of records into expressions.
 //!
 //! ```text
 //!     file   = { field }
@@ -12,6 +12,7 @@
 use crate::{ConfigError, Span};
 use logos::Logos;
 
+/// A token, with its text where that matters.
 #[derive(Logos, Clone, Debug, PartialEq)]
 #[logos(skip r"[ \t\r\n]+")]
 #[logos(skip r"//[^\n]*")]
@@ -62,12 +63,14 @@
     Above,
 }
 
+/// An expression, and where it stands.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expr {
     pub at: Span,
-    pub is: ExprKind,
+    pub kind: ExprKind,
 }
 
+/// A field of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Field {
     pub name: String,
@@ -76,6 +79,7 @@
     pub value: Expr,
 }
 
+/// The type of a scalar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Type {
     Number,
@@ -85,8 +89,9 @@
     Boolean,
 }
 
+/// How a bound compares a value with its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Compare {
+pub enum Comparison {
     Below,
     AtMost,
     Above,
@@ -94,26 +99,32 @@
     Not,
 }
 
+/// What an expression is.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExprKind {
+    /// `_`
     Any,
     Type(Type),
     Boolean(bool),
     Number(f64),
-    /// Microseconds.
+    /// A time in microseconds.
     DurationUs(i64),
     Text(String),
-    Bound(Compare, Box<Expr>),
+    Bound(Comparison, Box<Expr>),
     Record(Vec<Field>),
+    /// Items, and what further ones may be.
     List(Vec<Expr>, Option<Box<Expr>>),
-    Either(Vec<(Expr, bool)>),
-    Both(Vec<Expr>),
-    Defined(String),
+    /// One of these; true marks a default.
+    OneOf(Vec<(Expr, bool)>),
+    /// All of these.
+    AllOf(Vec<Expr>),
+    /// The definition of this name.
+    Reference(String),
 }
 
 /// Units of time in microseconds, and of amounts in the unit itself (memory units are GiB).
-fn unit(word: &str) -> Option<ExprKind> {
-    Some(match word {
+fn unit(name: &str) -> Option<ExprKind> {
+    Some(match name {
         "" => ExprKind::Number(1.0),
         "%" => ExprKind::Number(0.01),
         "us" => ExprKind::DurationUs(1),
@@ -132,15 +143,19 @@
 struct Parser<'a> {
     file: usize,
     tokens: Vec<(Token, Span)>,
-    at: usize,
+    position: usize,
     depth: usize,
     end: Span,
     text: &'a str,
 }
 
 /// Records nested deeper than this are refused.
-const MOST_DEPTH: usize = 64;
+const MAX_DEPTH: usize = 64;
 
+/// The record that a file is.
+///
+/// # Errors
+/// The first place that does not parse.
 pub fn parse(file: usize, text: &str) -> Result<Expr, ConfigError> {
     let mut tokens = Vec::new();
     for (token, range) in Token::lexer(text).spanned() {
@@ -157,24 +172,24 @@
         }
     }
     let end = Span { file, from: text.len(), to: text.len() };
-    let mut parser = Parser { file, tokens, at: 0, depth: 0, end, text };
+    let mut parser = Parser { file, tokens, position: 0, depth: 0, end, text };
     let fields = parser.fields()?;
     match parser.peek() {
-        None => Ok(Expr { at: Span { file, from: 0, to: text.len() }, is: ExprKind::Record(fields) }),
-        Some(_) => Err(parser.wrong("a field")),
+        None => Ok(Expr { at: Span { file, from: 0, to: text.len() }, kind: ExprKind::Record(fields) }),
+        Some(_) => Err(parser.unexpected("a field")),
     }
 }
 
 impl Parser<'_> {
     fn peek(&self) -> Option<&Token> {
-        self.tokens.get(self.at).map(|t| &t.0)
+        self.tokens.get(self.position).map(|t| &t.0)
     }
 
     fn here(&self) -> Span {
-        self.tokens.get(self.at).map_or(self.end, |t| t.1)
+        self.tokens.get(self.position).map_or(self.end, |t| t.1)
     }
 
-    fn wrong(&self, expected: &str) -> ConfigError {
+    fn unexpected(&self, expected: &str) -> ConfigError {
         let at = self.here();
         let found = if at.from == at.to { "the end of the file" } else { &self.text[at.from..at.to] };
         ConfigError::new(at, format!("found {found}; expected {expected}"))
@@ -182,15 +197,15 @@
 
     fn take(&mut self, token: &Token) -> bool {
         let is = self.peek() == Some(token);
-        self.at += usize::from(is);
+        self.position += usize::from(is);
         is
     }
 
-    fn need(&mut self, token: &Token, expected: &str) -> Result<(), ConfigError> {
+    fn expect(&mut self, token: &Token, expected: &str) -> Result<(), ConfigError> {
         if self.take(token) {
             Ok(())
         } else {
-            Err(self.wrong(expected))
+            Err(self.unexpected(expected))
         }
     }
 
@@ -209,18 +224,18 @@
         let name = match self.peek() {
             Some(Token::Name(name) | Token::Defined(name)) => name.clone(),
             Some(Token::Text(text)) => unquote(text),
-            _ => return Err(self.wrong("a field")),
+            _ => return Err(self.unexpected("a field")),
         };
-        self.at += 1;
+        self.position += 1;
         let optional = self.take(&Token::Optional);
-        self.need(&Token::Colon, "':' after the field's name")?;
+        self.expect(&Token::Colon, "':' after the field's name")?;
         let names = matches!(self.peek(), Some(Token::Name(_) | Token::Text(_)));
         let chain =
-            names && matches!(self.tokens.get(self.at + 1), Some((Token::Colon | Token::Optional, _)));
+            names && matches!(self.tokens.get(self.position + 1), Some((Token::Colon | Token::Optional, _)));
         let from = self.here();
         let value = if chain {
             let inner = vec![self.field()?];
-            Expr { at: Span { to: self.last_to(), ..from }, is: ExprKind::Record(inner) }
+            Expr { at: Span { to: self.last_to(), ..from }, kind: ExprKind::Record(inner) }
         } else {
             self.expr()?
         };
@@ -228,19 +243,19 @@
     }
 
     fn last_to(&self) -> usize {
-        self.tokens[self.at.saturating_sub(1)].1.to
+        self.tokens[self.position.saturating_sub(1)].1.to
     }
 
     fn expr(&mut self) -> Result<Expr, ConfigError> {
         self.depth += 1;
-        if self.depth > MOST_DEPTH {
-            return Err(self.wrong(&format!("at most {MOST_DEPTH} levels")));
+        if self.depth > MAX_DEPTH {
+            return Err(self.unexpected(&format!("at most {MAX_DEPTH} levels")));
         }
         let from = self.here();
         let mut parts = Vec::new();
         loop {
             let default = self.take(&Token::Star);
-            parts.push((self.both()?, default));
+            parts.push((self.all_of()?, default));
             if !self.take(&Token::Or) {
                 break;
             }
@@ -249,29 +264,29 @@
         if parts.len() == 1 && !parts[0].1 {
             return Ok(parts.remove(0).0);
         }
-        Ok(Expr { at: Span { to: self.last_to(), ..from }, is: ExprKind::Either(parts) })
+        Ok(Expr { at: Span { to: self.last_to(), ..from }, kind: ExprKind::OneOf(parts) })
     }
 
-    fn both(&mut self) -> Result<Expr, ConfigError> {
+    fn all_of(&mut self) -> Result<Expr, ConfigError> {
         let from = self.here();
-        let mut parts = vec![self.one()?];
+        let mut parts = vec![self.operand()?];
         while self.take(&Token::And) {
-            parts.push(self.one()?);
+            parts.push(self.operand()?);
         }
         if parts.len() == 1 {
             return Ok(parts.remove(0));
         }
-        Ok(Expr { at: Span { to: self.last_to(), ..from }, is: ExprKind::Both(parts) })
+        Ok(Expr { at: Span { to: self.last_to(), ..from }, kind: ExprKind::AllOf(parts) })
     }
 
-    fn one(&mut self) -> Result<Expr, ConfigError> {
+    fn operand(&mut self) -> Result<Expr, ConfigError> {
         let at = self.here();
-        let Some(token) = self.peek().cloned() else { return Err(self.wrong("a value or a type")) };
-        self.at += 1;
-        let is = match token {
+        let Some(token) = self.peek().cloned() else { return Err(self.unexpected("a value or a type")) };
+        self.position += 1;
+        let kind = match token {
             Token::Number(text) => self.number(&text, at)?,
             Token::Text(text) => ExprKind::Text(unquote(&text)),
-            Token::Defined(name) => ExprKind::Defined(name),
+            Token::Defined(name) => ExprKind::Reference(name),
             Token::Name(name) => match name.as_str() {
                 "true" => ExprKind::Boolean(true),
                 "false" => ExprKind::Boolean(false),
@@ -287,39 +302,39 @@
                 }
             },
             Token::Below | Token::Above | Token::AtMost | Token::AtLeast | Token::Not => {
-                let compare = match token {
-                    Token::Below => Compare::Below,
-                    Token::AtMost => Compare::AtMost,
-                    Token::Above => Compare::Above,
-                    Token::AtLeast => Compare::AtLeast,
-                    _ => Compare::Not,
+                let comparison = match token {
+                    Token::Below => Comparison::Below,
+                    Token::AtMost => Comparison::AtMost,
+                    Token::Above => Comparison::Above,
+                    Token::AtLeast => Comparison::AtLeast,
+                    _ => Comparison::Not,
                 };
-                let to = self.one()?;
-                if !matches!(to.is, ExprKind::Number(_) | ExprKind::DurationUs(_) | ExprKind::Text(_)) {
+                let limit = self.operand()?;
+                if !matches!(limit.kind, ExprKind::Number(_) | ExprKind::DurationUs(_) | ExprKind::Text(_)) {
                     return Err(ConfigError::new(
-                        to.at,
+                        limit.at,
                         "found no plain value; expected a number, a time or a text",
                     ));
                 }
-                ExprKind::Bound(compare, Box::new(to))
+                ExprKind::Bound(comparison, Box::new(limit))
             }
             Token::Open => {
                 let fields = self.fields()?;
-                self.need(&Token::Close, "a field or '}'")?;
+                self.expect(&Token::Close, "a field or '}'")?;
                 ExprKind::Record(fields)
             }
             Token::ListOpen => self.list()?,
             Token::GroupOpen => {
                 let inner = self.expr()?;
-                self.need(&Token::GroupClose, "')'")?;
-                inner.is
+                self.expect(&Token::GroupClose, "')'")?;
+                inner.kind
             }
             _ => {
-                self.at -= 1;
-                return Err(self.wrong("a value or a type"));
+                self.position -= 1;
+                return Err(self.unexpected("a value or a type"));
             }
         };
-        Ok(Expr { at: Span { file: self.file, from: at.from, to: self.last_to() }, is })
+        Ok(Expr { at: Span { file: self.file, from: at.from, to: self.last_to() }, kind })
     }
 
     fn list(&mut self) -> Result<ExprKind, ConfigError> {
@@ -328,12 +343,12 @@
             if self.take(&Token::Rest) {
                 rest = Some(Box::new(self.expr()?));
                 self.take(&Token::Comma);
-                self.need(&Token::ListClose, "']' after the rest")?;
+                self.expect(&Token::ListClose, "']' after the rest")?;
                 break;
             }
             items.push(self.expr()?);
             if !self.take(&Token::Comma) && self.peek() != Some(&Token::ListClose) {
-                return Err(self.wrong("',' or ']'"));
+                return Err(self.unexpected("',' or ']'"));
             }
         }
         Ok(ExprKind::List(items, rest))
@@ -341,18 +356,18 @@
 
     fn number(&self, text: &str, at: Span) -> Result<ExprKind, ConfigError> {
         let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic() || c == '%');
-        let word = &text[digits.len()..];
+        let unit_name = &text[digits.len()..];
         let wrong = |expected: &str| ConfigError::new(at, format!("found {text}; expected {expected}"));
-        let n: f64 = digits.replace('_', "").parse().map_err(|_| wrong("a number"))?;
-        match unit(word) {
+        let number: f64 = digits.replace('_', "").parse().map_err(|_| wrong("a number"))?;
+        match unit(unit_name) {
             Some(ExprKind::DurationUs(us)) => {
-                let us = n * us as f64;
+                let us = number * us as f64;
                 if us.abs() > 9.0e15 || us.fract() != 0.0 {
                     return Err(wrong("a time of whole microseconds"));
                 }
                 Ok(ExprKind::DurationUs(us as i64))
             }
-            Some(ExprKind::Number(times)) => Ok(ExprKind::Number(n * times)),
+            Some(ExprKind::Number(times)) => Ok(ExprKind::Number(number * times)),
             _ => Err(wrong("a unit of us, ms, s, m, h, KiB, MiB, GiB, TiB or %")),
         }
     }
--- a/config/tests/records.rs
+++ b/config/tests/records.rs
@@ -131,7 +131,10 @@
 fn regions_hold_each_zone_once_and_parts_need_a_council() {
     let all = load_texts(&[("a.rec", GOOD)]).unwrap();
     assert_eq!(all.regions(), [("all".to_owned(), vec![0, 1])], "one region where none is named");
-    assert_eq!((all.heartbeat_us(), all.copies(), all.bytes_a_second()), (250_000, None, None));
+    assert_eq!(
+        (all.heartbeat_us(), all.planners_per_machine(), all.control_bytes_per_s()),
+        (250_000, None, None)
+    );
     let view = |all: &Installation| {
         let laid = all.flatten(&PlannerSlot { number: 0, planners: 1, zone: "hall-a".into() });
         laid.into_iter().find(|x| x.0 == "familyInfo.view").map(|x| x.1)
@@ -142,13 +145,13 @@
                 heartbeat: 2s\nparts: copies: 2\ncontrol: bytes_a_second: 4000\n";
     let all = load_texts(&[("a.rec", GOOD), ("b.rec", more), ("c.rec", council)]).unwrap();
     assert_eq!(all.regions(), [("east".to_owned(), vec![1]), ("west".to_owned(), vec![0])]);
-    assert_eq!((all.heartbeat_us(), all.copies()), (2_000_000, Some(2)));
+    assert_eq!((all.heartbeat_us(), all.planners_per_machine()), (2_000_000, Some(2)));
     assert_eq!(
         view(&all),
         Some(FlattenedValue::Number(0.0)),
         "the brief list of planners with parts tells no room"
     );
-    assert_eq!(all.bytes_a_second(), Some(4000.0));
+    assert_eq!(all.control_bytes_per_s(), Some(4000.0));
     let wrong = with(
         "regions: [{name: \"east\", zones: [\"hall-a\", \"hall-c\"]}, {name: \"west\", zones: [\"hall-a\"]}]\n\
          parts: copies: 3",
