--- a/agent/src/dial_queue.rs
+++ b/agent/src/dial_queue.rs
@@ -1,157 +1,124 @@
 //! When a planner connects to its peers, and connects again. No I/O; times are whole microseconds.
 //! Each peer backs off by itself, with jitter; over all peers a bucket of tokens bounds the attempts in a
-//! second, so that a switch that heals brings back the fleet in a file and not in a storm.
+//! second, so that the whole fleet does not reconnect at once when a switch recovers.
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How attempts are paced.
+/// Backoff of one peer, and the rate limit over all peers.
 #[derive(Clone, Copy, Debug)]
 pub struct DialConfig {
     /// The pause after the first failure; it doubles with each.
-    pub first_us: i64,
-    pub most_us: i64,
-    /// Attempts in a second over all peers, and how many of them may come at once.
-    pub per_s: f64,
+    pub first_backoff_us: i64,
+    /// The longest pause.
+    pub max_backoff_us: i64,
+    /// Attempts in a second over all peers.
+    pub attempts_per_s: f64,
+    /// Attempts that may come at once.
     pub burst: f64,
-    /// A link must stand for so long before its peer's failures are forgotten.
-    pub stands_us: i64,
+    /// A link must be up for so long before its peer's failures are forgotten.
+    pub stable_after_us: i64,
 }
 
 impl DialConfig {
-    pub const DEFAULT: DialConfig =
-        DialConfig { first_us: 50_000, most_us: 5_000_000, per_s: 200.0, burst: 50.0, stands_us: 2_000_000 };
+    /// What a planner goes by.
+    pub const DEFAULT: DialConfig = DialConfig {
+        first_backoff_us: 50_000,
+        max_backoff_us: 5_000_000,
+        attempts_per_s: 200.0,
+        burst: 50.0,
+        stable_after_us: 2_000_000,
+    };
 }
 
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    fails: u32,
-    due: Option<i64>,
-    up_at: Option<i64>,
+    failures: u32,
+    due_us: Option<i64>,
+    up_since_us: Option<i64>,
 }
 
 /// The peers that a planner wants to be connected to.
 pub struct DialQueue {
-    pace: DialConfig,
-    chance: StdRng,
+    config: DialConfig,
+    rng: StdRng,
     peers: BTreeMap<usize, Peer>,
-    line: BTreeSet<(i64, usize)>,
+    /// Peers that wait, by the time at which they are due.
+    queue: BTreeSet<(i64, usize)>,
     tokens: f64,
-    filled_at: i64,
+    refilled_us: i64,
 }
 
 impl DialQueue {
-    pub fn new(seed: u64, now: i64, pace: DialConfig) -> Self {
+    /// A queue without peers. The generator that spreads the attempts begins from `seed`.
+    pub fn new(seed: u64, now: i64, config: DialConfig) -> Self {
         DialQueue {
-            pace,
-            chance: StdRng::seed_from_u64(seed),
+            config,
+            rng: StdRng::seed_from_u64(seed),
             peers: BTreeMap::new(),
-            line: BTreeSet::new(),
-            tokens: pace.burst,
-            filled_at: now,
+            queue: BTreeSet::new(),
+            tokens: config.burst,
+            refilled_us: now,
         }
     }
 
-    /// A peer that is wanted from now on; nothing changes if it is already.
+    /// Adds a peer, due at once; nothing changes if it is there already.
     pub fn add(&mut self, peer: usize, now: i64) {
         self.peers.entry(peer).or_insert_with(|| {
-            self.line.insert((now, peer));
-            Peer { due: Some(now), ..Peer::default() }
+            self.queue.insert((now, peer));
+            Peer { due_us: Some(now), ..Peer::default() }
         });
     }
 
-    /// A peer that is wanted no more.
+    /// Removes a peer: it is not dialled any more.
     pub fn remove(&mut self, peer: usize) {
-        if let Some(at) = self.peers.remove(&peer).and_then(|p| p.due) {
-            self.line.remove(&(at, peer));
+        if let Some(due) = self.peers.remove(&peer).and_then(|state| state.due_us) {
+            self.queue.remove(&(due, peer));
         }
     }
 
-    /// The link to a peer stands.
+    /// The link to a peer is up.
     pub fn link_up(&mut self, peer: usize, now: i64) {
-        if let Some(p) = self.peers.get_mut(&peer) {
-            p.up_at = Some(now);
+        if let Some(state) = self.peers.get_mut(&peer) {
+            state.up_since_us = Some(now);
         }
     }
 
     /// An attempt failed, or a link ended: the peer waits, the longer the more often that happened in a row.
     pub fn link_down(&mut self, peer: usize, now: i64) {
-        let Some(p) = self.peers.get_mut(&peer) else { return };
-        if p.due.is_some() {
+        let Some(state) = self.peers.get_mut(&peer) else { return };
+        if state.due_us.is_some() {
             return;
         }
-        let stood = p.up_at.take().is_some_and(|at| now - at >= self.pace.stands_us);
-        p.fails = if stood { 0 } else { p.fails.saturating_add(1) };
-        let wait = (self.pace.first_us << p.fails.min(20)).min(self.pace.most_us);
-        let at = now + self.chance.random_range(wait / 2..=wait);
-        p.due = Some(at);
-        self.line.insert((at, peer));
+        let stable = state.up_since_us.take().is_some_and(|at| now - at >= self.config.stable_after_us);
+        state.failures = if stable { 0 } else { state.failures.saturating_add(1) };
+        let backoff =
+            (self.config.first_backoff_us << state.failures.min(20)).min(self.config.max_backoff_us);
+        let due = now + self.rng.random_range(backoff / 2..=backoff);
+        state.due_us = Some(due);
+        self.queue.insert((due, peer));
     }
 
-    /// The next peer to connect to now, if one is due and the fleet's bound leaves room.
+    /// The next peer to connect to now, if one is due and the rate limit allows it.
     pub fn next_due(&mut self, now: i64) -> Option<usize> {
-        let since = (now - self.filled_at).max(0) as f64 / 1e6;
-        self.tokens = (self.tokens + since * self.pace.per_s).min(self.pace.burst);
-        self.filled_at = self.filled_at.max(now);
-        let &(at, peer) = self.line.first()?;
-        if at > now || self.tokens < 1.0 {
+        let since_s = (now - self.refilled_us).max(0) as f64 / 1e6;
+        self.tokens = (self.tokens + since_s * self.config.attempts_per_s).min(self.config.burst);
+        self.refilled_us = self.refilled_us.max(now);
+        let &(due, peer) = self.queue.first()?;
+        if due > now || self.tokens < 1.0 {
             return None;
         }
         self.tokens -= 1.0;
-        self.line.pop_first();
-        if let Some(p) = self.peers.get_mut(&peer) {
-            p.due = None;
+        self.queue.pop_first();
+        if let Some(state) = self.peers.get_mut(&peer) {
+            state.due_us = None;
         }
         Some(peer)
     }
 
-    /// When `next` may have something, if nothing else happens.
+    /// When `next_due` may have a peer, if nothing else happens.
     pub fn next_due_at(&self) -> Option<i64> {
-        let &(at, _) = self.line.first()?;
-        let lack = (1.0 - self.tokens).max(0.0);
-        Some(at.max(self.filled_at + (lack / self.pace.per_s * 1e6).ceil() as i64))
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Attempts of a thousand peers that all fail for ten seconds after a switch broke.
-    #[test]
-    fn a_healed_switch_is_no_storm() {
-        let mut dials = DialQueue::new(3, 0, DialConfig::DEFAULT);
-        (0..1000).for_each(|peer| dials.add(peer, 0));
-        let (mut times, mut now) = (Vec::new(), 0);
-        while now < 10_000_000 {
-            while let Some(peer) = dials.next_due(now) {
-                times.push(now);
-                dials.link_down(peer, now);
-            }
-            now = dials.next_due_at().unwrap().max(now + 1);
-        }
-        for (i, &at) in times.iter().enumerate() {
-            let within = times[i..].iter().take_while(|&&t| t < at + 1_000_000).count();
-            assert!(within <= 250, "{within} attempts in the second from {at} us");
-        }
-        assert!(times.len() > 1500, "the bound is used: {}", times.len());
-    }
-
-    #[test]
-    fn a_link_that_falls_at_once_does_not_reset_the_wait() {
-        let mut dials = DialQueue::new(3, 0, DialConfig::DEFAULT);
-        dials.add(0, 0);
-        let (mut now, mut waits) = (0, Vec::new());
-        for _ in 0..6 {
-            assert_eq!(dials.next_due(now), Some(0));
-            dials.link_up(0, now);
-            dials.link_down(0, now + 1000);
-            waits.push(dials.next_due_at().unwrap() - now);
-            now = dials.next_due_at().unwrap();
-        }
-        assert!(waits.windows(2).all(|w| w[1] > w[0] / 2) && waits[5] > 8 * waits[0], "{waits:?}");
-        assert_eq!(dials.next_due(now), Some(0));
-        dials.link_up(0, now);
-        dials.link_down(0, now + 3_000_000);
-        assert!(dials.next_due_at().unwrap() - now - 3_000_000 <= 50_000, "it stood: soon again");
+        let &(due, _) = self.queue.first()?;
+        let missing = (1.0 - self.tokens).max(0.0);
+        Some(due.max(self.refilled_us + (missing / self.config.attempts_per_s * 1e6).ceil() as i64))
     }
 }
--- a/agent/src/session.rs
+++ b/agent/src/session.rs
@@ -1,4 +1,4 @@
-//! One conversation of the agent protocol, without I/O: clock and bytes in, events and bytes out. The same
+//! One session of the agent protocol, without I/O: clock and bytes in, events and bytes out. The same state
 //! machine serves all roles. It says hello, keeps heartbeats and credits, judges silence, refuses what is no
 //! frame, and knows of each frame that its caller marked whether a byte of it was handed to the stream: only
 //! what was not is proved never to have been received. Times are whole microseconds.
@@ -14,24 +14,33 @@
 
 /// The usual period of heartbeats, which older builds go by.
 pub const DEFAULT_HEARTBEAT_US: i64 = 250_000;
-/// A side that says another period is not talked to.
+/// Periods that are accepted; a side that says another one is refused.
 pub const HEARTBEAT_RANGE_US: std::ops::RangeInclusive<i64> = 10_000..=60_000_000;
 /// A hello must come within this time.
 pub const HELLO_TIMEOUT_US: i64 = 2_000_000;
-/// Bytes of frames that a side takes before it grants more, and that it keeps for a peer without credit.
+/// Bytes of frames that a side takes before it grants more.
 pub const CREDIT_WINDOW_BYTES: u64 = 1 << 20;
+/// Bytes of frames that wait for a peer without credit, at most.
 pub const MAX_QUEUED_BYTES: usize = 4 << 20;
+/// Credit that a peer may grant, at most, in bytes.
+const MAX_CREDIT_BYTES: u64 = 16 * CREDIT_WINDOW_BYTES;
+/// Bytes of a name or login in a hello, at most.
+const MAX_NAME_BYTES: usize = 200;
 /// Bytes of the length before each frame.
-const LENGTH: u64 = 4;
+const LENGTH_BYTES: u64 = 4;
 
-/// Who speaks, on either side.
+/// What a side says of itself in its hello.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PeerIdentity {
+    /// What it is.
     pub role: Role,
+    /// Its name.
     pub name: String,
+    /// Fences its older incarnations.
     pub epoch: u64,
+    /// The number of this link, higher for a later one of the same epoch.
     pub link: u64,
-    /// Owners and operators: on whose behalf they ask.
+    /// Clients and operators: on whose behalf they ask.
     pub login: String,
 }
 
@@ -50,92 +59,100 @@
     }
 }
 
-/// What a conversation tells its caller.
+/// What a session reports to its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SessionEvent {
+    /// The peer said hello.
     Up(PeerIdentity),
+    /// A frame came.
     Frame(Body),
-    /// The link's silence is judged anew.
+    /// The health of the link changed.
     Health(LinkHealth),
     /// It is over; the text says why, in words for an operator.
     Closed(String),
 }
 
-/// The peer takes nothing and the line for it is full.
+/// The peer takes nothing and the queue for it is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the peer takes nothing in and {MAX_QUEUED_BYTES} bytes wait for it")]
 pub struct SendBufferFull;
 
+/// One side of a session.
 pub struct Session {
-    me: PeerIdentity,
-    links: LinkConfig,
+    identity: PeerIdentity,
+    config: LinkConfig,
     peer: Option<PeerIdentity>,
     codec: LengthDelimitedCodec,
-    inbox: BytesMut,
-    outbox: BytesMut,
+    input: BytesMut,
+    output: BytesMut,
+    /// Events, each with the bytes of the frame that it carries.
     events: VecDeque<(SessionEvent, u64)>,
     health: HealthMonitor,
-    told: LinkHealth,
-    opened_at: i64,
+    reported_health: LinkHealth,
+    opened_us: i64,
     /// The period that both sides go by.
-    beat: i64,
-    beat_at: i64,
+    heartbeat_us: i64,
+    next_heartbeat_us: i64,
     /// The peer is an older build: heartbeats have numbers.
-    numbers: bool,
-    seq: u64,
-    seen: u64,
-    /// Bytes that may still be sent, and bytes taken in that were not granted anew.
-    credit: u64,
-    taken: u64,
+    numbered_heartbeats: bool,
+    sent_seq: u64,
+    received_seq: u64,
+    /// Bytes that may still be sent.
+    send_credit: u64,
+    /// Bytes taken in that were not granted anew.
+    consumed: u64,
     /// Bytes that the peer may still send.
-    granted: u64,
-    held: VecDeque<(Frame, Option<u64>)>,
-    held_bytes: usize,
-    /// Bytes ever put out and ever written; marks of frames by the byte at which they begin.
-    put: u64,
-    written: u64,
+    receive_credit: u64,
+    /// Frames that wait for credit, with their marks.
+    queued: VecDeque<(Frame, Option<u64>)>,
+    queued_bytes: usize,
+    /// Bytes ever put into the output.
+    encoded_bytes: u64,
+    /// Bytes ever handed to the stream.
+    written_bytes: u64,
+    /// Marks of frames, by the byte at which each begins.
     marks: VecDeque<(u64, u64)>,
-    /// Frames that are put out, with the bytes of each that are not written yet.
+    /// Frames in the output, with the bytes of each that are not written yet.
     unwritten: VecDeque<(FrameKind, u64)>,
     closed: bool,
 }
 
 impl Session {
-    /// A conversation whose bytes are counted for itself alone.
-    pub fn new(me: PeerIdentity, now: i64) -> Self {
-        Session::with_config(LinkConfig::default(), me, now)
+    /// A session whose bytes are counted for itself alone.
+    pub fn new(identity: PeerIdentity, now: i64) -> Self {
+        Session::with_config(LinkConfig::default(), identity, now)
     }
 
-    /// One of the links of a process.
-    pub fn with_config(links: LinkConfig, me: PeerIdentity, now: i64) -> Self {
+    /// The session of one of the links of a process.
+    pub fn with_config(config: LinkConfig, identity: PeerIdentity, now: i64) -> Self {
         let mut session = Session {
             codec: LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec(),
             peer: None,
-            inbox: BytesMut::new(),
-            outbox: BytesMut::new(),
+            input: BytesMut::new(),
+            output: BytesMut::new(),
             events: VecDeque::new(),
             health: HealthMonitor::new(now, DEFAULT_HEARTBEAT_US),
-            told: LinkHealth::Well,
-            opened_at: now,
-            beat: DEFAULT_HEARTBEAT_US,
-            beat_at: now,
-            numbers: true,
-            seq: 0,
-            seen: 0,
-            credit: 0,
-            taken: 0,
-            granted: CREDIT_WINDOW_BYTES,
-            held: VecDeque::new(),
-            held_bytes: 0,
-            put: 0,
-            written: 0,
+            reported_health: LinkHealth::Healthy,
+            opened_us: now,
+            heartbeat_us: DEFAULT_HEARTBEAT_US,
+            next_heartbeat_us: now,
+            numbered_heartbeats: true,
+            sent_seq: 0,
+            received_seq: 0,
+            send_credit: 0,
+            consumed: 0,
+            receive_credit: CREDIT_WINDOW_BYTES,
+            queued: VecDeque::new(),
+            queued_bytes: 0,
+            encoded_bytes: 0,
+            written_bytes: 0,
             marks: VecDeque::new(),
             unwritten: VecDeque::new(),
             closed: false,
-            links,
-            me,
+            config,
+            identity,
         };
-        let me = &session.me;
+        let me = &session.identity;
         let hello = Hello {
             version: PROTOCOL_VERSION,
             role: me.role as i32,
@@ -144,26 +161,28 @@
             link: me.link,
             credit: CREDIT_WINDOW_BYTES,
             login: me.login.clone(),
-            heartbeat_us: session.links.heartbeat_us,
+            heartbeat_us: session.config.heartbeat_us,
         };
-        session.put_out(&Body::Hello(hello).into(), None);
+        session.encode(&Body::Hello(hello).into(), None);
         session
     }
 
-    /// Bytes that came from the stream. What is no frame of this protocol ends the conversation.
+    /// Bytes that came from the stream. What is no frame of this protocol ends the session.
     pub fn receive(&mut self, now: i64, bytes: &[u8]) {
-        self.links.traffic.record_read(bytes.len() as u64);
+        self.config.traffic.record_read(bytes.len() as u64);
         if self.closed {
             return;
         }
-        self.inbox.extend_from_slice(bytes);
+        self.input.extend_from_slice(bytes);
         while !self.closed {
-            match self.codec.decode(&mut self.inbox) {
+            match self.codec.decode(&mut self.input) {
                 Ok(Some(frame)) => match Frame::decode(&frame[..]) {
                     Ok(Frame { body: Some(body) }) => {
                         let size = frame.len() as u64;
-                        self.links.traffic.record_frame_read(FrameKind::from_body(&body), LENGTH + size);
-                        self.take(now, body, size);
+                        self.config
+                            .traffic
+                            .record_frame_read(FrameKind::from_body(&body), LENGTH_BYTES + size);
+                        self.on_frame(now, body, size);
                     }
                     Ok(_) => self.refuse(
                         "a frame of a kind that version 1 does not know; expected one of agent.proto",
@@ -181,42 +200,47 @@
         }
     }
 
-    fn take(&mut self, now: i64, body: Body, size: u64) {
-        self.health.heard(now, matches!(body, Body::Heartbeat(_)));
+    fn on_frame(&mut self, now: i64, body: Body, size: u64) {
+        self.health.record_frame(now, matches!(body, Body::Heartbeat(_)));
         match (body, self.peer.is_some()) {
-            (Body::Hello(hello), false) => self.greet(now, hello),
+            (Body::Hello(hello), false) => self.on_hello(now, hello),
             (Body::Hello(_), true) => self.refuse("a second hello; expected one a connection"),
             (Body::Goodbye(bye), _) => self.close(format!("the peer said goodbye: {}", bye.reason)),
             (_, false) => self.refuse("a frame before the hello; expected a hello first"),
-            (Body::Heartbeat(beat), _) if beat.seq == 0 && !self.numbers => {}
-            (Body::Heartbeat(beat), _) if beat.seq <= self.seen => {
-                self.refuse(&format!("heartbeat {} after {}; expected a higher number", beat.seq, self.seen));
+            (Body::Heartbeat(beat), _) if beat.seq == 0 && !self.numbered_heartbeats => {}
+            (Body::Heartbeat(beat), _) if beat.seq <= self.received_seq => {
+                self.refuse(&format!(
+                    "heartbeat {} after {}; expected a higher number",
+                    beat.seq, self.received_seq
+                ));
             }
-            (Body::Heartbeat(beat), _) => self.seen = beat.seq,
+            (Body::Heartbeat(beat), _) => self.received_seq = beat.seq,
             (Body::Credit(credit), _) => {
-                self.credit = self.credit.saturating_add(credit.bytes).min(16 * CREDIT_WINDOW_BYTES);
-                self.release();
+                self.send_credit = self.send_credit.saturating_add(credit.bytes).min(MAX_CREDIT_BYTES);
+                self.send_queued();
             }
             (body, _) => {
-                if size > self.granted {
-                    return self
-                        .refuse(&format!("a frame of {size} bytes where {} were granted", self.granted));
+                if size > self.receive_credit {
+                    return self.refuse(&format!(
+                        "a frame of {size} bytes where {} were granted",
+                        self.receive_credit
+                    ));
                 }
-                self.granted -= size;
+                self.receive_credit -= size;
                 self.events.push_back((SessionEvent::Frame(body), size));
             }
         }
     }
 
-    fn greet(&mut self, now: i64, hello: Hello) {
+    fn on_hello(&mut self, now: i64, hello: Hello) {
         let role = Role::try_from(hello.role).unwrap_or(Role::Unknown);
         if hello.version != PROTOCOL_VERSION {
             return self.refuse(&format!("hello: version {}; expected {PROTOCOL_VERSION}", hello.version));
         }
-        if role == Role::Unknown || hello.name.is_empty() || hello.name.len() > 200 {
+        if role == Role::Unknown || hello.name.is_empty() || hello.name.len() > MAX_NAME_BYTES {
             return self.refuse("hello: no role or no name of 1 to 200 bytes; expected both");
         }
-        if hello.login.len() > 200 {
+        if hello.login.len() > MAX_NAME_BYTES {
             return self
                 .refuse(&format!("hello: login of {} bytes; expected 200 at most", hello.login.len()));
         }
@@ -228,95 +252,100 @@
                     .refuse(&format!("hello: heartbeat_us of {found}; expected {least} to {most}, or none"));
             }
             // The longer one: an older build aside, both sides come to the same.
-            (self.beat, self.numbers) = (self.links.heartbeat_us.max(hello.heartbeat_us), false);
-            self.health = HealthMonitor::new(now, self.beat);
+            (self.heartbeat_us, self.numbered_heartbeats) =
+                (self.config.heartbeat_us.max(hello.heartbeat_us), false);
+            self.health = HealthMonitor::new(now, self.heartbeat_us);
         }
-        self.credit = hello.credit.min(16 * CREDIT_WINDOW_BYTES);
+        self.send_credit = hello.credit.min(MAX_CREDIT_BYTES);
         let peer =
             PeerIdentity { role, name: hello.name, epoch: hello.epoch, link: hello.link, login: hello.login };
         self.peer = Some(peer.clone());
         self.events.push_back((SessionEvent::Up(peer), 0));
-        self.release();
+        self.send_queued();
     }
 
-    /// Sends a frame, or keeps it until the peer takes more. A `mark` lets `unsent` name it later.
+    /// Sends a frame, or keeps it until the peer takes more. A `mark` lets `unsent_marks` name it later.
+    ///
+    /// # Errors
+    /// When the session is closed, or too much waits for the peer already.
     pub fn send(&mut self, body: Body, mark: Option<u64>) -> Result<(), SendBufferFull> {
         if self.closed {
             return Err(SendBufferFull);
         }
         let frame = Frame::from(body);
         let size = frame.encoded_len();
-        if self.held.is_empty() && self.peer.is_some() && size as u64 <= self.credit {
-            self.credit -= size as u64;
-            self.put_out(&frame, mark);
-        } else if self.held_bytes + size > MAX_QUEUED_BYTES {
+        if self.queued.is_empty() && self.peer.is_some() && size as u64 <= self.send_credit {
+            self.send_credit -= size as u64;
+            self.encode(&frame, mark);
+        } else if self.queued_bytes + size > MAX_QUEUED_BYTES {
             return Err(SendBufferFull);
         } else {
-            self.held_bytes += size;
-            self.held.push_back((frame, mark));
+            self.queued_bytes += size;
+            self.queued.push_back((frame, mark));
         }
         Ok(())
     }
 
-    fn release(&mut self) {
-        while let Some((frame, mark)) = self.held.front() {
+    fn send_queued(&mut self) {
+        while let Some((frame, mark)) = self.queued.front() {
             let size = frame.encoded_len();
-            if self.peer.is_none() || size as u64 > self.credit {
+            if self.peer.is_none() || size as u64 > self.send_credit {
                 return;
             }
-            self.credit -= size as u64;
-            self.held_bytes -= size;
+            self.send_credit -= size as u64;
+            self.queued_bytes -= size;
             let (frame, mark) = (frame.clone(), *mark);
-            self.held.pop_front();
-            self.put_out(&frame, mark);
+            self.queued.pop_front();
+            self.encode(&frame, mark);
         }
     }
 
-    fn put_out(&mut self, frame: &Frame, mark: Option<u64>) {
+    fn encode(&mut self, frame: &Frame, mark: Option<u64>) {
         let Some(body) = &frame.body else { return };
         if let Some(mark) = mark {
-            self.marks.push_back((self.put, mark));
+            self.marks.push_back((self.encoded_bytes, mark));
         }
         let size = frame.encoded_len();
-        self.outbox.extend_from_slice(&(size as u32).to_be_bytes());
-        self.outbox.reserve(size);
-        frame.encode(&mut self.outbox).expect("a buffer that grows");
-        let size = size as u64 + LENGTH;
-        self.put += size;
+        self.output.extend_from_slice(&(size as u32).to_be_bytes());
+        self.output.reserve(size);
+        frame.encode(&mut self.output).expect("a buffer that grows");
+        let size = size as u64 + LENGTH_BYTES;
+        self.encoded_bytes += size;
         self.unwritten.push_back((FrameKind::from_body(body), size));
     }
 
-    /// The next event. A frame counts as taken in here, so that a caller who does not ask grants nothing.
+    /// The next event. A frame counts as taken in here, so that a caller who takes no events grants nothing.
     pub fn next_event(&mut self) -> Option<SessionEvent> {
         let (event, size) = self.events.pop_front()?;
-        self.taken += size;
-        if self.taken >= CREDIT_WINDOW_BYTES / 4 && !self.closed {
-            self.granted += self.taken;
-            let credit = Credit { bytes: std::mem::take(&mut self.taken) };
-            self.put_out(&Body::Credit(credit).into(), None);
+        self.consumed += size;
+        if self.consumed >= CREDIT_WINDOW_BYTES / 4 && !self.closed {
+            self.receive_credit += self.consumed;
+            let credit = Credit { bytes: std::mem::take(&mut self.consumed) };
+            self.encode(&Body::Credit(credit).into(), None);
         }
         Some(event)
     }
 
-    /// Bytes to be written to the stream; `wrote` takes away those that were.
+    /// Bytes to be written to the stream; `record_written` takes away those that were.
     pub fn pending_output(&self) -> &[u8] {
-        &self.outbox
+        &self.output
     }
 
+    /// So many bytes of the output were handed to the stream.
     pub fn record_written(&mut self, bytes: usize) {
-        self.outbox.advance(bytes);
-        self.written += bytes as u64;
+        self.output.advance(bytes);
+        self.written_bytes += bytes as u64;
         let mut bytes = bytes as u64;
         while let Some((kind, left)) = self.unwritten.front_mut().filter(|_| bytes > 0) {
-            let of = bytes.min(*left);
-            (bytes, *left) = (bytes - of, *left - of);
-            let last = *left == 0;
-            self.links.traffic.record_written(*kind, of, last);
-            if last {
+            let part = bytes.min(*left);
+            (bytes, *left) = (bytes - part, *left - part);
+            let complete = *left == 0;
+            self.config.traffic.record_written(*kind, part, complete);
+            if complete {
                 self.unwritten.pop_front();
             }
         }
-        while self.marks.front().is_some_and(|&(at, _)| at < self.written) {
+        while self.marks.front().is_some_and(|&(at, _)| at < self.written_bytes) {
             self.marks.pop_front();
         }
     }
@@ -327,24 +356,25 @@
             return;
         }
         if self.peer.is_none() {
-            if now >= self.opened_at + HELLO_TIMEOUT_US {
+            if now >= self.opened_us + HELLO_TIMEOUT_US {
                 self.refuse("no hello came in time");
             }
             return;
         }
-        if now >= self.beat_at {
-            self.seq += u64::from(self.numbers);
-            let beat = Heartbeat { seq: self.seq, seen: self.seen };
-            self.put_out(&Body::Heartbeat(beat).into(), None);
-            // By the clock, not after the last one; beats that were missed are not made up. Also where another
-            // frame went out a moment ago: how even a link is, is learnt from heartbeats.
-            self.beat_at = (self.beat_at + self.beat).max(now + self.beat / 2);
+        if now >= self.next_heartbeat_us {
+            self.sent_seq += u64::from(self.numbered_heartbeats);
+            let heartbeat = Heartbeat { seq: self.sent_seq, seen: self.received_seq };
+            self.encode(&Body::Heartbeat(heartbeat).into(), None);
+            // By the clock, not after the last one; heartbeats that were missed are not made up. Also where
+            // another frame went out a moment ago: only heartbeats tell how regular the link is.
+            self.next_heartbeat_us =
+                (self.next_heartbeat_us + self.heartbeat_us).max(now + self.heartbeat_us / 2);
         }
         let state = self.health.judge(now);
         if state == LinkHealth::Lost {
-            self.close(format!("nothing heard for {} ms", self.health.lost_after() / 1000));
-        } else if state != self.told {
-            self.told = state;
+            self.close(format!("nothing heard for {} ms", self.health.lost_after_us() / 1000));
+        } else if state != self.reported_health {
+            self.reported_health = state;
             self.events.push_back((SessionEvent::Health(state), 0));
         }
     }
@@ -352,15 +382,15 @@
     /// The time at which `tick` has something to do.
     pub fn next_tick_at(&self) -> i64 {
         match self.peer {
-            None => self.opened_at + HELLO_TIMEOUT_US,
-            Some(_) => self.beat_at.min(self.health.next_at()),
+            None => self.opened_us + HELLO_TIMEOUT_US,
+            Some(_) => self.next_heartbeat_us.min(self.health.next_at()),
         }
     }
 
-    /// Ends the conversation from this side, with a word of goodbye.
+    /// Ends the session from this side, with a goodbye that names the reason.
     pub fn goodbye(&mut self, reason: &str) {
         if !self.closed {
-            self.put_out(&Body::Goodbye(Goodbye { reason: reason.to_owned() }).into(), None);
+            self.encode(&Body::Goodbye(Goodbye { reason: reason.to_owned() }).into(), None);
             self.close(reason.to_owned());
         }
     }
@@ -370,7 +400,7 @@
         self.goodbye(&format!("{peer}: {what}"));
     }
 
-    /// The stream ended.
+    /// The stream ended, for this reason.
     pub fn stream_ended(&mut self, why: &str) {
         self.close(why.to_owned());
     }
@@ -382,13 +412,14 @@
         }
     }
 
+    /// Whether the session is over.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
     /// Marks of frames of which no byte was handed to the stream.
     pub fn unsent_marks(&self) -> Vec<u64> {
-        let put = self.marks.iter().filter(|(at, _)| *at >= self.written).map(|&(_, mark)| mark);
-        put.chain(self.held.iter().filter_map(|(_, mark)| *mark)).collect()
+        let encoded = self.marks.iter().filter(|(at, _)| *at >= self.written_bytes).map(|&(_, mark)| mark);
+        encoded.chain(self.queued.iter().filter_map(|(_, mark)| *mark)).collect()
     }
 }
--- a/agent/tests/heartbeat.rs
+++ b/agent/tests/heartbeat.rs
@@ -120,10 +120,10 @@
             if let Some(Body::Heartbeat(beat)) = frame.body {
                 assert!(beat.seq > heard, "heartbeat {} after {heard}", beat.seq);
                 heard = beat.seq;
-                health.heard(now, true);
+                health.record_frame(now, true);
             }
         }
-        assert_eq!(health.judge(now), LinkHealth::Well, "at {now} us");
+        assert_eq!(health.judge(now), LinkHealth::Healthy, "at {now} us");
         now = a.next_tick_at().min(seq as i64 * DEFAULT_HEARTBEAT_US);
     }
     assert!(heard >= 40, "{heard} beats in 40 periods");
--- a/agent/tests/traffic.rs
+++ b/agent/tests/traffic.rs
@@ -1,5 +1,5 @@
 //! What links count is what their streams carry, at any moment and however a link ends.
-use basaltpitch_agent::link::{run_with_config, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::link::{run, Clock, LinkCommand, LinkContext, LinkEvent};
 use basaltpitch_agent::session::{LinkConfig, PeerIdentity, Session, SessionEvent};
 use basaltpitch_agent::traffic::{FrameKind, TrafficCount};
 use basaltpitch_agent::wire::{self, Body, Frame, Role};
@@ -34,9 +34,9 @@
 const KINDS: [FrameKind; 7] = [
     FrameKind::Tasks,
     FrameKind::Inventories,
-    FrameKind::Probes,
-    FrameKind::Lists,
-    FrameKind::Council,
+    FrameKind::HealthChecks,
+    FrameKind::MachineLists,
+    FrameKind::Leases,
     FrameKind::Summaries,
     FrameKind::Operators,
 ];
@@ -91,7 +91,7 @@
                 prop_assert_eq!((sent.bytes_out, sent.frames_out), want);
                 prop_assert_eq!((got.bytes_in, got.frames_in), want);
             }
-            prop_assert_eq!(theirs.traffic.count(FrameKind::Unfinished), TrafficCount::default());
+            prop_assert_eq!(theirs.traffic.count(FrameKind::Incomplete), TrafficCount::default());
         }
     }
 }
@@ -152,11 +152,9 @@
         let (orders, inbox) = mpsc::channel(16);
         let (news, mut heard) = mpsc::channel(16);
         let me = party(Role::Planner, "p");
-        tokio::task::spawn_local(run_with_config(
-            links.clone(),
+        tokio::task::spawn_local(run(
             stream,
-            me,
-            Clock::start(),
+            LinkContext { config: links.clone(), identity: me, clock: Clock::start() },
             inbox,
             news,
             |n| n,
@@ -188,7 +186,7 @@
                 break;
             }
         }
-        (links.traffic.total(), links.traffic.count(FrameKind::Unfinished), (read.get(), wrote.get()))
+        (links.traffic.total(), links.traffic.count(FrameKind::Incomplete), (read.get(), wrote.get()))
     })
 }
 
--- a/cli/src/ask.rs
+++ b/cli/src/ask.rs
@@ -81,7 +81,7 @@
             link: 1,
             login: login.clone(),
         };
-        let run = link::run(stream, me, Clock::start(), inbox, news, |n| n);
+        let run = link::run(stream, link::LinkContext::new(me, Clock::start()), inbox, news, |n| n);
         let wait = async {
             orders
                 .send(LinkCommand::Send(body, None))
--- a/cli/src/measure.rs
+++ b/cli/src/measure.rs
@@ -114,7 +114,13 @@
                 login: String::new(),
             };
             let list = wire::List { whole: true, stamp: 1, entries: entries.clone(), question: 0 };
-            tokio::task::spawn_local(link::run(stream, me, clock, inbox, news, |n| n));
+            tokio::task::spawn_local(link::run(
+                stream,
+                link::LinkContext::new(me, clock),
+                inbox,
+                news,
+                |n| n,
+            ));
             tokio::task::spawn_local(async move {
                 while let Some(news) = heard.recv().await {
                     if matches!(news, LinkEvent::Session(SessionEvent::Frame(Body::Watch(_)))) {
@@ -130,7 +136,7 @@
     let (orders, inbox) = mpsc::channel(8192);
     let (news, mut heard) = mpsc::channel(1024);
     let me = PeerIdentity { role: Role::Machine, name, epoch: 1, link: 1, login: String::new() };
-    tokio::task::spawn_local(link::run(stream, me, clock, inbox, news, |n| n));
+    tokio::task::spawn_local(link::run(stream, link::LinkContext::new(me, clock), inbox, news, |n| n));
     let running = Rc::new(Cell::new(0u32));
     let report =
         |n: u32| Some(Report { values: vec![64.0 - 0.01 * f64::from(n), 256.0 - 0.01 * f64::from(n)] });
@@ -203,7 +209,13 @@
             let (news, mut heard) = mpsc::channel(1024);
             let (login, name) = (submits.login.clone(), format!("owner-{n}"));
             let me = PeerIdentity { role: Role::Owner, name, epoch: 1, link: 1, login };
-            tokio::task::spawn_local(link::run(stream, me, clock, inbox, news, |n| n));
+            tokio::task::spawn_local(link::run(
+                stream,
+                link::LinkContext::new(me, clock),
+                inbox,
+                news,
+                |n| n,
+            ));
             let (answers, placed, out, freed) = (answers.clone(), placed.clone(), out.clone(), freed.clone());
             tokio::task::spawn_local(async move {
                 while let Some(news) = heard.recv().await {
--- a/planner/src/service.rs
+++ b/planner/src/service.rs
@@ -326,7 +326,13 @@
         let news = self.later.clone();
         let (links, me, clock) = (self.links.clone(), self.me.clone(), self.clock);
         let wrap = move |n| (From::Conn(conn), n);
-        tokio::task::spawn_local(link::run_with_config(links, stream, me, clock, inbox, news, wrap));
+        tokio::task::spawn_local(link::run(
+            stream,
+            link::LinkContext { config: links, identity: me, clock },
+            inbox,
+            news,
+            wrap,
+        ));
     }
 
     fn dial(&mut self, peer: usize, link: u64, name: &str, address: &str) {
@@ -360,7 +366,14 @@
             let why = match tokio::time::timeout(within, TcpStream::connect(&address)).await {
                 Ok(Ok(stream)) => {
                     let _ = stream.set_nodelay(true);
-                    return link::run_with_config(links, stream, me, clock, inbox, news, wrap).await;
+                    return link::run(
+                        stream,
+                        link::LinkContext { config: links, identity: me, clock },
+                        inbox,
+                        news,
+                        wrap,
+                    )
+                    .await;
                 }
                 Ok(Err(e)) => format!("no connection: {e}"),
                 Err(_) => "no connection in time".into(),
@@ -513,7 +526,7 @@
             }
             LinkEvent::Session(SessionEvent::Health(state)) => {
                 tracing::info!(machine = self.core.machine_name(m), state = ?state, "link");
-                let suspect = state != basaltpitch_agent::link_health::LinkHealth::Well;
+                let suspect = state != basaltpitch_agent::link_health::LinkHealth::Healthy;
                 self.core.machine_suspect(now, m, link, suspect);
             }
             LinkEvent::Session(SessionEvent::Closed(_)) => {}
--- a/planner/src/voter_links.rs
+++ b/planner/src/voter_links.rs
@@ -72,8 +72,14 @@
             let why = match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&address)).await {
                 Ok(Ok(stream)) => {
                     let _ = stream.set_nodelay(true);
-                    return link::run_with_config(links, stream, identity, clock, orders_in, news_out, |n| n)
-                        .await;
+                    return link::run(
+                        stream,
+                        link::LinkContext { config: links, identity, clock },
+                        orders_in,
+                        news_out,
+                        |n| n,
+                    )
+                    .await;
                 }
                 Ok(Err(e)) => format!("no connection: {e}"),
                 Err(_) => "no connection in time".into(),
--- a/planner/src/voter_server.rs
+++ b/planner/src/voter_server.rs
@@ -142,7 +142,8 @@
         self.conns.insert(conn, Conn { orders, party: None });
         let (links, identity, clock) = (self.links.clone(), self.identity.clone(), self.clock);
         let wrap = move |news| (conn, news);
-        let link = link::run_with_config(links, stream, identity, clock, orders_in, news, wrap);
+        let link =
+            link::run(stream, link::LinkContext { config: links, identity, clock }, orders_in, news, wrap);
         tokio::task::spawn_local(link);
     }
 
--- a/planner/tests/record.rs
+++ b/planner/tests/record.rs
@@ -29,7 +29,13 @@
             link: 1,
             login: String::new(),
         };
-        tokio::task::spawn_local(link::run(stream, me, Clock::start(), inbox, news, |n| n));
+        tokio::task::spawn_local(link::run(
+            stream,
+            link::LinkContext::new(me, Clock::start()),
+            inbox,
+            news,
+            |n| n,
+        ));
         Talk { orders, heard }
     }
 
--- a/planner/tests/sockets.rs
+++ b/planner/tests/sockets.rs
@@ -78,7 +78,13 @@
         let (orders, inbox) = mpsc::channel(64);
         let (news, heard) = mpsc::channel(64);
         let me = PeerIdentity { role, name: "tester".into(), epoch: 1, link: 1, login: String::new() };
-        tokio::task::spawn_local(link::run(stream, me, Clock::start(), inbox, news, |n| n));
+        tokio::task::spawn_local(link::run(
+            stream,
+            link::LinkContext::new(me, Clock::start()),
+            inbox,
+            news,
+            |n| n,
+        ));
         Talk { orders, heard }
     }
 
--- a/testbed/src/client.rs
+++ b/testbed/src/client.rs
@@ -258,7 +258,9 @@
             login: self.login.clone(),
         };
         let to = news.clone();
-        tokio::task::spawn_local(link::run(outer, me, clock, inbox, to, move |n| (conn, n)));
+        tokio::task::spawn_local(link::run(outer, link::LinkContext::new(me, clock), inbox, to, move |n| {
+            (conn, n)
+        }));
         self.orders = Some(orders);
     }
 
--- a/testbed/src/machine.rs
+++ b/testbed/src/machine.rs
@@ -282,7 +282,13 @@
             link: conn,
             login: String::new(),
         };
-        tokio::task::spawn_local(link::run(outer, me, clock, inbox, news, move |n| In::Conn(conn, n)));
+        tokio::task::spawn_local(link::run(
+            outer,
+            link::LinkContext::new(me, clock),
+            inbox,
+            news,
+            move |n| In::Conn(conn, n),
+        ));
     }
 
     fn hear(&mut self, conn: u64, news: LinkEvent) {
--- a/testbed/src/scale/clients.rs
+++ b/testbed/src/scale/clients.rs
@@ -401,7 +401,10 @@
                 return;
             }
             let stream = CountingStream::new(stream, Rc::new(Cell::new(false)), traffic);
-            link::run(stream, me, clock, inbox, news.clone(), move |n| In::News(c, link, n)).await;
+            link::run(stream, link::LinkContext::new(me, clock), inbox, news.clone(), move |n| {
+                In::News(c, link, n)
+            })
+            .await;
         }
         tokio::time::sleep(Duration::from_millis(AGAIN)).await;
     }
--- a/testbed/src/scale/machines.rs
+++ b/testbed/src/scale/machines.rs
@@ -356,7 +356,10 @@
             link: conn,
             login: String::new(),
         };
-        let run = link::run(stream, me, self.clock, inbox, self.news.clone(), move |n| In::Conn(m, conn, n));
+        let run =
+            link::run(stream, link::LinkContext::new(me, self.clock), inbox, self.news.clone(), move |n| {
+                In::Conn(m, conn, n)
+            });
         let task = tokio::task::spawn_local(run).abort_handle();
         x.conns.insert(conn, Conn { orders, party: None, task, traffic });
     }
@@ -720,7 +723,7 @@
                 return;
             }
             let _ = stream.set_nodelay(true);
-            link::run(stream, me, clock, inbox, news.clone(), In::Register).await;
+            link::run(stream, link::LinkContext::new(me, clock), inbox, news.clone(), In::Register).await;
         }
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
--- a/testbed/src/scale/registry.rs
+++ b/testbed/src/scale/registry.rs
@@ -99,7 +99,13 @@
         self.conns.insert(conn, Conn { orders, party: None, watches: false, brief: false, told: 0, traffic });
         let (name, login) = ("register".into(), String::new());
         let me = PeerIdentity { role: Role::Register, name, epoch: 1, link: conn, login };
-        tokio::task::spawn_local(link::run(stream, me, clock, inbox, news, move |n| (conn, n)));
+        tokio::task::spawn_local(link::run(
+            stream,
+            link::LinkContext::new(me, clock),
+            inbox,
+            news,
+            move |n| (conn, n),
+        ));
     }
 
     fn takes(&mut self, by: u64, entry: Entry) {
--- a/testbed/tests/registry.rs
+++ b/testbed/tests/registry.rs
@@ -27,7 +27,13 @@
         let me = PeerIdentity { role, name: name.into(), epoch: 1, link: 1, login };
         let stream = tokio::net::TcpStream::connect(address).await.unwrap();
         let ((orders, inbox), (out, news)) = (mpsc::channel(16), mpsc::channel(64));
-        tokio::task::spawn_local(link::run(stream, me, Clock::start(), inbox, out, |n| n));
+        tokio::task::spawn_local(link::run(
+            stream,
+            link::LinkContext::new(me, Clock::start()),
+            inbox,
+            out,
+            |n| n,
+        ));
         let watch = Body::Watch(Watch { on: true, brief });
         orders.send(LinkCommand::Send(watch, None)).await.unwrap();
         Watcher { orders, news }
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -131,7 +131,13 @@
         let me = PeerIdentity { role, name: name.into(), epoch: 1, link: 1, login: String::new() };
         let stream = TcpStream::connect(address).await.unwrap();
         let ((orders, inbox), (out, news)) = (mpsc::channel(16), mpsc::channel(64));
-        tokio::task::spawn_local(link::run(stream, me, Clock::start(), inbox, out, |n| n));
+        tokio::task::spawn_local(link::run(
+            stream,
+            link::LinkContext::new(me, Clock::start()),
+            inbox,
+            out,
+            |n| n,
+        ));
         Side { orders, news }
     }
 
