--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -214,15 +214,15 @@
 }
 
 fn replay(path: &std::path::Path, json: bool) -> Result<(), Failure> {
-    use basaltpitch_planner::recording::{replay, Replayed};
+    use basaltpitch_planner::recording::{replay, ReplayOutcome};
     let file = std::fs::File::open(path).map_err(|e| Failure::Wrong(format!("{}: {e}", path.display())))?;
     let found = replay(std::io::BufReader::new(file));
     match found.map_err(|e| Failure::Wrong(format!("{}: {e}", path.display())))? {
-        Replayed::Same { told, calls } if json => {
-            println!("{}", serde_json::json!({"same": true, "told": told, "calls": calls}))
+        ReplayOutcome::Same { events, calls } if json => {
+            println!("{}", serde_json::json!({"same": true, "told": events, "calls": calls}))
         }
-        Replayed::Same { told, calls } => println!("same: {calls} calls after {told} things told"),
-        Replayed::Differs { line, recorded, now } => {
+        ReplayOutcome::Same { events, calls } => println!("same: {calls} calls after {events} things told"),
+        ReplayOutcome::Differs { line, recorded, now } => {
             let text = format!("{}: line {line}: recorded {recorded:?}, now {now:?}", path.display());
             return Err(Failure::Failed(text));
         }
--- /dev/null
+++ b/ledger/src/attempts.rs
@@ -0,0 +1,314 @@
+//! Attempts: made by the placement module, accepted, given up and ended, and what their end means for the
+//! request.
+use crate::{
+    Actions, Attempt, AttemptEnd, AttemptId, AttemptState, Evidence, Idempotency, Ledger, LedgerAction,
+    LifecycleEvent, Proof, RejectReason, RequestOutcome, RequestPhase,
+};
+use basaltpitch::host::AttemptOutcome;
+use std::hash::Hash;
+
+/// The outcome of an attempt, as the module is told.
+#[derive(Clone, Copy)]
+pub(crate) struct Resolution {
+    outcome: AttemptOutcome,
+    /// The machine's code for the reason; 0 for none.
+    reason_code: i64,
+    /// Whether the task is over.
+    over: bool,
+}
+
+impl Resolution {
+    /// The task waits again.
+    fn retry(outcome: AttemptOutcome) -> Self {
+        Resolution { outcome, reason_code: 0, over: false }
+    }
+
+    /// The task is over.
+    pub(crate) fn over(outcome: AttemptOutcome) -> Self {
+        Resolution { outcome, reason_code: 0, over: true }
+    }
+}
+
+/// Why an attempt is on no machine any more.
+#[derive(Clone, Copy)]
+pub(crate) struct Removal {
+    pub evidence: Evidence,
+    pub outcome: AttemptOutcome,
+    /// The machine's code for the reason; 0 for none.
+    pub reason_code: i64,
+}
+
+impl Removal {
+    pub(crate) const UNSENT: Removal = Removal::of(Evidence::Unsent, AttemptOutcome::ConnectFailed);
+    pub(crate) const ABSENT: Removal = Removal::of(Evidence::Absent, AttemptOutcome::ConnectFailed);
+    pub(crate) const MACHINE_LOST: Removal = Removal::of(Evidence::MachineLost, AttemptOutcome::Reset);
+    const FAILED: Removal = Removal::of(Evidence::Failed, AttemptOutcome::Error);
+
+    const fn of(evidence: Evidence, outcome: AttemptOutcome) -> Self {
+        Removal { evidence, outcome, reason_code: 0 }
+    }
+}
+
+/// The placement module's calls.
+impl<K: Clone + Ord + Hash, J: Clone> Ledger<K, J> {
+    /// The module starts a task on a machine. A task that ended in the same moment, of which the module was not
+    /// told yet, is not started: it is told that instead.
+    pub fn launch(&mut self, task: usize, machine: usize, timeout_us: i64, actions: &mut Actions<K>) {
+        let key = self.tasks.key(task).expect("the module starts tasks it was told of").clone();
+        let record = self.records.get_mut(&key).expect("an indexed task has a record");
+        if record.task != Some(task) || record.phase != RequestPhase::Waiting {
+            let outcome = AttemptOutcome::Moot;
+            actions.push(LedgerAction::Resolved { task, outcome, reason_code: 0, over: true });
+            return self.tasks.task_over(task);
+        }
+        debug_assert!(
+            record.attempts.iter().all(|attempt| attempt.state != AttemptState::InFlight),
+            "one attempt in flight at a time"
+        );
+        self.tasks.await_outcome(task);
+        self.last_attempt += 1;
+        let id = AttemptId { epoch: self.epoch, number: self.last_attempt };
+        record.phase = RequestPhase::InFlight;
+        record.launch_count += 1;
+        record.attempts.push(Attempt {
+            id,
+            machine,
+            state: AttemptState::InFlight,
+            task: Some(task),
+            since_us: self.now_us,
+        });
+        self.count_attempt(id, machine, &key, actions);
+        actions.push(LedgerAction::Launch { key, attempt: id, machine, timeout_us });
+    }
+
+    /// From now on an attempt is known under its identity and on its machine.
+    pub(crate) fn count_attempt(
+        &mut self,
+        attempt: AttemptId,
+        machine: usize,
+        key: &K,
+        actions: &mut Actions<K>,
+    ) {
+        actions.push(LedgerAction::AttemptStarted { attempt, machine, key: key.clone() });
+        self.keys_by_attempt.insert(attempt, key.clone());
+        self.attempts_by_machine.insert((machine, attempt));
+    }
+
+    /// The module's final answer without a place.
+    pub fn decline(&mut self, task: usize, retry_after_us: i64, actions: &mut Actions<K>) {
+        let reason = RejectReason::NoRoom;
+        self.answer(task, RequestOutcome::Declined { retry_after_us, reason }, actions);
+    }
+
+    /// The module's final answer where an attempt may have run.
+    pub fn abort(&mut self, task: usize, actions: &mut Actions<K>) {
+        self.answer(task, RequestOutcome::Aborted { reason: RejectReason::MayHaveRun }, actions);
+    }
+
+    fn answer(&mut self, task: usize, outcome: RequestOutcome, actions: &mut Actions<K>) {
+        let Some(key) = self.key_of(task).cloned() else { return };
+        let now_us = self.now_us;
+        let record = self.records.get_mut(&key);
+        if let Some(record) = record.filter(|record| record.task == Some(task) && record.phase.is_open()) {
+            record.close(RequestPhase::Answered, Some(outcome), now_us);
+            let (request_id, client) = (record.request_id, record.client);
+            actions.push(LedgerAction::Reply { key: key.clone(), request_id, client, outcome });
+            self.open_count -= 1;
+            self.closed.push_back((now_us, key));
+        }
+        self.tasks.task_over(task);
+    }
+
+    /// The module stops a placed task, so that its client asks again.
+    pub fn move_away(&mut self, task: usize, actions: &mut Actions<K>) {
+        let Some(key) = self.key_of(task).cloned() else { return };
+        let now_us = self.now_us;
+        let record = self.records.get_mut(&key).expect("an indexed task has a record");
+        if record.phase == RequestPhase::Placed && record.task == Some(task) {
+            let event = LifecycleEvent::Moved;
+            record.close(RequestPhase::Over(event), record.outcome, now_us);
+            let (request_id, client) = (record.request_id, record.client);
+            actions.push(LedgerAction::Lifecycle { key: key.clone(), request_id, client, event });
+            self.closed.push_back((now_us, key.clone()));
+            self.stop_active(&key, actions);
+        }
+    }
+}
+
+/// What machines and links say of attempts.
+impl<K: Clone + Ord + Hash, J: Clone> Ledger<K, J> {
+    /// A machine accepted an attempt. An acceptance that comes after the attempt was given up is decided by the
+    /// task's idempotency: a repeatable attempt is stopped, any other has come to stay and is adopted.
+    pub fn accepted(&mut self, id: AttemptId, actions: &mut Actions<K>) {
+        let Some(key) = self.keys_by_attempt.get(&id).cloned() else { return };
+        let record = self.records.get_mut(&key).expect("an attempt has a record");
+        let (idempotency, phase) = (record.idempotency, record.phase);
+        let attempt = record.attempt_mut(id).expect("a known attempt is in its record");
+        match attempt.state {
+            AttemptState::Active | AttemptState::Stopping => {}
+            AttemptState::InFlight => {
+                attempt.state = AttemptState::Active;
+                let (task, machine) = (attempt.task, attempt.machine);
+                self.placed(&key, machine, actions);
+                actions.extend(task.map(|task| LedgerAction::Accepted { task }));
+            }
+            AttemptState::InDoubt
+                if idempotency == Idempotency::Repeatable || phase == RequestPhase::Placed =>
+            {
+                attempt.state = AttemptState::Stopping;
+                actions.push(LedgerAction::Stop { attempt: id, machine: attempt.machine });
+            }
+            AttemptState::InDoubt => self.adopt(&key, id, actions),
+        }
+    }
+
+    /// The request's one attempt is placed.
+    fn placed(&mut self, key: &K, machine: usize, actions: &mut Actions<K>) {
+        let record = self.records.get_mut(key).expect("a placed task has a record");
+        let outcome = RequestOutcome::Placed { machine };
+        (record.phase, record.outcome) = (RequestPhase::Placed, Some(outcome));
+        let (request_id, client) = (record.request_id, record.client);
+        actions.push(LedgerAction::Reply { key: key.clone(), request_id, client, outcome });
+        self.open_count -= 1;
+    }
+
+    /// An attempt that runs though nobody waited for it is the task's from now on: an open request is answered
+    /// with it, and an attempt that is in flight for that request is called back.
+    pub(crate) fn adopt(&mut self, key: &K, id: AttemptId, actions: &mut Actions<K>) {
+        let record = &self.records[key];
+        if record.phase.is_open() {
+            let (request_id, client) = (record.request_id, record.client);
+            let machine = record.attempt(id).expect("the attempt is the record's").machine;
+            self.drop_open(key, RequestPhase::Placed, actions);
+            let outcome = RequestOutcome::Placed { machine };
+            self.records.get_mut(key).expect("it was there").outcome = Some(outcome);
+            actions.push(LedgerAction::Reply { key: key.clone(), request_id, client, outcome });
+        }
+        let task = self.tasks.allocate(key.clone());
+        self.tasks.await_outcome(task);
+        let record = self.records.get_mut(key).expect("it was there");
+        record.phase = RequestPhase::Placed;
+        record.task = Some(task);
+        let attempt = record.attempt_mut(id).expect("the attempt is the record's");
+        (attempt.state, attempt.task) = (AttemptState::Active, Some(task));
+        actions.push(LedgerAction::Adopted { task, machine: attempt.machine });
+    }
+
+    /// A machine refused an attempt: it never ran and never will.
+    pub fn refused(&mut self, id: AttemptId, reason_code: i64, actions: &mut Actions<K>) {
+        let removal = Removal { evidence: Evidence::Refused, outcome: AttemptOutcome::Full, reason_code };
+        self.remove(id, removal, actions);
+    }
+
+    /// A machine tried to start an attempt and failed.
+    pub fn failed(&mut self, id: AttemptId, machine: usize, actions: &mut Actions<K>) {
+        self.remove(id, Removal::FAILED, actions);
+        actions.push(LedgerAction::Acknowledge { attempt: id, machine });
+    }
+
+    /// An attempt ended on its machine, which keeps saying so until it is acknowledged.
+    pub fn ended(&mut self, id: AttemptId, machine: usize, how: AttemptEnd, actions: &mut Actions<K>) {
+        if let Some(key) = self.keys_by_attempt.get(&id).cloned() {
+            if self.records[&key].attempt(id).is_some_and(|attempt| attempt.state == AttemptState::InFlight) {
+                // Its acceptance was lost with a link: the task was placed, and has ended since.
+                self.accepted(id, actions);
+            }
+            let (outcome, reason_code, event) = match how {
+                AttemptEnd::Done => (AttemptOutcome::Ended, 0, LifecycleEvent::Ended),
+                AttemptEnd::Stopped => (AttemptOutcome::Cancelled, 0, LifecycleEvent::Stopped),
+                AttemptEnd::Evicted => (AttemptOutcome::Reset, 5, LifecycleEvent::Evicted),
+                AttemptEnd::PushedOut => (AttemptOutcome::Reset, 6, LifecycleEvent::Evicted),
+                AttemptEnd::SentAway => (AttemptOutcome::Reset, 7, LifecycleEvent::Lost),
+            };
+            self.active_over(&key, id, event, actions);
+            self.remove(id, Removal { evidence: Evidence::Ended, outcome, reason_code }, actions);
+        }
+        actions.push(LedgerAction::Acknowledge { attempt: id, machine });
+    }
+
+    /// The timeout of an attempt passed without an answer.
+    pub fn timed_out(&mut self, id: AttemptId, actions: &mut Actions<K>) {
+        let attempt = self.attempt(id).filter(|attempt| attempt.state == AttemptState::InFlight);
+        let Some(attempt) = attempt else { return };
+        actions.push(LedgerAction::Cancel { attempt: id, machine: attempt.machine });
+        self.give_up(id, AttemptOutcome::TimedOut, actions);
+    }
+
+    /// One attempt was not even handed to the link.
+    pub fn unsent(&mut self, id: AttemptId, actions: &mut Actions<K>) {
+        self.remove(id, Removal::UNSENT, actions);
+    }
+}
+
+/// Parts of the above.
+impl<K: Clone + Ord + Hash, J: Clone> Ledger<K, J> {
+    /// An attempt in flight is given up, though it may run.
+    pub(crate) fn give_up(&mut self, id: AttemptId, outcome: AttemptOutcome, actions: &mut Actions<K>) {
+        let now_us = self.now_us;
+        let Some(key) = self.keys_by_attempt.get(&id).cloned() else { return };
+        let record = self.records.get_mut(&key).expect("an attempt has a record");
+        let attempt = record.attempt_mut(id).expect("a known attempt is in its record");
+        let task = attempt.task.take();
+        (attempt.state, attempt.since_us) = (AttemptState::InDoubt, now_us);
+        record.back_to_waiting();
+        self.resolve(task, Resolution::retry(outcome), actions);
+    }
+
+    /// An attempt is no more. What that proves is in `evidence`.
+    pub(crate) fn remove(&mut self, id: AttemptId, removal: Removal, actions: &mut Actions<K>) {
+        let Some(key) = self.keys_by_attempt.remove(&id) else { return };
+        actions.push(LedgerAction::AttemptEnded { attempt: id });
+        let record = self.records.get_mut(&key).expect("an attempt has a record");
+        let position = record.attempts.iter().position(|attempt| attempt.id == id);
+        let attempt = record.attempts.remove(position.expect("a known attempt is in its record"));
+        self.attempts_by_machine.remove(&(attempt.machine, id));
+        let unanswered = matches!(attempt.state, AttemptState::InFlight | AttemptState::InDoubt);
+        if unanswered && removal.evidence.proof() == Proof::MayHaveRun {
+            record.may_have_run_at_us = Some(self.now_us);
+        }
+        if attempt.state == AttemptState::InFlight {
+            record.back_to_waiting();
+        }
+        let (outcome, reason_code) = (removal.outcome, removal.reason_code);
+        self.resolve(attempt.task, Resolution { outcome, reason_code, over: !unanswered }, actions);
+    }
+
+    /// The active attempt of a record ends: the client is told how, once.
+    pub(crate) fn active_over(
+        &mut self,
+        key: &K,
+        id: AttemptId,
+        event: LifecycleEvent,
+        actions: &mut Actions<K>,
+    ) {
+        let now_us = self.now_us;
+        let record = self.records.get_mut(key).expect("an attempt has a record");
+        let active = record.attempt(id).is_some_and(|attempt| attempt.state == AttemptState::Active);
+        if active && record.phase == RequestPhase::Placed {
+            record.close(RequestPhase::Over(event), record.outcome, now_us);
+            if event == LifecycleEvent::Lost {
+                record.lost_at_us = Some(now_us);
+            }
+            let (request_id, client) = (record.request_id, record.client);
+            actions.push(LedgerAction::Lifecycle { key: key.clone(), request_id, client, event });
+            self.closed.push_back((now_us, key.clone()));
+        }
+    }
+
+    pub(crate) fn stop_active(&mut self, key: &K, actions: &mut Actions<K>) {
+        let record = self.records.get_mut(key).expect("a placed task has a record");
+        let active = |state| state == AttemptState::Active;
+        for attempt in record.attempts.iter_mut().filter(|attempt| active(attempt.state)) {
+            attempt.state = AttemptState::Stopping;
+            actions.push(LedgerAction::Stop { attempt: attempt.id, machine: attempt.machine });
+        }
+    }
+
+    /// Tells the module of an outcome that it waits for.
+    pub(crate) fn resolve(&mut self, task: Option<usize>, resolution: Resolution, actions: &mut Actions<K>) {
+        let Some(task) = task else { return };
+        let Resolution { outcome, reason_code, over } = resolution;
+        actions.push(LedgerAction::Resolved { task, outcome, reason_code, over });
+        self.tasks.outcome_came(task, over);
+    }
+}
--- a/ledger/tests/every_state.rs
+++ b/ledger/tests/every_state.rs
@@ -2,10 +2,12 @@
 //! machines and one task: no state breaks a rule. The placing module is replaced by one that may make any
 //! call that the module's rules allow; links may be cut at any point, with frames in the air lost, or late by
 //! a whole link.
+#![allow(clippy::too_many_lines, reason = "one case for each action, and one step for each event")]
 use basaltpitch::host::AttemptOutcome;
 use basaltpitch_agent::attempt_table::{AttemptReply, AttemptState, AttemptTable};
 use basaltpitch_ledger::{
-    Act, Answer, Asking, CopyState, Ending, Held, Kind, Launch, Ledger, Phase, PROMISES,
+    AttemptEnd, AttemptId, Idempotency, InventoryEntry, Ledger, LedgerAction, LedgerConfig, Request,
+    RequestOutcome, RequestPhase,
 };
 use pathfinding::prelude::bfs_reach;
 use std::collections::{BTreeSet, VecDeque};
@@ -19,16 +21,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Down {
     Hello(u64),
-    Launch(Launch),
-    Cancel(Launch),
-    Stop(Launch),
-    Noted(Launch),
+    Launch(AttemptId),
+    Cancel(AttemptId),
+    Stop(AttemptId),
+    Noted(AttemptId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Up {
-    Said(Launch, AttemptReply),
-    Inventory(Vec<(Launch, bool)>),
+    Said(AttemptId, AttemptReply),
+    Inventory(Vec<(AttemptId, bool)>),
 }
 
 /// One machine and what is in the air to and from it. An old link may still deliver what it had.
@@ -59,7 +61,7 @@
     far: [Far; MACHINES],
     module: Module,
     /// Copies that count, by the ledger's word.
-    counted: BTreeSet<Launch>,
+    counted: BTreeSet<AttemptId>,
     /// Copies that ran to their end, or run, by what the machines did.
     starts: u8,
     answers: u8,
@@ -69,14 +71,14 @@
     wrong: Option<&'static str>,
 }
 
-fn id(l: Launch) -> (u64, u64) {
+fn id(l: AttemptId) -> (u64, u64) {
     (l.epoch, l.number)
 }
 
 impl World {
-    fn new(kind: Kind) -> Self {
+    fn new(kind: Idempotency) -> Self {
         let mut world = World {
-            ledger: Ledger::new(1, 0, PROMISES),
+            ledger: Ledger::new(1, 0, LedgerConfig::DEFAULT),
             far: Default::default(),
             module: Module::None,
             counted: BTreeSet::new(),
@@ -96,11 +98,11 @@
         world
     }
 
-    fn submit(&mut self, kind: Kind) {
+    fn submit(&mut self, kind: Idempotency) {
         self.asks += 1;
         self.answers = 0;
         let mut acts = Vec::new();
-        let asking = Asking { key: 0, ask: self.asks, owner: 1, kind, job: () };
+        let asking = Request { key: 0, request_id: self.asks, client: 1, idempotency: kind, job: () };
         self.ledger.submit(asking, 9_000_000, &mut acts);
         self.carry(acts);
     }
@@ -113,13 +115,13 @@
     }
 
     /// Carries out acts; the module's part is to know of what it is told.
-    fn carry(&mut self, acts: Vec<Act<u8>>) {
+    fn carry(&mut self, acts: Vec<LedgerAction<u8>>) {
         for act in acts {
             match act {
-                Act::Wanted { .. } => self.module = Module::Waiting { unsure: None },
-                Act::Found { .. } | Act::Accepted { .. } => self.module = Module::Placed,
-                Act::Expired { .. } => self.module = Module::None,
-                Act::Resolved { outcome, over, .. } => {
+                LedgerAction::Pending { .. } => self.module = Module::Waiting { unsure: None },
+                LedgerAction::Adopted { .. } | LedgerAction::Accepted { .. } => self.module = Module::Placed,
+                LedgerAction::Expired { .. } => self.module = Module::None,
+                LedgerAction::Resolved { outcome, over, .. } => {
                     self.module = match self.module {
                         Module::Out { on, unsure } if !over => {
                             let ran = !matches!(
@@ -132,7 +134,7 @@
                         _ => Module::None,
                     }
                 }
-                Act::Launch { launch, machine, .. } => {
+                LedgerAction::Launch { attempt: launch, machine, .. } => {
                     if self.far[machine].stands && self.far[machine].met {
                         self.far[machine].down.push_back(Down::Launch(launch));
                     } else {
@@ -141,37 +143,42 @@
                         self.carry(more);
                     }
                 }
-                Act::Cancel { launch, machine } => self.send(machine, Down::Cancel(launch)),
-                Act::Stop { launch, machine } => self.send(machine, Down::Stop(launch)),
-                Act::Noted { launch, machine } => self.send(machine, Down::Noted(launch)),
-                Act::Answer { ask, answer, .. } => {
+                LedgerAction::Cancel { attempt: launch, machine } => self.send(machine, Down::Cancel(launch)),
+                LedgerAction::Stop { attempt: launch, machine } => self.send(machine, Down::Stop(launch)),
+                LedgerAction::Acknowledge { attempt: launch, machine } => {
+                    self.send(machine, Down::Noted(launch))
+                }
+                LedgerAction::Reply { request_id: ask, outcome: answer, .. } => {
                     self.answers += u8::from(ask == self.asks);
                     if self.answers > 1 {
                         self.wrong = Some("two answers to one asking");
                     }
                     let doubt = self.ledger.record(&0).is_some_and(|r| {
-                        r.kind != Kind::Repeatable && r.copies.iter().any(|c| c.state == CopyState::Out)
+                        r.idempotency != Idempotency::Repeatable
+                            && r.attempts
+                                .iter()
+                                .any(|c| c.state == basaltpitch_ledger::AttemptState::InFlight)
                     });
-                    if matches!(answer, Answer::Declined { .. }) && doubt {
+                    if matches!(answer, RequestOutcome::Declined { .. }) && doubt {
                         self.wrong = Some("declined with a launch out");
                     }
                 }
-                Act::Life { .. } => {}
-                Act::Began { launch, .. } => {
+                LedgerAction::Lifecycle { .. } => {}
+                LedgerAction::AttemptStarted { attempt: launch, .. } => {
                     if !self.counted.insert(launch) {
                         self.wrong = Some("a copy that began twice");
                     }
                 }
-                Act::Over { launch } => {
+                LedgerAction::AttemptEnded { attempt: launch } => {
                     if !self.counted.remove(&launch) {
                         self.wrong = Some("a copy that was over and had not begun");
                     }
                 }
             }
         }
-        self.ledger.settled();
-        let copies: BTreeSet<Launch> =
-            self.ledger.record(&0).into_iter().flat_map(|r| &r.copies).map(|c| c.launch).collect();
+        self.ledger.free_task_indices();
+        let copies: BTreeSet<AttemptId> =
+            self.ledger.record(&0).into_iter().flat_map(|r| &r.attempts).map(|c| c.id).collect();
         if copies != self.counted {
             self.wrong = Some("copies that count are others than those of the record");
         }
@@ -198,7 +205,7 @@
                     // Every older link is out of use.
                     far.old.clear();
                     let (endings, held) = far.holder.inventory(&0);
-                    let launch = |id: (u64, u64)| Launch { epoch: id.0, number: id.1 };
+                    let launch = |id: (u64, u64)| AttemptId { epoch: id.0, number: id.1 };
                     far.up.extend(endings.into_iter().map(|(i, s)| Up::Said(launch(i), s)));
                     let held = held.into_iter().map(|(i, s, ())| (launch(i), s != AttemptState::Queued));
                     far.up.push_back(Up::Inventory(held.collect()));
@@ -226,21 +233,21 @@
         }
     }
 
-    fn near_reads(&mut self, m: usize, kind: Kind) {
+    fn near_reads(&mut self, m: usize, kind: Idempotency) {
         let Some(frame) = self.far[m].up.pop_front() else { return };
         let mut acts = Vec::new();
         match frame {
-            Up::Said(l, AttemptReply::Accepted) => self.ledger.yes(l, &mut acts),
+            Up::Said(l, AttemptReply::Accepted) => self.ledger.accepted(l, &mut acts),
             Up::Said(l, AttemptReply::NotHere) => self.ledger.refused(l, 4, &mut acts),
-            Up::Said(l, AttemptReply::Ended(4)) => self.ledger.ended(l, m, Ending::Stopped, &mut acts),
-            Up::Said(l, AttemptReply::Ended(_)) => self.ledger.ended(l, m, Ending::Done, &mut acts),
+            Up::Said(l, AttemptReply::Ended(4)) => self.ledger.ended(l, m, AttemptEnd::Stopped, &mut acts),
+            Up::Said(l, AttemptReply::Ended(_)) => self.ledger.ended(l, m, AttemptEnd::Done, &mut acts),
             Up::Said(l, _) => self.ledger.failed(l, m, &mut acts),
             Up::Inventory(held) => {
-                let held = held.into_iter().map(|(launch, accepted)| Held {
-                    launch,
+                let held = held.into_iter().map(|(launch, accepted)| InventoryEntry {
+                    attempt: launch,
                     key: 0,
-                    ask: 1,
-                    kind,
+                    request_id: 1,
+                    idempotency: kind,
                     accepted,
                     job: (),
                 });
@@ -265,7 +272,7 @@
         self.carry(acts);
     }
 
-    fn next(&self, kind: Kind) -> Vec<World> {
+    fn next(&self, kind: Idempotency) -> Vec<World> {
         let mut all = Vec::new();
         let mut with = |change: &dyn Fn(&mut World)| {
             let mut next = self.clone();
@@ -286,7 +293,7 @@
             }
             // The machine looks at an offer: it takes it, or turns it off; a copy that runs ends.
             for (launch, state, ()) in self.far[m].holder.inventory(&0).1 {
-                let l = Launch { epoch: launch.0, number: launch.1 };
+                let l = AttemptId { epoch: launch.0, number: launch.1 };
                 let say = |w: &mut World, say| {
                     if w.far[m].stands && w.far[m].holder.is_current(&0, 1, w.far[m].link) {
                         w.far[m].up.push_back(Up::Said(l, say));
@@ -314,16 +321,16 @@
             // is the machine itself here; once-only, only if nothing is unsure.
             if let Module::Waiting { unsure } = self.module {
                 let allowed = match kind {
-                    Kind::Repeatable => true,
-                    Kind::Keyed => unsure.is_none_or(|first| first == m),
-                    Kind::OnceOnly => unsure.is_none(),
+                    Idempotency::Repeatable => true,
+                    Idempotency::Keyed => unsure.is_none_or(|first| first == m),
+                    Idempotency::OnceOnly => unsure.is_none(),
                 };
                 if allowed && self.launches < LAUNCHES {
                     with(&|w| {
                         w.launches += 1;
                         w.module = Module::Out { on: m, unsure };
                         let mut acts = Vec::new();
-                        w.ledger.launched(0, m, 3_000_000, &mut acts);
+                        w.ledger.launch(0, m, 3_000_000, &mut acts);
                         w.carry(acts);
                     });
                 }
@@ -332,21 +339,22 @@
         if let Module::Waiting { unsure } = self.module {
             with(&|w| {
                 let mut acts = Vec::new();
-                if unsure.is_none() || kind == Kind::Repeatable {
-                    w.ledger.declined(0, 0, &mut acts);
+                if unsure.is_none() || kind == Idempotency::Repeatable {
+                    w.ledger.decline(0, 0, &mut acts);
                 } else {
-                    w.ledger.aborted(0, &mut acts);
+                    w.ledger.abort(0, &mut acts);
                 }
                 w.module = Module::None;
                 w.carry(acts);
             });
         }
-        let out =
-            self.ledger.record(&0).and_then(|r| r.copies.iter().find(|c| c.state == CopyState::Out).copied());
+        let out = self.ledger.record(&0).and_then(|r| {
+            r.attempts.iter().find(|c| c.state == basaltpitch_ledger::AttemptState::InFlight).copied()
+        });
         if let Some(copy) = out {
             with(&|w| {
                 let mut acts = Vec::new();
-                w.ledger.timed_out(copy.launch, &mut acts);
+                w.ledger.timed_out(copy.id, &mut acts);
                 w.carry(acts);
             });
         }
@@ -358,42 +366,44 @@
     }
 
     /// What no state may show.
-    fn judge(&self, kind: Kind) -> Result<(), &'static str> {
+    fn judge(&self, kind: Idempotency) -> Result<(), &'static str> {
         if let Some(wrong) = self.wrong {
             return Err(wrong);
         }
         let record = self.ledger.record(&0);
-        let copies = || record.iter().flat_map(|r| &r.copies);
-        if copies().filter(|c| c.state == CopyState::Out).count() > 1 {
+        let copies = || record.iter().flat_map(|r| &r.attempts);
+        if copies().filter(|c| c.state == basaltpitch_ledger::AttemptState::InFlight).count() > 1 {
             return Err("two launches out");
         }
-        if copies().filter(|c| c.state == CopyState::Held).count() > 1 {
+        if copies().filter(|c| c.state == basaltpitch_ledger::AttemptState::Active).count() > 1 {
             return Err("two copies held");
         }
         let open = record.is_some_and(|r| r.phase.is_open());
-        if open != (self.ledger.open() == 1) {
+        if open != (self.ledger.open_count() == 1) {
             return Err("the count of open askings is wrong");
         }
         if open == (self.module == Module::None || self.module == Module::Placed) {
             return Err("module and ledger differ on what is open");
         }
-        if record.is_some_and(|r| r.phase == Phase::Placed) && copies().all(|c| c.state != CopyState::Held) {
+        if record.is_some_and(|r| r.phase == RequestPhase::Placed)
+            && copies().all(|c| c.state != basaltpitch_ledger::AttemptState::Active)
+        {
             return Err("placed without a copy");
         }
         let runs =
             |far: &Far| far.holder.inventory(&0).1.iter().filter(|h| h.1 == AttemptState::Running).count();
         let running: usize = self.far.iter().map(runs).sum();
-        if kind == Kind::OnceOnly && running > 1 {
+        if kind == Idempotency::OnceOnly && running > 1 {
             return Err("a once-only task runs twice");
         }
-        if kind == Kind::OnceOnly && self.asks == 1 && self.starts > 1 {
+        if kind == Idempotency::OnceOnly && self.asks == 1 && self.starts > 1 {
             return Err("a once-only asking was started twice");
         }
         Ok(())
     }
 }
 
-fn visit(kind: Kind, at_least: usize) {
+fn visit(kind: Idempotency, at_least: usize) {
     let mut seen = 0;
     for world in bfs_reach(World::new(kind), |w| w.next(kind)) {
         seen += 1;
@@ -407,15 +417,15 @@
 
 #[test]
 fn a_repeatable_task() {
-    visit(Kind::Repeatable, 10_000);
+    visit(Idempotency::Repeatable, 10_000);
 }
 
 #[test]
 fn a_keyed_task() {
-    visit(Kind::Keyed, 10_000);
+    visit(Idempotency::Keyed, 10_000);
 }
 
 #[test]
 fn a_once_only_task() {
-    visit(Kind::OnceOnly, 10_000);
+    visit(Idempotency::OnceOnly, 10_000);
 }
--- a/planner/src/host_adapter.rs
+++ b/planner/src/host_adapter.rs
@@ -2,7 +2,7 @@
 use crate::placement_constraints::PlacementConstraints;
 use basaltpitch::host::Host;
 use basaltpitch_constraints::TaskAttributes;
-use basaltpitch_ledger::{Act, Launch, Ledger};
+use basaltpitch_ledger::{AttemptId, Ledger, LedgerAction};
 use basaltpitch_timers::Wheel;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -32,7 +32,7 @@
     /// The module's, with its token.
     Placement(u64),
     /// The patience with a launch is over.
-    AttemptTimeout(Launch),
+    AttemptTimeout(AttemptId),
     Probe(u64),
     /// The planner's own round: records and ids that leave.
     Housekeeping,
@@ -53,7 +53,7 @@
 pub struct HostAdapter {
     pub now: i64,
     pub ledger: Ledger<TaskKey, TaskJob>,
-    pub actions: VecDeque<Act<TaskKey>>,
+    pub actions: VecDeque<LedgerAction<TaskKey>>,
     pub requests: VecDeque<HostRequest>,
     pub timers: Wheel<TimerKind>,
     /// The module's calls as text, where they are recorded.
@@ -62,20 +62,20 @@
     pub constraints: Option<PlacementConstraints>,
     /// What the module asked of clauses, where its calls are recorded; see `recording`.
     answers: RefCell<ConstraintAnswers>,
-    buffer: Vec<Act<TaskKey>>,
+    buffer: Vec<LedgerAction<TaskKey>>,
 }
 
 /// Answers to the module's questions about clauses, in their order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConstraintAnswers {
     pub allows: VecDeque<bool>,
-    pub wishes: VecDeque<u64>,
-    pub alike: VecDeque<usize>,
+    pub preferences: VecDeque<u64>,
+    pub groups: VecDeque<usize>,
 }
 
 impl ConstraintAnswers {
     pub fn is_empty(&self) -> bool {
-        self.allows.is_empty() && self.wishes.is_empty() && self.alike.is_empty()
+        self.allows.is_empty() && self.preferences.is_empty() && self.groups.is_empty()
     }
 }
 
@@ -97,19 +97,21 @@
     /// Asks the ledger for something and keeps the acts that come of it, in order.
     pub fn on_ledger<R>(
         &mut self,
-        ask: impl FnOnce(&mut Ledger<TaskKey, TaskJob>, &mut Vec<Act<TaskKey>>) -> R,
+        ask: impl FnOnce(&mut Ledger<TaskKey, TaskJob>, &mut Vec<LedgerAction<TaskKey>>) -> R,
     ) -> R {
-        self.ledger.clock(self.now);
+        self.ledger.set_clock(self.now);
         let answer = ask(&mut self.ledger, &mut self.buffer);
         for act in self.buffer.drain(..) {
             match (act, &mut self.constraints) {
                 // Counted at once: the module may send the next task before this one's act is carried out.
-                (Act::Began { launch, machine, key }, Some(bounds)) => {
+                (LedgerAction::AttemptStarted { attempt: launch, machine, key }, Some(bounds)) => {
                     let facts = self.ledger.record(&key).and_then(|r| r.job.facts.clone());
                     facts.into_iter().for_each(|facts| bounds.attempt_started(launch, machine, &facts));
                 }
-                (Act::Over { launch }, Some(bounds)) => bounds.attempt_ended(launch),
-                (Act::Began { .. } | Act::Over { .. }, None) => {}
+                (LedgerAction::AttemptEnded { attempt: launch }, Some(bounds)) => {
+                    bounds.attempt_ended(launch)
+                }
+                (LedgerAction::AttemptStarted { .. } | LedgerAction::AttemptEnded { .. }, None) => {}
                 (act, _) => self.actions.push_back(act),
             }
         }
@@ -178,17 +180,17 @@
         self.answers.borrow_mut().allows.pop_front().unwrap_or(true)
     }
     fn preference_score(&self, _: usize, _: usize) -> u64 {
-        self.answers.borrow_mut().wishes.pop_front().unwrap_or(0)
+        self.answers.borrow_mut().preferences.pop_front().unwrap_or(0)
     }
     fn constraint_group(&self, _: usize) -> usize {
-        self.answers.borrow_mut().alike.pop_front().unwrap_or(0)
+        self.answers.borrow_mut().groups.pop_front().unwrap_or(0)
     }
 }
 
 impl Host for HostAdapter {
     fn launch(&mut self, task: usize, machine: usize, timeout_us: i64) {
         self.call(|words| words.launch(task, machine, timeout_us));
-        self.on_ledger(|ledger, acts| ledger.launched(task, machine, timeout_us, acts));
+        self.on_ledger(|ledger, acts| ledger.launch(task, machine, timeout_us, acts));
     }
     /// The ledger called the launch back already, when it told the module that the task is over.
     fn cancel(&mut self, task: usize, launch: u32) {
@@ -196,15 +198,15 @@
     }
     fn reject(&mut self, task: usize, retry_after_us: i64) {
         self.call(|words| words.reject(task, retry_after_us));
-        self.on_ledger(|ledger, acts| ledger.declined(task, retry_after_us, acts));
+        self.on_ledger(|ledger, acts| ledger.decline(task, retry_after_us, acts));
     }
     fn abort(&mut self, task: usize) {
         self.call(|words| words.abort(task));
-        self.on_ledger(|ledger, acts| ledger.aborted(task, acts));
+        self.on_ledger(|ledger, acts| ledger.abort(task, acts));
     }
     fn evict(&mut self, task: usize) {
         self.call(|words| words.evict(task));
-        self.on_ledger(|ledger, acts| ledger.moved(task, acts));
+        self.on_ledger(|ledger, acts| ledger.move_away(task, acts));
     }
     fn probe(&mut self, machine: usize) {
         self.call(|words| words.probe(machine));
@@ -234,11 +236,11 @@
     fn preference_score(&self, task: usize, machine: usize) -> u64 {
         let Some(bounds) = &self.constraints else { return 0 };
         let wishes = bounds.group(task).map_or(0, |g| bounds.state.preference_score(g, machine));
-        self.noted(wishes, |a| &mut a.wishes)
+        self.noted(wishes, |a| &mut a.preferences)
     }
     fn constraint_group(&self, task: usize) -> usize {
         let Some(bounds) = &self.constraints else { return 0 };
         let alike = bounds.group(task).unwrap_or(0);
-        self.noted(alike, |a| &mut a.alike)
+        self.noted(alike, |a| &mut a.groups)
     }
 }
--- a/planner/src/peer_links.rs
+++ b/planner/src/peer_links.rs
@@ -206,7 +206,8 @@
 
     fn count_attempts(&mut self, state: &PlannerState) {
         for (zone, rates) in self.attempts.iter_mut().enumerate() {
-            let counted = state.zone_attempts(zone);
+            let attempts = state.zone_attempts(zone);
+            let counted = [attempts.launched, attempts.failed];
             for kind in 0..2 {
                 let new = (counted[kind] - rates.counted[kind]) as f64;
                 rates.recent[kind] = rates.recent[kind] * ATTEMPTS_DECAY + new;
--- a/planner/src/placement_constraints.rs
+++ b/planner/src/placement_constraints.rs
@@ -3,7 +3,7 @@
 use basaltpitch_constraints::conflict::conflict;
 use basaltpitch_constraints::state::{ConstraintState, MachineState};
 use basaltpitch_constraints::{Constraint, MachineAttributes, TaskAttributes};
-use basaltpitch_ledger::Launch;
+use basaltpitch_ledger::AttemptId;
 use std::rc::Rc;
 
 /// Steps that naming a conflict may take.
@@ -27,7 +27,7 @@
     Infeasible { clauses: Vec<usize>, smallest: bool },
 }
 
-fn copy(launch: Launch) -> (u64, u64) {
+fn copy(launch: AttemptId) -> (u64, u64) {
     (launch.epoch, launch.number)
 }
 
@@ -56,13 +56,13 @@
         self.of_task.get(task).copied().flatten()
     }
 
-    pub fn attempt_started(&mut self, launch: Launch, machine: usize, facts: &Rc<TaskAttributes>) {
+    pub fn attempt_started(&mut self, launch: AttemptId, machine: usize, facts: &Rc<TaskAttributes>) {
         let g = self.state.acquire_group(facts);
         self.state.attempt_started(copy(launch), g, machine);
         self.state.release_group(g);
     }
 
-    pub fn attempt_ended(&mut self, launch: Launch) {
+    pub fn attempt_ended(&mut self, launch: AttemptId) {
         self.state.attempt_ended(copy(launch));
     }
 
--- a/planner/src/service.rs
+++ b/planner/src/service.rs
@@ -487,7 +487,7 @@
                     rolls.on_machine_list(now, list);
                 }
                 if let Err(e) = self.core.registry_frame(now, body) {
-                    tracing::error!(error = e, "register");
+                    tracing::error!(error = %e, "registry");
                 }
             }
             LinkEvent::Session(_) => {}
@@ -520,8 +520,8 @@
             }
             LinkEvent::Session(SessionEvent::Frame(body)) => {
                 if let Err(e) = self.core.machine_frame(now, m, link, body) {
-                    tracing::error!(machine = m, error = e, "a frame that makes no sense; the link ends");
-                    self.close_peer(m, link, &e);
+                    tracing::error!(machine = m, error = %e, "a frame that makes no sense; the link ends");
+                    self.close_peer(m, link, &e.to_string());
                 }
             }
             LinkEvent::Session(SessionEvent::Health(state)) => {
@@ -571,8 +571,8 @@
                     Some(told)
                 };
                 if let Err(e) = view::client_frame(&mut self.core, now, conn, body, beside) {
-                    tracing::warn!(conn, error = e, "a question that makes no sense");
-                    self.close_conn(conn, &e);
+                    tracing::warn!(conn, error = %e, "a question that makes no sense");
+                    self.close_conn(conn, &e.to_string());
                 }
             }
             LinkEvent::Session(_) => {}
--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -1,15 +1,22 @@
 //! One planner without I/O: frames and the passing of time come in, frames to send go out. It holds the
-//! placing module with the ledger in its hands, knows peers by small indices, and decides nothing itself:
-//! the module places, the ledger says what an answer means, `standing` whether a machine is offered work,
-//! `dial` when to connect. What owners, machines, clauses and the directory bring has a room each; all
-//! share this one record. Times are whole microseconds.
+//! placement module, which acts through the host adapter and its ledger, knows peers by small indices, and
+//! decides nothing itself: the module places, the ledger says what an answer means, `machine_availability`
+//! whether a machine is offered work, `dial` when to connect. What clients, machines, constraints and the
+//! directory bring has a module each; all share this one state. Times are whole microseconds.
+mod actions;
 mod clauses;
 mod clients;
+mod errors;
 mod machines;
+mod names;
 mod parts;
+mod registry;
 mod tenants;
 
-use crate::admission::{AdmissionController, Rejection, RequestNeeds};
+pub use errors::{ClientFrameError, MachineFrameError, RegistryFrameError};
+pub use names::idempotency_text;
+
+use crate::admission::{AdmissionController, RequestNeeds};
 use crate::host_adapter::{HostAdapter, HostRequest, TaskJob, TaskKey, TimerKind};
 use crate::machine_availability::{LinkState, MachineAvailability};
 use crate::placement_constraints::{Eligibility, PlacementConstraints};
@@ -25,58 +32,74 @@
 use basaltpitch_constraints::{Constraint, MachineAttributes, TaskAttributes};
 use basaltpitch_interner::{fnv1a_64, RefCountedIds};
 use basaltpitch_ledger::{
-    Act, Answer, Asking, CopyState, Ending, Held, Kind, Launch, Ledger, Life, Phase, Promises, Reason,
-    PROMISES,
+    Attempt, AttemptEnd, AttemptId, AttemptState, InventoryEntry, Ledger, LedgerAction, LedgerConfig,
+    LifecycleEvent, RejectReason, Rejection, Request, RequestOutcome, RequestPhase, TaskRecord,
 };
 use basaltpitch_tenants::{Change, Sweep};
 use basaltpitch_zone_failover::ZonePhase;
+use names::{index_of_name, InstallationNames};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// The register among the peers that are dialled.
+/// The registry among the peers that are dialled.
 pub const REGISTRY: usize = usize::MAX;
-/// Services and machines that nothing holds leave their indices after this time.
-const KEEP_IDS: i64 = 600_000_000;
-const ROUND: i64 = 1_000_000;
+/// Services and machines that nothing refers to leave their indices after this time.
+const ID_RETENTION_US: i64 = 600_000_000;
+const HOUSEKEEPING_INTERVAL_US: i64 = 1_000_000;
 /// The admission threshold is recomputed each so often.
-const LINE: i64 = 250_000;
+const ADMISSION_INTERVAL_US: i64 = 250_000;
+/// How long a connection may take to come up, unless the settings say otherwise.
+const DEFAULT_CONNECT_TIMEOUT_US: f64 = 250_000.0;
 /// Rows that one answer holds at the most.
 pub(crate) const MOST_ROWS: usize = 1000;
-/// Probes whose answer is waited for; a further one is not sent.
-const MOST_PROBES: usize = 100_000;
 
 /// What the service must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// A frame to a machine; with a mark, a launch whose sending must be known.
+    /// A frame to a machine.
     Machine {
+        /// The machine's index.
         machine: usize,
+        /// The frame.
         body: Body,
+        /// The number of an attempt of which it must be known whether it was sent.
         mark: Option<u64>,
     },
+    /// A frame to the registry.
     Registry(Body),
-    /// A frame to an owner or operator.
+    /// A frame to a client or operator.
     Client {
+        /// The number of its connection.
         conn: u64,
+        /// The frame.
         body: Body,
     },
-    /// Connect to a peer, with the number of this link.
+    /// Connect to a peer.
     Dial {
+        /// The machine's index, or `REGISTRY`.
         peer: usize,
+        /// The number of the new link.
         link: u64,
+        /// The peer's name.
         name: Rc<str>,
+        /// Where it listens.
         address: Rc<str>,
     },
+    /// End the link to a machine.
     Disconnect {
+        /// The machine's index.
         machine: usize,
+        /// Why, as the machine and the log are told.
         why: &'static str,
     },
-    /// Sweep a server of the directory; one that is under way is given up.
+    /// Sync with a server of the directory; a sync that is under way is given up.
     SyncDirectory(Task),
-    /// What of the directory is to outlive this planner: all of it, or only when it was last heard in full.
+    /// Store what of the directory is to outlive this planner.
     StoreTenants {
+        /// When the directory was last read in full.
         at: i64,
+        /// All of it, where it changed; else only the time is stored.
         all: Option<Vec<u8>>,
     },
 }
@@ -84,34 +107,42 @@
 /// Who a planner is.
 #[derive(Clone, Debug)]
 pub struct Identity {
+    /// Its name among the planners.
     pub name: String,
+    /// The number that fences its earlier incarnations.
     pub epoch: u64,
+    /// Where its random draws begin.
     pub seed: u64,
-    /// Where the register listens.
+    /// The address of the registry.
     pub register: String,
 }
 
+/// What is known of a machine.
 struct MachineRecord {
     address: Rc<str>,
     labels: Vec<String>,
     availability: MachineAvailability,
+    /// The number of its newest link.
     link: u64,
-    held: bool,
+    /// Whether its index is held for it as a listed machine.
+    retained: bool,
 }
 
+/// The state of one planner.
 pub struct PlannerState {
+    /// Who it is.
     pub identity: Identity,
     placement: Planner<HostAdapter>,
     recorder: Option<Recorder>,
-    names: Names,
+    names: InstallationNames,
     tenancy: Tenancy,
     /// On whose behalf each connection asks.
     logins: HashMap<u64, Rc<str>>,
-    /// An asking that is declined at the door.
+    /// The request that is being rejected on arrival.
     pending_rejection: Option<PendingRejection>,
-    /// Whether askings are worth starting, where that is looked at.
+    /// Whether requests are worth starting, where that is looked at.
     pub(crate) admission: Option<AdmissionController>,
-    /// Where each clause stands, in words for answers.
+    /// Where each constraint is in the settings, for answers.
     constraint_names: Vec<String>,
     machine_ids: RefCountedIds<Rc<str>>,
     machines: Vec<Option<MachineRecord>>,
@@ -121,108 +152,83 @@
     dials: DialQueue,
     last_link: u64,
     registry_up: bool,
+    /// The registry was asked to send changes of the list.
     watching: bool,
+    /// The registry sends changes without being asked by the module.
     registry_pushes: bool,
+    /// By number: the machine whose health check is waited for.
     probes: BTreeMap<u64, usize>,
     last_probe: u64,
     connect_timeout_us: i64,
-    /// By hall: launches, and launches refused or failed, since the start.
-    zone_attempts: Vec<[u64; 2]>,
+    /// By zone.
+    zone_attempts: Vec<ZoneAttempts>,
     /// A report that came with the frame being handled.
     pending_report: Vec<f64>,
-    /// The planner's part of the fleet, where it has one.
+    /// The planner's subset of the fleet, where it has one.
     part: Option<parts::Parts>,
     outputs: VecDeque<Output>,
+    /// What operators are told of its work.
     pub counts: TaskCounts,
 }
 
 /// What operators are told of a planner's work, since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct TaskCounts {
+    /// Requests that came.
     pub submitted: u64,
+    /// Attempts made.
     pub launched: u64,
+    /// Requests that were answered with a place.
     pub placed: u64,
+    /// Requests that were declined.
     pub declined: u64,
+    /// Requests that were aborted.
     pub aborted: u64,
+    /// Tasks that were found running in an inventory.
     pub found: u64,
+    /// Placed tasks that were lost with their machines.
     pub lost: u64,
 }
 
-/// An asking that is declined at the door: how old that is which the refusal rests on, and more words for it.
-struct PendingRejection {
-    ask: u64,
-    stale_us: i64,
-    words: Option<String>,
-}
-
-/// Names of the installation and their indices.
-struct Names {
-    frameworks: Vec<(String, Kind)>,
-    zones: Vec<String>,
-    kinds: Vec<String>,
-    /// Cores and memory of each kind of machine.
-    sizes: Vec<(f64, f64)>,
-    /// By framework: the kind of machine that its tasks are bound to.
-    kind_of: Vec<Option<usize>>,
-}
-
-impl Names {
-    fn new(given: &Settings) -> Self {
-        let list = |of: &dyn Fn(usize) -> String| numbered_texts(given, of);
-        let kind = |i: usize| match text(given, &format!("classes.{i}.semantics")) {
-            "retryable" => Kind::Repeatable,
-            "dedup" => Kind::Keyed,
-            _ => Kind::OnceOnly,
-        };
-        let frameworks = list(&|i| format!("classes.{i}.name"));
-        let bound = |i| number(given, &format!("familyInfo.classKind.{i}")).filter(|k| *k >= 0.0);
-        let kinds = list(&|i| format!("machineTypes.{i}"));
-        let of_kind = |name: &str, i: usize| number(given, &format!("familyInfo.{name}.{i}")).unwrap_or(0.0);
-        Names {
-            sizes: (0..kinds.len()).map(|i| (of_kind("cpuOfKind", i), of_kind("sizeMemory", i))).collect(),
-            kind_of: (0..frameworks.len()).map(|i| bound(i).map(|k| k as usize)).collect(),
-            frameworks: frameworks.into_iter().enumerate().map(|(i, name)| (name, kind(i))).collect(),
-            zones: list(&|i| format!("localities.{i}")),
-            kinds,
-        }
-    }
-}
-
-fn index_of_name(names: &[String], name: &str) -> Option<usize> {
-    names.iter().position(|n| n == name)
+/// Attempts in a zone since the start.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) struct ZoneAttempts {
+    /// Attempts made.
+    pub(crate) launched: u64,
+    /// Attempts that were refused or failed.
+    pub(crate) failed: u64,
 }
 
-pub fn idempotency_text(kind: Kind) -> &'static str {
-    match kind {
-        Kind::Repeatable => "repeatable",
-        Kind::Keyed => "keyed",
-        Kind::OnceOnly => "once-only",
-    }
+/// A request that is rejected on arrival.
+struct PendingRejection {
+    request_id: u64,
+    /// How old that is which the rejection rests on.
+    stale_us: i64,
+    /// The reason in more detail.
+    explanation: Option<String>,
 }
 
 impl PlannerState {
+    /// A planner that knows no machine yet. Its decisions are recorded to `record`.
     pub fn new(
-        who: Identity,
-        given: Settings,
+        identity: Identity,
+        settings: Settings,
         now: i64,
         record: Option<Box<dyn std::io::Write + Send>>,
     ) -> Self {
-        let settle_us = number(&given, "familyInfo.makeSureUs").map_or(PROMISES.settle_us, |n| n as i64);
-        let ledger = Ledger::new(who.epoch, now, Promises { settle_us, ..PROMISES });
-        let hands = HostAdapter::new(now, ledger, record.is_some());
-        let names = Names::new(&given);
-        let tenancy = Tenancy::Listed(numbered_texts(&given, &|i| format!("tenants.{i}.name")));
-        let connect_timeout_us = number(&given, "permissions.connectTimeoutUs").unwrap_or(250_000.0) as i64;
-        let pushes = text(&given, "discovery") != "ask";
-        let recorder = record.map(|out| Recorder::start(out, who.seed, now, &given));
-        let mut dials = DialQueue::new(who.seed, now, DialConfig::DEFAULT);
+        let default = LedgerConfig::DEFAULT;
+        let settle_us = number(&settings, "familyInfo.makeSureUs").map_or(default.settle_us, |us| us as i64);
+        let ledger = Ledger::new(identity.epoch, now, LedgerConfig { settle_us, ..default });
+        let host = HostAdapter::new(now, ledger, record.is_some());
+        let connect_timeout_us =
+            number(&settings, "permissions.connectTimeoutUs").unwrap_or(DEFAULT_CONNECT_TIMEOUT_US) as i64;
+        let recorder = record.map(|out| Recorder::start(out, identity.seed, now, &settings));
+        let mut dials = DialQueue::new(identity.seed, now, DialConfig::DEFAULT);
         dials.add(REGISTRY, now);
-        let mut core = PlannerState {
-            placement: Planner::new(hands, who.seed, now, given),
-            identity: who,
+        let mut state = PlannerState {
             recorder,
-            names,
-            tenancy,
+            names: InstallationNames::new(&settings),
+            tenancy: Tenancy::Listed(numbered_texts(&settings, &|index| format!("tenants.{index}.name"))),
             logins: HashMap::new(),
             pending_rejection: None,
             admission: None,
@@ -235,7 +241,7 @@
             last_link: 0,
             registry_up: false,
             watching: false,
-            registry_pushes: pushes,
+            registry_pushes: text(&settings, "discovery") != "ask",
             probes: BTreeMap::new(),
             last_probe: 0,
             connect_timeout_us,
@@ -244,25 +250,26 @@
             part: None,
             outputs: VecDeque::new(),
             counts: TaskCounts::default(),
+            placement: Planner::new(host, identity.seed, now, settings),
+            identity,
         };
-        core.placement.host.timers.set(now + ROUND, TimerKind::Housekeeping);
-        if let (Some(recorder), Some(calls)) = (&mut core.recorder, &mut core.placement.host.transcript) {
-            recorder.calls(calls);
-        }
-        core.perform_pending();
-        core
+        state.placement.host.timers.set(now + HOUSEKEEPING_INTERVAL_US, TimerKind::Housekeeping);
+        state.record_calls();
+        state.perform_pending();
+        state
     }
 
-    /// The connect time-out, in microseconds.
+    /// The timeout of connections, in microseconds.
     pub fn connect_timeout_us(&self) -> i64 {
         self.connect_timeout_us
     }
 
+    /// The next thing that the service must do.
     pub fn next_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// The time at which `clock` has something to do.
+    /// The time at which `advance_clock` has something to do.
     pub fn next_at(&self) -> i64 {
         let dial = self.dials.next_due_at().unwrap_or(i64::MAX);
         self.placement.host.timers.next_at().unwrap_or(i64::MAX).min(dial).min(self.tenancy.next_at())
@@ -271,13 +278,13 @@
     /// Lets time pass: timers come due, peers are dialled.
     pub fn advance_clock(&mut self, now: i64) {
         self.set_clock(now);
-        while let Some((_, due)) = self.placement.host.timers.next_due(now) {
-            match due {
+        while let Some((_, timer)) = self.placement.host.timers.next_due(now) {
+            match timer {
                 TimerKind::Placement(token) => self.notify_placement(PlacementEvent::Timer { token }),
-                TimerKind::AttemptTimeout(launch) => {
-                    self.placement.host.on_ledger(|l, acts| l.timed_out(launch, acts))
+                TimerKind::AttemptTimeout(attempt) => {
+                    self.placement.host.on_ledger(|ledger, actions| ledger.timed_out(attempt, actions));
                 }
-                TimerKind::Probe(n) => self.probe_failed(n, AttemptOutcome::TimedOut),
+                TimerKind::Probe(probe) => self.probe_failed(probe, AttemptOutcome::TimedOut),
                 TimerKind::Housekeeping => self.housekeeping(),
                 TimerKind::AdmissionThreshold => self.update_admission_threshold(),
                 TimerKind::Subset => self.part_due(),
@@ -294,31 +301,30 @@
         }
     }
 
-    // Admission control.
-
-    /// From now on askings that are not worth starting are declined at once.
+    /// From now on requests that are not worth starting are declined at once.
     pub fn enable_admission(&mut self, now: i64, controller: AdmissionController) {
         self.admission = Some(controller);
-        self.placement.host.timers.set(now + LINE, TimerKind::AdmissionThreshold);
+        self.placement.host.timers.set(now + ADMISSION_INTERVAL_US, TimerKind::AdmissionThreshold);
     }
 
+    /// What decides on admission, where that is looked at.
     pub fn admission(&self) -> Option<&AdmissionController> {
         self.admission.as_ref()
     }
 
     fn update_admission_threshold(&mut self) {
         let now = self.now();
-        self.placement.host.timers.set(now + LINE, TimerKind::AdmissionThreshold);
+        self.placement.host.timers.set(now + ADMISSION_INTERVAL_US, TimerKind::AdmissionThreshold);
         let Some(mut admission) = self.admission.take() else { return };
-        let ready = self.machines().filter(|(_, s, _)| s.readiness() == Readiness::Ready);
+        let ready = self.machines().filter(|entry| entry.1.readiness() == Readiness::Ready);
         let fleet = self.fleet_to_subset_ratio();
-        // The line is that of the whole fleet, of which a part is a sample.
-        let scaled = |x: MachineEstimate| MachineEstimate {
-            cores: fleet * x.cores,
-            cores_at_confidence: fleet * x.cores_at_confidence,
-            ..x
+        // The threshold is that of the whole fleet, of which a subset is a sample.
+        let scaled = |estimate: MachineEstimate| MachineEstimate {
+            cores: fleet * estimate.cores,
+            cores_at_confidence: fleet * estimate.cores_at_confidence,
+            ..estimate
         };
-        admission.recompute(now, ready.map(|x| scaled(x.2)));
+        admission.recompute(now, ready.map(|entry| scaled(entry.2)));
         self.admission = Some(admission);
     }
 
@@ -335,292 +341,111 @@
             let address = self.identity.register.as_str().into();
             return self.outputs.push_back(Output::Dial { peer, link, name: "register".into(), address });
         }
-        let Some(machine) = self.machines[peer].as_mut() else { return self.dials.remove(peer) };
-        (machine.availability.link, machine.link) = (LinkState::Connecting, link);
-        let (name, address) = (self.machine_ids.ids.id(peer).clone(), machine.address.clone());
+        let Some(record) = self.machines[peer].as_mut() else { return self.dials.remove(peer) };
+        (record.availability.link, record.link) = (LinkState::Connecting, link);
+        let (name, address) = (self.machine_ids.ids.id(peer).clone(), record.address.clone());
         self.outputs.push_back(Output::Dial { peer, link, name, address });
     }
 
-    // What was decided is carried out.
-
-    fn notify_placement(&mut self, told: PlacementEvent) {
+    /// Tells the placement module of an event, and records it.
+    fn notify_placement(&mut self, event: PlacementEvent) {
         let now = self.now();
-        told.apply(&mut self.placement).expect("numbers that this code wrote itself");
+        event.apply(&mut self.placement).expect("codes that this planner wrote itself");
         if let Some(recorder) = &mut self.recorder {
-            recorder.told(now, &told, self.placement.host.take_answers());
+            recorder.record_event(now, &event, self.placement.host.take_answers());
         }
-        if let (Some(recorder), Some(calls)) = (&mut self.recorder, &mut self.placement.host.transcript) {
-            recorder.calls(calls);
+        self.record_calls();
+    }
+
+    fn record_calls(&mut self) {
+        let host = &mut self.placement.host;
+        if let (Some(recorder), Some(transcript)) = (&mut self.recorder, &mut host.transcript) {
+            recorder.record_calls(transcript);
         }
     }
 
-    /// Carries out all acts and wishes, in order, until none is left.
+    /// Carries out all actions and requests, in order, until none is left.
     fn perform_pending(&mut self) {
         loop {
-            if let Some(act) = self.placement.host.actions.pop_front() {
-                self.perform(act);
-            } else if let Some(wish) = self.placement.host.requests.pop_front() {
-                self.perform_host_request(wish);
+            if let Some(action) = self.placement.host.actions.pop_front() {
+                self.perform(action);
+            } else if let Some(request) = self.placement.host.requests.pop_front() {
+                self.perform_host_request(request);
             } else {
                 break;
             }
         }
         let now = self.now();
-        for task in self.placement.host.ledger.settled() {
+        for task in self.placement.host.ledger.free_task_indices() {
             self.service_ids.release(self.service_of_task[task], now);
-            if let Some(bounds) = &mut self.placement.host.constraints {
-                bounds.task_closed(task);
+            if let Some(constraints) = &mut self.placement.host.constraints {
+                constraints.task_closed(task);
             }
         }
     }
 
-    /// The service of a task's job, held under its index while the module knows the task.
-    fn hold_service(&mut self, task: usize) -> Option<(TaskJob, usize)> {
-        let now = self.now();
-        let ledger = &self.placement.host.ledger;
-        let job = ledger.record(ledger.key_of(task)?)?.job.clone();
-        let s = self.service_ids.acquire(job.service, now);
-        if let (Some(bounds), Some(facts)) = (&mut self.placement.host.constraints, &job.facts) {
-            bounds.task_opened(task, facts);
-        }
-        if task >= self.service_of_task.len() {
-            self.service_of_task.resize(task + 1, 0);
-        }
-        self.service_of_task[task] = s;
-        self.notify_placement(PlacementEvent::Service { s, number: job.service });
-        Some((job, s))
-    }
-
-    fn perform(&mut self, act: Act<TaskKey>) {
-        match act {
-            Act::Wanted { task, left_us } => {
-                let Some((job, s)) = self.hold_service(task) else { return };
-                let (f, tenant, asks) = (job.framework, job.tenant, (job.cores, job.memory));
-                self.task_waits(task, &job, left_us);
-                self.notify_placement(PlacementEvent::Wanted { task, f, tenant, s, asks, left: left_us });
-            }
-            Act::Found { task, machine } => {
-                self.counts.found += 1;
-                let Some((job, s)) = self.hold_service(task) else { return };
-                let (f, tenant, asks) = (job.framework, job.tenant, (job.cores, job.memory));
-                self.notify_placement(PlacementEvent::Found { task, f, tenant, s, asks, m: machine });
-            }
-            Act::Accepted { task } => self.notify_placement(PlacementEvent::Accepted { task }),
-            Act::Expired { task } => {
-                self.task_waits_no_more(task);
-                self.notify_placement(PlacementEvent::Expired { task });
-            }
-            Act::Resolved { task, outcome, why, over } => {
-                let (end, report) = (outcome_code(outcome), std::mem::take(&mut self.pending_report));
-                self.task_resolved(task, outcome, over);
-                self.notify_placement(PlacementEvent::Resolved { task, end, why, over, report });
-            }
-            Act::Launch { key, launch, machine, time_out_us } => {
-                self.launch(key, launch, machine, time_out_us)
-            }
-            Act::Cancel { launch, machine } => {
-                self.send_machine(machine, Body::Cancel(wire::Cancel { id: wire_id(launch) }))
-            }
-            Act::Stop { launch, machine } => {
-                self.send_machine(machine, Body::Stop(wire::Stop { id: wire_id(launch) }))
-            }
-            Act::Noted { launch, machine } => {
-                self.send_machine(machine, Body::Noted(wire::Noted { id: wire_id(launch) }))
-            }
-            Act::Answer { key, ask, owner, answer } => self.answer(key, ask, owner, answer),
-            // Counted by the hands when they heard of it.
-            Act::Began { .. } | Act::Over { .. } => {}
-            Act::Life { key, ask, owner, how } => {
-                self.counts.lost += u64::from(how == Life::Lost);
-                let how = match how {
-                    Life::Ended => wire::LifeHow::LifeEnded,
-                    Life::Lost => wire::LifeHow::LifeLost,
-                    Life::Evicted => wire::LifeHow::LifeEvicted,
-                    Life::Moved => wire::LifeHow::LifeMoved,
-                    Life::Stopped => wire::LifeHow::LifeStopped,
-                };
-                if owner != 0 {
-                    let life = wire::Life { key: key.to_string(), ask, how: how as i32 };
-                    self.outputs.push_back(Output::Client { conn: owner, body: Body::Life(life) });
-                }
-            }
-        }
-    }
-
-    fn send_machine(&mut self, machine: usize, body: Body) {
-        if self.machines[machine].as_ref().is_some_and(|x| x.availability.link.is_up()) {
-            self.outputs.push_back(Output::Machine { machine, body, mark: None });
-        }
-    }
-
-    fn launch(&mut self, key: TaskKey, launch: Launch, machine: usize, time_out_us: i64) {
-        self.counts.launched += 1;
-        self.count_attempt(machine, 0);
-        if let Some(task) = self.placement.host.ledger.record(&key).and_then(|r| r.task) {
-            self.task_launched(task);
-        }
-        let now = self.now();
-        let link = self.machines[machine].as_ref().map(|x| x.availability.link);
-        let record = self.placement.host.ledger.record(&key);
-        let (Some(LinkState::Healthy | LinkState::Suspect), Some(record)) = (link, record) else {
-            return self.placement.host.on_ledger(|l, acts| l.unsent(launch, acts));
-        };
-        let job = &record.job;
-        let (tenant, tenant_id) = job.tenant.map(|t| self.tenancy.called(t)).unwrap_or_default();
-        let body = Body::Launch(wire::Launch {
-            id: wire_id(launch),
-            key: key.to_string(),
-            ask: record.ask,
-            framework: self.names.frameworks[job.framework].0.clone(),
-            tenant,
-            tenant_id,
-            service: job.service,
-            cores: job.cores,
-            memory: job.memory,
-            runs_for_us: job.runs_for_us,
-            time_out_us,
-            kind: idempotency_text(record.kind).to_owned(),
-        });
-        tracing::debug!(
-            task = &*key,
-            launch = launch.number,
-            machine = &**self.machine_ids.ids.id(machine),
-            "launch"
-        );
-        self.outputs.push_back(Output::Machine { machine, body, mark: Some(launch.number) });
-        self.placement.host.timers.set(now + time_out_us, TimerKind::AttemptTimeout(launch));
-    }
-
-    fn answer(&mut self, key: TaskKey, ask: u64, owner: u64, answer: Answer) {
-        let mut a = wire::Answer { key: key.to_string(), ask, ..wire::Answer::default() };
-        let rests_on = self.placement.host.ledger.record(&key).filter(|r| r.ask == ask);
-        a.stale_us = rests_on.map_or(0, |r| r.job.stale_us);
-        if let Some(admission) = &mut self.admission {
-            let (now, asked) = (self.placement.host.now, (key.clone(), ask));
-            match answer {
-                Answer::Placed { .. } => admission.request_placed(now, &asked),
-                Answer::Declined { reason: Reason::NoRoom, .. } => admission.request_expired(now, &asked),
-                _ => admission.request_withdrawn(&asked),
-            }
-        }
-        match answer {
-            Answer::Placed { machine } => {
-                self.counts.placed += 1;
-                a.kind = wire::AnswerKind::Placed as i32;
-                a.machine = self.machine_ids.ids.id(machine).to_string();
-            }
-            Answer::Declined { retry_after_us, reason } => {
-                self.counts.declined += 1;
-                a.kind = wire::AnswerKind::Declined as i32;
-                (a.retry_after_us, a.reason) = (retry_after_us, reason.words().to_owned());
-                a.not_allowed = matches!(reason, Reason::NotAllowed(_));
-                match (reason, self.pending_rejection.as_mut().filter(|d| d.ask == ask)) {
-                    (Reason::NotAllowed(_) | Reason::NoMachine | Reason::NoSlack, Some(door)) => {
-                        a.stale_us = door.stale_us;
-                        a.reason = door.words.take().unwrap_or(a.reason);
-                    }
-                    (Reason::NoRoom, _) => {
-                        self.short_of_room();
-                        let facts = self.placement.host.ledger.record(&key).and_then(|r| r.job.facts.clone());
-                        if let Some(why) = facts.and_then(|f| self.kept_out(&f)) {
-                            a.reason = format!("{}; {why}", a.reason);
-                        }
-                    }
-                    _ => {}
-                }
-            }
-            Answer::Aborted { reason } => {
-                self.counts.aborted += 1;
-                a.kind = wire::AnswerKind::Aborted as i32;
-                a.reason = reason.words().to_owned();
-            }
-        }
-        tracing::debug!(task = &*key, ask, kind = a.kind, machine = a.machine, reason = a.reason, "answer");
-        if owner != 0 {
-            self.outputs.push_back(Output::Client { conn: owner, body: Body::Answer(a) });
-        }
-    }
-
-    fn perform_host_request(&mut self, wish: HostRequest) {
-        let now = self.now();
-        match wish {
-            HostRequest::Probe(m) => {
-                self.last_probe += 1;
-                let n = self.last_probe;
-                let stands = self.machines[m].as_ref().is_some_and(|x| x.availability.link.is_up());
-                self.probes.insert(n, m);
-                if !stands || self.probes.len() > MOST_PROBES {
-                    return self.probe_failed(n, AttemptOutcome::ConnectFailed);
-                }
-                self.send_machine(m, Body::Probe(wire::Probe { number: n }));
-                self.placement.host.timers.set(now + self.connect_timeout_us, TimerKind::Probe(n));
-            }
-            HostRequest::Watch(on) if self.registry_up => {
-                self.watching = on;
-                self.watch(on);
-            }
-            HostRequest::Fetch if self.registry_up => {
-                self.outputs.push_back(Output::Registry(Body::Fetch(wire::Fetch::default())))
-            }
-            HostRequest::Watch(_) | HostRequest::Fetch => self.notify_placement(PlacementEvent::ListLost),
-        }
-    }
-
-    /// Once a second: records and ids that nothing needs leave.
+    /// Records and ids that nothing needs leave.
     fn housekeeping(&mut self) {
         let now = self.now();
-        self.placement.host.timers.set(now + ROUND, TimerKind::Housekeeping);
-        self.placement.host.on_ledger(|l, _| l.forget());
-        while let Some(s) = self.service_ids.pop_expired(now, KEEP_IDS) {
-            self.notify_placement(PlacementEvent::ServiceLeft { s });
+        self.placement.host.timers.set(now + HOUSEKEEPING_INTERVAL_US, TimerKind::Housekeeping);
+        self.placement.host.on_ledger(|ledger, _| ledger.expire_records());
+        while let Some(service) = self.service_ids.pop_expired(now, ID_RETENTION_US) {
+            self.notify_placement(PlacementEvent::ServiceLeft { service });
         }
-        while let Some(m) = self.machine_ids.pop_expired(now, KEEP_IDS) {
-            self.machines[m] = None;
-            self.part_forgets(m);
-            self.notify_placement(PlacementEvent::MachineLeft { m });
+        while let Some(machine) = self.machine_ids.pop_expired(now, ID_RETENTION_US) {
+            self.machines[machine] = None;
+            self.part_forgets(machine);
+            self.notify_placement(PlacementEvent::MachineLeft { machine });
         }
         if let Some(recorder) = &mut self.recorder {
             recorder.flush();
         }
     }
+}
 
-    // What operators see.
-
-    /// Askings that wait for an answer.
+/// What operators and other parts of the service see.
+impl PlannerState {
+    /// Requests that wait for an answer.
     pub fn open_requests(&self) -> usize {
-        self.ledger().open()
+        self.ledger().open_count()
     }
 
-    /// Copies of which it is not known whether they run.
+    /// Attempts of which it is not known whether they run.
     pub fn uncertain_attempts(&self) -> usize {
-        let unsure = |c: &&basaltpitch_ledger::Copy| c.state != CopyState::Held;
-        self.ledger().records().map(|(_, r)| r.copies.iter().filter(unsure).count()).sum()
+        let is_uncertain = |attempt: &&Attempt| attempt.state != AttemptState::Active;
+        self.ledger().records().map(|entry| entry.1.attempts.iter().filter(is_uncertain).count()).sum()
     }
 
     pub(crate) fn ledger(&self) -> &Ledger<TaskKey, TaskJob> {
         &self.placement.host.ledger
     }
 
-    pub(crate) fn framework_name(&self, f: usize) -> &str {
-        &self.names.frameworks[f].0
+    pub(crate) fn framework_name(&self, framework: usize) -> &str {
+        &self.names.frameworks[framework].name
     }
 
-    pub(crate) fn machine_name(&self, m: usize) -> &str {
-        self.machine_ids.ids.id(m)
+    pub(crate) fn machine_name(&self, machine: usize) -> &str {
+        self.machine_ids.ids.id(machine)
     }
 
     pub(crate) fn now(&self) -> i64 {
         self.placement.host.now
     }
 
-    /// Each known machine: its index, how it stands, and what the module believes of it.
-    pub(crate) fn machines(
-        &self,
-    ) -> impl Iterator<Item = (usize, &MachineAvailability, basaltpitch::host::MachineEstimate)> {
-        let known = self.machines.iter().enumerate().filter_map(|(m, x)| Some((m, x.as_ref()?)));
-        known
-            .filter(|(_, x)| x.availability.last_reported.is_some())
-            .map(|(m, x)| (m, &x.availability, self.placement.machine_estimate(m)))
+    fn machine(&self, machine: usize) -> Option<&MachineRecord> {
+        self.machines.get(machine)?.as_ref()
+    }
+
+    /// Each known machine: its index, its availability, and what the module believes of it.
+    pub(crate) fn machines(&self) -> impl Iterator<Item = (usize, &MachineAvailability, MachineEstimate)> {
+        let known = self
+            .machines
+            .iter()
+            .enumerate()
+            .filter_map(|(machine, record)| Some((machine, record.as_ref()?)));
+        known.filter(|(_, record)| record.availability.last_reported.is_some()).map(|(machine, record)| {
+            (machine, &record.availability, self.placement.machine_estimate(machine))
+        })
     }
 
     pub(crate) fn tenancy(&self) -> &Tenancy {
@@ -631,7 +456,3 @@
         self.watching
     }
 }
-
-fn wire_id(launch: Launch) -> Option<wire::LaunchId> {
-    Some(wire::LaunchId { epoch: launch.epoch, number: launch.number })
-}
--- a/planner/src/state/clauses.rs
+++ b/planner/src/state/clauses.rs
@@ -33,7 +33,7 @@
         key: &str,
     ) -> Rc<TaskAttributes> {
         let tenant = tenant.map(|t| self.tenancy.called(t).0).unwrap_or_default();
-        let framework = self.names.frameworks[framework].0.clone();
+        let framework = self.names.frameworks[framework].name.clone();
         Rc::new(TaskAttributes { framework, tenant, service, key: key.to_owned() })
     }
 
@@ -70,7 +70,7 @@
         let mut all = Vec::new();
         for (key, r) in self.ledger().records() {
             let facts = self.facts_anyway(r.job.framework, r.job.tenant, r.job.service, key);
-            let copies: Vec<(Launch, usize)> = r.copies.iter().map(|c| (c.launch, c.machine)).collect();
+            let copies: Vec<(AttemptId, usize)> = r.attempts.iter().map(|c| (c.id, c.machine)).collect();
             all.push((key.clone(), facts, copies, r.task));
         }
         for (_, facts, copies, _) in &all {
--- a/planner/src/state/clients.rs
+++ b/planner/src/state/clients.rs
@@ -1,147 +1,201 @@
-//! The core's room for what owners and operators say.
+//! Connections of clients and operators: requests, cancellations, and what operators ask to be done.
 use super::*;
 
-impl PlannerState {
-    // Owners and operators.
+/// The longest key of a task, in bytes.
+const MAX_KEY_BYTES: usize = 500;
 
+impl PlannerState {
     /// An answer to an operator.
     pub(crate) fn reply_to(&mut self, conn: u64, json: String) {
         self.outputs.push_back(Output::Client { conn, body: Body::Told(wire::Told { json, more: false }) });
     }
 
-    /// A frame of an owner's or operator's that is no question. An error names field, what was found and what
-    /// was expected.
-    pub fn client_frame(&mut self, now: i64, conn: u64, body: Body) -> Result<(), String> {
+    /// A frame of a client's or operator's that is no question.
+    ///
+    /// # Errors
+    /// The frame makes no sense, or its login may not send it; the connection is of no use then.
+    pub fn client_frame(&mut self, now: i64, conn: u64, body: Body) -> Result<(), ClientFrameError> {
         self.set_clock(now);
         match body {
-            Body::Submit(s) => self.submit(conn, s),
-            Body::Withdraw(w) => {
-                if let Some(admission) = &mut self.admission {
-                    admission.request_withdrawn(&(w.key.as_str().into(), w.ask));
-                }
-                self.placement.host.on_ledger(|l, acts| l.withdraw(&w.key.as_str().into(), w.ask, acts));
-            }
-            Body::Drain(drain) => {
-                self.tenancy.operates(now, &self.login(conn), "drain")?;
-                if !self.registry_up {
-                    return Err("drain: found no link to the register; expected one".into());
-                }
-                let json = format!("{{\"machine\":{:?},\"drain\":{}}}", drain.machine, drain.on);
-                self.outputs.push_back(Output::Registry(Body::Drain(drain)));
-                self.reply_to(conn, json);
-            }
-            Body::Clauses(c) => {
-                let login = self.login(conn);
-                self.tenancy.operates(now, &login, "clauses")?;
-                let clauses: Vec<(Constraint, String)> = serde_json::from_str(&c.json).map_err(|e| {
-                    format!("clauses: found {e}; expected clauses in JSON with words for each")
-                })?;
-                if c.take {
-                    tracing::warn!(
-                        login = &*login,
-                        clauses = clauses.len(),
-                        "other clauses bind from now on"
-                    );
-                }
-                let json = self.rebind(clauses, c.take).to_string();
-                self.outputs
-                    .push_back(Output::Client { conn, body: Body::Told(wire::Told { json, more: false }) });
-            }
-            Body::Accept(_) => {
-                let login = self.login(conn);
-                self.tenancy.operates(now, &login, "accept")?;
-                self.tenancy.accept()?;
-                tracing::warn!(
-                    login = &*login,
-                    "an operator's word: the next full answer of the directory is believed"
-                );
-                let json = "{\"accepted\":true}".to_owned();
-                self.outputs
-                    .push_back(Output::Client { conn, body: Body::Told(wire::Told { json, more: false }) });
-            }
-            _ => {
-                return Err(
-                    "found a frame that no owner sends; expected submit, withdraw, drain or query".into()
-                )
-            }
+            Body::Submit(submit) => self.submit(conn, submit),
+            Body::Withdraw(withdraw) => self.cancel(&withdraw),
+            Body::Drain(drain) => self.drain_machine(conn, drain)?,
+            Body::Clauses(frame) => self.try_constraints(conn, &frame)?,
+            Body::Accept(_) => self.accept_directory(conn)?,
+            _ => return Err(ClientFrameError::UnexpectedFrame),
         }
         self.perform_pending();
         Ok(())
     }
 
-    /// An owner or operator said hello.
+    fn cancel(&mut self, withdraw: &wire::Withdraw) {
+        let (key, request_id): (TaskKey, u64) = (withdraw.key.as_str().into(), withdraw.ask);
+        if let Some(admission) = &mut self.admission {
+            admission.request_withdrawn(&(key.clone(), request_id));
+        }
+        self.placement.host.on_ledger(|ledger, actions| ledger.cancel(&key, request_id, actions));
+    }
+
+    /// Whether the login of a connection may do what operators do.
+    fn check_operator(&self, conn: u64, operation: &str) -> Result<Rc<str>, ClientFrameError> {
+        let login = self.login(conn);
+        let allowed = self.tenancy.operates(self.now(), &login, operation);
+        allowed.map_err(|error| ClientFrameError::Denied(error.to_string()))?;
+        Ok(login)
+    }
+
+    fn drain_machine(&mut self, conn: u64, drain: wire::Drain) -> Result<(), ClientFrameError> {
+        self.check_operator(conn, "drain")?;
+        if !self.registry_up {
+            return Err(ClientFrameError::NoRegistry);
+        }
+        let json = format!("{{\"machine\":{:?},\"drain\":{}}}", drain.machine, drain.on);
+        self.outputs.push_back(Output::Registry(Body::Drain(drain)));
+        self.reply_to(conn, json);
+        Ok(())
+    }
+
+    fn try_constraints(&mut self, conn: u64, frame: &wire::Clauses) -> Result<(), ClientFrameError> {
+        let login = self.check_operator(conn, "clauses")?;
+        let constraints: Vec<(Constraint, String)> =
+            serde_json::from_str(&frame.json).map_err(ClientFrameError::InvalidConstraints)?;
+        if frame.take {
+            let count = constraints.len();
+            tracing::warn!(login = &*login, constraints = count, "other constraints bind from now on");
+        }
+        let json = self.rebind(constraints, frame.take).to_string();
+        self.reply_to(conn, json);
+        Ok(())
+    }
+
+    fn accept_directory(&mut self, conn: u64) -> Result<(), ClientFrameError> {
+        let login = self.check_operator(conn, "accept")?;
+        self.tenancy.accept().map_err(|error| ClientFrameError::Denied(error.to_string()))?;
+        tracing::warn!(
+            login = &*login,
+            "as an operator asked, the next full sync of the directory is accepted"
+        );
+        self.reply_to(conn, "{\"accepted\":true}".to_owned());
+        Ok(())
+    }
+
+    /// A client or operator said hello.
     pub fn client_connected(&mut self, conn: u64, login: &str) {
         self.logins.insert(conn, login.into());
     }
 
+    /// On whose behalf a connection asks.
     pub(crate) fn login(&self, conn: u64) -> Rc<str> {
         self.logins.get(&conn).cloned().unwrap_or_default()
     }
 
+    /// A client's or operator's connection ended.
     pub fn client_disconnected(&mut self, conn: u64) {
         self.logins.remove(&conn);
-        self.placement.host.ledger.owner_left(conn);
+        self.placement.host.ledger.client_disconnected(conn);
     }
 
-    pub(super) fn submit(&mut self, conn: u64, s: wire::Submit) {
+    fn submit(&mut self, conn: u64, submit: wire::Submit) {
         self.counts.submitted += 1;
-        let framework = self.names.frameworks.iter().position(|f| f.0 == s.framework);
-        let now = self.now();
-        let asked = self.tenancy.asked(now, &self.login(conn), &s.tenant);
-        let sane = |x: f64| x.is_finite() && x > 0.0 && x < 1e9;
-        let wrong = if s.key.is_empty() || s.key.len() > 500 {
-            Some(format!("key: found {} bytes; expected 1 to 500", s.key.len()))
-        } else if framework.is_none() {
-            let known: Vec<&str> = self.names.frameworks.iter().map(|f| f.0.as_str()).collect();
-            Some(format!("framework: found {:?}; expected one of {}", s.framework, known.join(", ")))
-        } else if let Err(e) = &asked {
-            Some(e.clone())
-        } else if !sane(s.cores) || !sane(s.memory) {
-            Some(format!("cores, memory: found {} and {}; expected two numbers over 0", s.cores, s.memory))
-        } else {
-            None
+        let (framework, access) = match self.check_submit(conn, &submit) {
+            Ok(checked) => checked,
+            Err(reason) => {
+                let kind = wire::AnswerKind::Declined as i32;
+                let (key, ask) = (submit.key, submit.ask);
+                let answer = wire::Answer { key, ask, kind, reason, ..wire::Answer::default() };
+                return self.outputs.push_back(Output::Client { conn, body: Body::Answer(answer) });
+            }
         };
-        let (Some(framework), None, Ok(asked)) = (framework, &wrong, asked) else {
-            let reason = wrong.unwrap_or_default();
-            let kind = wire::AnswerKind::Declined as i32;
-            let answer = wire::Answer { key: s.key, ask: s.ask, kind, reason, ..wire::Answer::default() };
-            return self.outputs.push_back(Output::Client { conn, body: Body::Answer(answer) });
+        let Asked { tenant, stale_us, refused } = access;
+        let facts = self.facts(framework, tenant, submit.service, &submit.key);
+        let rejection = match refused {
+            Some((reason, retry_after_us)) => Some((Rejection { reason, retry_after_us }, None)),
+            None => self.reject(&submit, framework, facts.as_ref()),
+        };
+        let job = TaskJob {
+            framework,
+            tenant,
+            service: submit.service,
+            cores: submit.cores,
+            memory: submit.memory,
+            runs_for_us: submit.runs_for_us,
+            stale_us,
+            facts,
+        };
+        let request = Request {
+            key: submit.key.as_str().into(),
+            request_id: submit.ask,
+            client: conn,
+            idempotency: self.names.frameworks[framework].idempotency,
+            job,
         };
-        let kind = self.names.frameworks[framework].1;
-        let (cores, memory, runs_for_us) = (s.cores, s.memory, s.runs_for_us);
-        let Asked { tenant, stale_us, refused } = asked;
-        let facts = self.facts(framework, tenant, s.service, &s.key);
-        let mut words = if refused.is_none() { self.never(facts.as_ref()) } else { None };
-        let mut refused = refused.or(words.as_ref().map(|_| (Reason::NoMachine, 0)));
-        if refused.is_none() {
-            if let Some(refusal) = self.not_worth(&s, framework) {
-                refused = Some((Reason::NoSlack, refusal.retry_after_us));
-                words = Some(refusal.reason);
-            }
-        }
-        let job =
-            TaskJob { framework, tenant, service: s.service, cores, memory, runs_for_us, stale_us, facts };
-        let asking = Asking { key: s.key.as_str().into(), ask: s.ask, owner: conn, kind, job };
         let host = &mut self.placement.host;
-        match refused {
-            None => host.on_ledger(|l, acts| l.submit(asking, s.time_left_us, acts)),
-            Some(why) => {
-                self.pending_rejection = Some(PendingRejection { ask: s.ask, stale_us, words });
-                host.on_ledger(|l, acts| l.declined_at_door(asking, why, acts));
+        match rejection {
+            None => {
+                host.on_ledger(|ledger, actions| ledger.submit(request, submit.time_left_us, actions));
+            }
+            Some((rejection, explanation)) => {
+                let request_id = submit.ask;
+                self.pending_rejection = Some(PendingRejection { request_id, stale_us, explanation });
+                host.on_ledger(|ledger, actions| ledger.submit_rejected(request, rejection, actions));
                 self.perform_pending();
                 self.pending_rejection = None;
             }
         }
     }
 
-    /// Whether an asking is not worth starting. One that is open, answered or runs is no new one.
-    pub(super) fn not_worth(&mut self, s: &wire::Submit, framework: usize) -> Option<Rejection> {
-        let (now, key): (i64, TaskKey) = (self.now(), s.key.as_str().into());
-        let known = self.placement.host.ledger.record(&key);
-        if known.is_some_and(|r| s.ask <= r.ask || r.phase == Phase::Placed) {
+    /// A request's framework and what its login may do, or the text that it is declined with.
+    fn check_submit(&self, conn: u64, submit: &wire::Submit) -> Result<(usize, Asked), String> {
+        let access = self.tenancy.asked(self.now(), &self.login(conn), &submit.tenant);
+        let is_size = |size: f64| size.is_finite() && size > 0.0 && size < 1e9;
+        let key_bytes = submit.key.len();
+        if key_bytes == 0 || key_bytes > MAX_KEY_BYTES {
+            return Err(format!("key: found {key_bytes} bytes; expected 1 to {MAX_KEY_BYTES}"));
+        }
+        let Some(framework) = self.names.framework_index(&submit.framework) else {
+            let known = self.names.frameworks.iter().map(|framework| framework.name.as_str());
+            let known: Vec<&str> = known.collect();
+            let found = &submit.framework;
+            return Err(format!("framework: found {found:?}; expected one of {}", known.join(", ")));
+        };
+        let access = access.map_err(|error| error.to_string())?;
+        let (cores, memory) = (submit.cores, submit.memory);
+        if !is_size(cores) || !is_size(memory) {
+            return Err(format!("cores, memory: found {cores} and {memory}; expected two numbers over 0"));
+        }
+        Ok((framework, access))
+    }
+
+    /// Why a request is not opened, by constraints or by admission control, with an explanation for its client.
+    fn reject(
+        &mut self,
+        submit: &wire::Submit,
+        framework: usize,
+        facts: Option<&Rc<TaskAttributes>>,
+    ) -> Option<(Rejection, Option<String>)> {
+        if let Some(explanation) = self.never(facts) {
+            let rejection = Rejection { reason: RejectReason::NoMachine, retry_after_us: 0 };
+            return Some((rejection, Some(explanation)));
+        }
+        let rejected = self.reject_by_admission(submit, framework)?;
+        let retry_after_us = rejected.retry_after_us;
+        Some((Rejection { reason: RejectReason::NoSlack, retry_after_us }, Some(rejected.reason)))
+    }
+
+    /// Whether admission control rejects a request. One that is open, answered or runs is no new one.
+    fn reject_by_admission(
+        &mut self,
+        submit: &wire::Submit,
+        framework: usize,
+    ) -> Option<crate::admission::Rejection> {
+        let (now, key): (i64, TaskKey) = (self.now(), submit.key.as_str().into());
+        let is_repeat = |record: &TaskRecord<TaskJob>| {
+            submit.ask <= record.request_id || record.phase == RequestPhase::Placed
+        };
+        if self.placement.host.ledger.record(&key).is_some_and(is_repeat) {
             return None;
         }
-        let needs = RequestNeeds { framework, cores: s.cores, time_left_us: s.time_left_us };
-        self.admission.as_mut()?.request_arrived(now, (key, s.ask), needs)
+        let needs = RequestNeeds { framework, cores: submit.cores, time_left_us: submit.time_left_us };
+        self.admission.as_mut()?.request_arrived(now, (key, submit.ask), needs)
     }
 }
--- a/planner/src/state/parts.rs
+++ b/planner/src/state/parts.rs
@@ -61,7 +61,7 @@
         let Some(parts) = &mut self.part else { return };
         parts.part.widen(parts.shortage.width());
         let ledger = &self.placement.host.ledger;
-        parts.part.clock(now, |m| !ledger.is_free(m));
+        parts.part.clock(now, |m| !ledger.is_machine_free(m));
         while let Some(m) = self.part.as_mut().and_then(|x| x.part.next_changed()) {
             self.part_changed(m);
         }
--- a/planner/src/tenancy.rs
+++ b/planner/src/tenancy.rs
@@ -2,7 +2,7 @@
 //! says when which server is to be swept and what is to be remembered, and finds for each asking whether it
 //! may go on and on what that rests. What is believed, how fresh it is and who may do what is decided in the
 //! package `tenants`.
-use basaltpitch_ledger::Reason;
+use basaltpitch_ledger::RejectReason;
 use basaltpitch_tenants::health::{Pace, State};
 use basaltpitch_tenants::keeper::Keeper;
 use basaltpitch_tenants::rights::{Asks, Ruling, Terms, Why};
@@ -55,7 +55,7 @@
     pub tenant: Option<usize>,
     pub stale_us: i64,
     /// Why not, and after what time it is worth asking again.
-    pub refused: Option<(Reason, i64)>,
+    pub refused: Option<(RejectReason, i64)>,
 }
 
 impl Learnt {
@@ -189,8 +189,8 @@
         ruling.may.then_some(()).ok_or_else(no)
     }
 
-    fn refusal(&self, now: i64, ruling: Ruling) -> Option<(Reason, i64)> {
-        (!ruling.may).then(|| (Reason::NotAllowed(ruling.why.words()), self.keeper.retry_after_us(now)))
+    fn refusal(&self, now: i64, ruling: Ruling) -> Option<(RejectReason, i64)> {
+        (!ruling.may).then(|| (RejectReason::NotAllowed(ruling.why.words()), self.keeper.retry_after_us(now)))
     }
 
     /// A question that the directory answers.
--- a/planner/src/view.rs
+++ b/planner/src/view.rs
@@ -1,188 +1,326 @@
 //! What a planner tells operators, as JSON.
-use crate::state::{idempotency_text, PlannerState, MOST_ROWS};
+use crate::state::{idempotency_text, ClientFrameError, PlannerState, TaskCounts, MOST_ROWS};
 use basaltpitch::host::Readiness;
 use basaltpitch_agent::traffic::{FrameKind, Traffic};
 use basaltpitch_agent::wire::Body;
-use basaltpitch_ledger::{CopyState, Phase};
-use serde_json::{json, Value};
+use basaltpitch_ledger::{Attempt, AttemptState, RequestPhase};
+use serde::Serialize;
+use serde_json::Value;
 
-fn rounded(x: f64) -> f64 {
-    (x * 1000.0).round() / 1000.0
+/// A question that is not answered, with what was found and what was expected.
+#[derive(Debug, thiserror::Error)]
+pub enum QueryError {
+    /// A frame that is no question was not taken in.
+    #[error(transparent)]
+    Frame(#[from] ClientFrameError),
+    /// A task that is not known here, or that the login may not see.
+    #[error("task: found {0:?}; expected a key that is known here, of a task that this login may see")]
+    UnknownTask(String),
+    /// A question that there is not.
+    #[error(
+        "query: found {0:?}; expected planner, machines, tasks, task, tenants, tenant, members, why or directory"
+    )]
+    UnknownQuestion(String),
+    /// A question about constraints that cannot be read.
+    #[error("explain: found {0}; expected JSON with a key, or a framework and a service")]
+    InvalidExplain(serde_json::Error),
+    /// A task that constraints know nothing of.
+    #[error("explain: found {0:?}; expected the key of a known task, and clauses in the settings")]
+    UnexplainedTask(String),
+    /// A question about tenants that the login may not ask, or that there is no answer to; the text says why.
+    #[error("{0}")]
+    Tenants(String),
 }
 
-/// A frame of an owner's or operator's: a question is answered, all else is the core's. `beside`: an
-/// object with what is told of a planner beside what its core knows. An error names field, what was found and
-/// what was expected.
+impl QueryError {
+    fn tenants(error: impl std::fmt::Display) -> Self {
+        QueryError::Tenants(error.to_string())
+    }
+}
+
+fn rounded(figure: f64) -> f64 {
+    (figure * 1000.0).round() / 1000.0
+}
+
+/// A frame of a client's or operator's: a question is answered, all else is the planner's. `beside`: an object
+/// with what is told of a planner beside what its state knows.
+///
+/// # Errors
+/// The frame makes no sense, or its login may not send it; the connection is of no use then.
 pub fn client_frame(
-    core: &mut PlannerState,
+    state: &mut PlannerState,
     now: i64,
     conn: u64,
     body: Body,
     beside: impl FnOnce() -> Option<Value>,
-) -> Result<(), String> {
-    let Body::Query(q) = body else { return core.client_frame(now, conn, body) };
-    core.set_clock(now);
-    let login = core.login(conn);
-    let json = match q.what.as_str() {
-        "explain" => explain(core, &login, &q.about)?,
+) -> Result<(), QueryError> {
+    let Body::Query(query) = body else { return Ok(state.client_frame(now, conn, body)?) };
+    state.set_clock(now);
+    let login = state.login(conn);
+    let json = match query.what.as_str() {
+        "explain" => explain(state, &login, &query.about)?,
         "planner" => {
-            let mut told = planner(core);
-            if let (Value::Object(told), Some(Value::Object(mut beside))) = (&mut told, beside()) {
-                told.append(&mut beside);
+            let mut answer = planner(state);
+            if let (Value::Object(answer), Some(Value::Object(mut beside))) = (&mut answer, beside()) {
+                answer.append(&mut beside);
             }
-            told.to_string()
+            answer.to_string()
         }
-        what => answer(core, &login, what, &q.about)?,
+        what => answer(state, &login, what, &query.about)?,
     };
-    core.reply_to(conn, json);
+    state.reply_to(conn, json);
     Ok(())
 }
 
 /// Answers a question: `planner`, `machines`, `tasks` (all open and placed ones that the login may see),
 /// `task` about one key, or one about tenants: `tenants`, `tenant`, `members`, `why` or `directory`.
-pub fn answer(core: &PlannerState, login: &str, what: &str, about: &str) -> Result<String, String> {
+///
+/// # Errors
+/// There is no such question, or no answer to it that the login may see.
+pub fn answer(state: &PlannerState, login: &str, what: &str, about: &str) -> Result<String, QueryError> {
     let value = match what {
-        "planner" => planner(core),
-        "machines" => machines(core),
-        "tasks" => tasks(core, login, None),
-        "task" => match tasks(core, login, Some(about)) {
-            Value::Array(rows) if rows.is_empty() => {
-                return Err(format!("task: found {about:?}; expected a key that is known here, of a task that this login may see"))
-            }
+        "planner" => planner(state),
+        "machines" => machines(state),
+        "tasks" => tasks(state, login, None),
+        "task" => match tasks(state, login, Some(about)) {
+            Value::Array(rows) if rows.is_empty() => return Err(QueryError::UnknownTask(about.to_owned())),
             rows => rows,
         },
         "tenants" | "tenant" | "members" | "why" | "directory" => {
-            core.tenancy().question(core.now(), login, what, about)?
-        }
-        _ => {
-            return Err(format!(
-                "query: found {what:?}; expected planner, machines, tasks, task, tenants, tenant, members, why or directory"
-            ))
+            state.tenancy().question(state.now(), login, what, about).map_err(QueryError::tenants)?
         }
+        _ => return Err(QueryError::UnknownQuestion(what.to_owned())),
     };
     Ok(value.to_string())
 }
 
-/// How clauses stand to a task. `about` is JSON: `key` of a known task, or `framework`, `tenant`, `service`
+/// What constraints say of a task. `about` is JSON: `key` of a known task, or `framework`, `tenant`, `service`
 /// of one that might be; `machines` for each machine, too.
-pub fn explain(core: &mut PlannerState, login: &str, about: &str) -> Result<String, String> {
-    let asked: Value = serde_json::from_str(about)
-        .map_err(|e| format!("explain: found {e}; expected JSON with a key, or a framework and a service"))?;
-    let text = |field: &str| asked[field].as_str().unwrap_or("").to_owned();
-    let facts = match asked["key"].as_str() {
+///
+/// # Errors
+/// The question cannot be read, or the login may not see the task.
+pub fn explain(state: &mut PlannerState, login: &str, about: &str) -> Result<String, QueryError> {
+    let question: Value = serde_json::from_str(about).map_err(QueryError::InvalidExplain)?;
+    let text = |field: &str| question[field].as_str().unwrap_or("").to_owned();
+    let facts = match question["key"].as_str() {
         Some(key) => {
-            let none = || {
-                format!(
-                    "explain: found {key:?}; expected the key of a known task, and clauses in the settings"
-                )
-            };
             // By the tenant itself: its name of then may be another's by now.
-            let sees = |t: Option<usize>| core.tenancy().sees(core.now(), login, t);
-            let (facts, _) = core.known_task_facts(key).filter(|x| sees(x.1)).ok_or_else(none)?;
+            let sees = |tenant: Option<usize>| state.tenancy().sees(state.now(), login, tenant);
+            let known = state.known_task_facts(key).filter(|known| sees(known.1));
+            let (facts, _) = known.ok_or_else(|| QueryError::UnexplainedTask(key.to_owned()))?;
             (*facts).clone()
         }
         None => {
-            if !text("tenant").is_empty() {
-                core.tenancy().may_see(core.now(), login, &text("tenant"))?;
+            let tenant = text("tenant");
+            if !tenant.is_empty() {
+                state.tenancy().may_see(state.now(), login, &tenant).map_err(QueryError::tenants)?;
             }
             basaltpitch_constraints::TaskAttributes {
                 framework: text("framework"),
-                tenant: text("tenant"),
-                service: asked["service"].as_u64().unwrap_or(0),
+                tenant,
+                service: question["service"].as_u64().unwrap_or(0),
                 key: String::new(),
             }
         }
     };
-    Ok(core.explain_constraints(&facts, asked["machines"] == true).to_string())
-}
-
-fn planner(core: &PlannerState) -> Value {
-    json!({
-        "name": core.identity.name,
-        "epoch": core.identity.epoch,
-        "watches_list": core.is_watching(),
-        "open": core.ledger().open(),
-        "counts": core.counts,
-        "part": core.subset_view(),
-        "line": core.admission().map(|admission| admission.view()),
+    Ok(state.explain_constraints(&facts, question["machines"] == true).to_string())
+}
+
+/// What a planner says of itself.
+#[derive(Serialize)]
+struct PlannerView<'a> {
+    name: &'a str,
+    epoch: u64,
+    #[serde(rename = "watches_list")]
+    watching: bool,
+    #[serde(rename = "open")]
+    open_requests: usize,
+    counts: TaskCounts,
+    #[serde(rename = "part")]
+    subset: Option<Value>,
+    #[serde(rename = "line")]
+    admission: Option<Value>,
+}
+
+fn planner(state: &PlannerState) -> Value {
+    to_json(PlannerView {
+        name: &state.identity.name,
+        epoch: state.identity.epoch,
+        watching: state.is_watching(),
+        open_requests: state.open_requests(),
+        counts: state.counts,
+        subset: state.subset_view(),
+        admission: state.admission().map(|admission| to_json(admission.view())),
     })
 }
 
+fn to_json(view: impl Serialize) -> Value {
+    serde_json::to_value(view).expect("plain values")
+}
+
+/// What links carried of one kind of frame.
+#[derive(Serialize)]
+struct TrafficView {
+    bytes_in: u64,
+    bytes_out: u64,
+    frames_in: u64,
+    frames_out: u64,
+}
+
 /// What the links of a process carried since it began, by kind of frame.
 pub fn traffic(traffic: &Traffic) -> Value {
     let row = |kind: FrameKind| {
-        let c = traffic.count(kind);
-        let row = json!({
-            "bytes_in": c.bytes_in, "bytes_out": c.bytes_out,
-            "frames_in": c.frames_in, "frames_out": c.frames_out,
-        });
-        (kind.label().to_owned(), row)
+        let count = traffic.count(kind);
+        let row = TrafficView {
+            bytes_in: count.bytes_in,
+            bytes_out: count.bytes_out,
+            frames_in: count.frames_in,
+            frames_out: count.frames_out,
+        };
+        (kind.label().to_owned(), to_json(row))
     };
     Value::Object(FrameKind::ALL.into_iter().map(row).collect())
 }
 
-fn machines(core: &PlannerState) -> Value {
-    let now = core.now();
-    let ms = |at: i64| if at > 0 { json!((now - at) / 1000) } else { Value::Null };
-    let left = |until: i64| ((until - now).max(0)) / 1000;
-    let rows = core.machines().take(MOST_ROWS).map(|(m, s, b)| {
-        let ready = match s.readiness() {
+/// What is known of a machine.
+#[derive(Serialize)]
+struct MachineView<'a> {
+    machine: &'a str,
+    state: &'static str,
+    link: &'static str,
+    #[serde(rename = "role")]
+    link_role: Option<&'static str>,
+    #[serde(rename = "drains")]
+    draining: bool,
+    cores: f64,
+    memory: f64,
+    #[serde(rename = "c")]
+    mean_cores: f64,
+    #[serde(rename = "b")]
+    cores_variance: f64,
+    #[serde(rename = "ucac")]
+    cores_at_confidence: f64,
+    used_memory: f64,
+    own: usize,
+    report_ms_ago: Option<i64>,
+    #[serde(rename = "cold_ms")]
+    warming_up_ms: i64,
+    #[serde(rename = "barred_ms")]
+    ejected_ms: i64,
+    #[serde(rename = "cold_budget_left")]
+    may_launch: bool,
+}
+
+fn machines(state: &PlannerState) -> Value {
+    let now = state.now();
+    let ms_ago = |at: i64| (at > 0).then(|| (now - at) / 1000);
+    let ms_left = |until: i64| ((until - now).max(0)) / 1000;
+    let rows = state.machines().take(MOST_ROWS).map(|(machine, availability, estimate)| {
+        let readiness = match availability.readiness() {
             Readiness::Ready => "ready",
             Readiness::Draining => "held back",
             Readiness::Gone => "gone",
         };
-        json!({
-            "machine": core.machine_name(m),
-            "state": ready,
-            "link": s.link.as_str(),
-            "role": core.link_role_text(m),
-            "drains": s.draining || s.listed == Some(Readiness::Draining),
-            "cores": b.cores, "memory": b.memory,
-            "c": rounded(b.mean_cores), "b": rounded(b.cores_variance), "ucac": rounded(b.cores_at_confidence),
-            "used_memory": rounded(b.used_memory),
-            "own": b.own_tasks,
-            "report_ms_ago": ms(b.reported_at),
-            "cold_ms": left(b.slow_start_until),
-            "barred_ms": left(b.ejected_until),
-            "cold_budget_left": b.may_launch,
+        to_json(MachineView {
+            machine: state.machine_name(machine),
+            state: readiness,
+            link: availability.link.as_str(),
+            link_role: state.link_role_text(machine),
+            draining: availability.draining || availability.listed == Some(Readiness::Draining),
+            cores: estimate.cores,
+            memory: estimate.memory,
+            mean_cores: rounded(estimate.mean_cores),
+            cores_variance: rounded(estimate.cores_variance),
+            cores_at_confidence: rounded(estimate.cores_at_confidence),
+            used_memory: rounded(estimate.used_memory),
+            own: estimate.own_tasks,
+            report_ms_ago: ms_ago(estimate.reported_at),
+            warming_up_ms: ms_left(estimate.slow_start_until),
+            ejected_ms: ms_left(estimate.ejected_until),
+            may_launch: estimate.may_launch,
         })
     });
     rows.collect()
 }
 
-fn tasks(core: &PlannerState, login: &str, one: Option<&str>) -> Value {
-    let (now, tenancy) = (core.now(), core.tenancy());
-    let shown = |phase: Phase| phase.is_open() || phase == Phase::Placed;
-    let rows = core.ledger().records().filter(|(key, r)| one.map_or(shown(r.phase), |k| &***key == k));
-    let rows = rows.filter(|(_, r)| tenancy.sees(now, login, r.job.tenant));
-    let rows = rows.take(MOST_ROWS).map(|(key, r)| {
-        let state = match r.phase {
-            Phase::Waiting => "waiting".to_owned(),
-            Phase::Out => "launched".to_owned(),
-            Phase::Placed => "placed".to_owned(),
-            Phase::Answered => "answered".to_owned(),
-            Phase::Over(how) => format!("over: {how:?}").to_lowercase(),
-        };
-        let copies = r.copies.iter().map(|c| {
-            let state = match c.state {
-                CopyState::Out => "out",
-                CopyState::Doubt => "in doubt",
-                CopyState::Held => "held",
-                CopyState::Stopping => "stopping",
-            };
-            json!({"machine": core.machine_name(c.machine), "launch": c.launch.number, "epoch": c.launch.epoch, "state": state})
-        });
-        json!({
-            "key": &**key,
-            "ask": r.ask,
-            "kind": idempotency_text(r.kind),
-            "framework": core.framework_name(r.job.framework),
-            "tenant": r.job.tenant.map(|t| tenancy.called(t).0),
-            "tenant_was": r.job.tenant.and_then(|t| tenancy.was(now, t)),
-            "cores": r.job.cores, "memory": r.job.memory, "service": r.job.service,
-            "state": state,
-            "launches": r.launches,
-            "copies": copies.collect::<Vec<_>>(),
+/// What is known of an attempt.
+#[derive(Serialize)]
+struct AttemptView<'a> {
+    machine: &'a str,
+    #[serde(rename = "launch")]
+    number: u64,
+    epoch: u64,
+    state: &'static str,
+}
+
+/// What is known of a task.
+#[derive(Serialize)]
+struct TaskView<'a> {
+    key: &'a str,
+    #[serde(rename = "ask")]
+    request_id: u64,
+    #[serde(rename = "kind")]
+    idempotency: &'static str,
+    framework: &'a str,
+    tenant: Option<String>,
+    tenant_was: Option<String>,
+    cores: f64,
+    memory: f64,
+    service: u64,
+    #[serde(rename = "state")]
+    phase: String,
+    #[serde(rename = "launches")]
+    launch_count: u32,
+    #[serde(rename = "copies")]
+    attempts: Vec<AttemptView<'a>>,
+}
+
+fn phase_text(phase: RequestPhase) -> String {
+    match phase {
+        RequestPhase::Waiting => "waiting".to_owned(),
+        RequestPhase::InFlight => "launched".to_owned(),
+        RequestPhase::Placed => "placed".to_owned(),
+        RequestPhase::Answered => "answered".to_owned(),
+        RequestPhase::Over(event) => format!("over: {}", event.as_str()),
+    }
+}
+
+fn attempt_view<'a>(state: &'a PlannerState, attempt: &Attempt) -> AttemptView<'a> {
+    let attempt_state = match attempt.state {
+        AttemptState::InFlight => "out",
+        AttemptState::InDoubt => "in doubt",
+        AttemptState::Active => "held",
+        AttemptState::Stopping => "stopping",
+    };
+    AttemptView {
+        machine: state.machine_name(attempt.machine),
+        number: attempt.id.number,
+        epoch: attempt.id.epoch,
+        state: attempt_state,
+    }
+}
+
+fn tasks(state: &PlannerState, login: &str, one: Option<&str>) -> Value {
+    let (now, tenancy) = (state.now(), state.tenancy());
+    let is_shown = |phase: RequestPhase| phase.is_open() || phase == RequestPhase::Placed;
+    let records = state.ledger().records();
+    let records = records.filter(|(key, record)| one.map_or(is_shown(record.phase), |one| &***key == one));
+    let records = records.filter(|(_, record)| tenancy.sees(now, login, record.job.tenant));
+    let rows = records.take(MOST_ROWS).map(|(key, record)| {
+        let job = &record.job;
+        to_json(TaskView {
+            key,
+            request_id: record.request_id,
+            idempotency: idempotency_text(record.idempotency),
+            framework: state.framework_name(job.framework),
+            tenant: job.tenant.map(|tenant| tenancy.called(tenant).0),
+            tenant_was: job.tenant.and_then(|tenant| tenancy.was(now, tenant)),
+            cores: job.cores,
+            memory: job.memory,
+            service: job.service,
+            phase: phase_text(record.phase),
+            launch_count: record.launch_count,
+            attempts: record.attempts.iter().map(|attempt| attempt_view(state, attempt)).collect(),
         })
     });
     rows.collect()
--- a/planner/tests/net/mod.rs
+++ b/planner/tests/net/mod.rs
@@ -579,7 +579,8 @@
 
     /// A question or an operator's word on the connection; an error is what the planner ends it with.
     pub fn ask(&mut self, body: Body) -> Result<String, String> {
-        basaltpitch_planner::view::client_frame(&mut self.core, self.now, 1, body, || None)?;
+        basaltpitch_planner::view::client_frame(&mut self.core, self.now, 1, body, || None)
+            .map_err(|error| error.to_string())?;
         self.carry();
         Ok(self.told.pop().unwrap_or_default())
     }
--- a/planner/tests/recordings.rs
+++ b/planner/tests/recordings.rs
@@ -1,7 +1,7 @@
 //! A recording replays to the last byte, or the first call that differs is named.
 mod net;
 use basaltpitch_agent::wire::{self, Body};
-use basaltpitch_planner::recording::{replay, Replayed};
+use basaltpitch_planner::recording::{replay, ReplayOutcome};
 use basaltpitch_planner::state::{Identity, Output, PlannerState};
 use std::io::Write;
 use std::sync::mpsc::{channel, Sender};
@@ -64,11 +64,13 @@
 #[test]
 fn a_recording_replays_and_so_does_one_that_was_cut_off() {
     let text = recorded();
-    let Replayed::Same { told, calls } = replay(text.as_bytes()).unwrap() else { panic!("differs") };
+    let ReplayOutcome::Same { events: told, calls } = replay(text.as_bytes()).unwrap() else {
+        panic!("differs")
+    };
     assert!(told > 40 && calls > 40, "{told} told, {calls} calls");
     let last = text.trim_end().rfind('\n').unwrap() + 1;
     for end in [last, last + 5, text.len() - 2] {
-        assert!(matches!(replay(&text.as_bytes()[..end]), Ok(Replayed::Same { .. })), "cut at {end}");
+        assert!(matches!(replay(&text.as_bytes()[..end]), Ok(ReplayOutcome::Same { .. })), "cut at {end}");
     }
 }
 
@@ -82,7 +84,7 @@
         .map(|(i, l)| if i == launch { "> launch 99 on 99 for 1".into() } else { l.to_owned() })
         .collect();
     match replay(forged.join("\n").as_bytes()).unwrap() {
-        Replayed::Differs { line, recorded, now } => {
+        ReplayOutcome::Differs { line, recorded, now } => {
             assert_eq!((line, recorded.as_str()), (launch + 1, "> launch 99 on 99 for 1"));
             assert!(now.starts_with("> launch "), "{now}");
         }
@@ -101,7 +103,7 @@
         (&broken, "expected what the module was told, or a call"),
     ];
     for (text, want) in wrong {
-        let said = replay(text.as_bytes()).unwrap_err();
+        let said = replay(text.as_bytes()).unwrap_err().to_string();
         assert!(said.contains(want), "{said}");
     }
 }
