--- /dev/null
+++ b/ldap/src/session.rs
@@ -0,0 +1,301 @@
+//! One connection to a server, and the ways of reading it: everything, what changed, or content
+//! synchronisation.
+use crate::entry::{self, plain_dn, read, RawEntry};
+use crate::problem::SyncProblem;
+use crate::{LdapSource, SeenEntries, SyncResult};
+use basaltpitch_tenants::{Id, Mark};
+use ldap3::adapters::{Adapter, EntriesOnly, PagedResults};
+use ldap3::controls::{
+    parse_syncinfo, Control, ControlType, EntryState, SyncDone, SyncInfo, SyncRequest, SyncState,
+};
+use ldap3::{ldap_escape, Ldap, LdapResult, ResultEntry, Scope, SearchEntry};
+use std::collections::BTreeSet;
+use std::future::Future;
+use std::hash::{Hash, Hasher};
+use std::panic::{catch_unwind, AssertUnwindSafe};
+use std::time::Duration;
+use tokio::sync::watch;
+
+/// Ids that are asked for in one search.
+const IDS_AT_ONCE: usize = 100;
+
+/// What is called once the server has answered with something.
+pub(crate) type OnAnswer = Box<dyn FnOnce()>;
+
+/// One connection that is bound.
+pub(crate) struct DirectorySession<'a> {
+    pub(crate) source: &'a LdapSource,
+    pub(crate) ldap: Ldap,
+    pub(crate) url: String,
+    /// Turns true once the connection is gone.
+    pub(crate) ended: watch::Receiver<bool>,
+    pub(crate) on_answer: Option<OnAnswer>,
+}
+
+/// What comes next, unless the timeout or the connection ends first. What came before the connection ended
+/// goes first.
+async fn within<T>(
+    timeout: Duration,
+    ended: &mut watch::Receiver<bool>,
+    next: impl Future<Output = T>,
+) -> Result<T, SyncProblem> {
+    tokio::select! {
+        biased;
+        next = tokio::time::timeout(timeout, next) => next.map_err(|_| SyncProblem::Timeout(timeout)),
+        _ = ended.wait_for(|over| *over) => Err(SyncProblem::ConnectionEnded),
+    }
+}
+
+/// A filter for entries with these ids, which may be any text, among those of another filter.
+pub fn filter_of_ids(filter: &str, attribute: &str, ids: &[String]) -> String {
+    let each: String = ids.iter().map(|id| format!("({attribute}={})", ldap_escape(id.as_str()))).collect();
+    format!("(&{filter}(|{each}))")
+}
+
+/// An entry of a list: its id, the hash of its stamp and name, and the stamp.
+type ListedEntry = (Id, u64, String);
+
+/// A hash by which a change of an entry's stamp or name shows.
+fn entry_hash(dn: &str, stamp: &str) -> u64 {
+    let mut hasher = std::hash::DefaultHasher::new();
+    (plain_dn(dn), stamp).hash(&mut hasher);
+    hasher.finish()
+}
+
+/// Two changes within one tick of a server's clock bear one stamp: an entry with the newest of all stamps may
+/// change again under it, and is read again.
+fn without_newest(list: Vec<ListedEntry>) -> SeenEntries {
+    let newest = list.iter().map(|entry| entry.2.clone()).max().unwrap_or_default();
+    list.into_iter().filter(|entry| entry.2 != newest).map(|entry| (entry.0 .0, entry.1)).collect()
+}
+
+/// The client panics on bytes that make no sense; that is no reason to end the process.
+fn parse<T>(parse: impl FnOnce() -> T) -> Option<T> {
+    catch_unwind(AssertUnwindSafe(parse)).ok()
+}
+
+fn raw_entry(entry: ResultEntry) -> Result<RawEntry, SyncProblem> {
+    let parsed = parse(|| SearchEntry::construct(entry)).ok_or(SyncProblem::MalformedEntry)?;
+    Ok(RawEntry { dn: parsed.dn, texts: parsed.attrs, bytes: parsed.bin_attrs })
+}
+
+fn check_end(end: &LdapResult) -> Result<(), SyncProblem> {
+    if end.rc == 0 {
+        Ok(())
+    } else {
+        Err(SyncProblem::SearchResult { code: end.rc, text: end.text.clone() })
+    }
+}
+
+impl DirectorySession<'_> {
+    /// Searches in pages; each entry that came goes to `take`. What is wrong, in texts.
+    async fn search_pages(
+        &mut self,
+        filter: &str,
+        attributes: Vec<String>,
+        mut take: impl FnMut(RawEntry) -> Result<(), SyncProblem>,
+    ) -> Vec<String> {
+        let (source, mut problems) = (self.source, Vec::new());
+        let adapters: Vec<Box<dyn Adapter<_, _>>> =
+            vec![Box::new(EntriesOnly::new()), Box::new(PagedResults::new(source.page))];
+        let search = self.ldap.with_timeout(source.timeout);
+        let opened =
+            search.streaming_search_with(adapters, &source.base, Scope::Subtree, filter, attributes).await;
+        let mut stream = match opened {
+            Ok(stream) => stream,
+            Err(error) => return vec![error.to_string()],
+        };
+        loop {
+            match within(source.timeout, &mut self.ended, stream.next()).await {
+                Err(problem) => problems.push(problem.to_string()),
+                Ok(Err(error)) => problems.push(error.to_string()),
+                Ok(Ok(Some(entry))) => {
+                    self.on_answer.take().into_iter().for_each(|answered| answered());
+                    if let Err(problem) = raw_entry(entry).and_then(&mut take) {
+                        problems.push(problem.to_string());
+                    }
+                    continue;
+                }
+                Ok(Ok(None)) => {
+                    let end = stream.finish().await;
+                    problems.extend(check_end(&end).err().map(|problem| problem.to_string()));
+                    if !end.refs.is_empty() {
+                        problems.push(SyncProblem::Referral.to_string());
+                    }
+                }
+            }
+            return problems;
+        }
+    }
+
+    /// How far the server says that it is, where settings name the attribute that says it.
+    pub(crate) async fn read_progress(&mut self) -> Result<Mark, SyncProblem> {
+        let Some(attribute) = &self.source.names.mark else { return Ok(Mark::new()) };
+        let search = self.ldap.with_timeout(self.source.timeout);
+        let found = search
+            .search(&self.source.base, Scope::Base, "(objectClass=*)", vec![attribute])
+            .await
+            .and_then(|result| result.success())
+            .map_err(|error| SyncProblem::Progress {
+                attribute: attribute.clone(),
+                error: Box::new(error),
+            })?;
+        let mut progress = Mark::new();
+        for entry in found.0 {
+            for value in raw_entry(entry)?.texts.into_values().flatten() {
+                // time#count#server#modification
+                let server = value.split('#').nth(2).unwrap_or_default().to_owned();
+                progress.insert(server, value);
+            }
+        }
+        Ok(progress)
+    }
+
+    /// Reads everything, in pages.
+    pub(crate) async fn read_all(&mut self) -> SyncResult {
+        let (mut result, mut list) = (SyncResult::default(), Vec::new());
+        let names = &self.source.names;
+        let filter = self.source.filter.clone();
+        result.problems = self
+            .search_pages(&filter, names.all(), |raw| {
+                let entry = read(names, raw)?;
+                list.push((entry.id, entry_hash(&entry.dn, &entry.stamp), entry.stamp.clone()));
+                result.sweep.entries.push(entry);
+                Ok(())
+            })
+            .await;
+        result.seen = without_newest(list);
+        result
+    }
+
+    /// Reads ids and stamps, and then what differs from what was seen before.
+    pub(crate) async fn read_changes(&mut self, before: SeenEntries) -> SyncResult {
+        let (mut result, mut list, mut changed) = (SyncResult::default(), Vec::new(), Vec::new());
+        let names = &self.source.names;
+        let filter = self.source.filter.clone();
+        let attributes = vec![names.id.clone(), names.stamp.clone()];
+        result.problems = self
+            .search_pages(&filter, attributes, |raw| {
+                let stamped = entry::read_stamp(names, &raw)?;
+                let hash = entry_hash(&raw.dn, &stamped.stamp);
+                list.push((stamped.id, hash, stamped.stamp));
+                if before.get(&stamped.id.0) == Some(&hash) {
+                    result.sweep.present.push(stamped.id);
+                } else {
+                    changed.push(stamped.id_text);
+                }
+                Ok(())
+            })
+            .await;
+        for ids in changed.chunks(IDS_AT_ONCE) {
+            let filter = filter_of_ids(&filter, &names.id, ids);
+            let problems = self
+                .search_pages(&filter, names.all(), |raw| {
+                    result.sweep.entries.push(read(names, raw)?);
+                    Ok(())
+                })
+                .await;
+            result.problems.extend(problems);
+        }
+        result.seen = without_newest(list);
+        result
+    }
+
+    /// Content synchronisation, refresh only: what changed since the cookie, or everything without one.
+    pub(crate) async fn read_synchronised(&mut self, cookie: Option<Vec<u8>>) -> SyncResult {
+        let mut result = SyncResult::default();
+        let timeout = self.source.timeout;
+        let request = SyncRequest { cookie, ..SyncRequest::default() };
+        let search = self.ldap.with_timeout(timeout).with_controls(vec![request.into()]);
+        let (source, names) = (self.source, &self.source.names);
+        let opened = search.streaming_search(&source.base, Scope::Subtree, &source.filter, names.all()).await;
+        let mut stream = match opened {
+            Ok(stream) => stream,
+            Err(error) => {
+                result.add_problem(error);
+                return result;
+            }
+        };
+        let mut deleted = BTreeSet::new();
+        loop {
+            match within(timeout, &mut self.ended, stream.next()).await {
+                Err(problem) => result.add_problem(problem),
+                Ok(Err(error)) => result.add_problem(error),
+                Ok(Ok(Some(message))) => {
+                    self.on_answer.take().into_iter().for_each(|answered| answered());
+                    if let Err(problem) = take_sync_message(source, message, &mut result, &mut deleted) {
+                        result.add_problem(problem);
+                    }
+                    continue;
+                }
+                Ok(Ok(None)) => take_sync_end(stream.finish().await, &mut result, deleted),
+            }
+            return result;
+        }
+    }
+}
+
+/// Takes in the end of a content synchronisation.
+fn take_sync_end(end: LdapResult, result: &mut SyncResult, deleted: BTreeSet<Id>) {
+    if let Err(problem) = check_end(&end) {
+        result.add_problem(problem);
+    }
+    let done = end.ctrls.into_iter().find_map(|control| match control {
+        Control(Some(ControlType::SyncDone), raw) => parse(|| raw.parse::<SyncDone>()),
+        _ => None,
+    });
+    match done {
+        Some(done) => {
+            result.sweep.cookie = done.cookie;
+            // Deletions were named, and all else is as it was; or all that is there was named.
+            result.sweep.gone = done.refresh_deletes.then(|| deleted.into_iter().collect());
+        }
+        None => result.add_problem(SyncProblem::MissingSyncDone),
+    }
+}
+
+fn read_uuid(bytes: &[u8]) -> Result<Id, SyncProblem> {
+    let bytes: [u8; 16] = bytes.try_into().map_err(|_| SyncProblem::IdLength { found: bytes.len() })?;
+    Ok(Id(u128::from_be_bytes(bytes)))
+}
+
+/// Takes in one message of a content synchronisation.
+fn take_sync_message(
+    source: &LdapSource,
+    message: ResultEntry,
+    result: &mut SyncResult,
+    deleted: &mut BTreeSet<Id>,
+) -> Result<(), SyncProblem> {
+    if message.is_ref() {
+        return Err(SyncProblem::Referral);
+    }
+    if message.is_intermediate() {
+        let info = parse(|| parse_syncinfo(message)).ok_or(SyncProblem::MalformedSyncInfo)?;
+        if let SyncInfo::SyncIdSet { refresh_deletes, sync_uuids, .. } = info {
+            for uuid in sync_uuids {
+                let id = read_uuid(&uuid)?;
+                if refresh_deletes {
+                    deleted.insert(id);
+                } else {
+                    result.sweep.present.push(id);
+                }
+            }
+        }
+        return Ok(());
+    }
+    let state = message.1.iter().find_map(|control| match control {
+        Control(Some(ControlType::SyncState), raw) => parse(|| raw.parse::<SyncState>()),
+        _ => None,
+    });
+    let state = state.ok_or(SyncProblem::MissingSyncState)?;
+    match state.state {
+        EntryState::Add | EntryState::Modify => {
+            result.sweep.entries.push(read(&source.names, raw_entry(message)?)?);
+        }
+        EntryState::Present => result.sweep.present.push(read_uuid(&state.entry_uuid)?),
+        EntryState::Delete => {
+            deleted.insert(read_uuid(&state.entry_uuid)?);
+        }
+    }
+    Ok(())
+}
--- a/ldap/src/settings.rs
+++ b/ldap/src/settings.rs
@@ -1,8 +1,8 @@
-//! The record `directory` of an installation's files: how a directory is reached, and what the decisions are
-//! told. What types alone do not find is checked here: addresses, filters, names and paces that make no sense
+//! The record `directory` of an installation's files: how a directory is reached, and what the decisions go
+//! by. What types alone do not find is checked here: addresses, filters, names and times that make no sense
 //! together.
-use crate::{AttributeNames, LdapSource};
-use basaltpitch_config::{ConfigError, ResolvedValue};
+use crate::{plain_dn, AttributeNames, LdapSource};
+use basaltpitch_config::{ConfigError, PlainValue, ResolvedValue};
 use basaltpitch_tenants::health::Pace;
 use basaltpitch_tenants::rights::Terms;
 use basaltpitch_tenants::trust::Caution;
@@ -12,157 +12,223 @@
 /// All that the record says.
 #[derive(Clone, Debug)]
 pub struct DirectorySettings {
+    /// How the directory is reached and asked.
     pub source: LdapSource,
+    /// Who may do what, and what holds while the directory is away.
     pub terms: Terms,
+    /// When it is read.
     pub pace: Pace,
+    /// Which changes are held back until they are confirmed.
     pub caution: Caution,
 }
 
 /// A description of an attribute or class, or its number (RFC 4512).
 fn is_name(name: &str) -> bool {
-    let word = name.starts_with(|c: char| c.is_ascii_alphabetic())
-        && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-');
-    let number = name.split('.').count() > 1
-        && name.split('.').all(|n| !n.is_empty() && n.bytes().all(|b| b.is_ascii_digit()));
-    word || number
+    let is_description = name.starts_with(|char: char| char.is_ascii_alphabetic())
+        && name.chars().all(|char| char.is_ascii_alphanumeric() || char == '-');
+    let is_number = name.split('.').count() > 1
+        && name.split('.').all(|part| !part.is_empty() && part.bytes().all(|byte| byte.is_ascii_digit()));
+    is_description || is_number
 }
 
 /// A distinguished name, as far as it can be told without the directory's schema.
 fn is_dn(dn: &str) -> bool {
-    dn.split(',')
-        .all(|part| part.split_once('=').is_some_and(|(k, v)| is_name(k.trim()) && !v.trim().is_empty()))
-        || dn.contains('\\')
+    let is_part = |part: &str| {
+        part.split_once('=').is_some_and(|(name, value)| is_name(name.trim()) && !value.trim().is_empty())
+    };
+    dn.split(',').all(is_part) || dn.contains('\\')
 }
 
-/// Reads the record `directory`, if the files have one.
-pub fn read_settings(all: &ResolvedValue) -> Result<Option<DirectorySettings>, Vec<ConfigError>> {
-    let Some(d) = all.get("directory") else { return Ok(None) };
-    let mut faults = Vec::new();
-    let mut wrong = |field: &str, found: String, expected: &str| {
-        let at = d.get(field).map_or(d.at, |x| x.at);
-        faults.push(ConfigError::new(at, format!("directory.{field}: found {found}; expected {expected}")));
-    };
-    let text = |field: &str| d.text(field).unwrap_or("").to_owned();
-    let time = |field: &str| d.duration_us(field).unwrap_or(0);
-    let mark = |field: &str| d.boolean(field).unwrap_or(false);
-    let count = |field: &str| d.number(field).unwrap_or(0.0) as usize;
-    let urls: Vec<String> = d.texts("servers").into_iter().map(|x| x.0).collect();
-    if urls.is_empty() {
-        wrong("servers", "none".into(), "at least one address");
-    }
-    for (i, url) in urls.iter().enumerate() {
-        let scheme = url.split("://").next().unwrap_or("");
-        let host = url.split_once("://").map_or("", |x| x.1).trim_end_matches('/');
-        if !["ldap", "ldaps"].contains(&scheme) || host.is_empty() || host.contains(['/', ' ', '@']) {
-            wrong("servers", format!("{url:?}"), "ldap:// or ldaps://, a host and perhaps a port");
-        } else if urls[..i].contains(url) {
-            wrong("servers", format!("{url:?} twice"), "each server once");
-        } else if scheme == "ldaps" && mark("starttls") {
-            wrong(
-                "starttls",
-                format!("true beside {url:?}"),
-                "false with ldaps, which is TLS from the start",
-            );
-        } else if scheme == "ldap" && !mark("starttls") && !mark("clear") {
-            wrong(
-                "servers",
-                format!("{url:?}, which sends the password in the clear"),
-                "ldaps, starttls, or clear",
-            );
+/// The record `directory`, with what is wrong with it.
+struct SettingsReader<'a> {
+    record: &'a ResolvedValue,
+    errors: Vec<ConfigError>,
+}
+
+impl SettingsReader<'_> {
+    fn text(&self, field: &str) -> String {
+        self.record.text(field).unwrap_or("").to_owned()
+    }
+
+    fn texts(&self, list: &str) -> Vec<String> {
+        self.record.texts(list).into_iter().map(|item| item.0).collect()
+    }
+
+    fn duration_us(&self, field: &str) -> i64 {
+        self.record.duration_us(field).unwrap_or(0)
+    }
+
+    fn flag(&self, field: &str) -> bool {
+        self.record.boolean(field).unwrap_or(false)
+    }
+
+    fn count(&self, field: &str) -> usize {
+        self.record.number(field).unwrap_or(0.0) as usize
+    }
+
+    fn path(&self, field: &str) -> Option<PathBuf> {
+        self.record.text(field).map(PathBuf::from)
+    }
+
+    fn dns(&self, list: &str) -> Vec<String> {
+        self.texts(list).iter().map(|dn| plain_dn(dn)).collect()
+    }
+
+    fn invalid(&mut self, field: &str, found: String, expected: &str) {
+        let at = self.record.get(field).map_or(self.record.at, |value| value.at);
+        let message = format!("directory.{field}: found {found}; expected {expected}");
+        self.errors.push(ConfigError::new(at, message));
+    }
+
+    fn check_servers(&mut self) {
+        let urls = self.texts("servers");
+        if urls.is_empty() {
+            self.invalid("servers", "none".into(), "at least one address");
+        }
+        for (index, url) in urls.iter().enumerate() {
+            let scheme = url.split("://").next().unwrap_or("");
+            let host = url.split_once("://").map_or("", |(_, rest)| rest).trim_end_matches('/');
+            if !["ldap", "ldaps"].contains(&scheme) || host.is_empty() || host.contains(['/', ' ', '@']) {
+                let expected = "ldap:// or ldaps://, a host and perhaps a port";
+                self.invalid("servers", format!("{url:?}"), expected);
+            } else if urls[..index].contains(url) {
+                self.invalid("servers", format!("{url:?} twice"), "each server once");
+            } else if scheme == "ldaps" && self.flag("starttls") {
+                let expected = "false with ldaps, which is TLS from the start";
+                self.invalid("starttls", format!("true beside {url:?}"), expected);
+            } else if scheme == "ldap" && !self.flag("starttls") && !self.flag("clear") {
+                let found = format!("{url:?}, which sends the password in the clear");
+                self.invalid("servers", found, "ldaps, starttls, or clear");
+            }
         }
     }
-    for field in ["bind", "base"] {
-        if !is_dn(&text(field)) {
-            wrong(field, format!("{:?}", text(field)), "a distinguished name such as dc=campus,dc=example");
+
+    fn check_distinguished_names(&mut self) {
+        for field in ["bind", "base"] {
+            let dn = self.text(field);
+            if !is_dn(&dn) {
+                let expected = "a distinguished name such as dc=campus,dc=example";
+                self.invalid(field, format!("{dn:?}"), expected);
+            }
+        }
+        for list in ["operators", "auditors"] {
+            for dn in self.texts(list).into_iter().filter(|dn| !is_dn(dn)) {
+                self.invalid(list, format!("{dn:?}"), "distinguished names of groups");
+            }
         }
     }
-    for list in ["operators", "auditors"] {
-        for (dn, _) in d.texts(list).into_iter().filter(|x| !is_dn(&x.0)) {
-            wrong(list, format!("{dn:?}"), "distinguished names of groups");
+
+    fn check_filter(&mut self) {
+        let filter = self.text("filter");
+        if ldap3::parse_filter(&filter).is_err() {
+            let expected = "a filter as RFC 4515 writes it, such as (objectClass=person)";
+            self.invalid("filter", format!("{filter:?}"), expected);
         }
     }
-    let filter = text("filter");
-    if ldap3::parse_filter(&filter).is_err() {
-        wrong(
-            "filter",
-            format!("{filter:?}"),
-            "a filter as RFC 4515 writes it, such as (objectClass=person)",
-        );
-    }
-    for (record, fields) in [("attributes", d.get("attributes")), ("classes", d.get("classes"))] {
-        for (field, value) in fields.into_iter().flat_map(ResolvedValue::fields) {
-            let basaltpitch_config::PlainValue::Text(name) = &value.value else { continue };
-            let none = field == "mark" && name.is_empty();
-            if !none && !is_name(name) {
-                wrong(
-                    &format!("{record}.{field}"),
-                    format!("{name:?}"),
-                    "a name of letters, digits and dashes, or a number",
-                );
+
+    fn check_attribute_names(&mut self) {
+        let record = self.record;
+        for part in ["attributes", "classes"] {
+            for (field, value) in record.get(part).into_iter().flat_map(ResolvedValue::fields) {
+                let PlainValue::Text(name) = &value.value else { continue };
+                let absent = field == "mark" && name.is_empty();
+                if !absent && !is_name(name) {
+                    let expected = "a name of letters, digits and dashes, or a number";
+                    self.invalid(&format!("{part}.{field}"), format!("{name:?}"), expected);
+                }
             }
         }
     }
-    if time("fresh") <= time("every") {
-        let found = format!("{} us, with a sweep every {} us", time("fresh"), time("every"));
-        wrong("fresh", found, "more than the time from sweep to sweep");
-    }
-    if time("most_wait") < time("first_wait") {
-        wrong("most_wait", format!("{} us", time("most_wait")), "no less than first_wait");
-    }
-    if !faults.is_empty() {
-        return Err(faults);
-    }
-    let path = |field: &str| d.text(field).map(PathBuf::from);
-    let attribute = |field: &str| text(&format!("attributes.{field}"));
-    let names = AttributeNames {
-        id: attribute("id"),
-        stamp: attribute("changed"),
-        class: attribute("class"),
-        name: attribute("name"),
-        login: attribute("login"),
-        member: attribute("member"),
-        share: attribute("share"),
-        mark: Some(attribute("mark")).filter(|m| !m.is_empty()),
-        tenant_class: text("classes.tenant"),
-        group_class: text("classes.group"),
-        person_class: text("classes.person"),
-    };
-    let plain = |list: &str| d.texts(list).into_iter().map(|x| crate::plain_dn(&x.0)).collect();
-    Ok(Some(DirectorySettings {
-        source: LdapSource {
-            urls,
-            starttls: mark("starttls"),
-            ca_file: path("vouchers"),
-            bind_dn: text("bind"),
-            password: path("password_file").unwrap_or_default(),
-            base: text("base"),
-            filter,
-            names,
-            page: count("page") as i32,
-            sync: mark("sync"),
-            timeout: Duration::from_micros(time("patience") as u64),
-        },
-        terms: Terms {
-            operators: plain("operators"),
-            auditors: plain("auditors"),
-            always: d.texts("always").into_iter().map(|x| x.0).collect(),
-            place_blind: mark("place_blind"),
-            place_stale: mark("place_stale"),
-        },
-        pace: Pace {
-            every_us: time("every"),
-            // A sweep is many pages, each of which may take its patience.
-            patience_us: time("whole"),
-            fresh_us: time("fresh"),
-            first_wait_us: time("first_wait"),
-            most_wait_us: time("most_wait"),
-            slower: count("slower") as i64,
-        },
-        caution: Caution {
-            few: count("caution.few"),
-            percent: count("caution.percent"),
-            sweeps: count("caution.sweeps") as u32,
-            over_us: time("caution.over"),
-        },
-    }))
+
+    fn check_times(&mut self) {
+        let (fresh_us, every_us) = (self.duration_us("fresh"), self.duration_us("every"));
+        if fresh_us <= every_us {
+            let found = format!("{fresh_us} us, with a sweep every {every_us} us");
+            self.invalid("fresh", found, "more than the time from sweep to sweep");
+        }
+        let most_wait_us = self.duration_us("most_wait");
+        if most_wait_us < self.duration_us("first_wait") {
+            self.invalid("most_wait", format!("{most_wait_us} us"), "no less than first_wait");
+        }
+    }
+
+    fn attribute_names(&self) -> AttributeNames {
+        let attribute = |field: &str| self.text(&format!("attributes.{field}"));
+        AttributeNames {
+            id: attribute("id"),
+            stamp: attribute("changed"),
+            class: attribute("class"),
+            name: attribute("name"),
+            login: attribute("login"),
+            member: attribute("member"),
+            share: attribute("share"),
+            mark: Some(attribute("mark")).filter(|name| !name.is_empty()),
+            tenant_class: self.text("classes.tenant"),
+            group_class: self.text("classes.group"),
+            person_class: self.text("classes.person"),
+        }
+    }
+
+    fn source(&self) -> LdapSource {
+        LdapSource {
+            urls: self.texts("servers"),
+            starttls: self.flag("starttls"),
+            ca_file: self.path("vouchers"),
+            bind_dn: self.text("bind"),
+            password: self.path("password_file").unwrap_or_default(),
+            base: self.text("base"),
+            filter: self.text("filter"),
+            names: self.attribute_names(),
+            page: self.count("page") as i32,
+            sync: self.flag("sync"),
+            timeout: Duration::from_micros(self.duration_us("patience") as u64),
+        }
+    }
+
+    fn settings(&self) -> DirectorySettings {
+        DirectorySettings {
+            source: self.source(),
+            terms: Terms {
+                operators: self.dns("operators").into_iter().collect(),
+                auditors: self.dns("auditors").into_iter().collect(),
+                always: self.texts("always").into_iter().collect(),
+                place_blind: self.flag("place_blind"),
+                place_stale: self.flag("place_stale"),
+            },
+            pace: Pace {
+                every_us: self.duration_us("every"),
+                // A sync is many pages, each of which may take its timeout.
+                patience_us: self.duration_us("whole"),
+                fresh_us: self.duration_us("fresh"),
+                first_wait_us: self.duration_us("first_wait"),
+                most_wait_us: self.duration_us("most_wait"),
+                slower: self.count("slower") as i64,
+            },
+            caution: Caution {
+                few: self.count("caution.few"),
+                percent: self.count("caution.percent"),
+                sweeps: self.count("caution.sweeps") as u32,
+                over_us: self.duration_us("caution.over"),
+            },
+        }
+    }
+}
+
+/// Reads the record `directory`, if the files have one.
+///
+/// # Errors
+/// All that is wrong with it.
+pub fn read_settings(all: &ResolvedValue) -> Result<Option<DirectorySettings>, Vec<ConfigError>> {
+    let Some(record) = all.get("directory") else { return Ok(None) };
+    let mut reader = SettingsReader { record, errors: Vec::new() };
+    reader.check_servers();
+    reader.check_distinguished_names();
+    reader.check_filter();
+    reader.check_attribute_names();
+    reader.check_times();
+    if reader.errors.is_empty() {
+        Ok(Some(reader.settings()))
+    } else {
+        Err(reader.errors)
+    }
 }
--- a/ldap/tests/over_a_restart.rs
+++ b/ldap/tests/over_a_restart.rs
@@ -1,5 +1,6 @@
 //! The whole way on loopback: a directory is swept, remembered in a store, goes away, and a successor serves
 //! on.
+#![allow(clippy::too_many_lines, reason = "one scenario, told in order")]
 use basaltpitch_ldap::{sync, AttributeNames, LdapSource, SyncState};
 use basaltpitch_snapshot_store::{Found, Store};
 use basaltpitch_tenants::health::{State, PACE};
--- a/ldap/tests/sweeps.rs
+++ b/ldap/tests/sweeps.rs
@@ -200,7 +200,7 @@
     let with = |at: usize, values: &[&str]| {
         let mut all = good;
         all[at].1 = values;
-        read(&AttributeNames::default(), raw(&all)).unwrap_err()
+        read(&AttributeNames::default(), raw(&all)).unwrap_err().to_string()
     };
     let cases = [
         (with(3, &[]), "cn: found none; expected one value"),
@@ -220,6 +220,7 @@
     binary.bytes.insert("cn".into(), vec![vec![0xff, 0xfe]]);
     assert!(read(&AttributeNames::default(), binary)
         .unwrap_err()
+        .to_string()
         .contains("cn: found bytes that are no text"));
 }
 
@@ -242,7 +243,8 @@
         let plain = plain_dn(&dn);
         prop_assert_eq!(&plain_dn(&plain), &plain);
         let raw = RawEntry { dn, texts, bytes: HashMap::new() };
-        if let Err(said) = read(&AttributeNames::default(), raw) {
+        if let Err(error) = read(&AttributeNames::default(), raw) {
+            let said = error.to_string();
             prop_assert!(said.contains("found") && said.contains("expected"), "{}", said);
         }
     }
