--- a/cli/src/drill.rs
+++ b/cli/src/drill.rs
@@ -1,9 +1,30 @@
-//! `basaltpitch drill`: a scripted day of trouble, judged by the traffic.
+//! `basaltpitch drill`: a fault scenario, with the invariants checked by the traffic.
 use crate::{load, Failure};
+use basaltpitch_invariants::Violation;
 use basaltpitch_testbed::drill::{run, DrillReport};
 use basaltpitch_testbed::drill_config::DrillConfig;
+use basaltpitch_testbed::process_harness::SlotReport;
 use std::path::PathBuf;
 
+/// Violations that are printed, at most.
+const MAX_PRINTED: usize = 20;
+
+/// Invariants of every scenario, by number, as they are printed.
+const INVARIANTS: [(u8, &str); 7] = [
+    (1, "one final answer, in time"),
+    (2, "no double effect"),
+    (3, "drains kept"),
+    (4, "cold machines spared"),
+    (5, "spread kept"),
+    (10, "a hall returns by steps"),
+    (11, "worth more goes first"),
+];
+/// Those of scenarios with slots.
+const SLOT_INVARIANTS: [(u8, &str); 2] = [(7, "one holder acts"), (8, "rolls within their limit")];
+/// The number of the invariant that placement constraints hold.
+const PLACEMENT: u8 = 6;
+
+/// Plays a fault scenario.
 #[derive(clap::Args)]
 pub struct Drill {
     /// The installation's files, with a day in one of them
@@ -18,23 +39,23 @@
 }
 
 impl Drill {
+    /// Plays it, prints the report, and fails where something was violated.
     pub fn run(self, json: bool) -> Result<(), Failure> {
         let installation = load(&self.files)?;
         if installation.all.get("day").is_none() {
             return Err(Failure::Wrong("found no field day in these files; expected one for a drill".into()));
         }
         let binary = std::env::current_exe().map_err(|e| Failure::Failed(e.to_string()))?;
-        let how =
+        let config =
             DrillConfig { installation, files: self.files, binary, seed: self.seed, record: self.record };
-        let verdict = run(how).map_err(|e| Failure::Failed(e.to_string()))?;
+        let report = run(config).map_err(|e| Failure::Failed(e.to_string()))?;
         if json {
-            println!("{}", serde_json::to_string(&verdict).map_err(|e| Failure::Failed(e.to_string()))?);
+            println!("{}", serde_json::to_string(&report).map_err(|e| Failure::Failed(e.to_string()))?);
         } else {
-            print!("{}", table(&verdict));
+            print!("{}", text_of(&report));
         }
-        let seats = verdict.seats.as_ref().is_none_or(|s| s.faults.is_empty());
-        let held = verdict.breaches.is_empty() && verdict.tenant_faults.is_empty() && seats;
-        if held {
+        let slots_kept = report.slots.as_ref().is_none_or(|slots| slots.errors.is_empty());
+        if report.violations.is_empty() && report.tenant_errors.is_empty() && slots_kept {
             Ok(())
         } else {
             Err(Failure::Failed(String::new()))
@@ -42,100 +63,106 @@
     }
 }
 
-fn table(v: &DrillReport) -> String {
-    let t = &v.traffic;
+fn text_of(report: &DrillReport) -> String {
     let mut text = format!(
         "seed {}: {} machines, {} planners, {} tasks wanted\n\n",
-        v.seed, v.machines, v.planners, v.wanted
+        report.seed, report.machines, report.planners, report.tasks
     );
-    let rows: [(&str, String); 14] = [
-        ("askings", format!("{}", t.requests)),
-        ("  placed", format!("{}", t.placed)),
-        ("  declined", format!("{}", t.declined)),
-        ("  aborted", format!("{}", t.aborted)),
-        ("  no answer owed", format!("{}", t.excused)),
-        ("launches", format!("{} ({} seen twice)", t.launches, t.repeated_launches)),
-        ("  accepted", format!("{}", t.accepted)),
-        ("  refused", format!("{}", t.refused)),
-        ("tasks run", format!("{}", v.ran)),
-        ("tasks done", format!("{} ({} lost on the way, {} never placed)", v.done, v.lost, v.unplaced)),
-        (
-            "submit to placed",
-            format!("p50 {} ms, p99 {} ms, p99.9 {} ms", v.placed_ms.p50, v.placed_ms.p99, v.placed_ms.p999),
-        ),
-        (
-            "worth of what was asked",
-            format!(
-                "{:.0}, placed {:.0}, within its latency goal {:.0}",
-                t.weight_requested, t.weight_placed, t.weight_in_objective
-            ),
-        ),
-        ("taken in and missed", format!("{}", t.missed)),
-        ("offers to a cold machine", format!("{} in a window at most", t.max_warm_up_offers)),
-    ];
-    for (name, value) in rows {
+    for (name, value) in totals(report) {
         text += &format!("{name:26}{value}\n");
     }
     text.push('\n');
-    let rules = [
-        "one final answer, in time",
-        "no double effect",
-        "drains kept",
-        "cold machines spared",
-        "spread kept",
-    ];
-    let clauses = v.breaches.iter().filter(|b| b.invariant == 6).count();
-    if clauses > 0 {
-        text += &format!("clauses BROKEN {clauses} times\n");
+    let violated = report.violations.iter().filter(|violation| violation.invariant == PLACEMENT).count();
+    if violated > 0 {
+        text += &format!("clauses BROKEN {violated} times\n");
     }
-    for (i, rule) in rules.iter().enumerate() {
-        let broken = v.breaches.iter().filter(|b| usize::from(b.invariant) == i + 1).count();
-        let word = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
-        text += &format!("rule {} {rule:26}{word}\n", i + 1);
+    for (number, name) in INVARIANTS {
+        text += &invariant_line(number, name, &report.violations);
     }
-    let broken = v.breaches.iter().filter(|b| b.invariant == 10).count();
-    let word = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
-    text += &format!("rule 10 {:25}{word}\n", "a hall returns by steps");
-    let broken = v.breaches.iter().filter(|b| b.invariant == 11).count();
-    let word = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
-    text += &format!("rule 11 {:25}{word}\n", "worth more goes first");
-    if v.stale_answers + v.newcomers > 0 || !v.tenant_faults.is_empty() {
+    if report.stale_answers + report.newcomer_answers > 0 || !report.tenant_errors.is_empty() {
         text += &format!(
             "tenants: {} answers said that they rest on old knowledge, {} to a newcomer once known, {} wrong\n",
-            v.stale_answers,
-            v.newcomers,
-            v.tenant_faults.len()
+            report.stale_answers,
+            report.newcomer_answers,
+            report.tenant_errors.len()
         );
-        v.tenant_faults.iter().for_each(|f| text += &format!("  {f}\n"));
+        report.tenant_errors.iter().for_each(|error| text += &format!("  {error}\n"));
     }
-    if let Some(seats) = &v.seats {
-        let broken = v.breaches.iter().filter(|b| b.invariant == 7).count();
-        let word = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
-        text += &format!("rule 7 {:26}{word}\n", "one holder acts");
-        let broken = v.breaches.iter().filter(|b| b.invariant == 8).count();
-        let word = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
-        text += &format!("rule 8 {:26}{word}\n", "rolls within their limit");
-        let held = seats.held * 100.0;
-        text += &format!("\nseats: {} hand-overs, held {held:.2}% of the time\n", seats.hand_overs);
-        for t in seats.by_trouble.iter().chain(&seats.first_launch) {
-            text += &format!(
-                "  {:24}{:4} times, in terms: median {}, p99 {}, most {}\n",
-                t.trouble, t.count, t.median_terms, t.p99_terms, t.most_terms
-            );
-        }
-        if let Some(roll_s) = seats.roll_s {
-            text += &format!("  the roll's last machine restarted {roll_s:.1} s after its beginning\n");
+    if let Some(slots) = &report.slots {
+        for (number, name) in SLOT_INVARIANTS {
+            text += &invariant_line(number, name, &report.violations);
         }
-        seats.faults.iter().for_each(|f| text += &format!("  WRONG: {f}\n"));
+        text += &slot_lines(slots);
     }
-    for b in v.breaches.iter().take(20) {
+    for violation in report.violations.iter().take(MAX_PRINTED) {
+        let Violation { invariant, at_us, planner, subject, description } = violation;
+        text += &format!("\nrule {invariant} at {at_us} us, {planner}, {subject}: {description}");
+    }
+    if !report.violations.is_empty() {
+        text.push('\n');
+    }
+    text
+}
+
+fn totals(report: &DrillReport) -> [(&'static str, String); 14] {
+    let DrillReport { traffic, placed_ms, .. } = report;
+    [
+        ("askings", traffic.requests.to_string()),
+        ("  placed", traffic.placed.to_string()),
+        ("  declined", traffic.declined.to_string()),
+        ("  aborted", traffic.aborted.to_string()),
+        ("  no answer owed", traffic.excused.to_string()),
+        ("launches", format!("{} ({} seen twice)", traffic.launches, traffic.repeated_launches)),
+        ("  accepted", traffic.accepted.to_string()),
+        ("  refused", traffic.refused.to_string()),
+        ("tasks run", report.ran.to_string()),
+        (
+            "tasks done",
+            format!(
+                "{} ({} lost on the way, {} never placed)",
+                report.completed, report.lost, report.unplaced
+            ),
+        ),
+        (
+            "submit to placed",
+            format!("p50 {} ms, p99 {} ms, p99.9 {} ms", placed_ms.p50, placed_ms.p99, placed_ms.p999),
+        ),
+        (
+            "worth of what was asked",
+            format!(
+                "{:.0}, placed {:.0}, within its latency goal {:.0}",
+                traffic.weight_requested, traffic.weight_placed, traffic.weight_in_objective
+            ),
+        ),
+        ("taken in and missed", traffic.missed.to_string()),
+        ("offers to a cold machine", format!("{} in a window at most", traffic.max_warm_up_offers)),
+    ]
+}
+
+fn invariant_line(number: u8, name: &str, violations: &[Violation]) -> String {
+    let violated = violations.iter().filter(|violation| violation.invariant == number).count();
+    let word = if violated == 0 { "kept".to_owned() } else { format!("BROKEN {violated} times") };
+    // The words of all lines stand below each other.
+    let width = if number < 10 { 26 } else { 25 };
+    format!("rule {number} {name:width$}{word}\n")
+}
+
+fn slot_lines(slots: &SlotReport) -> String {
+    let held_percent = slots.held * 100.0;
+    let mut text = format!("\nseats: {} hand-overs, held {held_percent:.2}% of the time\n", slots.takeovers);
+    for times in slots.by_fault.iter().chain(&slots.first_launch) {
         text += &format!(
-            "\nrule {} at {} us, {}, {}: {}",
-            b.invariant, b.at_us, b.planner, b.subject, b.description
+            "  {:24}{:4} times, in terms: median {}, p99 {}, most {}\n",
+            times.fault,
+            times.count,
+            times.median_lease_durations,
+            times.p99_lease_durations,
+            times.max_lease_durations
         );
     }
-    if !v.breaches.is_empty() {
-        text.push('\n');
+    if let Some(seconds) = slots.rolling_restart_s {
+        text += &format!("  the roll's last machine restarted {seconds:.1} s after its beginning\n");
     }
+    slots.errors.iter().for_each(|error| text += &format!("  WRONG: {error}\n"));
     text
 }
--- a/cli/src/machine.rs
+++ b/cli/src/machine.rs
@@ -1,8 +1,9 @@
 //! `basaltpitch machine`: one stand-in machine, with a register of its own that lists it.
 use crate::{load, Failure};
-use basaltpitch_testbed::drill::{self, context};
+use basaltpitch_testbed::drill::start_machines;
 use basaltpitch_testbed::machine::MachineCommand;
 use basaltpitch_testbed::registry::{self, RegistryDelays};
+use basaltpitch_testbed::settings;
 use std::path::PathBuf;
 use std::rc::Rc;
 
@@ -38,11 +39,11 @@
         let runtime = runtime.map_err(|e| Failure::Failed(e.to_string()))?;
         let failed = |e: std::io::Error| Failure::Failed(e.to_string());
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let world = context(&site, Rc::default());
+            let context = settings::context(&site, Rc::default());
             let fleet =
-                drill::start_machines(&site.all, &world, &kind, &zone, self.count).await.map_err(failed)?;
+                start_machines(&site.all, &context, &kind, &zone, self.count).await.map_err(failed)?;
             let late = RegistryDelays { notice_us: 0, silent_notice_us: 2_000_000, period_us: 200_000 };
-            let register = registry::start(world, fleet.clone(), late).await.map_err(failed)?;
+            let register = registry::start(context, fleet.clone(), late).await.map_err(failed)?;
             for m in &fleet {
                 if json {
                     println!("{}", serde_json::json!({"machine": m.name, "listening": m.address}));
@@ -56,7 +57,7 @@
                 println!("their register listens on {}", register.address);
             }
             let _ = tokio::signal::ctrl_c().await;
-            fleet.iter().for_each(|m| m.tell(MachineCommand::Down));
+            fleet.iter().for_each(|m| m.send(MachineCommand::Down));
             Ok(())
         })
     }
--- a/cli/src/measure_scale.rs
+++ b/cli/src/measure_scale.rs
@@ -2,14 +2,14 @@
 //! loopback. A few planners are processes of their own and are what is measured; the other planners, all
 //! machines and the clients are hollow: many in one process, with the real protocol, sockets and frames.
 mod believe;
-mod laid;
 mod pages;
+mod run;
 pub mod simulated;
 mod site;
 
 use crate::processes::measured_once;
 use crate::Failure;
-use laid::Laid;
+use run::ScaleRun;
 use serde_json::{json, Value};
 use site::Site;
 use std::io::{self, IsTerminal};
@@ -372,19 +372,19 @@
             "hollow_planners_a_process": self.planners_each(), "descriptors": limit(),
             "faults": self.faults.word(),
         });
-        let mut laid = Laid::lay(self, folder).await?;
+        let mut run = ScaleRun::start(self, folder).await?;
         let usual = (self.runs_s() as u64).clamp(5, 30);
-        laid.ask().await?;
+        run.ask().await?;
         progress("the load comes up");
         tokio::time::sleep(Duration::from_secs(self.rise.unwrap_or(usual))).await;
-        let before = laid.begin().await?;
+        let before = run.begin().await?;
         let third = Duration::from_millis(self.seconds * 1000 / 3);
-        laid.watched(third).await?;
-        laid.fault(self.faults).await?;
-        laid.watched(third).await?;
-        laid.heal(self.faults).await?;
-        laid.watched(third).await?;
-        let mut found = laid.end(before).await?;
+        run.watched(third).await?;
+        run.fault(self.faults).await?;
+        run.watched(third).await?;
+        run.heal(self.faults).await?;
+        run.watched(third).await?;
+        let mut found = run.end(before).await?;
         found["shape"] = shape;
         Ok(found)
     }
--- a/cli/src/measure_scale/believe.rs
+++ b/cli/src/measure_scale/believe.rs
@@ -1,12 +1,12 @@
 //! A hollow process is believed where it was laid beside a real one: planners beside planners in one small
 //! fleet, and hollow machines beside stand-in machines under two planners of the same work. What both carry
 //! and use is compared, and what is further apart than its bound fails.
-use super::laid::{minus, Laid};
+use super::run::ScaleRun;
 use super::{progress, site, Measure};
 use crate::processes::Process;
 use basaltpitch_agent::wire::{Entry, Readiness};
-use basaltpitch_testbed::scale::registry;
 use basaltpitch_testbed::scale::traffic::{self, RelayCounts, Traffic, KINDS};
+use basaltpitch_testbed::scale::{hosts, registry};
 use serde_json::{json, Value};
 use std::io;
 use std::path::Path;
@@ -47,8 +47,8 @@
 
 /// Bytes and frames of a kind, both ways.
 fn of(traffic: &Traffic, kind: usize) -> [f64; 2] {
-    let c = &traffic.0[kind];
-    [(c.bytes_in + c.bytes_out) as f64, (c.frames_in + c.frames_out) as f64]
+    let count = &traffic.0[kind];
+    [count.bytes() as f64, count.frames() as f64]
 }
 
 fn number_of(kind: &str) -> usize {
@@ -83,12 +83,12 @@
         term: 2000,
         ..usual.clone()
     };
-    let mut laid = Laid::lay(&shape, folder).await?;
+    let mut run = ScaleRun::start(&shape, folder).await?;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let (began, before) = (Instant::now(), laid.each().await?);
-    let used = laid.used_by_sort()?;
+    let (began, before) = (Instant::now(), run.each().await?);
+    let used = run.used_by_sort()?;
     tokio::time::sleep(Duration::from_secs_f64(SECONDS)).await;
-    let (now, used_now) = (laid.each().await?, laid.used_by_sort()?);
+    let (now, used_now) = (run.each().await?, run.used_by_sort()?);
     let seconds = began.elapsed().as_secs_f64();
     let mut rows = Vec::new();
     for kind in ["heartbeats", "summaries", "council", "lists"] {
@@ -98,7 +98,8 @@
             let middle = |real: bool| {
                 let all = now.iter().filter(|x| (*x.0 < PLANNERS) == real);
                 let rate = |(place, t): (&usize, &Traffic)| {
-                    of(&minus(t, before.get(place)), number_of(kind))[n] / seconds
+                    of(&t.since(&before.get(place).copied().unwrap_or_default()), number_of(kind))[n]
+                        / seconds
                 };
                 let all: Vec<f64> = all.map(rate).collect();
                 if kind == "council" {
@@ -161,7 +162,7 @@
             ..Entry::default()
         });
     }
-    let listener = TcpListener::bind((registry::host_of(2).as_str(), 0)).await?;
+    let listener = TcpListener::bind((hosts::loopback_host(2).as_str(), 0)).await?;
     let at = listener.local_addr()?.to_string();
     let (_words, inbox) = mpsc::channel(1);
     tokio::task::spawn_local(registry::run(listener, lists, inbox, |_| {}));
@@ -190,7 +191,7 @@
     let told = clients.answer("tell").await?;
     let placed = told["frameworks"].as_array().and_then(|f| f.last()).and_then(|all| all["placed"].as_f64());
     let placed = placed.filter(|p| *p > 0.0).ok_or_else(|| io::Error::other("nothing was placed"))?;
-    let (all, seconds) = (minus(&counted(), Some(&before)), began.elapsed().as_secs_f64());
+    let (all, seconds) = (counted().since(&before), began.elapsed().as_secs_f64());
     let per = |n: usize| match KINDS[n] {
         "inventories" => of(&linked, n).map(|x| x / MACHINES as f64),
         "tasks" => of(&all, n).map(|x| x / placed),
--- a/cli/src/measure_scale/simulated.rs
+++ b/cli/src/measure_scale/simulated.rs
@@ -3,7 +3,7 @@
 use super::site;
 use crate::serve::Serve;
 use crate::{load, Failure};
-use basaltpitch_testbed::scale::{clients, machines, registry};
+use basaltpitch_testbed::scale::{clients, hosts, machines, registry};
 use clap::Parser;
 use serde_json::{json, Value};
 use std::io::{BufRead, Write};
@@ -117,11 +117,13 @@
         match self {
             Simulated::Machines(machines) => machines.run(),
             Simulated::Register => {
-                let words = words(|line| (line == "tell").then_some(registry::RegistryCommand::Tell));
+                let words = words(|line| (line == "tell").then_some(registry::RegistryCommand::Report));
                 local(async {
-                    let listener = tokio::net::TcpListener::bind((registry::host_of(1).as_str(), 0)).await?;
+                    let listener =
+                        tokio::net::TcpListener::bind((hosts::loopback_host(1).as_str(), 0)).await?;
                     print(json!({"register": listener.local_addr()?.to_string()}));
-                    registry::run(listener, Vec::new(), words, print).await
+                    registry::run(listener, Vec::new(), words, print).await;
+                    Ok(())
                 })
             }
             Simulated::Planners(planners) => planners.run(),
@@ -144,18 +146,18 @@
             cores: kind.number("cores").unwrap_or(1.0),
             memory: kind.number("memory").unwrap_or(1.0),
             accepts: (accepts("machines.accept_cores", 2.0), accepts("machines.accept_memory", 1.5)),
-            yes_when_running: found.all.text("machines.yes") == Some("running"),
+            accepts_when_running: found.all.text("machines.yes") == Some("running"),
             restarts_per_hour: self.restarts,
-            others: (self.others, self.runs),
+            absent_load: (self.others, self.runs),
             seed: self.seed,
         };
         let words = words(|line| {
             let (word, of) = line.split_once(' ').unwrap_or((line, ""));
             Some(match word {
-                "tell" => machines::MachinesCommand::Tell,
+                "tell" => machines::MachinesCommand::Report,
                 "vanish" => machines::MachinesCommand::Vanish(of.to_owned()),
                 "return" => machines::MachinesCommand::Return(of.to_owned()),
-                "roll" => machines::MachinesCommand::Roll(of.parse().ok()?),
+                "roll" => machines::MachinesCommand::RollingRestart(of.parse().ok()?),
                 _ => return None,
             })
         });
@@ -202,18 +204,18 @@
     fn run(self) -> Result<(), Failure> {
         let plan = clients::ClientsConfig {
             planners: self.planners,
-            conns: self.conns,
+            connections: self.conns,
             rate: self.rate,
             runs_s: self.runs,
             frameworks: site::FRAMEWORKS.iter().map(|f| f.asked).collect(),
             tenants: self.tenants,
-            one_in: site::ONE_IN,
-            many: site::MANY,
+            batch_every: site::ONE_IN,
+            batch_size: site::MANY,
             seed: self.seed,
         };
         let words = words(|line| {
             Some(match line {
-                "tell" => clients::ClientsCommand::Tell,
+                "tell" => clients::ClientsCommand::Report,
                 "begin" => clients::ClientsCommand::Begin,
                 "stop" => clients::ClientsCommand::Stop,
                 _ => return None,
--- a/cli/src/measure_scale/site.rs
+++ b/cli/src/measure_scale/site.rs
@@ -34,7 +34,15 @@
     cores: f64,
     memory: f64,
 ) -> FrameworkLoad {
-    FrameworkLoad { name, part, value, goal_us: ms.0 * 1000, limit_us: ms.1 * 1000, cores, memory }
+    FrameworkLoad {
+        name,
+        part,
+        value,
+        latency_objective_us: ms.0 * 1000,
+        limit_us: ms.1 * 1000,
+        cores,
+        memory,
+    }
 }
 
 pub const FRAMEWORKS: [Framework; 4] = [
@@ -76,7 +84,7 @@
         let quoted = |z: &&str| format!("{z:?}");
         let framework = |f: &Framework| {
             let a = &f.asked;
-            let times = (a.goal_us / 1000, a.limit_us / 1000);
+            let times = (a.latency_objective_us / 1000, a.limit_us / 1000);
             format!(
                 "\t{{name: {:?}, {}, goal: {}ms, limit: {}ms, value: {}}},\n",
                 a.name, f.settings, times.0, times.1, a.value
--- a/cli/tests/parts.rs
+++ b/cli/tests/parts.rs
@@ -4,9 +4,9 @@
 mod site;
 
 use basaltpitch_config::installation::load_texts;
-use basaltpitch_testbed::drill::context;
-use basaltpitch_testbed::machine::{self, MachineCommand, SimulatedMachine};
+use basaltpitch_testbed::machine::{self, MachineCommand, MachineSpec, SimulatedMachine};
 use basaltpitch_testbed::registry::{self, RegistryDelays};
+use basaltpitch_testbed::settings::context;
 use serde_json::Value;
 use site::{asked, seated, Process, Relays, Site, PATIENCE};
 use std::collections::{BTreeMap, BTreeSet};
@@ -58,10 +58,16 @@
                     for (kind, count, size) in [("std", STD, (16.0, 32.0)), ("large", LARGE, (256.0, 512.0))]
                     {
                         for n in 0..count {
-                            let (name, place) = (format!("{hall}-{kind}-{n}"), (hall.to_owned(), n as u32));
-                            let seed = fleet.len() as u64;
-                            let of = machine::start(world.clone(), name, place, kind.into(), size, seed);
-                            fleet.push(of.await.unwrap());
+                            let spec = MachineSpec {
+                                name: format!("{hall}-{kind}-{n}"),
+                                zone: hall.to_owned(),
+                                cell: n as u32,
+                                kind: kind.into(),
+                                size,
+                                labels: Vec::new(),
+                                seed: fleet.len() as u64,
+                            };
+                            fleet.push(machine::start(world.clone(), spec).await.unwrap());
                         }
                     }
                 }
@@ -78,7 +84,7 @@
 
     fn tell(&self, hall: &'static str, word: MachineCommand) {
         let order = move |all: &[Rc<SimulatedMachine>]| {
-            all.iter().filter(|m| m.zone == hall).for_each(|m| m.tell(word.clone()));
+            all.iter().filter(|m| m.zone == hall).for_each(|m| m.send(word.clone()));
         };
         assert!(self.orders.send(Box::new(order)).is_ok());
     }
--- /dev/null
+++ b/invariants/src/repeats.rs
@@ -0,0 +1,104 @@
+//! Invariants 1 and 2 over all launches of one request: none after the final answer, none while another is
+//! out, and no repeat that may take effect twice.
+use crate::launches::{LaunchEnd, SentLaunch};
+use crate::requests::RequestRecord;
+use crate::{Framework, InvariantChecker, RequestId};
+use basaltpitch_agent::wire::AnswerKind;
+
+/// When a planner may take a launch for ended, and how: an end that it learns of, or the launch's timeout.
+fn end_of(sent: &SentLaunch) -> (i64, LaunchEnd) {
+    let timeout = sent.at_us + sent.time_out_us;
+    let (end, how) = sent.end.unwrap_or((timeout, LaunchEnd::MayHaveRun));
+    (end.min(timeout), how)
+}
+
+impl InvariantChecker {
+    pub(crate) fn check_request(&mut self, id: &RequestId, request: &RequestRecord, sent: &[SentLaunch]) {
+        let Some(framework) = self.config.frameworks.get(&request.framework).cloned() else { return };
+        let answered = request.answers.first();
+        for (index, launch) in sent.iter().enumerate() {
+            if let Some(&(answered_at, _)) = answered {
+                self.check_after_answer(id, launch, answered_at);
+            }
+            for before in &sent[..index] {
+                self.check_pair(id, &framework, before, launch);
+            }
+        }
+        let harmless =
+            framework.repeats == "repeatable" || (framework.repeats == "keyed" && framework.group == "all");
+        let declined = answered.filter(|answer| answer.1 == AnswerKind::Declined as i32);
+        if let (Some(&(at_us, _)), false) = (declined, harmless) {
+            let doubtful = |sent: &&SentLaunch| sent.end.is_none_or(|end| end.1 == LaunchEnd::MayHaveRun);
+            if let Some(launch) = sent.iter().find(doubtful) {
+                let text = format!(
+                    "asking {}: declined, though launch {} on {} may have run",
+                    id.2, launch.number, launch.machine
+                );
+                self.report(2, at_us, &id.0, &id.1, text);
+            }
+        }
+    }
+
+    fn check_after_answer(&mut self, (planner, key, number): &RequestId, launch: &SentLaunch, at_us: i64) {
+        if !launch.late && launch.at_us > at_us + self.config.reorder_tolerance_us {
+            let text = format!(
+                "asking {number}: launch {} reached {} {} ms after the final answer",
+                launch.number,
+                launch.machine,
+                (launch.at_us - at_us) / 1000
+            );
+            self.report(1, launch.at_us, planner, key, text);
+        }
+    }
+
+    fn check_pair(
+        &mut self,
+        id: &RequestId,
+        framework: &Framework,
+        before: &SentLaunch,
+        launch: &SentLaunch,
+    ) {
+        let (end, how) = end_of(before);
+        if !launch.late && launch.at_us + self.config.reorder_tolerance_us < end {
+            let text = format!(
+                "asking {}: launch {} on {} while launch {} is out on {}",
+                id.2, launch.number, launch.machine, before.number, before.machine
+            );
+            self.report(2, launch.at_us, &id.0, &id.1, text);
+        } else if how == LaunchEnd::MayHaveRun {
+            self.check_repeat(id, framework, before, launch);
+        }
+    }
+
+    /// A further launch after one that may have run.
+    fn check_repeat(
+        &mut self,
+        (planner, key, number): &RequestId,
+        framework: &Framework,
+        before: &SentLaunch,
+        launch: &SentLaunch,
+    ) {
+        let location = |machine: &str| self.locations.get(machine).cloned().unwrap_or_default();
+        let (first, second) = (location(&before.machine), location(&launch.machine));
+        let in_group = match framework.group.as_str() {
+            "all" => true,
+            "zone" => first.zone == second.zone,
+            _ => first == second,
+        };
+        let known_until = before.at_us + framework.window_us + self.config.reorder_tolerance_us;
+        let why = match framework.repeats.as_str() {
+            "repeatable" => return,
+            "keyed" if !in_group => "outside the group that drops its repeats",
+            "keyed" if !launch.late && launch.at_us > known_until => {
+                "after the window in which repeats are known"
+            }
+            "keyed" => return,
+            _ => "though it must never run twice",
+        };
+        let text = format!(
+            "asking {number}: launch {} on {}, {why}; launch {} on {} may have run",
+            launch.number, launch.machine, before.number, before.machine
+        );
+        self.report(2, launch.at_us, planner, key, text);
+    }
+}
--- /dev/null
+++ b/invariants/src/spread.rs
@@ -0,0 +1,34 @@
+//! Invariant 5: so many of a planner's tasks of one service in one place, at most.
+use crate::launches::LaunchArrival;
+use crate::InvariantChecker;
+
+impl InvariantChecker {
+    /// Counts this planner's tasks of the service in one place, this launch included.
+    pub(crate) fn check_spread(&mut self, arrival: &LaunchArrival) {
+        let LaunchArrival { at_us, machine, planner, launch, .. } = *arrival;
+        let framework = self.config.frameworks.get(&launch.framework);
+        let Some(framework) = framework.filter(|framework| framework.spread != "none") else { return };
+        let here = self.locations.get(machine).cloned().unwrap_or_default();
+        let near = |other: &str| {
+            let there = self.locations.get(other).cloned().unwrap_or_default();
+            match framework.spread.as_str() {
+                "machine" => other == machine,
+                "cell" => there.cell == here.cell && there.zone == here.zone,
+                _ => there.zone == here.zone,
+            }
+        };
+        let others = self.launches.of_planner(planner).filter(|sent| {
+            let task = self.launches.task(planner, sent.number);
+            sent.is_active(at_us) && near(&sent.machine) && task.is_some_and(|t| t.service == launch.service)
+        });
+        let together = 1 + others.count();
+        let most = framework.max_together;
+        if together > most {
+            let text = format!(
+                "{together} tasks of service {} in one {} with {machine}; at most {most}",
+                launch.service, framework.spread
+            );
+            self.report(5, at_us, planner, &launch.key, text);
+        }
+    }
+}
--- a/planner/tests/sockets.rs
+++ b/planner/tests/sockets.rs
@@ -7,9 +7,10 @@
 use basaltpitch_config::installation::{load_texts, FlattenedValue, PlannerSlot};
 use basaltpitch_planner::service::{serve, PlannerConfig};
 use basaltpitch_planner::state::Identity;
-use basaltpitch_testbed::drill;
-use basaltpitch_testbed::machine::{self, TestbedContext};
+use basaltpitch_testbed::context::TestbedContext;
+use basaltpitch_testbed::machine::{self, MachineSpec};
 use basaltpitch_testbed::registry::{self, RegistryDelays};
+use basaltpitch_testbed::settings;
 use std::io::{self, Write};
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,12 +32,19 @@
 /// Starts two machines, a register and a planner; gives the planner's address.
 async fn start(record: Option<Box<dyn Write + Send>>) -> (String, Rc<TestbedContext>) {
     let site = load_texts(&[("site.rec", SITE)]).map_err(|e| e.1).unwrap();
-    let world = drill::context(&site, Rc::default());
+    let world = settings::context(&site, Rc::default());
     let mut fleet = Vec::new();
     for n in 0..2 {
-        let at = ("hall-a".to_owned(), 0);
-        let made = machine::start(world.clone(), format!("m{n}"), at, "std".into(), (16.0, 32.0), n).await;
-        fleet.push(made.unwrap());
+        let spec = MachineSpec {
+            name: format!("m{n}"),
+            zone: "hall-a".to_owned(),
+            cell: 0,
+            kind: "std".into(),
+            size: (16.0, 32.0),
+            labels: Vec::new(),
+            seed: n,
+        };
+        fleet.push(machine::start(world.clone(), spec).await.unwrap());
     }
     let late = RegistryDelays { notice_us: 0, silent_notice_us: 100_000, period_us: 20_000 };
     let register = registry::start(world.clone(), fleet, late).await.unwrap();
@@ -207,7 +215,7 @@
         assert_eq!(second.answer().await, a);
         let (_, tally) = world
             .checker
-            .replace(basaltpitch_invariants::InvariantChecker::new(drill::invariant_config_of(SITE)))
+            .replace(basaltpitch_invariants::InvariantChecker::new(settings::invariant_config_of(SITE)))
             .finish(0);
         assert_eq!(tally.launches, 1);
     });
--- a/testbed/src/client.rs
+++ b/testbed/src/client.rs
@@ -1,8 +1,8 @@
-//! Stand-in owners: they ask for tasks, wait as long as they said, ask again after a refusal or a loss, make
-//! sure before they ask again for what must not run twice, and turn to another planner when theirs does not
-//! answer.
+//! Simulated clients: they submit tasks, wait as long as they said, submit again after a rejection or a loss,
+//! make sure before they submit again what must not run twice, and turn to another planner when theirs does
+//! not answer.
+use crate::context::TestbedContext;
 use crate::faulty_link::{self, FaultInjection, LinkObservation};
-use crate::machine::TestbedContext;
 use basaltpitch_agent::link::{self, LinkCommand, LinkEvent};
 use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, AnswerKind, Body, LifeHow, Role, Submit};
@@ -12,339 +12,380 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// A task that an owner wants.
+/// Time after its limit until a client gives a request up, in microseconds.
+const ANSWER_GRACE_US: i64 = 2_000_000;
+/// Time between attempts to connect, and from a connection's end to the next attempt, in microseconds.
+const CONNECT_EVERY_US: i64 = 100_000;
+const RECONNECT_AFTER_US: i64 = 20_000;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// How often a client looks at what is due.
+const TICK: Duration = Duration::from_millis(10);
+
+/// A task that a client is to place.
 #[derive(Clone, Debug)]
 pub struct SubmitPlan {
+    /// What is submitted.
     pub submit: Submit,
-    /// As the day's file names it.
+    /// The tenant, as the scenario's file names it.
     pub tenant: String,
+    /// Time that an answer may take, in microseconds.
     pub limit_us: i64,
+    /// Whether the task may run twice.
     pub repeatable: bool,
-    pub tries: u32,
+    /// Requests that are submitted for it, at most.
+    pub attempts: u32,
 }
 
-/// What all owners of a day saw.
+/// What all clients of a scenario saw.
 pub struct ClientTotals {
+    /// From requests to their answers "placed", in microseconds.
     pub placed_us: Histogram<u64>,
-    pub done: u64,
+    /// Tasks that ran to their end.
+    pub completed: u64,
+    /// Tasks that were lost while they ran.
     pub lost: u64,
+    /// Requests that were given up.
     pub given_up: u64,
-    pub asked: u64,
+    /// Requests that were submitted.
+    pub submitted: u64,
+    /// Tasks that were never placed.
     pub unplaced: u64,
 }
 
 impl Default for ClientTotals {
     fn default() -> Self {
         let placed_us = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are in order");
-        ClientTotals { placed_us, done: 0, lost: 0, given_up: 0, asked: 0, unplaced: 0 }
+        ClientTotals { placed_us, completed: 0, lost: 0, given_up: 0, submitted: 0, unplaced: 0 }
     }
 }
 
-/// Where planners are reached now.
+/// Where planners are reached now, by their numbers.
 pub type PlannerAddresses = Rc<RefCell<Vec<String>>>;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     /// Waits for an answer until then.
-    Asking(i64),
-    /// Asks anew at that time.
-    Resting(i64),
+    Submitted(i64),
+    /// Submits a new request at that time.
+    Waiting(i64),
     Placed,
 }
 
-struct Work {
-    wish: SubmitPlan,
-    asked_at: i64,
-    tries: u32,
+struct Task {
+    plan: SubmitPlan,
+    submitted_at: i64,
+    attempts_left: u32,
     phase: Phase,
-    /// Was asked of this life of a planner.
-    of: Option<Incarnation>,
+    /// The incarnation of a planner that has the request.
+    planner: Option<Incarnation>,
+}
+
+/// What a client is started with.
+pub struct ClientSetup {
+    /// What all peers share.
+    pub context: Rc<TestbedContext>,
+    /// The login that it is known by.
+    pub login: String,
+    /// Where planners are reached.
+    pub addresses: PlannerAddresses,
+    /// Where it counts what it saw.
+    pub totals: Rc<RefCell<ClientTotals>>,
+    /// Its number; it turns to the planner of this number first.
+    pub number: u64,
+    /// Where its chance starts from.
+    pub seed: u64,
+    /// After this time a lost task that must not run twice is sure to have ended, in microseconds.
+    pub settle_us: i64,
 }
 
 struct SimulatedClient {
-    number: u64,
-    login: String,
-    world: Rc<TestbedContext>,
-    front: PlannerAddresses,
-    seens: Rc<RefCell<ClientTotals>>,
+    setup: ClientSetup,
     chance: StdRng,
-    settle_us: i64,
+    /// The planner that it turns to, and connections to it that failed.
     planner: usize,
-    fails: u32,
-    conn: u64,
+    failures: u32,
+    connection: u64,
     orders: Option<mpsc::Sender<LinkCommand>>,
-    life: Rc<RefCell<Option<Incarnation>>>,
-    retry_at: i64,
-    works: BTreeMap<String, Work>,
+    incarnation: Option<Incarnation>,
+    connect_at: i64,
+    tasks: BTreeMap<String, Task>,
 }
 
-/// Starts an owner, known by a login, that first turns to the planner of its number.
-pub fn start(
-    world: Rc<TestbedContext>,
-    login: &str,
-    front: PlannerAddresses,
-    seens: Rc<RefCell<ClientTotals>>,
-    number: u64,
-    seed: u64,
-    settle_us: i64,
-) -> mpsc::Sender<SubmitPlan> {
-    let (wishes, inbox) = mpsc::channel(4096);
-    let planner = number as usize % front.borrow().len();
-    let owner = SimulatedClient {
-        number,
-        login: login.to_owned(),
-        world,
-        front,
-        seens,
-        chance: StdRng::seed_from_u64(seed),
-        settle_us,
+/// Starts a client; tasks go into what it returns.
+pub fn start(setup: ClientSetup) -> mpsc::Sender<SubmitPlan> {
+    let (plans, inbox) = mpsc::channel(4096);
+    let planner = setup.number as usize % setup.addresses.borrow().len();
+    let client = SimulatedClient {
+        chance: StdRng::seed_from_u64(setup.seed),
+        setup,
         planner,
-        fails: 0,
-        conn: 0,
+        failures: 0,
+        connection: 0,
         orders: None,
-        life: Rc::new(RefCell::new(None)),
-        retry_at: 0,
-        works: BTreeMap::new(),
+        incarnation: None,
+        connect_at: 0,
+        tasks: BTreeMap::new(),
     };
-    tokio::task::spawn_local(owner.run(inbox));
-    wishes
+    tokio::task::spawn_local(client.run(inbox));
+    plans
 }
 
 impl SimulatedClient {
     async fn run(mut self, mut inbox: mpsc::Receiver<SubmitPlan>) {
-        let (news, mut heard) = mpsc::channel::<(u64, LinkEvent)>(1024);
-        let mut tick = tokio::time::interval(std::time::Duration::from_millis(10));
+        let (events, mut inbox_events) = mpsc::channel::<(u64, LinkEvent)>(1024);
+        let mut tick = tokio::time::interval(TICK);
         loop {
             tokio::select! {
-                wish = inbox.recv() => match wish {
-                    Some(wish) => self.want(wish),
+                plan = inbox.recv() => match plan {
+                    Some(plan) => self.add(plan),
                     None => return,
                 },
-                Some((conn, n)) = heard.recv() => if conn == self.conn {
-                    self.hear(n);
+                Some((connection, event)) = inbox_events.recv() => if connection == self.connection {
+                    self.link_event(event);
                 },
-                _ = tick.tick() => self.tick(&news).await,
+                _ = tick.tick() => self.tick(&events).await,
             }
         }
     }
 
     fn now(&self) -> i64 {
-        self.world.clock.now()
+        self.setup.context.clock.now()
     }
 
-    fn want(&mut self, wish: SubmitPlan) {
-        let key = wish.submit.key.clone();
-        let work = Work { tries: wish.tries, wish, asked_at: 0, phase: Phase::Resting(0), of: None };
-        self.works.insert(key.clone(), work);
-        self.ask(&key);
+    fn add(&mut self, plan: SubmitPlan) {
+        let key = plan.submit.key.clone();
+        let task = Task {
+            attempts_left: plan.attempts,
+            plan,
+            submitted_at: 0,
+            phase: Phase::Waiting(0),
+            planner: None,
+        };
+        self.tasks.insert(key.clone(), task);
+        self.submit(&key);
     }
 
-    /// Asks for a task, if a planner is there and it is time.
-    fn ask(&mut self, key: &str) {
+    /// Submits a request for a task, if a planner is there.
+    fn submit(&mut self, key: &str) {
         let now = self.now();
-        let (Some(orders), Some(life)) = (&self.orders, self.life.borrow().clone()) else { return };
-        let Some(work) = self.works.get_mut(key) else { return };
-        work.wish.submit.ask += 1;
-        work.wish.submit.time_left_us = work.wish.limit_us;
-        if let Some(feast) = &*self.world.directory.borrow() {
-            work.wish.submit.tenant = feast.called(&work.wish.tenant);
+        let (Some(orders), Some(life)) = (&self.orders, self.incarnation.clone()) else { return };
+        let Some(task) = self.tasks.get_mut(key) else { return };
+        task.plan.submit.ask += 1;
+        task.plan.submit.time_left_us = task.plan.limit_us;
+        if let Some(directory) = &*self.setup.context.directory.borrow() {
+            task.plan.submit.tenant = directory.current_name(&task.plan.tenant);
         }
-        if orders.try_send(LinkCommand::Send(Body::Submit(work.wish.submit.clone()), None)).is_ok() {
-            self.seens.borrow_mut().asked += 1;
-            (work.asked_at, work.phase, work.of) = (now, Phase::Asking(now + work.wish.limit_us), Some(life));
+        if orders.try_send(LinkCommand::Send(Body::Submit(task.plan.submit.clone()), None)).is_ok() {
+            self.setup.totals.borrow_mut().submitted += 1;
+            (task.submitted_at, task.phase, task.planner) =
+                (now, Phase::Submitted(now + task.plan.limit_us), Some(life));
         }
     }
 
-    async fn tick(&mut self, news: &mpsc::Sender<(u64, LinkEvent)>) {
+    async fn tick(&mut self, events: &mpsc::Sender<(u64, LinkEvent)>) {
         let now = self.now();
-        if self.orders.is_none() && now >= self.retry_at {
-            self.connect(news).await;
+        if self.orders.is_none() && now >= self.connect_at {
+            self.connect(events).await;
         }
-        let grace = 2_000_000;
         let mut due = Vec::new();
-        for (key, work) in &self.works {
-            match work.phase {
-                Phase::Asking(until) if now >= until + grace => due.push((key.clone(), true)),
-                Phase::Resting(until) if now >= until => due.push((key.clone(), false)),
+        for (key, task) in &self.tasks {
+            match task.phase {
+                Phase::Submitted(until) if now >= until + ANSWER_GRACE_US => due.push((key.clone(), true)),
+                Phase::Waiting(until) if now >= until => due.push((key.clone(), false)),
                 _ => {}
             }
         }
         for (key, overdue) in due {
             if overdue {
-                self.take_back(&key);
-                self.again(&key, 0);
+                self.withdraw(&key);
+                self.retry(&key, 0);
             } else {
-                self.ask(&key);
+                self.submit(&key);
             }
         }
     }
 
-    fn take_back(&mut self, key: &str) {
-        let Some(work) = self.works.get(key) else { return };
-        let body = wire::Withdraw { key: key.to_owned(), ask: work.wish.submit.ask };
-        match (&self.orders, &work.of) {
+    fn withdraw(&mut self, key: &str) {
+        let Some(task) = self.tasks.get(key) else { return };
+        let body = wire::Withdraw { key: key.to_owned(), ask: task.plan.submit.ask };
+        match (&self.orders, &task.planner) {
             (Some(orders), _) => {
                 let _ = orders.try_send(LinkCommand::Send(Body::Withdraw(body), None));
             }
             // No connection, so no answer can come.
             (None, Some(life)) => {
-                self.world.checker.borrow_mut().client_disconnected(life, key, work.wish.submit.ask)
+                self.setup.context.checker.borrow_mut().client_disconnected(life, key, task.plan.submit.ask)
             }
             (None, None) => {}
         }
-        self.seens.borrow_mut().given_up += 1;
+        self.setup.totals.borrow_mut().given_up += 1;
     }
 
-    /// The owner asks again later, after `least_us`, until its tries are used up.
-    fn again(&mut self, key: &str, least_us: i64) {
+    /// Submits a new request later, after `least_us`, until all attempts are used up.
+    fn retry(&mut self, key: &str, least_us: i64) {
         let (now, rest) = (self.now(), self.chance.random_range(300_000..900_000));
-        let Some(work) = self.works.get_mut(key) else { return };
-        work.tries = work.tries.saturating_sub(1);
-        work.phase = Phase::Resting(now + least_us.max(rest));
-        if work.tries == 0 {
-            self.works.remove(key);
-            self.seens.borrow_mut().unplaced += 1;
+        let Some(task) = self.tasks.get_mut(key) else { return };
+        task.attempts_left = task.attempts_left.saturating_sub(1);
+        task.phase = Phase::Waiting(now + least_us.max(rest));
+        if task.attempts_left == 0 {
+            self.tasks.remove(key);
+            self.setup.totals.borrow_mut().unplaced += 1;
         }
     }
 
-    async fn connect(&mut self, news: &mpsc::Sender<(u64, LinkEvent)>) {
-        let address = self.front.borrow()[self.planner].clone();
-        let clock = self.world.clock;
-        self.retry_at = self.now() + 100_000;
-        let within = std::time::Duration::from_millis(100);
-        let Ok(Ok(stream)) = tokio::time::timeout(within, TcpStream::connect(&address)).await else {
-            self.fails += 1;
-            if self.fails >= self.world.behaviour.front_tries {
-                // The front gives a planner up that does not answer.
-                (self.planner, self.fails) = ((self.planner + 1) % self.front.borrow().len(), 0);
+    async fn connect(&mut self, events: &mpsc::Sender<(u64, LinkEvent)>) {
+        let address = self.setup.addresses.borrow()[self.planner].clone();
+        let clock = self.setup.context.clock;
+        self.connect_at = self.now() + CONNECT_EVERY_US;
+        let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&address)).await else {
+            self.failures += 1;
+            if self.failures >= self.setup.context.behaviour.client_connect_attempts {
+                // A planner that does not answer is given up.
+                (self.planner, self.failures) = ((self.planner + 1) % self.setup.addresses.borrow().len(), 0);
             }
             return;
         };
-        self.fails = 0;
+        self.failures = 0;
         let _ = stream.set_nodelay(true);
-        self.conn += 1;
-        let conn = self.conn;
+        self.connection += 1;
+        let connection = self.connection;
         let (outer, inner) = tokio::io::duplex(64 * 1024);
         let (orders, inbox) = mpsc::channel(4096);
-        let world = self.world.clone();
+        let context = self.setup.context.clone();
         let show = move |hello: &wire::Hello, seen: LinkObservation| {
-            let life = (hello.name.clone(), hello.epoch);
-            let (mut checker, now) = (world.checker.borrow_mut(), world.clock.now());
+            let planner = (hello.name.clone(), hello.epoch);
+            let (mut checker, now) = (context.checker.borrow_mut(), context.clock.now());
             match seen {
-                LinkObservation::Wrote { body: Body::Submit(s) } => checker.client_sent(now, &life, s),
-                LinkObservation::Wrote { body: Body::Withdraw(w) } => {
-                    checker.client_withdrew(&life, &w.key, w.ask)
+                LinkObservation::Sent { body: Body::Submit(submit) } => {
+                    checker.client_sent(now, &planner, submit)
+                }
+                LinkObservation::Sent { body: Body::Withdraw(withdraw) } => {
+                    checker.client_withdrew(&planner, &withdraw.key, withdraw.ask)
                 }
-                LinkObservation::Read { body, .. } => checker.client_received(now, &life, body),
+                LinkObservation::SocketRead { body, .. } => checker.client_received(now, &planner, body),
                 _ => {}
             }
         };
         tokio::task::spawn_local(faulty_link::carry(
             stream,
             inner,
-            conn,
+            connection,
             Rc::new(FaultInjection::default()),
             clock,
             show,
         ));
         let me = PeerIdentity {
             role: Role::Owner,
-            name: format!("owner-{}", self.number),
+            name: format!("owner-{}", self.setup.number),
             epoch: 1,
-            link: conn,
-            login: self.login.clone(),
+            link: connection,
+            login: self.setup.login.clone(),
         };
-        let to = news.clone();
-        tokio::task::spawn_local(link::run(outer, link::LinkContext::new(me, clock), inbox, to, move |n| {
-            (conn, n)
-        }));
+        let to = events.clone();
+        tokio::task::spawn_local(link::run(
+            outer,
+            link::LinkContext::new(me, clock),
+            inbox,
+            to,
+            move |event| (connection, event),
+        ));
         self.orders = Some(orders);
     }
 
-    fn hear(&mut self, news: LinkEvent) {
-        match news {
-            LinkEvent::Session(SessionEvent::Up(party)) => self.meet((party.name, party.epoch)),
-            LinkEvent::Session(SessionEvent::Frame(Body::Answer(a))) => self.answered(a),
-            LinkEvent::Session(SessionEvent::Frame(Body::Life(l))) => self.life(l),
+    fn link_event(&mut self, event: LinkEvent) {
+        match event {
+            LinkEvent::Session(SessionEvent::Up(party)) => self.planner_connected((party.name, party.epoch)),
+            LinkEvent::Session(SessionEvent::Frame(Body::Answer(answer))) => self.answered(answer),
+            LinkEvent::Session(SessionEvent::Frame(Body::Life(life))) => self.lifecycle(life),
             LinkEvent::Ended { .. } => {
-                (self.orders, self.retry_at) = (None, self.now() + 20_000);
-                *self.life.borrow_mut() = None;
+                (self.orders, self.connect_at) = (None, self.now() + RECONNECT_AFTER_US);
+                self.incarnation = None;
             }
             LinkEvent::Session(_) => {}
         }
     }
 
-    /// A planner answers. What was asked of the same life of it is asked for again under the same number;
-    /// what was asked of another may run, and is asked anew once that is sure.
-    fn meet(&mut self, life: Incarnation) {
-        *self.life.borrow_mut() = Some(life.clone());
+    /// A planner is there. What the same incarnation of it has is submitted again under the same number; what
+    /// another had may run, and gets a new request once that is sure.
+    fn planner_connected(&mut self, life: Incarnation) {
+        self.incarnation = Some(life.clone());
         let now = self.now();
-        let keys: Vec<String> = self.works.keys().cloned().collect();
+        let keys: Vec<String> = self.tasks.keys().cloned().collect();
         for key in keys {
-            let work = self.works.get_mut(&key).expect("just listed");
-            let same = work.of.as_ref() == Some(&life);
-            match work.phase {
-                Phase::Asking(until) if same && until > now => {
-                    work.wish.submit.time_left_us = until - now;
+            let task = self.tasks.get_mut(&key).expect("just listed");
+            let same = task.planner.as_ref() == Some(&life);
+            match task.phase {
+                Phase::Submitted(until) if same && until > now => {
+                    task.plan.submit.time_left_us = until - now;
                     if let Some(orders) = &self.orders {
                         let _ =
-                            orders.try_send(LinkCommand::Send(Body::Submit(work.wish.submit.clone()), None));
+                            orders.try_send(LinkCommand::Send(Body::Submit(task.plan.submit.clone()), None));
                     }
                 }
-                Phase::Asking(_) if !same => {
-                    if let Some(of) = &work.of {
-                        self.world.checker.borrow_mut().client_disconnected(of, &key, work.wish.submit.ask);
+                Phase::Submitted(_) if !same => {
+                    if let Some(of) = &task.planner {
+                        self.setup.context.checker.borrow_mut().client_disconnected(
+                            of,
+                            &key,
+                            task.plan.submit.ask,
+                        );
                     }
-                    let wait = if work.wish.repeatable { 0 } else { self.settle_us };
-                    self.again(&key, wait);
+                    let wait = if task.plan.repeatable { 0 } else { self.setup.settle_us };
+                    self.retry(&key, wait);
                 }
                 Phase::Placed if !same => {
-                    // It runs on without its owner, as far as this owner can know.
-                    self.works.remove(&key);
-                    self.seens.borrow_mut().done += 1;
+                    // It runs on without its client, as far as this client can know.
+                    self.tasks.remove(&key);
+                    self.setup.totals.borrow_mut().completed += 1;
                 }
-                Phase::Resting(until) if until <= now => self.ask(&key),
+                Phase::Waiting(until) if until <= now => self.submit(&key),
                 _ => {}
             }
         }
     }
 
-    fn answered(&mut self, a: wire::Answer) {
+    fn answered(&mut self, answer: wire::Answer) {
         let now = self.now();
-        let Some(work) = self.works.get_mut(&a.key).filter(|w| w.wish.submit.ask == a.ask) else { return };
-        if !matches!(work.phase, Phase::Asking(_)) {
+        let Some(task) = self.tasks.get_mut(&answer.key).filter(|task| task.plan.submit.ask == answer.ask)
+        else {
+            return;
+        };
+        if !matches!(task.phase, Phase::Submitted(_)) {
             return;
         }
-        if let Some(feast) = &*self.world.directory.borrow() {
-            feast.judge(work.asked_at, &self.login, &a);
+        if let Some(directory) = &*self.setup.context.directory.borrow() {
+            directory.check_answer(task.submitted_at, &self.setup.login, &answer);
         }
-        match AnswerKind::try_from(a.kind) {
+        match AnswerKind::try_from(answer.kind) {
             Ok(AnswerKind::Placed) => {
-                work.phase = Phase::Placed;
-                let took = (now - work.asked_at).max(1) as u64;
-                self.seens.borrow_mut().placed_us.saturating_record(took);
+                task.phase = Phase::Placed;
+                let took = (now - task.submitted_at).max(1) as u64;
+                self.setup.totals.borrow_mut().placed_us.saturating_record(took);
             }
-            Ok(AnswerKind::Declined) => self.again(&a.key, a.retry_after_us),
-            _ => self.again(&a.key, self.settle_us),
+            Ok(AnswerKind::Declined) => self.retry(&answer.key, answer.retry_after_us),
+            _ => self.retry(&answer.key, self.setup.settle_us),
         }
     }
 
-    fn life(&mut self, l: wire::Life) {
-        let Some(work) = self.works.get(&l.key).filter(|w| w.wish.submit.ask == l.ask) else { return };
-        let repeatable = work.wish.repeatable;
-        match LifeHow::try_from(l.how) {
+    fn lifecycle(&mut self, life: wire::Life) {
+        let Some(task) = self.tasks.get(&life.key).filter(|task| task.plan.submit.ask == life.ask) else {
+            return;
+        };
+        let repeatable = task.plan.repeatable;
+        match LifeHow::try_from(life.how) {
             Ok(LifeHow::LifeEnded | LifeHow::LifeStopped) => {
-                self.works.remove(&l.key);
-                self.seens.borrow_mut().done += 1;
+                self.tasks.remove(&life.key);
+                self.setup.totals.borrow_mut().completed += 1;
             }
             Ok(LifeHow::LifeLost) => {
-                self.seens.borrow_mut().lost += 1;
-                self.again(&l.key, if repeatable { 0 } else { self.settle_us });
+                self.setup.totals.borrow_mut().lost += 1;
+                self.retry(&life.key, if repeatable { 0 } else { self.setup.settle_us });
             }
-            _ => self.again(&l.key, 0),
+            _ => self.retry(&life.key, 0),
         }
     }
 }
--- a/testbed/src/directory_scenario.rs
+++ b/testbed/src/directory_scenario.rs
@@ -1,8 +1,8 @@
-//! The directory's part of a day: stand-in servers with tenants in them, what goes wrong there, and whether
-//! answers told the truth about it: no owner who was a member all along is turned away, and what rests on old
-//! knowledge says so.
+//! The directory's part of a fault scenario: simulated servers with tenants in them, what goes wrong there,
+//! and whether answers told the truth about it: no client who was a member all along is rejected, and what
+//! rests on stale knowledge says so.
 use crate::ldap_server::{self, ldap_entry, DirectoryFault, LdapEntry, LdapServer};
-use crate::machine::TestbedContext;
+use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::Answer;
 use basaltpitch_config::ResolvedValue;
 use std::cell::{Cell, RefCell};
@@ -15,9 +15,9 @@
 /// The login of one who becomes a member while the directory is away.
 pub const NEWCOMER: &str = "newcomer";
 /// Time from when the directory answers again until every planner must have heard all of it.
-const RECOVERS: i64 = 2_500_000;
+const RECOVERY_US: i64 = 2_500_000;
 /// Time that an asking may take to a planner.
-const TRAVELS: i64 = 500_000;
+const TRAVEL_US: i64 = 500_000;
 
 struct Tenant {
     id: String,
@@ -29,32 +29,40 @@
 
 /// The directory of a day, as everybody there knows it.
 pub struct DirectoryScenario {
+    /// The directory's servers.
     pub servers: Vec<Rc<LdapServer>>,
     tenants: RefCell<Vec<Tenant>>,
     people: RefCell<Vec<String>>,
     changes: Cell<u32>,
     /// What owners call a tenant now, where that is not its name in the day's file.
-    called: RefCell<HashMap<String, String>>,
+    current_names: RefCell<HashMap<String, String>>,
     fresh_us: i64,
     every_us: i64,
     /// Since when no server answers; 0: they do. Until when states may be either.
-    away_since: Cell<i64>,
-    unsure_until: Cell<i64>,
-    pub stale: Cell<u64>,
-    pub newcomers: Cell<u64>,
+    unavailable_since: Cell<i64>,
+    uncertain_until: Cell<i64>,
+    /// Answers that rested on stale knowledge.
+    pub stale_answers: Cell<u64>,
+    /// Answers to the newcomer that were not "not allowed".
+    pub newcomer_answers: Cell<u64>,
     /// Somebody joined while the directory was away, for longer than what is known stays fresh.
     joined: Cell<bool>,
-    faults: RefCell<Vec<String>>,
+    errors: RefCell<Vec<String>>,
 }
 
 impl DirectoryScenario {
+    /// Starts the servers of a scenario; none where it has no directory.
+    ///
+    /// # Errors
+    ///
+    /// Where no port can be bound.
     pub async fn start(
         day: &ResolvedValue,
-        owners: u64,
+        clients: u64,
         now: i64,
     ) -> io::Result<Option<Rc<DirectoryScenario>>> {
         let Some(d) = day.get("directory") else { return Ok(None) };
-        let people: Vec<String> = (0..owners).map(|n| format!("owner-{n}")).collect();
+        let people: Vec<String> = (0..clients).map(|n| format!("owner-{n}")).collect();
         let tenant = |(n, t): (usize, &ResolvedValue)| Tenant {
             id: format!("{:032x}", n + 1),
             name: t.text("name").unwrap_or("").to_owned(),
@@ -67,23 +75,23 @@
         for _ in 0..d.number("servers").unwrap_or(1.0) as usize {
             servers.push(ldap_server::start("feast").await?);
         }
-        let feast = Rc::new(DirectoryScenario {
+        let scenario = Rc::new(DirectoryScenario {
             servers,
             tenants: RefCell::new(tenants),
             people: RefCell::new(people),
             changes: Cell::new(0),
-            called: RefCell::default(),
+            current_names: RefCell::default(),
             fresh_us: d.duration_us("fresh").unwrap_or(0),
             every_us: d.duration_us("every").unwrap_or(0),
-            away_since: Cell::new(0),
-            unsure_until: Cell::new(now + RECOVERS),
-            stale: Cell::new(0),
-            newcomers: Cell::new(0),
+            unavailable_since: Cell::new(0),
+            uncertain_until: Cell::new(now + RECOVERY_US),
+            stale_answers: Cell::new(0),
+            newcomer_answers: Cell::new(0),
             joined: Cell::new(false),
-            faults: RefCell::default(),
+            errors: RefCell::default(),
         });
-        feast.lay(0);
-        Ok(Some(feast))
+        scenario.publish(0);
+        Ok(Some(scenario))
     }
 
     /// A file of settings for planners, with the secret beside it.
@@ -143,7 +151,7 @@
     }
 
     /// Lays what is there into all servers but the last `lagging`.
-    fn lay(&self, lagging: usize) {
+    fn publish(&self, lagging: usize) {
         let all = self.entries();
         let most = self.servers.len().saturating_sub(lagging);
         self.servers[..most].iter().for_each(|s| s.entries.borrow_mut().clone_from(&all));
@@ -155,23 +163,23 @@
     }
 
     /// What owners call a tenant of the day's file now.
-    pub fn called(&self, name: &str) -> String {
-        self.called.borrow().get(name).cloned().unwrap_or_else(|| name.to_owned())
+    pub fn current_name(&self, name: &str) -> String {
+        self.current_names.borrow().get(name).cloned().unwrap_or_else(|| name.to_owned())
     }
 
-    fn troubled(&self, trouble: DirectoryFault) {
-        self.servers.iter().for_each(|s| s.fault.set(trouble));
+    fn set_fault(&self, fault: DirectoryFault) {
+        self.servers.iter().for_each(|s| s.fault.set(fault));
     }
 
     /// Plays a trouble of the directory's.
-    pub async fn play(&self, what: &str, lasts: Duration, world: &TestbedContext) {
-        let now = || world.clock.now();
+    pub async fn play(&self, what: &str, lasts: Duration, clock: Clock) {
+        let now = || clock.now();
         match what {
             "directory_away" => {
-                self.away_since.set(now());
-                self.troubled(DirectoryFault::Refuses);
+                self.unavailable_since.set(now());
+                self.set_fault(DirectoryFault::Refuses);
                 tokio::time::sleep(lasts / 2).await;
-                self.troubled(DirectoryFault::Stalls);
+                self.set_fault(DirectoryFault::Stalls);
                 // Someone joins all tenants while nobody can hear of it.
                 self.people.borrow_mut().push(NEWCOMER.into());
                 self.change(|tenants, n| {
@@ -180,19 +188,19 @@
                         t.changed = n;
                     }
                 });
-                self.lay(0);
+                self.publish(0);
                 tokio::time::sleep(lasts / 2).await;
-                self.troubled(DirectoryFault::None);
-                self.unsure_until.set(now() + RECOVERS);
-                self.away_since.set(0);
-                self.joined.set(lasts.as_micros() as i64 > self.fresh_us + self.every_us + TRAVELS);
+                self.set_fault(DirectoryFault::None);
+                self.uncertain_until.set(now() + RECOVERY_US);
+                self.unavailable_since.set(0);
+                self.joined.set(lasts.as_micros() as i64 > self.fresh_us + self.every_us + TRAVEL_US);
             }
             "directory_rename" => {
                 // The first is renamed and another takes its name, without members: owners say its id from
                 // now on. The second is renamed, and owners go on with its old name.
                 self.change(|tenants, n| {
                     let old = tenants[0].name.clone();
-                    self.called.borrow_mut().insert(old.clone(), tenants[0].id.clone());
+                    self.current_names.borrow_mut().insert(old.clone(), tenants[0].id.clone());
                     for t in tenants.iter_mut().take(2) {
                         t.name = format!("{} hall", t.name);
                         t.changed = n;
@@ -200,26 +208,26 @@
                     let (id, members) = (format!("{:032x}", 0x1000), Vec::new());
                     tenants.push(Tenant { id, name: old, share: 0.0, changed: n, members });
                 });
-                self.lay(0);
+                self.publish(0);
             }
             "directory_lags" => {
                 // The first server is away, and the last has not heard of a change.
-                self.unsure_until.set(i64::MAX);
+                self.uncertain_until.set(i64::MAX);
                 self.change(|tenants, n| tenants.iter_mut().for_each(|t| t.changed = n));
-                self.lay(1);
+                self.publish(1);
                 tokio::time::sleep(Duration::from_micros(self.every_us as u64 * 2)).await;
                 self.servers[0].fault.set(DirectoryFault::Refuses);
                 tokio::time::sleep(lasts).await;
                 self.servers[0].fault.set(DirectoryFault::None);
-                self.lay(0);
-                self.unsure_until.set(now() + RECOVERS);
+                self.publish(0);
+                self.uncertain_until.set(now() + RECOVERY_US);
             }
             "directory_lacks" => {
                 let few: Vec<LdapEntry> =
                     self.entries().into_iter().filter(|e| e.0.starts_with("uid=")).collect();
                 self.servers.iter().for_each(|s| s.entries.borrow_mut().clone_from(&few));
                 tokio::time::sleep(lasts).await;
-                self.lay(0);
+                self.publish(0);
             }
             _ => {}
         }
@@ -227,39 +235,39 @@
 
     /// All that was wrong.
     pub fn finish(&self) -> Vec<String> {
-        let mut faults = self.faults.take();
-        if self.joined.get() && self.newcomers.get() == 0 {
-            faults.push("nobody who joined while the directory was away was let in later".into());
+        let mut errors = self.errors.take();
+        if self.joined.get() && self.newcomer_answers.get() == 0 {
+            errors.push("nobody who joined while the directory was away was let in later".into());
         }
-        if self.joined.get() && self.stale.get() == 0 {
-            faults.push("the directory was away, and no answer said so".into());
+        if self.joined.get() && self.stale_answers.get() == 0 {
+            errors.push("the directory was away, and no answer said so".into());
         }
-        faults
+        errors
     }
 
     /// Judges an answer to one who asked at a time.
-    pub fn judge(&self, asked_at: i64, login: &str, a: &Answer) {
-        self.stale.set(self.stale.get() + u64::from(a.stale_us != 0));
+    pub fn check_answer(&self, submitted_at: i64, login: &str, answer: &Answer) {
+        self.stale_answers.set(self.stale_answers.get() + u64::from(answer.stale_us != 0));
         if login == NEWCOMER {
-            self.newcomers.set(self.newcomers.get() + u64::from(!a.not_allowed));
+            self.newcomer_answers.set(self.newcomer_answers.get() + u64::from(!answer.not_allowed));
             return;
         }
-        let mut faults = self.faults.borrow_mut();
-        let mut fault = |what: String| {
-            if faults.len() < 20 {
-                faults.push(format!("{} asking {} of {login}: {what}", a.key, a.ask));
+        let mut errors = self.errors.borrow_mut();
+        let mut error = |what: String| {
+            if errors.len() < 20 {
+                errors.push(format!("{} asking {} of {login}: {what}", answer.key, answer.ask));
             }
         };
-        if a.not_allowed {
-            fault(format!("turned away ({}), a member all along", a.reason));
+        if answer.not_allowed {
+            error(format!("turned away ({}), a member all along", answer.reason));
         }
-        let away = self.away_since.get();
-        let surely_stale = away > 0 && asked_at > away + self.fresh_us + self.every_us + TRAVELS;
-        if surely_stale && a.stale_us == 0 {
-            fault("rests on old knowledge and does not say so".into());
+        let away = self.unavailable_since.get();
+        let surely_stale = away > 0 && submitted_at > away + self.fresh_us + self.every_us + TRAVEL_US;
+        if surely_stale && answer.stale_us == 0 {
+            error("rests on old knowledge and does not say so".into());
         }
-        if away == 0 && asked_at > self.unsure_until.get() && a.stale_us != 0 {
-            fault(format!("says that it rests on knowledge of {} us ago, and all is heard", a.stale_us));
+        if away == 0 && submitted_at > self.uncertain_until.get() && answer.stale_us != 0 {
+            error(format!("says that it rests on knowledge of {} us ago, and all is heard", answer.stale_us));
         }
     }
 }
--- a/testbed/src/faulty_link.rs
+++ b/testbed/src/faulty_link.rs
@@ -1,164 +1,239 @@
-//! A rough link: it carries bytes between a socket and a stand-in's conversation, and spoils them on command.
-//! What comes and goes is shown to the checker frame by frame, twice each way: while bytes are held back, a
-//! frame is on the socket at one time and with the stand-in at another.
+//! A faulty link: it carries bytes between a socket and a simulated peer's conversation, and holds back, cuts
+//! or loses them on command. What comes and goes is shown to the checker frame by frame, twice each way: while
+//! bytes are held back, a frame is on the socket at one time and with the peer at another.
 use basaltpitch_agent::frame_decoder::FrameDecoder;
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{Body, Hello, Role};
 use std::cell::Cell;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::net::TcpStream;
 
-/// What is wrong with the links of one stand-in. Times are the clock's, in microseconds; 0: nothing.
+/// Faults may change at any time: a look every few milliseconds is often enough, and a rarer one while
+/// nothing is wrong.
+const CHECK_EVERY: Duration = Duration::from_millis(5);
+const IDLE_CHECK_EVERY: Duration = Duration::from_millis(50);
+/// What is read so soon after a time without reads, in microseconds, may have been sent long before.
+const LATE_US: i64 = 500_000;
+/// Bytes of one read.
+const READ_SIZE: usize = 32 * 1024;
+
+/// What is wrong with the links of one simulated peer. Times are the clock's, in microseconds; 0: nothing.
 #[derive(Debug, Default)]
 pub struct FaultInjection {
     /// Until then bytes of both directions are held back; then they come all at once.
-    pub held_until: Cell<i64>,
-    /// Only links to planners whose name has this number are held, where it is set.
-    pub held_for: Cell<u64>,
-    pub no_beats_until: Cell<i64>,
+    pub hold_until_us: Cell<i64>,
+    /// Only links to planners in this set are held, where it is not empty; see [`planner_bit`].
+    pub hold_planners: Cell<u64>,
+    /// Until then no heartbeats are written.
+    pub no_heartbeats_until_us: Cell<i64>,
     /// Until then nothing is read from the socket.
-    pub deaf_until: Cell<i64>,
+    pub no_reads_until_us: Cell<i64>,
     /// Connections numbered up to this one neither read nor write any more, and stay open.
-    pub dead_up_to: Cell<u64>,
+    pub dead_connections: Cell<u64>,
     /// So many frames more are written; the next is cut in the middle, and the connection with it.
-    pub cut_after: Cell<Option<u32>>,
+    pub cut_after_frames: Cell<Option<u32>>,
     /// A count that ends all connections when it goes up.
-    pub ends: Cell<u64>,
+    resets: Cell<u64>,
+}
+
+impl FaultInjection {
+    /// Ends all connections.
+    pub fn reset(&self) {
+        self.resets.set(self.resets.get() + 1);
+    }
 }
 
 /// Something seen on a link.
 pub enum LinkObservation<'a> {
-    /// Read from the socket: the peer has sent it. `late`: nothing had been read there for a while.
-    Read {
+    /// Read from the socket: the planner or client at the far end has sent it.
+    SocketRead {
+        /// The frame.
         body: &'a Body,
+        /// Nothing had been read there for a while.
         late: bool,
     },
-    /// Handed to the stand-in, which knows of it from now on.
-    Heard {
+    /// Handed to the simulated peer, which knows of it from now on.
+    Received {
+        /// The frame.
         body: &'a Body,
     },
-    /// The stand-in has said it.
-    Wrote {
+    /// The simulated peer has sent it.
+    Sent {
+        /// The frame.
         body: &'a Body,
     },
-    /// Written to the socket: the peer can know of it from now on.
-    Sent {
+    /// Written to the socket: the far end can know of it from now on.
+    SocketWritten {
+        /// The frame.
         body: &'a Body,
     },
-    Gone,
+    /// The connection has ended.
+    Closed,
 }
 
-/// A number for a planner's name as a bit of a set.
-pub fn bit_of(name: &str) -> u64 {
+/// A planner as a bit of a set, by the number in its name.
+pub fn planner_bit(name: &str) -> u64 {
     let number: String = name.chars().filter(char::is_ascii_digit).collect();
     1 << (number.parse::<u64>().unwrap_or(0) % 64)
 }
 
-/// Carries bytes until either end is gone. `show` is called with the peer's hello, once it is known.
+/// Carries bytes until either end is gone. `connection` is its number among those of the peer. `show` is
+/// called with the hello of the far end, once it is known.
 pub async fn carry(
     mut socket: TcpStream,
     mut inner: DuplexStream,
-    conn: u64,
-    knobs: Rc<FaultInjection>,
+    connection: u64,
+    faults: Rc<FaultInjection>,
     clock: Clock,
     show: impl Fn(&Hello, LinkObservation),
 ) {
-    let (mut reads, mut writes) = (FrameDecoder::default(), FrameDecoder::default());
-    let (mut to_inner, mut to_socket): (Vec<u8>, Vec<u8>) = (Vec::new(), Vec::new());
-    let (mut from_socket, mut from_inner) = (vec![0; 32 * 1024], vec![0; 32 * 1024]);
-    // The whole frames among those bytes.
-    let (mut unheard, mut unsent): (Vec<Body>, Vec<Body>) = (Vec::new(), Vec::new());
-    let mut peer: Option<Hello> = None;
-    let mut deaf_before = 0;
-    let ends = knobs.ends.get();
-    'on: loop {
-        let now = clock.now();
-        if knobs.ends.get() != ends {
+    let resets = faults.resets.get();
+    let mut link = Link {
+        connection,
+        faults,
+        clock,
+        show,
+        hello: None,
+        incoming: Direction::default(),
+        outgoing: Direction::default(),
+        no_reads_at: 0,
+    };
+    let (mut from_socket, mut from_inner) = (vec![0; READ_SIZE], vec![0; READ_SIZE]);
+    while link.faults.resets.get() == resets {
+        let state = link.state();
+        if !state.held && link.flush(&mut socket, &mut inner).await.is_err() {
             break;
         }
-        let dead = conn <= knobs.dead_up_to.get();
-        let whom = peer.as_ref().filter(|p| p.role == Role::Planner as i32).map_or(0, |p| bit_of(&p.name));
-        let concerned = knobs.held_for.get() == 0 || knobs.held_for.get() & whom != 0;
-        let held = dead || (now < knobs.held_until.get() && concerned);
-        let deaf = now < knobs.deaf_until.get();
-        if deaf {
-            deaf_before = now;
-        }
-        if !held {
-            if !to_inner.is_empty() && inner.write_all(&std::mem::take(&mut to_inner)).await.is_err() {
-                break;
-            }
-            unheard
-                .drain(..)
-                .zip(peer.iter().cycle())
-                .for_each(|(b, p)| show(p, LinkObservation::Heard { body: &b }));
-            if !to_socket.is_empty() && socket.write_all(&std::mem::take(&mut to_socket)).await.is_err() {
-                break;
-            }
-            unsent
-                .drain(..)
-                .zip(peer.iter().cycle())
-                .for_each(|(b, p)| show(p, LinkObservation::Sent { body: &b }));
-        }
-        // FaultInjection are turned at any time: a look every few milliseconds is often enough.
-        let look = tokio::time::sleep(std::time::Duration::from_millis(5));
-        let (mut reader, mut writer) = socket.split();
+        let changed_soon = tokio::time::sleep(CHECK_EVERY);
         tokio::select! {
-            got = reader.read(&mut from_socket), if !deaf => {
-                let Ok(n) = got else { break };
-                if n == 0 {
-                    break;
-                }
-                reads.push_bytes(&from_socket[..n]);
-                to_inner.extend_from_slice(&from_socket[..n]);
-                while let Some((_, body)) = reads.next_frame() {
-                    if let Some(Body::Hello(hello)) = &body {
-                        peer = Some(hello.clone());
-                    }
-                    if let (Some(peer), Some(body)) = (&peer, &body) {
-                        let late = deaf_before > 0 && clock.now() < deaf_before + 500_000;
-                        show(peer, LinkObservation::Read { body, late });
-                    }
-                    unheard.extend(body);
-                }
-            }
+            got = socket.read(&mut from_socket), if !state.no_reads => match got {
+                Ok(count @ 1..) => link.read_socket(&from_socket[..count]),
+                _ => break,
+            },
             got = inner.read(&mut from_inner) => {
-                let Ok(n) = got else { break };
-                if n == 0 {
+                let Ok(count @ 1..) = got else { break };
+                if let Some(cut) = link.read_inner(&from_inner[..count], &state) {
+                    let _ = socket.write_all(&cut).await;
                     break;
                 }
-                writes.push_bytes(&from_inner[..n]);
-                while let Some((bytes, body)) = writes.next_frame() {
-                    if matches!(body, Some(Body::Heartbeat(_))) && now < knobs.no_beats_until.get() {
-                        continue;
-                    }
-                    if let Some(left) = knobs.cut_after.get() {
-                        knobs.cut_after.set(left.checked_sub(1));
-                        if left == 0 {
-                            let _ = writer.write_all(&bytes[..bytes.len() / 2]).await;
-                            break 'on;
-                        }
-                    }
-                    to_socket.extend_from_slice(&bytes);
-                    if let (Some(peer), Some(body), false) = (&peer, &body, dead) {
-                        show(peer, LinkObservation::Wrote { body });
-                        unsent.push(body.clone());
-                    }
-                }
             }
-            () = look, if held || deaf || dead => {}
-            () = tokio::time::sleep(std::time::Duration::from_millis(50)) => {}
+            () = changed_soon, if state.held || state.no_reads => {}
+            () = tokio::time::sleep(IDLE_CHECK_EVERY) => {}
         }
     }
-    if let Some(peer) = &peer {
-        show(peer, LinkObservation::Gone);
+    link.close(&mut inner).await;
+}
+
+/// What is on its way in one direction.
+#[derive(Default)]
+struct Direction {
+    decoder: FrameDecoder,
+    bytes: Vec<u8>,
+    /// The whole frames among those bytes.
+    frames: Vec<Body>,
+}
+
+/// What is wrong with a link now.
+struct LinkState {
+    now: i64,
+    /// It neither reads nor writes any more.
+    dead: bool,
+    held: bool,
+    no_reads: bool,
+}
+
+struct Link<S> {
+    connection: u64,
+    faults: Rc<FaultInjection>,
+    clock: Clock,
+    show: S,
+    hello: Option<Hello>,
+    incoming: Direction,
+    outgoing: Direction,
+    /// When nothing was read last, though it might have been; 0: never.
+    no_reads_at: i64,
+}
+
+impl<S: Fn(&Hello, LinkObservation)> Link<S> {
+    fn state(&mut self) -> LinkState {
+        let (now, faults) = (self.clock.now(), &self.faults);
+        let dead = self.connection <= faults.dead_connections.get();
+        let planner = self.hello.as_ref().filter(|hello| hello.role == Role::Planner as i32);
+        let bit = planner.map_or(0, |hello| planner_bit(&hello.name));
+        let concerned = faults.hold_planners.get() == 0 || faults.hold_planners.get() & bit != 0;
+        let held = dead || (now < faults.hold_until_us.get() && concerned);
+        let no_reads = now < faults.no_reads_until_us.get();
+        if no_reads {
+            self.no_reads_at = now;
+        }
+        LinkState { now, dead, held, no_reads }
+    }
+
+    /// Hands over what is on its way.
+    async fn flush(&mut self, socket: &mut TcpStream, inner: &mut DuplexStream) -> std::io::Result<()> {
+        if !self.incoming.bytes.is_empty() {
+            inner.write_all(&std::mem::take(&mut self.incoming.bytes)).await?;
+        }
+        let received = std::mem::take(&mut self.incoming.frames);
+        received.iter().for_each(|body| self.show(LinkObservation::Received { body }));
+        if !self.outgoing.bytes.is_empty() {
+            socket.write_all(&std::mem::take(&mut self.outgoing.bytes)).await?;
+        }
+        let written = std::mem::take(&mut self.outgoing.frames);
+        written.iter().for_each(|body| self.show(LinkObservation::SocketWritten { body }));
+        Ok(())
+    }
+
+    fn show(&self, observation: LinkObservation) {
+        if let Some(hello) = &self.hello {
+            (self.show)(hello, observation);
+        }
+    }
+
+    fn read_socket(&mut self, bytes: &[u8]) {
+        self.incoming.decoder.push_bytes(bytes);
+        self.incoming.bytes.extend_from_slice(bytes);
+        while let Some((_, body)) = self.incoming.decoder.next_frame() {
+            let Some(body) = body else { continue };
+            if let Body::Hello(hello) = &body {
+                self.hello = Some(hello.clone());
+            }
+            let late = self.no_reads_at > 0 && self.clock.now() < self.no_reads_at + LATE_US;
+            self.show(LinkObservation::SocketRead { body: &body, late });
+            self.incoming.frames.push(body);
+        }
     }
-    // What was read before the end still comes in, however late: the receiver must cope with it.
-    if inner.write_all(&to_inner).await.is_ok() {
-        unheard
-            .iter()
-            .zip(peer.iter().cycle())
-            .for_each(|(body, p)| show(p, LinkObservation::Heard { body }));
+
+    /// Takes in what the simulated peer sends. Where the link is cut, the bytes that still get through.
+    fn read_inner(&mut self, bytes: &[u8], state: &LinkState) -> Option<Vec<u8>> {
+        self.outgoing.decoder.push_bytes(bytes);
+        while let Some((bytes, body)) = self.outgoing.decoder.next_frame() {
+            let heartbeat = matches!(body, Some(Body::Heartbeat(_)));
+            if heartbeat && state.now < self.faults.no_heartbeats_until_us.get() {
+                continue;
+            }
+            if let Some(left) = self.faults.cut_after_frames.get() {
+                self.faults.cut_after_frames.set(left.checked_sub(1));
+                if left == 0 {
+                    return Some(bytes[..bytes.len() / 2].to_vec());
+                }
+            }
+            self.outgoing.bytes.extend_from_slice(&bytes);
+            if let (true, Some(body), false) = (self.hello.is_some(), body, state.dead) {
+                self.show(LinkObservation::Sent { body: &body });
+                self.outgoing.frames.push(body);
+            }
+        }
+        None
+    }
+
+    /// What was read before the end still comes in, however late: the receiver must cope with it.
+    async fn close(&mut self, inner: &mut DuplexStream) {
+        self.show(LinkObservation::Closed);
+        if inner.write_all(&self.incoming.bytes).await.is_ok() {
+            self.incoming.frames.iter().for_each(|body| self.show(LinkObservation::Received { body }));
+        }
     }
 }
--- a/testbed/src/ldap_server.rs
+++ b/testbed/src/ldap_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in LDAP directory on loopback, with faults on command. It serves what is laid into it: in pages,
+//! A simulated LDAP server on loopback, with faults on command. It serves the entries that it is given: in pages,
 //! and by content synchronisation; in the clear, over TLS, or after StartTLS.
 use bytes::BytesMut;
 use futures_util::{SinkExt, StreamExt};
@@ -21,9 +21,10 @@
 /// An entry: its distinguished name, and attributes with their values.
 pub type LdapEntry = (String, Vec<(String, Vec<Vec<u8>>)>);
 
-/// What is wrong with the directory.
+/// What is wrong with a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DirectoryFault {
+    /// Nothing.
     #[default]
     None,
     /// Connections are closed as soon as they are made.
@@ -44,12 +45,18 @@
     ForgetsCookies,
 }
 
+/// A simulated LDAP server.
 #[derive(Default)]
 pub struct LdapServer {
+    /// Where it listens.
     pub address: String,
+    /// What it serves.
     pub entries: RefCell<Vec<LdapEntry>>,
+    /// What is wrong with it.
     pub fault: Cell<DirectoryFault>,
+    /// What a bind needs.
     pub password: RefCell<String>,
+    /// Searches so far.
     pub searches: Cell<u32>,
     /// Entries that were sent with attributes beyond their id and stamp.
     pub sent: Cell<u32>,
@@ -62,17 +69,29 @@
 /// How connections are protected.
 #[derive(Clone, Default)]
 pub enum TransportSecurity {
+    /// Not at all.
     #[default]
     Clear,
+    /// By TLS from the beginning.
     Tls(TlsAcceptor),
+    /// By TLS after StartTLS, without which nothing is answered.
     StartTls(TlsAcceptor),
 }
 
-/// Starts a directory on a loopback port of its own.
+/// Starts a server on a loopback port of its own.
+///
+/// # Errors
+///
+/// Where no port can be bound.
 pub async fn start(password: &str) -> std::io::Result<Rc<LdapServer>> {
     start_with_security(password, TransportSecurity::Clear).await
 }
 
+/// The same, with protected connections.
+///
+/// # Errors
+///
+/// Where no port can be bound.
 pub async fn start_with_security(
     password: &str,
     shield: TransportSecurity,
@@ -81,25 +100,25 @@
     let address = listener.local_addr()?.to_string();
     let me =
         Rc::new(LdapServer { address, password: RefCell::new(password.to_owned()), ..LdapServer::default() });
-    let there = me.clone();
+    let server = me.clone();
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
-            if there.fault.get() == DirectoryFault::Refuses {
+            if server.fault.get() == DirectoryFault::Refuses {
                 continue;
             }
-            let (there, shield) = (there.clone(), shield.clone());
+            let (server, shield) = (server.clone(), shield.clone());
             tokio::task::spawn_local(async move {
                 match &shield {
                     TransportSecurity::Tls(tls) => {
                         if let Ok(stream) = tls.accept(stream).await {
-                            serve(there, Box::new(stream), None).await;
+                            serve(server, Box::new(stream), None).await;
                         }
                     }
                     TransportSecurity::StartTls(tls) => {
-                        serve(there, Box::new(stream), Some(tls.clone())).await
+                        serve(server, Box::new(stream), Some(tls.clone())).await
                     }
-                    TransportSecurity::Clear => serve(there, Box::new(stream), None).await,
+                    TransportSecurity::Clear => serve(server, Box::new(stream), None).await,
                 }
             });
         }
@@ -136,15 +155,15 @@
 }
 
 /// A search's message number, and where its answers go.
-struct Answers<'a> {
+struct SearchReply<'a> {
     me: &'a LdapServer,
     wire: &'a mut Wire,
     msgid: i32,
     attributes: Vec<String>,
 }
 
-impl Answers<'_> {
-    async fn say(&mut self, op: LdapOp, ctrl: Vec<LdapControl>) -> Option<()> {
+impl SearchReply<'_> {
+    async fn send(&mut self, op: LdapOp, ctrl: Vec<LdapControl>) -> Option<()> {
         let msg = LdapMsg { msgid: self.msgid, op, ctrl };
         if matches!(msg.op, LdapOp::BindResponse(_) | LdapOp::ExtendedResponse(_)) {
             return self.wire.send(msg).await.ok();
@@ -161,17 +180,17 @@
     }
 
     async fn done(&mut self, code: LdapResultCode, ctrl: Vec<LdapControl>) -> Option<()> {
-        self.say(LdapOp::SearchResultDone(result(code)), ctrl).await
+        self.send(LdapOp::SearchResultDone(result(code)), ctrl).await
     }
 
     async fn entry(&mut self, (dn, attributes): LdapEntry, ctrl: Vec<LdapControl>) -> Option<()> {
-        let asked =
+        let requested =
             |a: &str| self.attributes.is_empty() || self.attributes.iter().any(|x| x.eq_ignore_ascii_case(a));
-        let attributes = attributes.into_iter().filter(|a| asked(&a.0));
+        let attributes = attributes.into_iter().filter(|a| requested(&a.0));
         let attributes: Vec<_> =
             attributes.map(|(atype, vals)| LdapPartialAttribute { atype, vals }).collect();
         self.me.sent.set(self.me.sent.get() + u32::from(self.attributes.len() > 2));
-        self.say(LdapOp::SearchResultEntry(LdapSearchResultEntry { dn, attributes }), ctrl).await
+        self.send(LdapOp::SearchResultEntry(LdapSearchResultEntry { dn, attributes }), ctrl).await
     }
 
     /// What changed since a cookie, or everything.
@@ -195,7 +214,7 @@
             refresh_deletes: !names_present,
             syncuuids,
         };
-        self.say(LdapOp::IntermediateResponse(set), Vec::new()).await?;
+        self.send(LdapOp::IntermediateResponse(set), Vec::new()).await?;
         for (n, entry) in found.iter().filter(|e| !old.contains(e)).enumerate() {
             if matches!(self.me.fault.get(), DirectoryFault::CutsAfter(most) if n >= most) {
                 return None;
@@ -219,10 +238,10 @@
             DirectoryFault::Slow(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
             _ => {}
         }
-        let there = me.entries.borrow().clone();
+        let entries = me.entries.borrow().clone();
         let (filter, base) = (&search.filter, &search.base);
         let of_base = search.scope == LdapSearchScope::Base;
-        let found: Vec<LdapEntry> = there
+        let found: Vec<LdapEntry> = entries
             .into_iter()
             .filter(|e| matches(filter, e) && if of_base { e.0 == *base } else { e.0.ends_with(base) })
             .collect();
@@ -257,8 +276,8 @@
 async fn serve(me: Rc<LdapServer>, stream: Box<dyn Stream>, mut starttls: Option<TlsAcceptor>) {
     let mut wire: Wire = Framed::new(stream, LdapCodec::default());
     while let Some(Ok(LdapMsg { msgid, op, ctrl })) = wire.next().await {
-        let mut answers = Answers { me: &me, wire: &mut wire, msgid, attributes: Vec::new() };
-        let said = match op {
+        let mut reply = SearchReply { me: &me, wire: &mut wire, msgid, attributes: Vec::new() };
+        let sent = match op {
             LdapOp::BindRequest(bind) => {
                 let right = matches!(bind.cred, LdapBindCred::Simple(p) if p == *me.password.borrow());
                 let code = match (right, &starttls) {
@@ -267,12 +286,12 @@
                     (false, None) => LdapResultCode::InvalidCredentials,
                 };
                 let response = LdapBindResponse { res: result(code), saslcreds: None };
-                answers.say(LdapOp::BindResponse(response), Vec::new()).await
+                reply.send(LdapOp::BindResponse(response), Vec::new()).await
             }
             LdapOp::ExtendedRequest(_) if starttls.is_some() => {
                 let res = result(LdapResultCode::Success);
                 let response = LdapExtendedResponse { res, name: None, value: None };
-                if answers.say(LdapOp::ExtendedResponse(response), Vec::new()).await.is_none() {
+                if reply.send(LdapOp::ExtendedResponse(response), Vec::new()).await.is_none() {
                     return;
                 }
                 let Some(tls) = starttls.take() else { return };
@@ -281,13 +300,13 @@
                 Some(())
             }
             LdapOp::SearchRequest(search) => {
-                answers.attributes.clone_from(&search.attrs);
-                answers.search(search, ctrl).await
+                reply.attributes.clone_from(&search.attrs);
+                reply.search(search, ctrl).await
             }
             LdapOp::UnbindRequest => None,
             _ => Some(()),
         };
-        if said.is_none() {
+        if sent.is_none() {
             return;
         }
     }
--- /dev/null
+++ b/testbed/src/machine/connections.rs
@@ -0,0 +1,168 @@
+//! A machine's connections, and the frames on them.
+use super::{MachineEvent, MachineState};
+use crate::attempt_frames::{from_wire, inventory, reply, to_wire, AttemptKey};
+use crate::faulty_link::{self, LinkObservation};
+use basaltpitch_agent::attempt_table::{AttemptId, AttemptReply, AttemptState};
+use basaltpitch_agent::link::{self, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
+use basaltpitch_agent::wire::{self, Body, EndedHow, Hello, Role};
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+
+/// A connection's number among those of all machines, for the checker.
+fn checker_number(machine: &str, connection: u64) -> u64 {
+    let name = machine.bytes().fold(7u64, |n, byte| n.wrapping_mul(31).wrapping_add(u64::from(byte)));
+    name.wrapping_shl(20) ^ connection
+}
+
+impl MachineState {
+    pub(super) fn accept(&mut self, stream: TcpStream, events: mpsc::Sender<MachineEvent>) {
+        let _ = stream.set_nodelay(true);
+        let number = self.shared.connections.get() + 1;
+        self.shared.connections.set(number);
+        let (outer, inner) = tokio::io::duplex(64 * 1024);
+        let (orders, inbox) = mpsc::channel(4096);
+        self.connections.insert(number, (orders, None));
+        let (context, name, clock) = (self.context.clone(), self.shared.name.clone(), self.context.clock);
+        let known_as = checker_number(&name, number);
+        let show = move |hello: &Hello, seen: LinkObservation| {
+            let planner = (hello.name.clone(), hello.epoch);
+            let (mut checker, now) = (context.checker.borrow_mut(), context.clock.now());
+            match seen {
+                LinkObservation::SocketRead { body, late } => {
+                    checker.machine_socket_read(now, &name, known_as, &planner, body, late);
+                }
+                LinkObservation::Received { body } => checker.machine_received(now, &name, &planner, body),
+                LinkObservation::Sent { body } => checker.machine_sent(now, &name, &planner, body),
+                LinkObservation::SocketWritten { body } => {
+                    checker.machine_frame_delivered(now, &name, &planner, body);
+                }
+                LinkObservation::Closed => checker.machine_disconnected(now, known_as),
+            }
+        };
+        let faults = self.shared.faults.clone();
+        tokio::task::spawn_local(faulty_link::carry(stream, inner, number, faults, clock, show));
+        let identity = PeerIdentity {
+            role: Role::Machine,
+            name: self.shared.name.clone(),
+            epoch: self.shared.started_us.get() as u64,
+            link: number,
+            login: String::new(),
+        };
+        let event = move |event| MachineEvent::Connection(number, event);
+        tokio::task::spawn_local(link::run(
+            outer,
+            link::LinkContext::new(identity, clock),
+            inbox,
+            events,
+            event,
+        ));
+    }
+
+    pub(super) fn connection_event(&mut self, number: u64, event: LinkEvent) {
+        match event {
+            LinkEvent::Session(SessionEvent::Up(party))
+                if party.role == Role::Planner && self.connections.contains_key(&number) =>
+            {
+                self.planner_connected(number, party);
+            }
+            LinkEvent::Session(SessionEvent::Frame(body)) => {
+                let party = self.connections.get(&number).and_then(|connection| connection.1.clone());
+                let current =
+                    |party: &PeerIdentity| self.attempts.is_current(&party.name, party.epoch, party.link);
+                if let Some(party) = party.filter(current) {
+                    self.frame(party.name, body);
+                }
+            }
+            LinkEvent::Ended { .. } => {
+                if let Some((_, Some(party))) = self.connections.remove(&number) {
+                    if self.links.get(&party.name).is_some_and(|link| link.0 == number) {
+                        self.links.remove(&party.name);
+                    }
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn planner_connected(&mut self, number: u64, party: PeerIdentity) {
+        if !self.attempts.admit_link(&party.name, party.epoch, party.link) {
+            return self.close(number, "an older life or link of this planner");
+        }
+        // A connection of before a restart is gone from here, though its events still come.
+        let Some((orders, peer)) = self.connections.get_mut(&number) else { return };
+        *peer = Some(party.clone());
+        let orders = orders.clone();
+        if let Some((old, _)) = self.links.insert(party.name.clone(), (number, orders)) {
+            self.close(old, "a newer link came");
+        }
+        let attempts = &self.attempts;
+        self.offers.retain(|attempt| attempts.state(&attempt.0, attempt.1).is_some());
+        let (endings, held) = self.attempts.inventory(&party.name);
+        for (id, ending) in endings {
+            self.reply(&(party.name.clone(), id), ending);
+        }
+        self.send_frame(&party.name, inventory(held, self.shared.draining.get()));
+    }
+
+    fn close(&self, number: u64, why: &str) {
+        if let Some((orders, _)) = self.connections.get(&number) {
+            let _ = orders.try_send(LinkCommand::Close(why.to_owned()));
+        }
+    }
+
+    pub(super) fn send_frame(&self, planner: &str, body: Body) {
+        if let Some((_, orders)) = self.links.get(planner) {
+            let _ = orders.try_send(LinkCommand::Send(body, None));
+        }
+    }
+
+    fn frame(&mut self, planner: String, body: Body) {
+        match body {
+            Body::Launch(launch) => self.offered(planner, launch),
+            Body::Cancel(cancel) => self.cancel(planner, from_wire(cancel.id)),
+            Body::Stop(stop) => {
+                let attempt = (planner, from_wire(stop.id));
+                match self.attempts.state(&attempt.0, attempt.1) {
+                    Some(AttemptState::Accepted | AttemptState::Running) => {
+                        self.end_task(&attempt, EndedHow::EndedStopped);
+                    }
+                    _ => self.cancel(attempt.0, attempt.1),
+                }
+            }
+            Body::Noted(noted) => self.attempts.acknowledge(&planner, from_wire(noted.id)),
+            Body::Probe(probe) => {
+                let report = self.report();
+                let probed = wire::Probed { number: probe.number, why: 0, report };
+                self.send_frame(&planner, Body::Probed(probed));
+            }
+            _ => {}
+        }
+    }
+
+    fn cancel(&mut self, planner: String, id: AttemptId) {
+        let attempt = (planner, id);
+        let key = self.task_key(&attempt);
+        let say = self.attempts.cancel(&attempt.0, id);
+        self.offers.retain(|waiting| *waiting != attempt);
+        self.reply_for(&attempt, key, say);
+    }
+
+    pub(super) fn reply(&self, attempt: &AttemptKey, say: AttemptReply) {
+        self.reply_for(attempt, self.task_key(attempt), say);
+    }
+
+    /// A reply about a task with this key, whether or not the attempt is still known.
+    pub(super) fn reply_for(&self, attempt: &AttemptKey, key: String, say: AttemptReply) {
+        if let Some(body) = reply(attempt.1, key, say, self.report()) {
+            self.send_frame(&attempt.0, body);
+        }
+    }
+
+    pub(super) fn refuse(&mut self, attempt: &AttemptKey, why: u32) {
+        let key = self.task_key(attempt);
+        self.attempts.forget(&attempt.0, attempt.1);
+        let refused = wire::Refused { id: to_wire(attempt.1), key, why, report: self.report() };
+        self.send_frame(&attempt.0, Body::Refused(refused));
+    }
+}
--- /dev/null
+++ b/testbed/src/process_harness/faults.rs
@@ -0,0 +1,308 @@
+//! Faults of processes, and of the links between planners and voters.
+use super::{HarnessProcess, HeldSlot, ProcessHarness};
+use crate::fault_scenario::{drawn, PlannerControl, ScheduledFault};
+use crate::relay::RelayControl;
+use rand::rngs::StdRng;
+use rand::seq::SliceRandom;
+use rustix::process::Signal;
+use std::future::Future;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Names of leases, as voters print them.
+const ROLLING_RESTART_LEASE: &str = "roll";
+const FAILOVER_LEASE: &str = "halls";
+
+/// Which directions of links to voters are cut, and to how many of the voters.
+#[derive(Clone, Copy)]
+struct VoterCut {
+    to_voters: bool,
+    from_voters: bool,
+    voters: usize,
+}
+
+fn duration_of(fault: &ScheduledFault) -> Duration {
+    Duration::from_micros(fault.duration_us as u64)
+}
+
+impl ProcessHarness {
+    /// A slot's holder is affected by a fault; its time without a planner begins.
+    fn slot_affected(&self, number: usize, fault: &str) {
+        let now = self.context.clock.now();
+        self.slots[number].affected.borrow_mut().get_or_insert_with(|| (now, fault.to_owned()));
+    }
+
+    /// A fault of this holder is over. Where it still has the slot two lease durations later, it never lost it.
+    async fn healed(&self, planner: usize, (number, epoch): HeldSlot) {
+        sleep(Duration::from_micros(2 * self.lease_duration_us as u64)).await;
+        let slot = &self.slots[number];
+        if slot.holder.get() == Some(planner) && slot.epoch.get() == epoch {
+            slot.affected.take();
+        }
+    }
+
+    /// The processes that a fault affects, with the slots that they have: a coordinator, or the holders of a
+    /// drawn part of the slots, one at least.
+    async fn affected(&self, fault: &ScheduledFault, chance: &mut StdRng) -> Vec<(usize, Option<HeldSlot>)> {
+        let processes = if fault.kind.starts_with("conductor") {
+            self.coordinator(ROLLING_RESTART_LEASE).await.into_iter().collect()
+        } else if fault.kind.starts_with("halls") {
+            self.coordinator(FAILOVER_LEASE).await.into_iter().collect()
+        } else {
+            let slots = drawn((0..self.slots.len()).collect(), fault.part, chance);
+            slots.into_iter().filter_map(|number| self.slots[number].holder.get()).collect::<Vec<usize>>()
+        };
+        // One that another fault has just ended has nothing to lose.
+        let running = |planner: &usize| self.planners[*planner].pid.get().is_some();
+        let with_slot = |planner: usize| (planner, self.planners[planner].slot.get());
+        let affected: Vec<_> = processes.into_iter().filter(running).map(with_slot).collect();
+        for (number, _) in affected.iter().filter_map(|process| process.1) {
+            self.slot_affected(number, &fault.kind);
+        }
+        affected
+    }
+
+    /// Operators start a rolling restart of a zone, so many machines at once.
+    async fn rolling_restart(&self, fault: &ScheduledFault) {
+        let zone = fault.zone.clone().unwrap_or_else(|| self.zones[0].clone());
+        let at_once = fault.size as usize;
+        let now = self.context.clock.now();
+        self.context.checker.borrow_mut().rolling_restart_started(now, at_once, &zone);
+        let at_once = at_once.to_string();
+        let options =
+            ["--zone", &zone, "--at-once", &at_once, "--empty-within", "4", "--restart-within", "6"];
+        if self.command("roll", &options).await.is_none() {
+            self.error(format!("the roll of {zone} was not taken"));
+        }
+    }
+
+    /// Processes die, or are told to stop, and come back as spares.
+    async fn end_holders(&self, fault: &ScheduledFault, chance: &mut StdRng, signal: Signal) {
+        let ended = self.affected(fault, chance).await;
+        for &(planner, _) in &ended {
+            self.signal(&self.planners[planner], signal);
+        }
+        for &(planner, _) in &ended {
+            self.end(&self.planners[planner], signal).await;
+        }
+        sleep(duration_of(fault)).await;
+        ended.iter().for_each(|&(planner, _)| self.restart(&self.planners[planner], Some(planner)));
+    }
+
+    /// Processes are stopped, and resumed.
+    async fn stop_holders(&self, fault: &ScheduledFault, chance: &mut StdRng) {
+        let stopped = self.affected(fault, chance).await;
+        for &(planner, slot) in &stopped {
+            if let Some((number, epoch)) = slot {
+                let now = self.context.clock.now();
+                self.context.checker.borrow_mut().planner_stopped(now, &format!("planner-{number}"), epoch);
+            }
+            self.signal(&self.planners[planner], Signal::STOP);
+        }
+        sleep(duration_of(fault)).await;
+        stopped.iter().for_each(|process| self.signal(&self.planners[process.0], Signal::CONT));
+        sleep(Duration::from_micros(self.lease_duration_us as u64)).await;
+        for (planner, slot) in stopped {
+            let Some((number, epoch)) = slot else { continue };
+            self.context.checker.borrow_mut().planner_resumed(&format!("planner-{number}"), epoch);
+            self.healed(planner, (number, epoch)).await;
+        }
+    }
+
+    /// Links to the voters are cut.
+    async fn cut_from_voters(&self, fault: &ScheduledFault, chance: &mut StdRng, cut: VoterCut) {
+        let affected = self.affected(fault, chance).await;
+        for &(planner, _) in &affected {
+            for relay in self.planners[planner].relays.iter().take(cut.voters) {
+                relay.cut_forward.set(cut.to_voters);
+                relay.cut_backward.set(cut.from_voters);
+            }
+        }
+        sleep(duration_of(fault)).await;
+        for &(planner, _) in &affected {
+            for relay in &self.planners[planner].relays {
+                relay.cut_forward.set(false);
+                relay.cut_backward.set(false);
+            }
+        }
+        for (planner, slot) in affected {
+            if let Some(slot) = slot {
+                self.healed(planner, slot).await;
+            }
+        }
+    }
+
+    /// Cuts the links between planners as slots are isolated now: nobody else receives from those that are,
+    /// and they receive from nobody, or do. Voters and machines are reached by all.
+    pub(super) fn cut_between_planners(&self) {
+        let isolated = self.isolated.borrow();
+        for process in &self.planners {
+            let mut cut = process.own_relay.cut_by_peer.borrow_mut();
+            cut.clear();
+            let (Some((isolated, receive)), Some((slot, _))) = (&*isolated, process.slot.get()) else {
+                continue;
+            };
+            let apart = |other: &usize| isolated.contains(other) != isolated.contains(&slot);
+            for other in (0..self.slots.len()).filter(apart) {
+                // Who dials is isolated, or who is dialled: what those send is cut, and what they receive
+                // unless they do.
+                let cuts = if isolated.contains(&other) { (true, !receive) } else { (!receive, true) };
+                cut.insert(format!("planner-{other}"), cuts);
+            }
+        }
+    }
+
+    /// A drawn part of the slots is cut off from the other planners for a while.
+    async fn isolate(&self, fault: &ScheduledFault, chance: &mut StdRng, receive: bool) {
+        let slots = drawn((0..self.slots.len()).collect::<Vec<usize>>(), fault.part, chance);
+        *self.isolated.borrow_mut() = Some((slots.into_iter().collect(), receive));
+        self.cut_between_planners();
+        sleep(duration_of(fault)).await;
+        *self.isolated.borrow_mut() = None;
+        self.cut_between_planners();
+    }
+
+    /// A part of all processes dies at once, voters among them, and is back after the fault's time.
+    async fn kill_many(&self, fault: &ScheduledFault, chance: &mut StdRng) {
+        let planners = self.planners.iter().enumerate().map(|(number, process)| (process, Some(number)));
+        let all = planners.chain(self.voters.iter().map(|voter| (voter, None))).collect();
+        let killed: Vec<_> = drawn(all, fault.part, chance);
+        for (process, _) in &killed {
+            if let Some((number, _)) = process.slot.get() {
+                self.slot_affected(number, &fault.kind);
+            }
+            self.signal(process, Signal::KILL);
+        }
+        for (process, _) in &killed {
+            self.end(process, Signal::KILL).await;
+        }
+        sleep(duration_of(fault)).await;
+        killed.into_iter().for_each(|(process, planner)| self.restart(process, planner));
+    }
+
+    /// So many voters die at once and start again, `lost` of them without what they kept.
+    async fn kill_voters(&self, fault: &ScheduledFault, chance: &mut StdRng, (count, lost): (usize, usize)) {
+        let mut killed: Vec<&HarnessProcess> = self.voters.iter().collect();
+        killed.shuffle(chance);
+        killed.truncate(count);
+        for voter in &killed {
+            self.end(voter, Signal::KILL).await;
+        }
+        for folder in killed.iter().take(lost).filter_map(|voter| voter.state.as_ref()) {
+            let _ = std::fs::remove_dir_all(folder);
+        }
+        sleep(duration_of(fault)).await;
+        killed.into_iter().for_each(|voter| self.restart(voter, None));
+    }
+
+    fn voter_relays(&self) -> impl Iterator<Item = &Rc<RelayControl>> {
+        self.processes().flat_map(|process| &process.relays)
+    }
+
+    async fn play_process_fault(&self, fault: &ScheduledFault, chance: &mut StdRng) -> bool {
+        match fault.kind.as_str() {
+            "holder_kill" | "conductor_kill" | "halls_kill" => {
+                self.end_holders(fault, chance, Signal::KILL).await;
+            }
+            "holder_leaves" => self.end_holders(fault, chance, Signal::TERM).await,
+            "holder_stop" | "conductor_stop" | "halls_stop" => self.stop_holders(fault, chance).await,
+            "roll" => self.rolling_restart(fault).await,
+            "many_killed" => self.kill_many(fault, chance).await,
+            "voter_kill" => self.kill_voters(fault, chance, (1, 0)).await,
+            "voter_lost" => self.kill_voters(fault, chance, (1, 1)).await,
+            "two_voters" => self.kill_voters(fault, chance, (2, 1)).await,
+            _ => return false,
+        }
+        true
+    }
+
+    async fn play_link_fault(&self, fault: &ScheduledFault, chance: &mut StdRng) -> bool {
+        let all = self.voters.len();
+        let cut = |to_voters, from_voters, voters| VoterCut { to_voters, from_voters, voters };
+        match fault.kind.as_str() {
+            "holder_cut" => self.cut_from_voters(fault, chance, cut(true, true, all)).await,
+            "holder_mute" => self.cut_from_voters(fault, chance, cut(true, false, all)).await,
+            "holder_deaf" => self.cut_from_voters(fault, chance, cut(false, true, all)).await,
+            "holder_alone" => self.cut_from_voters(fault, chance, cut(true, true, all - 1)).await,
+            "votes_late" => {
+                self.voter_relays().for_each(|relay| relay.delay.set(Duration::from_secs_f64(fault.size)));
+                sleep(duration_of(fault)).await;
+                self.voter_relays().for_each(|relay| relay.delay.set(Duration::ZERO));
+            }
+            "planners_apart" => self.isolate(fault, chance, false).await,
+            "planners_mute" => self.isolate(fault, chance, true).await,
+            "planners_late" => {
+                let delay =
+                    |delay| self.planners.iter().for_each(|process| process.own_relay.delay.set(delay));
+                delay(Duration::from_secs_f64(fault.size));
+                sleep(duration_of(fault)).await;
+                delay(Duration::ZERO);
+            }
+            "votes_reset" => {
+                self.voter_relays().for_each(|relay| relay.resets.set(relay.resets.get() + 1));
+            }
+            _ => return false,
+        }
+        true
+    }
+}
+
+impl PlannerControl for ProcessHarness {
+    fn count(&self) -> usize {
+        self.slots.len()
+    }
+
+    fn zone(&self, planner: usize) -> String {
+        let process = self.slots[planner].holder.get().unwrap_or(planner);
+        self.zones[(process + self.voters.len()) % self.zones.len()].clone()
+    }
+
+    fn declare_failed<'a>(&'a self, zone: &'a str) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
+        Box::pin(async move {
+            let addresses = self.addresses.borrow().clone();
+            for address in addresses {
+                let args = ["planner", "--planner", &address];
+                let answer = self.run(args.into_iter()).await.unwrap_or_default();
+                if answer["others"]["halls"]["halls"][zone]["state"] != "lost" {
+                    return false;
+                }
+            }
+            true
+        })
+    }
+
+    fn report_error(&self, what: String) {
+        self.error(what);
+    }
+
+    fn kill(&self, planner: usize) -> Pin<Box<dyn Future<Output = ()> + '_>> {
+        Box::pin(async move {
+            if let Some(process) = self.slots[planner].holder.get() {
+                self.slot_affected(planner, "planner_kill");
+                self.end(&self.planners[process], Signal::KILL).await;
+                self.killed.borrow_mut().insert(planner, process);
+            }
+        })
+    }
+
+    fn start(&self, planner: usize) -> Pin<Box<dyn Future<Output = ()> + '_>> {
+        Box::pin(async move {
+            let killed = self.killed.borrow_mut().remove(&planner);
+            if let Some(process) = killed {
+                self.restart(&self.planners[process], Some(process));
+            }
+        })
+    }
+
+    fn play<'a>(
+        &'a self,
+        fault: &'a ScheduledFault,
+        chance: &'a mut StdRng,
+    ) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
+        Box::pin(async move {
+            self.play_process_fault(fault, chance).await || self.play_link_fault(fault, chance).await
+        })
+    }
+}
--- /dev/null
+++ b/testbed/src/process_harness/setup.rs
@@ -0,0 +1,190 @@
+//! Lays out voters and planners, with their files, relays and command lines.
+use super::{HarnessProcess, ProcessHarness, SlotState};
+use crate::client::PlannerAddresses;
+use crate::context::TestbedContext;
+use crate::drill_config::DrillConfig;
+use crate::relay::{self, RelayControl};
+use basaltpitch_config::ResolvedValue;
+use std::cell::RefCell;
+use std::io;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+
+/// Lease duration where the scenario does not say, in microseconds.
+const LEASE_DURATION_US: i64 = 1_000_000;
+
+/// What a harness is started with.
+pub struct HarnessSetup {
+    /// How the drill is run.
+    pub config: Rc<DrillConfig>,
+    /// What all peers share.
+    pub context: Rc<TestbedContext>,
+    /// Where planners are reached, by slot; kept up to date.
+    pub addresses: PlannerAddresses,
+    /// Where the registry listens.
+    pub registry: String,
+    /// Where files and voters' records go.
+    pub folder: PathBuf,
+}
+
+/// Loopback addresses of this process's own for voters and planners, each another: a port that was free a
+/// moment ago on the usual one may go to another process before its user has it.
+///
+/// # Errors
+///
+/// Where a port cannot be bound.
+pub fn free_addresses(count: usize) -> io::Result<Vec<String>> {
+    let id = std::process::id();
+    let host = format!("127.{}.{}.{}", 64 + id / 65_536 % 32, id / 256 % 256, id % 254 + 1);
+    let bound = |_| std::net::TcpListener::bind((host.as_str(), 0));
+    let all: Vec<std::net::TcpListener> = (0..count).map(bound).collect::<io::Result<_>>()?;
+    all.iter().map(|listener| Ok(listener.local_addr()?.to_string())).collect()
+}
+
+/// Writes an installation's file with these addresses of the voters.
+fn voters_file(
+    folder: &Path,
+    name: &str,
+    seats: &ResolvedValue,
+    addresses: &[String],
+) -> io::Result<PathBuf> {
+    let time = |field: &str| seats.duration_us(field).unwrap_or(LEASE_DURATION_US);
+    let voter = |(n, address): (usize, &String)| format!("{{name: \"voter-{n}\", address: {address:?}}}");
+    let voters: Vec<String> = addresses.iter().enumerate().map(voter).collect();
+    let (term, drift, voters) = (time("term"), time("drift"), voters.join(", "));
+    let parts =
+        seats.number("copies").map_or(String::new(), |copies| format!("parts: {{copies: {copies}}}\n"));
+    let text = format!("council: {{term: {term}us, drift: {drift}us, voters: [{voters}]}}\n{parts}");
+    let file = folder.join(format!("{name}.rec"));
+    std::fs::write(&file, text)?;
+    Ok(file)
+}
+
+/// What the processes are laid out by.
+struct Layout<'a> {
+    setup: &'a HarnessSetup,
+    seats: &'a ResolvedValue,
+    files: Vec<String>,
+    zones: Vec<String>,
+    /// Where voters listen.
+    voters: Vec<String>,
+    /// Where planners listen, spares included.
+    planners: Vec<String>,
+}
+
+impl Layout<'_> {
+    /// The `n`th process: voters first.
+    async fn process(&self, n: usize) -> io::Result<HarnessProcess> {
+        let voters = self.voters.len();
+        let name = if n < voters { format!("voter-{n}") } else { format!("process-{}", n - voters) };
+        let (mut relays, mut through) = (Vec::new(), Vec::new());
+        for (voter, address) in self.voters.iter().enumerate() {
+            let control = Rc::new(RelayControl::default());
+            let itself = n == voter;
+            through.push(match itself {
+                true => address.clone(),
+                false => relay::start(address.clone(), control.clone()).await?,
+            });
+            relays.push(control);
+        }
+        let file = voters_file(&self.setup.folder, &name, self.seats, &through)?.display().to_string();
+        let own_relay = Rc::new(RelayControl::default());
+        let mut state = None;
+        let mut args = if n < voters {
+            let folder = self.setup.folder.join(&name);
+            let args = self.voter_args(&file, &name, &folder);
+            state = Some(folder);
+            args
+        } else {
+            self.planner_args(n, &file, &name, &own_relay).await?
+        };
+        args.extend(["-o", "json"].map(str::to_owned));
+        Ok(HarnessProcess { name, args, relays, own_relay, state, ..HarnessProcess::default() })
+    }
+
+    fn voter_args(&self, file: &str, name: &str, folder: &Path) -> Vec<String> {
+        let mut args = vec!["voter".to_owned()];
+        args.extend(self.files.clone());
+        args.extend([file, "--name", name, "--state", &folder.display().to_string()].map(str::to_owned));
+        args
+    }
+
+    async fn planner_args(
+        &self,
+        n: usize,
+        file: &str,
+        name: &str,
+        own_relay: &Rc<RelayControl>,
+    ) -> io::Result<Vec<String>> {
+        let mut args = vec!["serve".to_owned()];
+        args.extend(self.files.clone());
+        let zone = &self.zones[n % self.zones.len()];
+        let registry = &self.setup.registry;
+        args.extend([file, "--seat", "any", "--zone", zone, "--register", registry].map(str::to_owned));
+        let listen = &self.planners[n - self.voters.len()];
+        let advertised = relay::start(listen.clone(), own_relay.clone()).await?;
+        args.extend(["--listen", listen, "--advertise", &advertised].map(str::to_owned));
+        if let Some(folder) = &self.setup.config.record {
+            args.extend(["--record".to_owned(), folder.join(name).display().to_string()]);
+        }
+        Ok(args)
+    }
+}
+
+impl ProcessHarness {
+    /// Lays out the voters and planners of a scenario; nothing is started yet.
+    ///
+    /// # Errors
+    ///
+    /// Where the scenario has no slots, the installation has voters of its own, or a port or file cannot be
+    /// had.
+    pub async fn new(setup: HarnessSetup, day: &ResolvedValue) -> io::Result<Rc<ProcessHarness>> {
+        let seats = day.get("seats").ok_or_else(|| io::Error::other("the day has no seats"))?;
+        let installation = &setup.config.installation;
+        if installation.all.get("council").is_some() {
+            let why =
+                "found a council beside day.seats; expected one of them: the drill starts voters itself";
+            return Err(io::Error::other(why));
+        }
+        let number = |field: &str| seats.number(field).unwrap_or(1.0) as usize;
+        let (slots, voters) = (setup.addresses.borrow().len(), number("voters"));
+        let all = voters + slots + number("spares");
+        // Asked for in one go: a second time could bring a voter's port once more, and whoever came later ended.
+        let mut voter_addresses = free_addresses(all)?;
+        let planner_addresses = voter_addresses.split_off(voters);
+        let layout = Layout {
+            setup: &setup,
+            seats,
+            files: setup.config.files.iter().map(|file| file.display().to_string()).collect(),
+            zones: installation.names("zones"),
+            voters: voter_addresses,
+            planners: planner_addresses,
+        };
+        let mut processes = Vec::new();
+        for n in 0..all {
+            processes.push(layout.process(n).await?);
+        }
+        let operators = voters_file(&setup.folder, "operators", seats, &layout.voters)?;
+        let Layout { mut files, zones, .. } = layout;
+        files.push(operators.display().to_string());
+        let planners = processes.split_off(voters);
+        let lease_duration_us = seats.duration_us("term").unwrap_or(LEASE_DURATION_US);
+        let HarnessSetup { config, context, addresses, .. } = setup;
+        Ok(Rc::new_cyclic(|me| ProcessHarness {
+            me: me.clone(),
+            config,
+            zones,
+            context,
+            addresses,
+            lease_duration_us,
+            files,
+            slots: (0..slots).map(|_| SlotState::default()).collect(),
+            planners,
+            voters: processes,
+            isolated: RefCell::default(),
+            killed: RefCell::default(),
+            gaps: RefCell::default(),
+            errors: RefCell::default(),
+        }))
+    }
+}
--- a/testbed/src/registry.rs
+++ b/testbed/src/registry.rs
@@ -1,6 +1,7 @@
-//! A stand-in register of machines: late, later still about machines that fell silent, and silent on command.
+//! A simulated registry of machines: late, later still about machines that fell silent, and silent on command.
+use crate::context::TestbedContext;
 use crate::faulty_link::{self, FaultInjection, LinkObservation};
-use crate::machine::{MachineCommand, SimulatedMachine, TestbedContext};
+use crate::machine::{MachineCommand, SimulatedMachine};
 use basaltpitch_agent::link::{self, LinkCommand, LinkEvent};
 use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, Body, Entry, Readiness, Role};
@@ -11,29 +12,36 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
+/// How late the registry is, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryDelays {
+    /// What it tells is so old.
     pub notice_us: i64,
+    /// A machine that is silent is listed as gone after this time.
     pub silent_notice_us: i64,
+    /// Time between looks at the machines.
     pub period_us: i64,
 }
 
+/// The registry as a scenario sees it.
 pub struct SimulatedRegistry {
+    /// Where it listens.
     pub address: String,
-    pub knobs: Rc<FaultInjection>,
-    /// Added to its lateness.
+    /// What is wrong with its links.
+    pub faults: Rc<FaultInjection>,
+    /// Added to its delay, in microseconds.
     pub stale_us: Cell<i64>,
 }
 
 type Entries = BTreeMap<String, Entry>;
 
-/// Two entries of a ready machine that differ in its room alone: a brief watch leaves such changes out.
+/// Whether two entries of a ready machine differ in its capacity alone: a brief watch leaves such changes out.
 pub fn differ_in_capacity_only(a: &Entry, b: &Entry) -> bool {
     let alike = Entry { cores_left: b.cores_left, memory_left: b.memory_left, ..a.clone() };
     alike == *b && b.readiness() == Readiness::Ready
 }
 
-/// What answers a question: ready machines with room, drawn anew for each, so that askers don't crowd one.
+/// What answers a question: ready machines with capacity, drawn anew for each, so that planners do not crowd one.
 pub fn with_capacity_for<'a>(
     all: impl Iterator<Item = &'a Entry>,
     conn: u64,
@@ -61,54 +69,55 @@
     knows: Entries,
 }
 
-struct Inside {
-    me: Rc<SimulatedRegistry>,
-    world: Rc<TestbedContext>,
+struct RegistryState {
+    shared: Rc<SimulatedRegistry>,
+    context: Rc<TestbedContext>,
     fleet: Vec<Rc<SimulatedMachine>>,
-    late: RegistryDelays,
+    delays: RegistryDelays,
     /// What was so, and when, the newest last.
     past: VecDeque<(i64, Entries)>,
     silent_since: HashMap<String, i64>,
     watchers: BTreeMap<u64, Watcher>,
     stamp: u64,
-    /// Of rolls: the highest token that was seen, and token and number of the last word to each machine.
+    /// Of rolling restarts: the highest token that was seen, and token and number of the last order to each machine.
     fence: u64,
-    words: HashMap<String, (u64, u64)>,
+    orders: HashMap<String, (u64, u64)>,
 }
 
 /// Starts a register on a loopback port of its own.
 pub async fn start(
-    world: Rc<TestbedContext>,
+    context: Rc<TestbedContext>,
     fleet: Vec<Rc<SimulatedMachine>>,
-    late: RegistryDelays,
+    delays: RegistryDelays,
 ) -> std::io::Result<Rc<SimulatedRegistry>> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
-    let me = Rc::new(SimulatedRegistry {
+    let shared = Rc::new(SimulatedRegistry {
         address,
-        knobs: Rc::new(FaultInjection::default()),
+        faults: Rc::new(FaultInjection::default()),
         stale_us: Cell::new(0),
     });
-    let inside = Inside {
-        me: me.clone(),
-        world,
+    let state = RegistryState {
+        shared: shared.clone(),
+        context,
         fleet,
-        late,
+        delays,
         past: VecDeque::new(),
         silent_since: HashMap::new(),
         watchers: BTreeMap::new(),
         stamp: 0,
         fence: 0,
-        words: HashMap::new(),
+        orders: HashMap::new(),
     };
-    tokio::task::spawn_local(inside.run(listener));
-    Ok(me)
+    tokio::task::spawn_local(state.run(listener));
+    Ok(shared)
 }
 
-impl Inside {
+impl RegistryState {
     async fn run(mut self, listener: TcpListener) {
         let (news, mut inbox) = mpsc::channel(1024);
-        let mut period = tokio::time::interval(std::time::Duration::from_micros(self.late.period_us as u64));
+        let mut period =
+            tokio::time::interval(std::time::Duration::from_micros(self.delays.period_us as u64));
         let mut conns = 0;
         loop {
             tokio::select! {
@@ -119,7 +128,7 @@
                         self.accept(stream, conns, news.clone());
                     }
                 }
-                Some((conn, news)) = inbox.recv() => self.hear(conn, news),
+                Some((conn, news)) = inbox.recv() => self.link_event(conn, news),
             }
         }
     }
@@ -129,14 +138,21 @@
         let (outer, inner) = tokio::io::duplex(256 * 1024);
         let (orders, inbox) = mpsc::channel(1024);
         self.watchers.insert(conn, Watcher { orders, watches: false, brief: false, knows: Entries::new() });
-        let (world, clock) = (self.world.clone(), self.world.clock);
+        let (context, clock) = (self.context.clone(), self.context.clock);
         let show = move |hello: &wire::Hello, seen: LinkObservation| {
-            if let LinkObservation::Sent { body: Body::List(list) } = seen {
-                let life = (hello.name.clone(), hello.epoch);
-                world.checker.borrow_mut().registry_sent(world.clock.now(), &life, list);
+            if let LinkObservation::SocketWritten { body: Body::List(list) } = seen {
+                let planner = (hello.name.clone(), hello.epoch);
+                context.checker.borrow_mut().registry_sent(context.clock.now(), &planner, list);
             }
         };
-        tokio::task::spawn_local(faulty_link::carry(stream, inner, conn, self.me.knobs.clone(), clock, show));
+        tokio::task::spawn_local(faulty_link::carry(
+            stream,
+            inner,
+            conn,
+            self.shared.faults.clone(),
+            clock,
+            show,
+        ));
         let me = PeerIdentity {
             role: Role::Register,
             name: "register".into(),
@@ -153,7 +169,7 @@
         ));
     }
 
-    fn hear(&mut self, conn: u64, news: LinkEvent) {
+    fn link_event(&mut self, conn: u64, news: LinkEvent) {
         match news {
             LinkEvent::Session(SessionEvent::Frame(Body::Watch(watch))) => {
                 if let Some(w) = self.watchers.get_mut(&conn) {
@@ -168,9 +184,9 @@
             LinkEvent::Session(SessionEvent::Frame(Body::Drain(drain))) => {
                 if let Some(machine) = self.fleet.iter().find(|m| m.name == drain.machine).cloned() {
                     if drain.token == 0 {
-                        return machine.tell(MachineCommand::Drain(drain.on));
+                        return machine.send(MachineCommand::Drain(drain.on));
                     }
-                    self.of_roll(&machine, &drain);
+                    self.rolling_drain(&machine, &drain);
                 }
             }
             LinkEvent::Ended { .. } => {
@@ -180,34 +196,38 @@
         }
     }
 
-    /// A conductor's word: refused if it is older than one that was taken.
-    fn of_roll(&mut self, machine: &SimulatedMachine, drain: &wire::Drain) {
-        let (of, last) = ((drain.token, drain.number), self.words.entry(machine.name.clone()).or_default());
+    /// A coordinator's order: refused if it is older than one that was taken.
+    fn rolling_drain(&mut self, machine: &SimulatedMachine, drain: &wire::Drain) {
+        let (of, last) = ((drain.token, drain.number), self.orders.entry(machine.name.clone()).or_default());
         let late = drain.token < self.fence || (of.0 == last.0 && of <= *last);
         if late {
-            tracing::info!(machine = machine.name, token = drain.token, "an older word of a roll is refused");
+            tracing::info!(
+                machine = machine.name,
+                token = drain.token,
+                "an older order of a rolling restart is refused"
+            );
             return;
         }
         (self.fence, *last) = (drain.token, of);
-        machine.tell(MachineCommand::Rolls { on: drain.on, started: drain.started_us });
+        machine.send(MachineCommand::RollingDrain { on: drain.on, started_us: drain.started_us });
     }
 
     /// Writes down how things are, and tells watchers how they were.
     fn look(&mut self) {
-        let now = self.world.clock.now();
+        let now = self.context.clock.now();
         let mut entries = Entries::new();
         for m in &self.fleet {
-            let silent = !m.up.get() || m.vanished.get();
+            let silent = !m.up.get() || m.unresponsive.get();
             let since = if silent { *self.silent_since.entry(m.name.clone()).or_insert(now) } else { now };
             if !silent {
                 self.silent_since.remove(&m.name);
             }
             let readiness = match silent {
-                true if now >= since + self.late.silent_notice_us => Readiness::Gone,
+                true if now >= since + self.delays.silent_notice_us => Readiness::Gone,
                 _ if m.draining.get() => Readiness::Draining,
                 _ => Readiness::Ready,
             };
-            let asked = m.asked.get();
+            let reserved = m.reserved.get();
             let entry = Entry {
                 machine: m.name.clone(),
                 address: m.address.clone(),
@@ -215,15 +235,15 @@
                 zone: m.zone.clone(),
                 cell: m.cell,
                 readiness: readiness as i32,
-                started_us: m.started.get(),
-                cores_left: m.cores - asked.0,
-                memory_left: m.memory - asked.1,
+                started_us: m.started_us.get(),
+                cores_left: m.cores - reserved.0,
+                memory_left: m.memory - reserved.1,
                 labels: m.labels.borrow().clone(),
             };
             entries.insert(m.name.clone(), entry);
         }
         self.past.push_back((now, entries));
-        let shown = now - self.late.notice_us - self.me.stale_us.get();
+        let shown = now - self.delays.notice_us - self.shared.stale_us.get();
         while self.past.len() > 1 && self.past[1].0 <= shown && self.past[0].0 < now - 30_000_000 {
             self.past.pop_front();
         }
@@ -242,7 +262,7 @@
     }
 
     fn shown(&self) -> Option<&Entries> {
-        let until = self.world.clock.now() - self.late.notice_us - self.me.stale_us.get();
+        let until = self.context.clock.now() - self.delays.notice_us - self.shared.stale_us.get();
         self.past.iter().rev().find(|p| p.0 <= until).or(self.past.front()).map(|p| &p.1)
     }
 
--- a/testbed/src/relay.rs
+++ b/testbed/src/relay.rs
@@ -1,6 +1,6 @@
-//! A relay between processes: it carries bytes between who connects and one address, and spoils the way on
-//! command: cut both ways or one, stalled, slow, or refused. A connection that is cut one way stays open, as
-//! where a switch loses frames: who is cut off is not told.
+//! A relay between processes: it carries bytes between who connects and one address, and spoils them on
+//! command: cut both control or one, delayed, or refused. A connection that is cut one way stays open, as where
+//! a switch loses frames: who is cut off is not told.
 use basaltpitch_agent::frame_decoder::FrameDecoder;
 use basaltpitch_agent::wire::Body;
 use std::cell::{Cell, RefCell};
@@ -14,13 +14,14 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// What is wrong with the way. All may be turned at any time.
+/// What is wrong with a relay. All may change at any time.
 #[derive(Debug, Default)]
 pub struct RelayControl {
-    /// Nothing gets through from who connected, or back to it. What was sent meanwhile comes later.
+    /// Nothing gets through from who connected. What was sent meanwhile comes later.
     pub cut_forward: Cell<bool>,
+    /// Nothing gets back to who connected.
     pub cut_backward: Cell<bool>,
-    /// The same for connections of who says hello under a name.
+    /// The same, forward and backward, for connections of who says hello under a name.
     pub cut_by_peer: RefCell<BTreeMap<String, (bool, bool)>>,
     /// What gets through is so late.
     pub delay: Cell<Duration>,
@@ -32,38 +33,42 @@
     pub carried: Cell<u64>,
 }
 
-/// FaultInjection are turned at any time: a look every few milliseconds is often enough.
-const LOOKS: Duration = Duration::from_millis(5);
+/// Faults may change at any time: a look every few milliseconds is often enough.
+const CHECK_EVERY: Duration = Duration::from_millis(5);
 /// Reads that may be on their way at once.
-const LINE: usize = 256;
+const MAX_PENDING_READS: usize = 256;
 
 /// Listens on a loopback port of its own, which it returns, and relays to `to`.
-pub async fn start(to: String, ways: Rc<RelayControl>) -> io::Result<String> {
+///
+/// # Errors
+///
+/// Where no port can be bound.
+pub async fn start(to: String, control: Rc<RelayControl>) -> io::Result<String> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            if !ways.refuses.get() {
-                tokio::task::spawn_local(carry(stream, to.clone(), ways.clone()));
+            if !control.refuses.get() {
+                tokio::task::spawn_local(carry(stream, to.clone(), control.clone()));
             }
         }
     });
     Ok(address)
 }
 
-async fn carry(near: TcpStream, to: String, ways: Rc<RelayControl>) {
+async fn carry(near: TcpStream, to: String, control: Rc<RelayControl>) {
     let Ok(far) = TcpStream::connect(to).await else { return };
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-    let resets = ways.resets.get();
+    let resets = control.resets.get();
     let reset = async {
-        while ways.resets.get() == resets {
-            tokio::time::sleep(LOOKS).await;
+        while control.resets.get() == resets {
+            tokio::time::sleep(CHECK_EVERY).await;
         }
     };
     // Who dials says so in its first frame.
     let (who, cutter) = (RefCell::new(String::new()), RefCell::new(Some(FrameDecoder::default())));
-    let hears = |bytes: &[u8]| {
+    let on_read = |bytes: &[u8]| {
         let mut first = cutter.borrow_mut();
         let Some(cutter) = first.as_mut() else { return };
         cutter.push_bytes(bytes);
@@ -74,10 +79,10 @@
             *first = None;
         }
     };
-    let of = || ways.cut_by_peer.borrow().get(&*who.borrow()).copied().unwrap_or_default();
+    let cut_of_peer = || control.cut_by_peer.borrow().get(&*who.borrow()).copied().unwrap_or_default();
     tokio::select! {
-        () = one_way(near_in, far_out, hears, || ways.cut_forward.get() || of().0, &ways) => {}
-        () = one_way(far_in, near_out, |_| {}, || ways.cut_backward.get() || of().1, &ways) => {}
+        () = one_way(near_in, far_out, on_read, || control.cut_forward.get() || cut_of_peer().0, &control) => {}
+        () = one_way(far_in, near_out, |_| {}, || control.cut_backward.get() || cut_of_peer().1, &control) => {}
         () = reset => {}
     }
 }
@@ -86,29 +91,29 @@
 async fn one_way(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    hears: impl Fn(&[u8]),
+    on_read: impl Fn(&[u8]),
     cut: impl Fn() -> bool,
-    ways: &RelayControl,
+    control: &RelayControl,
 ) {
     // What is late does not hold up what comes after it: a long way, not a narrow one.
-    let (on_its_way, mut comes) = mpsc::channel::<(Instant, Vec<u8>)>(LINE);
+    let (pending, mut arrivals) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_PENDING_READS);
     let reads = async {
         let mut bytes = vec![0; 16 * 1024];
         loop {
-            let n = from.read(&mut bytes).await.unwrap_or(0);
-            ways.carried.set(ways.carried.get() + n as u64);
-            hears(&bytes[..n]);
-            let at = Instant::now() + ways.delay.get();
-            if on_its_way.send((at, bytes[..n].to_vec())).await.is_err() || n == 0 {
+            let count = from.read(&mut bytes).await.unwrap_or(0);
+            control.carried.set(control.carried.get() + count as u64);
+            on_read(&bytes[..count]);
+            let at = Instant::now() + control.delay.get();
+            if pending.send((at, bytes[..count].to_vec())).await.is_err() || count == 0 {
                 return std::future::pending::<()>().await;
             }
         }
     };
     let writes = async {
-        while let Some((at, bytes)) = comes.recv().await {
+        while let Some((at, bytes)) = arrivals.recv().await {
             tokio::time::sleep_until(at).await;
             while cut() {
-                tokio::time::sleep(LOOKS).await;
+                tokio::time::sleep(CHECK_EVERY).await;
             }
             if bytes.is_empty() || to.write_all(&bytes).await.is_err() {
                 return;
--- a/testbed/src/scale/clients.rs
+++ b/testbed/src/scale/clients.rs
@@ -1,11 +1,13 @@
 //! Clients of an open load: requests come by the clock, whatever became of those before, and a wait before
-//! sending counts. Each connection asks one planner, and turns to the next when it does not answer.
-use super::traffic::{CountingStream, Traffic};
+//! sending counts. Each connection submits to one planner, and turns to the next when it does not answer.
+mod view;
+
+use super::traffic::{CountingStream, Traffic, TrafficByPlanner};
 use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
 use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, AnswerKind, Body, LifeHow, Role, Submit};
 use hdrhistogram::Histogram;
-use serde_json::{json, Value};
+use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
@@ -13,399 +15,395 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// A framework that is asked for: its part of all tasks, what one is worth, and its times in microseconds.
+/// Time that an answer may come after the limit, in microseconds.
+const ANSWER_GRACE_US: i64 = 2_000_000;
+/// Time between attempts to reach a planner, and the time that one may take.
+const RECONNECT_AFTER: Duration = Duration::from_millis(50);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// How often requests beyond their limit are looked for.
+const SWEEP_EVERY: Duration = Duration::from_millis(250);
+/// While nothing is submitted, in microseconds.
+const IDLE_US: i64 = 3_600_000_000;
+/// Answered tasks that are remembered, so that a second answer is seen: the newest ones.
+const REMEMBERED: usize = 200_000;
+/// Services of a framework.
+const SERVICES: u64 = 40;
+
+/// The load of a framework: its part of all tasks, what one counts, and its times.
 #[derive(Clone, Copy, Debug)]
 pub struct FrameworkLoad {
+    /// Its name.
     pub name: &'static str,
+    /// Its part of all tasks.
     pub part: f64,
+    /// What a task counts.
     pub value: f64,
-    pub goal_us: i64,
+    /// A task counts in full up to this time to its start, in microseconds.
+    pub latency_objective_us: i64,
+    /// A task counts nothing from this time on, in microseconds.
     pub limit_us: i64,
+    /// Cores of a task.
     pub cores: f64,
+    /// Memory of a task.
     pub memory: f64,
 }
 
+/// The load of a process of clients.
 #[derive(Clone, Debug)]
 pub struct ClientsConfig {
-    /// Where planners listen, and how many of them are asked at first, each on a connection of its own.
+    /// Where planners listen.
     pub planners: Vec<String>,
-    pub conns: usize,
-    /// Of all tasks together, a second; and how long a task runs on average, in seconds.
+    /// How many of them are used at first, each on a connection of its own.
+    pub connections: usize,
+    /// Of all tasks together, a second.
     pub rate: f64,
+    /// How long a task runs on average, in seconds.
     pub runs_s: f64,
+    /// What is submitted.
     pub frameworks: Vec<FrameworkLoad>,
+    /// How many tenants there are.
     pub tenants: usize,
-    /// One request in so many is for `many` tasks at once.
-    pub one_in: u32,
-    pub many: u32,
+    /// One request in so many is a batch.
+    pub batch_every: u32,
+    /// Tasks of a batch.
+    pub batch_size: u32,
+    /// Where chance starts from.
     pub seed: u64,
 }
 
+/// What clients are told to do.
 #[derive(Debug)]
 pub enum ClientsCommand {
-    Tell,
+    /// AttemptReply what was measured.
+    Report,
     /// What was measured before is forgotten: the window begins.
     Begin,
-    /// Nothing is asked for any more; what is open is waited for.
+    /// Nothing is submitted any more; what is open is waited for.
     Stop,
 }
 
-/// Time that an answer may come after the limit, and between tries of a planner, in microseconds.
-const GRACE: i64 = 2_000_000;
-const AGAIN: u64 = 50;
-
-struct Open {
+struct OpenTask {
     due: i64,
     framework: usize,
-    /// Who was asked, and the link it was asked on.
-    conn: usize,
+    /// The connection that it was submitted on, and the link.
+    connection: usize,
     link: u64,
 }
 
 /// What came of the tasks of one framework.
-struct Seen {
-    started: Histogram<u64>,
-    counts: Counts,
+struct FrameworkTotals {
+    started_us: Histogram<u64>,
+    counts: TaskCounts,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Counts {
-    asked: u64,
+struct TaskCounts {
+    submitted: u64,
     placed: u64,
     declined: u64,
     aborted: u64,
-    /// No answer by the limit; and the planner was gone.
+    /// No answer by the limit.
     unanswered: u64,
-    cut: u64,
+    /// The planner was gone.
+    disconnected: u64,
     lost: u64,
     /// Answers beyond the one.
-    again: u64,
+    answered_again: u64,
     value: f64,
 }
 
-impl Seen {
+impl FrameworkTotals {
     fn new() -> Self {
-        let started = Histogram::new_with_bounds(1, 120_000_000, 3).expect("bounds that are in order");
-        Seen { started, counts: Counts::default() }
+        FrameworkTotals { started_us: new_histogram(), counts: TaskCounts::default() }
     }
 }
 
-struct Conn {
+fn new_histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(1, 120_000_000, 3).expect("bounds that are in order")
+}
+
+#[derive(Default)]
+struct Connection {
     orders: Option<mpsc::Sender<LinkCommand>>,
     link: u64,
     /// Who answers, and what this link carried.
     planner: String,
     traffic: Rc<RefCell<Traffic>>,
     /// What no planner has taken yet.
-    waits: VecDeque<Submit>,
+    queue: VecDeque<Submit>,
 }
 
-enum In {
-    Up(usize, u64, mpsc::Sender<LinkCommand>, Rc<RefCell<Traffic>>),
-    News(usize, u64, LinkEvent),
+enum ConnectionEvent {
+    Connected { link: u64, orders: mpsc::Sender<LinkCommand>, traffic: Rc<RefCell<Traffic>> },
+    Link(u64, LinkEvent),
 }
 
-struct Load {
-    plan: ClientsConfig,
+struct Clients {
+    config: ClientsConfig,
     clock: Clock,
     chance: fastrand::Rng,
-    conns: Vec<Conn>,
-    seen: Vec<Seen>,
-    open: BTreeMap<u64, Open>,
-    /// Tasks that were answered, so that a second answer is seen: the newest ones.
+    connections: Vec<Connection>,
+    totals: Vec<FrameworkTotals>,
+    open: BTreeMap<u64, OpenTask>,
+    /// Tasks that were answered, and in which order.
     answered: HashMap<u64, AnswerKind>,
-    order: VecDeque<u64>,
-    number: u64,
-    late: Histogram<u64>,
+    answer_order: VecDeque<u64>,
+    task_count: u64,
+    /// How late requests were submitted, in microseconds.
+    late_us: Histogram<u64>,
     /// By planner: what links that ended carried.
-    past: BTreeMap<String, Traffic>,
-    begun: i64,
+    past_traffic: TrafficByPlanner,
+    begun_at: i64,
 }
 
-const REMEMBERS: usize = 200_000;
-
-/// Asks until `words` ends; answers go to `out`.
-pub async fn run(plan: ClientsConfig, mut words: mpsc::Receiver<ClientsCommand>, out: impl Fn(Value)) {
+/// Submits tasks until `commands` ends; reports go to `out`.
+pub async fn run(config: ClientsConfig, mut commands: mpsc::Receiver<ClientsCommand>, out: impl Fn(Value)) {
     let clock = Clock::start();
-    let (news, mut heard) = mpsc::channel(4096);
-    for c in 0..plan.conns {
-        tokio::task::spawn_local(keep(c, plan.planners.clone(), plan.seed, clock, news.clone()));
+    let (events, mut inbox) = mpsc::channel(4096);
+    for number in 0..config.connections {
+        let (planners, seed) = (config.planners.clone(), config.seed);
+        tokio::task::spawn_local(keep_connected((number, seed), planners, clock, events.clone()));
     }
-    let conn = |_| Conn {
-        orders: None,
-        link: 0,
-        planner: String::new(),
-        traffic: Rc::default(),
-        waits: VecDeque::new(),
-    };
-    let conns = (0..plan.conns).map(conn);
-    let mut load = Load {
-        conns: conns.collect(),
-        clock,
-        chance: fastrand::Rng::with_seed(plan.seed),
-        seen: plan.frameworks.iter().map(|_| Seen::new()).collect(),
-        open: BTreeMap::new(),
-        answered: HashMap::new(),
-        order: VecDeque::new(),
-        number: 0,
-        late: Histogram::new_with_bounds(1, 120_000_000, 3).expect("bounds that are in order"),
-        past: BTreeMap::new(),
-        begun: clock.now(),
-        plan,
-    };
+    let mut clients = Clients::new(config, clock);
     let mut due = clock.now();
-    let mut asks = load.plan.rate > 0.0;
-    let mut sweeps = tokio::time::interval(Duration::from_millis(250));
+    let mut submits = clients.config.rate > 0.0;
+    let mut sweeps = tokio::time::interval(SWEEP_EVERY);
     loop {
-        let wake = if asks { due } else { clock.now() + 3_600_000_000 };
+        let wake = if submits { due } else { clock.now() + IDLE_US };
         tokio::select! {
-            word = words.recv() => match word {
-                Some(ClientsCommand::Tell) => out(load.view()),
-                Some(ClientsCommand::Begin) => load.begin(),
-                Some(ClientsCommand::Stop) => asks = false,
+            command = commands.recv() => match command {
+                Some(ClientsCommand::Report) => out(clients.view()),
+                Some(ClientsCommand::Begin) => clients.begin(),
+                Some(ClientsCommand::Stop) => submits = false,
                 None => return,
             },
-            Some(news) = heard.recv() => load.hear(news),
-            _ = sweeps.tick() => load.sweep(),
+            Some((connection, event)) = inbox.recv() => clients.event(connection, event),
+            _ = sweeps.tick() => clients.sweep(),
             () = tokio::time::sleep_until(clock.at(wake)) => {
-                while asks && due <= clock.now() {
-                    load.request(due);
-                    due += load.gap();
+                while submits && due <= clock.now() {
+                    clients.request(due);
+                    due += clients.gap_us();
                 }
             }
         }
     }
 }
 
-impl Load {
-    /// Time until the next request, in microseconds.
-    fn gap(&mut self) -> i64 {
-        let one = 1.0 / f64::from(self.plan.one_in.max(1));
-        let tasks = 1.0 - one + one * f64::from(self.plan.many.max(1));
-        let mean = tasks / self.plan.rate * 1e6;
-        (-(1.0 - self.chance.f64()).ln() * mean) as i64
+impl Clients {
+    fn new(config: ClientsConfig, clock: Clock) -> Clients {
+        Clients {
+            connections: (0..config.connections).map(|_| Connection::default()).collect(),
+            clock,
+            chance: fastrand::Rng::with_seed(config.seed),
+            totals: config.frameworks.iter().map(|_| FrameworkTotals::new()).collect(),
+            open: BTreeMap::new(),
+            answered: HashMap::new(),
+            answer_order: VecDeque::new(),
+            task_count: 0,
+            late_us: new_histogram(),
+            past_traffic: BTreeMap::new(),
+            begun_at: clock.now(),
+            config,
+        }
+    }
+
+    /// Draws the time until the next request.
+    fn gap_us(&mut self) -> i64 {
+        let batches = 1.0 / f64::from(self.config.batch_every.max(1));
+        let tasks = 1.0 - batches + batches * f64::from(self.config.batch_size.max(1));
+        let mean_us = tasks / self.config.rate * 1e6;
+        (-(1.0 - self.chance.f64()).ln() * mean_us) as i64
     }
 
     fn request(&mut self, due: i64) {
-        let many = if self.chance.u32(0..self.plan.one_in.max(1)) == 0 { self.plan.many } else { 1 };
+        let batch = self.chance.u32(0..self.config.batch_every.max(1)) == 0;
+        let count = if batch { self.config.batch_size } else { 1 };
         // The tasks of one request are of one framework, tenant and service, and go to one planner.
-        let mut drawn = self.chance.f64() * self.plan.frameworks.iter().map(|f| f.part).sum::<f64>();
-        let pick = self.plan.frameworks.iter().position(|f| {
-            drawn -= f.part;
+        let mut drawn = self.chance.f64() * self.config.frameworks.iter().map(|f| f.part).sum::<f64>();
+        let chosen = self.config.frameworks.iter().position(|framework| {
+            drawn -= framework.part;
             drawn < 0.0
         });
-        let framework = pick.unwrap_or(0);
-        let f = self.plan.frameworks[framework];
-        let (conn, tenant) =
-            (self.chance.usize(0..self.conns.len()), self.chance.usize(0..self.plan.tenants.max(1)));
-        let service = 1 + framework as u64 * 1000 + self.chance.u64(0..40);
-        for _ in 0..many.max(1) {
-            self.number += 1;
-            let runs_s = -(1.0 - self.chance.f64()).ln() * self.plan.runs_s;
+        let index = chosen.unwrap_or(0);
+        let framework = self.config.frameworks[index];
+        let connection = self.chance.usize(0..self.connections.len());
+        let tenant = self.chance.usize(0..self.config.tenants.max(1));
+        let service = 1 + index as u64 * 1000 + self.chance.u64(0..SERVICES);
+        for _ in 0..count.max(1) {
+            self.task_count += 1;
+            let runs_s = -(1.0 - self.chance.f64()).ln() * self.config.runs_s;
             let submit = Submit {
-                key: format!("{}/{}", self.plan.seed, self.number),
+                key: format!("{}/{}", self.config.seed, self.task_count),
                 ask: 1,
-                framework: f.name.into(),
+                framework: framework.name.into(),
                 tenant: format!("tenant-{tenant}"),
                 service,
-                cores: f.cores,
-                memory: f.memory,
+                cores: framework.cores,
+                memory: framework.memory,
                 runs_for_us: (runs_s * 1e6) as i64 + 50_000,
-                time_left_us: f.limit_us,
+                time_left_us: framework.limit_us,
             };
-            self.seen[framework].counts.asked += 1;
-            self.open.insert(self.number, Open { due, framework, conn, link: 0 });
-            self.conns[conn].waits.push_back(submit);
+            self.totals[index].counts.submitted += 1;
+            self.open.insert(self.task_count, OpenTask { due, framework: index, connection, link: 0 });
+            self.connections[connection].queue.push_back(submit);
         }
-        self.late.saturating_record((self.clock.now() - due).max(1) as u64);
-        self.send(conn);
+        self.late_us.saturating_record((self.clock.now() - due).max(1) as u64);
+        self.send_queued(connection);
     }
 
-    fn send(&mut self, c: usize) {
+    fn send_queued(&mut self, connection: usize) {
         let now = self.clock.now();
-        let conn = &mut self.conns[c];
-        let Some(orders) = &conn.orders else { return };
-        while let Some(mut submit) = conn.waits.pop_front() {
-            let number = number_of(&submit.key);
-            let Some(open) = self.open.get_mut(&number) else { continue };
-            submit.time_left_us = open.due + self.plan.frameworks[open.framework].limit_us - now;
+        let connection = &mut self.connections[connection];
+        let Some(orders) = &connection.orders else { return };
+        while let Some(mut submit) = connection.queue.pop_front() {
+            let Some(open) = self.open.get_mut(&number_of(&submit.key)) else { continue };
+            submit.time_left_us = open.due + self.config.frameworks[open.framework].limit_us - now;
             if submit.time_left_us <= 0 {
                 continue;
             }
             if let Err(e) = orders.try_send(LinkCommand::Send(Body::Submit(submit), None)) {
                 if let mpsc::error::TrySendError::Full(LinkCommand::Send(Body::Submit(submit), _)) = e {
-                    conn.waits.push_front(submit);
+                    connection.queue.push_front(submit);
                 }
                 return;
             }
-            open.link = conn.link;
+            open.link = connection.link;
         }
     }
 
-    fn hear(&mut self, news: In) {
-        match news {
-            In::Up(c, link, orders, traffic) => {
-                let conn = &mut self.conns[c];
-                (conn.orders, conn.link, conn.traffic) = (Some(orders), link, traffic);
-                self.send(c);
-            }
-            In::News(c, link, LinkEvent::Session(SessionEvent::Up(party))) if link == self.conns[c].link => {
-                self.conns[c].planner = party.name;
+    fn event(&mut self, number: usize, event: ConnectionEvent) {
+        match event {
+            ConnectionEvent::Connected { link, orders, traffic } => {
+                let connection = &mut self.connections[number];
+                connection.orders = Some(orders);
+                (connection.link, connection.traffic) = (link, traffic);
+                self.send_queued(number);
             }
-            In::News(c, link, LinkEvent::Session(SessionEvent::Frame(body)))
-                if link == self.conns[c].link =>
-            {
-                match body {
-                    Body::Answer(a) => self.answer(a),
-                    Body::Life(l) => self.life(l),
-                    _ => {}
-                }
+            ConnectionEvent::Link(link, event) if link == self.connections[number].link => {
+                self.link_event(number, link, event);
             }
-            In::News(c, link, LinkEvent::Ended { .. }) if link == self.conns[c].link => {
-                let conn = &mut self.conns[c];
-                conn.orders = None;
-                let carried = conn.traffic.take();
-                self.past.entry(conn.planner.clone()).or_default().add(&carried);
-                // What was asked of it may run; its answer can come no more.
-                let cut: Vec<u64> = self
-                    .open
-                    .iter()
-                    .filter(|o| (o.1.conn, o.1.link) == (c, link) && link > 0)
-                    .map(|o| *o.0)
-                    .collect();
-                for number in cut {
-                    if let Some(open) = self.open.remove(&number) {
-                        self.seen[open.framework].counts.cut += 1;
-                    }
-                }
+            ConnectionEvent::Link(..) => {}
+        }
+    }
+
+    fn link_event(&mut self, number: usize, link: u64, event: LinkEvent) {
+        match event {
+            LinkEvent::Session(SessionEvent::Up(party)) => self.connections[number].planner = party.name,
+            LinkEvent::Session(SessionEvent::Frame(Body::Answer(answer))) => self.answer(&answer),
+            LinkEvent::Session(SessionEvent::Frame(Body::Life(life))) => {
+                let lost = LifeHow::try_from(life.how) == Ok(LifeHow::LifeLost);
+                self.totals[0].counts.lost += u64::from(lost);
             }
-            In::News(..) => {}
+            LinkEvent::Session(_) => {}
+            LinkEvent::Ended { .. } => self.disconnected(number, link),
         }
     }
 
-    fn answer(&mut self, a: wire::Answer) {
-        let (now, number) = (self.clock.now(), number_of(&a.key));
-        let kind = AnswerKind::try_from(a.kind).unwrap_or(AnswerKind::AnswerUnknown);
+    /// What the planner had may run; its answer can come no more.
+    fn disconnected(&mut self, number: usize, link: u64) {
+        let connection = &mut self.connections[number];
+        connection.orders = None;
+        let carried = connection.traffic.take();
+        self.past_traffic.entry(connection.planner.clone()).or_default().add(&carried);
+        let on_link = |open: &OpenTask| (open.connection, open.link) == (number, link) && link > 0;
+        for open in self.take_open(on_link) {
+            self.totals[open.framework].counts.disconnected += 1;
+        }
+    }
+
+    fn take_open(&mut self, taken: impl Fn(&OpenTask) -> bool) -> Vec<OpenTask> {
+        let numbers: Vec<u64> =
+            self.open.iter().filter(|(_, open)| taken(open)).map(|(number, _)| *number).collect();
+        numbers.iter().filter_map(|number| self.open.remove(number)).collect()
+    }
+
+    fn answer(&mut self, answer: &wire::Answer) {
+        let (now, number) = (self.clock.now(), number_of(&answer.key));
+        let kind = AnswerKind::try_from(answer.kind).unwrap_or(AnswerKind::AnswerUnknown);
         let Some(open) = self.open.remove(&number) else {
             if self.answered.contains_key(&number) {
-                self.seen[0].counts.again += 1;
+                self.totals[0].counts.answered_again += 1;
             }
             return;
         };
-        let f = self.plan.frameworks[open.framework];
-        let seen = &mut self.seen[open.framework];
-        let took = now - open.due;
+        let framework = self.config.frameworks[open.framework];
+        let totals = &mut self.totals[open.framework];
+        let took_us = now - open.due;
         match kind {
             AnswerKind::Placed => {
-                seen.counts.placed += 1;
-                seen.started.saturating_record(took.max(1) as u64);
-                // In full up to the goal, nothing from the limit on.
-                let late = (took - f.goal_us) as f64 / (f.limit_us - f.goal_us).max(1) as f64;
-                seen.counts.value += f.value * (1.0 - late).clamp(0.0, 1.0);
+                totals.counts.placed += 1;
+                totals.started_us.saturating_record(took_us.max(1) as u64);
+                // In full up to the objective, nothing from the limit on.
+                let objective_us = framework.latency_objective_us;
+                let late =
+                    (took_us - objective_us) as f64 / (framework.limit_us - objective_us).max(1) as f64;
+                totals.counts.value += framework.value * (1.0 - late).clamp(0.0, 1.0);
             }
-            AnswerKind::Declined => seen.counts.declined += 1,
-            _ => seen.counts.aborted += 1,
+            AnswerKind::Declined => totals.counts.declined += 1,
+            _ => totals.counts.aborted += 1,
         }
         self.answered.insert(number, kind);
-        self.order.push_back(number);
-        while self.order.len() > REMEMBERS {
-            if let Some(old) = self.order.pop_front() {
+        self.answer_order.push_back(number);
+        while self.answer_order.len() > REMEMBERED {
+            if let Some(old) = self.answer_order.pop_front() {
                 self.answered.remove(&old);
             }
         }
     }
 
-    fn life(&mut self, l: wire::Life) {
-        self.seen[0].counts.lost += u64::from(LifeHow::try_from(l.how) == Ok(LifeHow::LifeLost));
-    }
-
     /// Of what is open beyond its limit no answer is waited for.
     fn sweep(&mut self) {
         let now = self.clock.now();
-        let over = |o: &Open| o.due + self.plan.frameworks[o.framework].limit_us + GRACE < now;
-        let all: Vec<u64> = self.open.iter().filter(|o| over(o.1)).map(|o| *o.0).collect();
-        for number in all {
-            if let Some(open) = self.open.remove(&number) {
-                self.seen[open.framework].counts.unanswered += 1;
-            }
+        let limits: Vec<i64> = self.config.frameworks.iter().map(|framework| framework.limit_us).collect();
+        let overdue = |open: &OpenTask| open.due + limits[open.framework] + ANSWER_GRACE_US < now;
+        for open in self.take_open(overdue) {
+            self.totals[open.framework].counts.unanswered += 1;
         }
-        (0..self.conns.len()).for_each(|c| self.send(c));
+        (0..self.connections.len()).for_each(|connection| self.send_queued(connection));
     }
 
     fn begin(&mut self) {
-        self.begun = self.clock.now();
-        self.late.reset();
-        // What was asked before the window counts for nothing, whenever it is answered.
+        self.begun_at = self.clock.now();
+        self.late_us.reset();
+        // What was submitted before the window counts for nothing, whenever it is answered.
         self.open.clear();
-        self.conns.iter_mut().for_each(|c| c.waits.clear());
-        self.seen.iter_mut().for_each(|s| *s = Seen::new());
-    }
-
-    fn view(&self) -> Value {
-        let ms = |us: u64| us as f64 / 1000.0;
-        let row = |name: &str, h: &Histogram<u64>, c: &Counts| {
-            // Of none placed there is no time.
-            let at = |q: f64| (!h.is_empty()).then(|| ms(h.value_at_quantile(q)));
-            json!({"framework": name, "asked": c.asked, "placed": c.placed, "declined": c.declined,
-                "aborted": c.aborted, "unanswered": c.unanswered, "cut": c.cut, "lost": c.lost,
-                "answered_again": c.again, "value": (c.value * 10.0).round() / 10.0,
-                "p50_ms": at(0.5), "p99_ms": at(0.99), "p99.9_ms": at(0.999), "most_ms": at(1.0)})
-        };
-        let mut all = Seen::new();
-        for s in &self.seen {
-            let _ = all.started.add(&s.started);
-            let (a, c) = (&mut all.counts, &s.counts);
-            (a.asked, a.placed, a.declined) =
-                (a.asked + c.asked, a.placed + c.placed, a.declined + c.declined);
-            (a.aborted, a.unanswered) = (a.aborted + c.aborted, a.unanswered + c.unanswered);
-            (a.cut, a.lost, a.again) = (a.cut + c.cut, a.lost + c.lost, a.again + c.again);
-            a.value += c.value;
-        }
-        let mut rows: Vec<Value> = self
-            .seen
-            .iter()
-            .zip(&self.plan.frameworks)
-            .map(|(s, f)| row(f.name, &s.started, &s.counts))
-            .collect();
-        rows.push(row("all", &all.started, &all.counts));
-        let mut by = self.past.clone();
-        for conn in &self.conns {
-            by.entry(conn.planner.clone()).or_default().add(&conn.traffic.borrow());
-        }
-        let by: serde_json::Map<String, Value> = by.iter().map(|(p, t)| (p.clone(), t.view())).collect();
-        let seconds = (self.clock.now() - self.begun) as f64 / 1e6;
-        json!({"frameworks": rows, "open": self.open.len(), "seconds": (seconds * 1000.0).round() / 1000.0,
-            "sent_late_p99.9_ms": ms(self.late.value_at_quantile(0.999)), "planners": by})
+        self.connections.iter_mut().for_each(|connection| connection.queue.clear());
+        self.totals.iter_mut().for_each(|totals| *totals = FrameworkTotals::new());
     }
 }
 
+/// The number of a task, of its key.
 fn number_of(key: &str) -> u64 {
-    key.rsplit('/').next().and_then(|n| n.parse().ok()).unwrap_or(0)
+    key.rsplit('/').next().and_then(|number| number.parse().ok()).unwrap_or(0)
 }
 
 /// Keeps a connection to a planner: first the one of its number, then the next that answers.
-async fn keep(c: usize, planners: Vec<String>, seed: u64, clock: Clock, news: mpsc::Sender<In>) {
-    for (at, link) in (c..).zip(1u64..) {
-        let dialled = TcpStream::connect(&planners[at % planners.len()]);
-        if let Ok(Ok(stream)) = tokio::time::timeout(Duration::from_millis(250), dialled).await {
+async fn keep_connected(
+    (number, seed): (usize, u64),
+    planners: Vec<String>,
+    clock: Clock,
+    events: mpsc::Sender<(usize, ConnectionEvent)>,
+) {
+    for (planner, link) in (number..).zip(1u64..) {
+        let connecting = TcpStream::connect(&planners[planner % planners.len()]);
+        if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
             let (orders, inbox) = mpsc::channel(4096);
-            let me = PeerIdentity {
+            let identity = PeerIdentity {
                 role: Role::Owner,
-                name: format!("client-{seed}-{c}"),
+                name: format!("client-{seed}-{number}"),
                 epoch: 1,
                 link,
                 login: String::new(),
             };
             let traffic: Rc<RefCell<Traffic>> = Rc::default();
-            if news.send(In::Up(c, link, orders, traffic.clone())).await.is_err() {
+            let connected = ConnectionEvent::Connected { link, orders, traffic: traffic.clone() };
+            if events.send((number, connected)).await.is_err() {
                 return;
             }
             let stream = CountingStream::new(stream, Rc::new(Cell::new(false)), traffic);
-            link::run(stream, link::LinkContext::new(me, clock), inbox, news.clone(), move |n| {
-                In::News(c, link, n)
-            })
-            .await;
+            let event = move |event| (number, ConnectionEvent::Link(link, event));
+            link::run(stream, link::LinkContext::new(identity, clock), inbox, events.clone(), event).await;
         }
-        tokio::time::sleep(Duration::from_millis(AGAIN)).await;
+        tokio::time::sleep(RECONNECT_AFTER).await;
     }
 }
--- /dev/null
+++ b/testbed/src/scale/machines/connections.rs
@@ -0,0 +1,145 @@
+//! Connections of the machines of one process: from planners, and to the registry.
+use super::{Connection, Machine, MachineProcess, MachinesEvent};
+use crate::attempt_frames::inventory;
+use crate::scale::traffic::{CountingStream, Traffic};
+use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
+use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
+use basaltpitch_agent::wire::{Body, Role};
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+
+/// Time between attempts to reach the registry.
+const REGISTRY_RETRY_AFTER: Duration = Duration::from_millis(200);
+
+impl MachineProcess {
+    pub(super) fn accept(&mut self, machine: usize, stream: TcpStream) {
+        self.connection_count += 1;
+        let number = self.connection_count;
+        let (orders, inbox) = mpsc::channel(1024);
+        let traffic = Rc::new(RefCell::new(Traffic::default()));
+        let host = &mut self.machines[machine];
+        let stream = CountingStream::new(stream, host.vanished.clone(), traffic.clone());
+        let identity = PeerIdentity {
+            role: Role::Machine,
+            name: host.name.clone(),
+            epoch: host.started_us as u64,
+            link: number,
+            login: String::new(),
+        };
+        let event = move |event| MachinesEvent::Connection(machine, number, event);
+        let run = link::run(
+            stream,
+            link::LinkContext::new(identity, self.clock),
+            inbox,
+            self.events.clone(),
+            event,
+        );
+        let task = tokio::task::spawn_local(run).abort_handle();
+        host.connections.insert(number, Connection { orders, party: None, task, traffic });
+    }
+
+    pub(super) fn connection_event(&mut self, machine: usize, number: u64, event: LinkEvent) {
+        match event {
+            LinkEvent::Session(SessionEvent::Up(party)) if party.role == Role::Planner => {
+                self.planner_connected(machine, number, party);
+            }
+            LinkEvent::Session(SessionEvent::Frame(body)) => {
+                let host = &self.machines[machine];
+                let party = host.connections.get(&number).and_then(|connection| connection.party.clone());
+                let current =
+                    |party: &PeerIdentity| host.attempts.is_current(&party.name, party.epoch, party.link);
+                if let Some(party) = party.filter(current) {
+                    self.frame(machine, party.name, body);
+                }
+            }
+            LinkEvent::Ended { .. } => self.disconnected(machine, number),
+            LinkEvent::Session(_) => {}
+        }
+    }
+
+    fn planner_connected(&mut self, machine: usize, number: u64, party: PeerIdentity) {
+        let host = &mut self.machines[machine];
+        if !host.connections.contains_key(&number) {
+            return;
+        }
+        if !host.attempts.admit_link(&party.name, party.epoch, party.link) {
+            return host.close(number, "an older life or link of this planner");
+        }
+        if let Some(connection) = host.connections.get_mut(&number) {
+            connection.party = Some(party.clone());
+        }
+        if let Some(old) = host.links.insert(party.name.clone(), number) {
+            host.close(old, "a newer link came");
+        }
+        let (endings, held) = host.attempts.inventory(&party.name);
+        for (id, ending) in endings {
+            self.reply(machine, &party.name, id, ending);
+        }
+        let host = &self.machines[machine];
+        host.send(&party.name, inventory(held, host.draining));
+    }
+
+    pub(super) fn disconnected(&mut self, machine: usize, number: u64) {
+        let host = &mut self.machines[machine];
+        let Some(connection) = host.connections.remove(&number) else { return };
+        if let Some(party) = connection.party {
+            if host.links.get(&party.name) == Some(&number) {
+                host.links.remove(&party.name);
+            }
+            self.past_traffic.entry(party.name).or_default().add(&connection.traffic.borrow());
+        }
+    }
+}
+
+impl Machine {
+    fn close(&self, number: u64, why: &str) {
+        if let Some(connection) = self.connections.get(&number) {
+            let _ = connection.orders.try_send(LinkCommand::Close(why.to_owned()));
+        }
+    }
+
+    pub(super) fn send(&self, planner: &str, body: Body) {
+        if let Some(connection) = self.links.get(planner).and_then(|number| self.connections.get(number)) {
+            let _ = connection.orders.try_send(LinkCommand::Send(body, None));
+        }
+    }
+}
+
+/// Keeps a link to the registry.
+pub(super) async fn to_registry(
+    address: String,
+    name: String,
+    clock: Clock,
+    events: mpsc::Sender<MachinesEvent>,
+) {
+    let mut links = 0;
+    loop {
+        if let Ok(stream) = TcpStream::connect(&address).await {
+            links += 1;
+            let (orders, inbox) = mpsc::channel(256);
+            let identity = PeerIdentity {
+                role: Role::Machine,
+                name: name.clone(),
+                epoch: 1,
+                link: links,
+                login: String::new(),
+            };
+            if events.send(MachinesEvent::RegistryConnected(orders)).await.is_err() {
+                return;
+            }
+            let _ = stream.set_nodelay(true);
+            link::run(
+                stream,
+                link::LinkContext::new(identity, clock),
+                inbox,
+                events.clone(),
+                MachinesEvent::Registry,
+            )
+            .await;
+        }
+        tokio::time::sleep(REGISTRY_RETRY_AFTER).await;
+    }
+}
--- /dev/null
+++ b/testbed/src/scale/machines/view.rs
@@ -0,0 +1,52 @@
+//! What the machines of one process report. The names of the fields are those of lines between processes.
+use super::MachineProcess;
+use crate::scale::traffic::{by_planner, TrafficByPlanner};
+use serde::Serialize;
+use serde_json::Value;
+
+#[derive(Clone, Copy, Debug, Default, Serialize)]
+pub(super) struct Counts {
+    pub(super) launched: u64,
+    pub(super) started: u64,
+    pub(super) refused: u64,
+    pub(super) ended: u64,
+    pub(super) restarts: u64,
+}
+
+#[derive(Serialize)]
+struct MachinesView {
+    machines: usize,
+    /// Machines with a link to any planner.
+    linked: usize,
+    links: usize,
+    fewest_links: Option<usize>,
+    running: usize,
+    #[serde(rename = "others")]
+    absent_tasks: usize,
+    #[serde(flatten)]
+    counts: Counts,
+    planners: TrafficByPlanner,
+}
+
+impl MachineProcess {
+    /// What was carried, seen from the machines, by planner; and what runs.
+    pub(super) fn view(&self) -> Value {
+        let connections = self.machines.iter().flat_map(|machine| machine.connections.values());
+        let current = connections.filter_map(|connection| {
+            Some((connection.party.as_ref()?.name.as_str(), *connection.traffic.borrow()))
+        });
+        let machines = &self.machines;
+        let running = |machine: &super::Machine| machine.tasks.values().filter(|task| task.running).count();
+        let view = MachinesView {
+            machines: machines.len(),
+            linked: machines.iter().filter(|machine| !machine.links.is_empty()).count(),
+            links: machines.iter().map(|machine| machine.links.len()).sum(),
+            fewest_links: machines.iter().map(|machine| machine.links.len()).min(),
+            running: machines.iter().map(running).sum(),
+            absent_tasks: machines.iter().map(|machine| machine.absent_tasks).sum(),
+            counts: self.counts,
+            planners: by_planner(&self.past_traffic, current),
+        };
+        serde_json::to_value(view).unwrap_or_default()
+    }
+}
--- a/testbed/src/scale/registry.rs
+++ b/testbed/src/scale/registry.rs
@@ -1,52 +1,47 @@
-//! A register for thousands of hollow machines and many watchers: processes of machines tell it their
-//! entries, and it tells each watcher what changed since it was told last. Entries are numbered as they
-//! change, so that a watcher costs a number here, not a copy of the list.
-use super::traffic::{CountingStream, Traffic};
+//! A registry for thousands of simulated machines and many watchers: processes of machines tell it their
+//! entries, and it tells each watcher what changed since its last update. Changes are numbered, so that a
+//! watcher costs a number here, not a copy of the list.
+use super::traffic::{by_planner, CountingStream, Traffic, TrafficByPlanner};
 use crate::registry::{differ_in_capacity_only, with_capacity_for};
 use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
 use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, Body, Entry, Readiness, Role};
-use serde_json::{json, Value};
+use serde::Serialize;
+use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
-use std::io;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// Time between looks at what changed, in microseconds.
-const PERIOD: u64 = 200_000;
-
-/// A loopback host of this process's own: a port that was free a moment ago on the usual one may be another's
-/// by now, and ports of who dials are not taken from those of who listens.
-pub fn host_of(sort: u32) -> String {
-    let id = std::process::id();
-    format!("127.{}.{}.{}", 96 + sort % 24, id / 254 % 254 + 1, id % 254 + 1)
-}
+/// Time between updates.
+const UPDATE_EVERY: Duration = Duration::from_millis(200);
 
+/// What a registry is told to do.
 #[derive(Debug)]
 pub enum RegistryCommand {
-    /// Say what was carried.
-    Tell,
+    /// AttemptReply what was carried.
+    Report,
 }
 
-struct Conn {
+struct Connection {
     orders: mpsc::Sender<LinkCommand>,
     party: Option<PeerIdentity>,
     watches: bool,
     brief: bool,
-    /// The number of the newest change that it was told.
-    told: u64,
+    /// The newest change that it was sent.
+    sent_up_to: u64,
     traffic: Rc<RefCell<Traffic>>,
 }
 
 struct Row {
     entry: Entry,
     changed: u64,
-    /// The last change that was not of a ready machine's room alone.
-    other: u64,
-    /// Who tells of it.
-    by: u64,
+    /// The last change that was not of a ready machine's capacity alone.
+    changed_beyond_capacity: u64,
+    /// The connection that tells of it.
+    source: u64,
 }
 
 #[derive(Default)]
@@ -54,162 +49,204 @@
     rows: BTreeMap<String, Row>,
     changes: u64,
     stamp: u64,
-    conns: HashMap<u64, Conn>,
+    connections: HashMap<u64, Connection>,
     /// By planner: what ended connections carried.
-    past: BTreeMap<String, Traffic>,
-    /// Of rolls: the highest token that was seen.
-    fence: u64,
+    past_traffic: TrafficByPlanner,
+    /// Of rolling restarts: the highest token that was seen.
+    fencing_token: u64,
 }
 
-/// Runs a register at a listener until `words` ends; answers go to `out`. `lists`: entries that it has from
-/// the start.
+/// Runs a registry at a listener until `commands` ends; reports go to `out`. It has `entries` from the start.
 pub async fn run(
     listener: TcpListener,
-    lists: Vec<Entry>,
-    mut words: mpsc::Receiver<RegistryCommand>,
+    entries: Vec<Entry>,
+    mut commands: mpsc::Receiver<RegistryCommand>,
     out: impl Fn(Value),
-) -> io::Result<()> {
+) {
     let clock = Clock::start();
-    let (news, mut heard) = mpsc::channel::<(u64, LinkEvent)>(4096);
-    let mut period = tokio::time::interval(std::time::Duration::from_micros(PERIOD));
-    let mut register = RegistryState::default();
-    lists.into_iter().for_each(|e| register.takes(0, e));
+    let (events, mut inbox) = mpsc::channel::<(u64, LinkEvent)>(4096);
+    let mut updates = tokio::time::interval(UPDATE_EVERY);
+    let mut registry = RegistryState::default();
+    entries.into_iter().for_each(|entry| registry.update(0, entry));
     let mut count = 0;
     loop {
         tokio::select! {
-            word = words.recv() => match word {
-                Some(RegistryCommand::Tell) => out(register.view()),
-                None => return Ok(()),
+            command = commands.recv() => match command {
+                Some(RegistryCommand::Report) => out(registry.view()),
+                None => return,
             },
-            _ = period.tick() => register.look(),
+            _ = updates.tick() => registry.update_watchers(),
             accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                 count += 1;
-                register.accept(stream, count, clock, news.clone());
+                registry.accept(stream, count, clock, events.clone());
             },
-            Some((conn, n)) = heard.recv() => register.hear(conn, n),
+            Some((number, event)) = inbox.recv() => registry.link_event(number, event),
         }
     }
 }
 
 impl RegistryState {
-    fn accept(&mut self, stream: TcpStream, conn: u64, clock: Clock, news: mpsc::Sender<(u64, LinkEvent)>) {
+    fn accept(
+        &mut self,
+        stream: TcpStream,
+        number: u64,
+        clock: Clock,
+        events: mpsc::Sender<(u64, LinkEvent)>,
+    ) {
         let (orders, inbox) = mpsc::channel(1024);
         let traffic = Rc::new(RefCell::new(Traffic::default()));
         let stream = CountingStream::new(stream, Rc::new(Cell::new(false)), traffic.clone());
-        self.conns.insert(conn, Conn { orders, party: None, watches: false, brief: false, told: 0, traffic });
+        let connection =
+            Connection { orders, party: None, watches: false, brief: false, sent_up_to: 0, traffic };
+        self.connections.insert(number, connection);
         let (name, login) = ("register".into(), String::new());
-        let me = PeerIdentity { role: Role::Register, name, epoch: 1, link: conn, login };
+        let identity = PeerIdentity { role: Role::Register, name, epoch: 1, link: number, login };
+        let event = move |event| (number, event);
         tokio::task::spawn_local(link::run(
             stream,
-            link::LinkContext::new(me, clock),
+            link::LinkContext::new(identity, clock),
             inbox,
-            news,
-            move |n| (conn, n),
+            events,
+            event,
         ));
     }
 
-    fn takes(&mut self, by: u64, entry: Entry) {
-        if self.rows.get(&entry.machine).is_some_and(|r| r.entry == entry && r.by == by) {
+    fn update(&mut self, source: u64, entry: Entry) {
+        let known = self.rows.get(&entry.machine);
+        if known.is_some_and(|row| row.entry == entry && row.source == source) {
             return;
         }
         self.changes += 1;
         let changed = self.changes;
-        let before = self.rows.get(&entry.machine).filter(|r| differ_in_capacity_only(&r.entry, &entry));
-        let other = before.map_or(changed, |r| r.other);
-        self.rows.insert(entry.machine.clone(), Row { entry, changed, other, by });
+        let before = known.filter(|row| differ_in_capacity_only(&row.entry, &entry));
+        let changed_beyond_capacity = before.map_or(changed, |row| row.changed_beyond_capacity);
+        self.rows.insert(entry.machine.clone(), Row { entry, changed, changed_beyond_capacity, source });
     }
 
-    fn hear(&mut self, conn: u64, news: LinkEvent) {
-        match news {
+    fn link_event(&mut self, number: u64, event: LinkEvent) {
+        match event {
             LinkEvent::Session(SessionEvent::Up(party)) => {
-                if let Some(c) = self.conns.get_mut(&conn) {
-                    c.party = Some(party);
+                if let Some(connection) = self.connections.get_mut(&number) {
+                    connection.party = Some(party);
                 }
             }
-            LinkEvent::Session(SessionEvent::Frame(Body::List(list))) => {
-                let tells = self.conns.get(&conn).and_then(|c| c.party.as_ref());
-                if tells.is_some_and(|p| p.role == Role::Machine) {
-                    list.entries.into_iter().for_each(|e| self.takes(conn, e));
+            LinkEvent::Session(SessionEvent::Frame(body)) => self.frame(number, body),
+            LinkEvent::Ended { .. } => self.disconnected(number),
+            LinkEvent::Session(_) => {}
+        }
+    }
+
+    fn frame(&mut self, number: u64, body: Body) {
+        match body {
+            Body::List(list) => {
+                let party = self.connections.get(&number).and_then(|connection| connection.party.as_ref());
+                if party.is_some_and(|party| party.role == Role::Machine) {
+                    list.entries.into_iter().for_each(|entry| self.update(number, entry));
                 }
             }
-            LinkEvent::Session(SessionEvent::Frame(Body::Watch(watch))) => {
-                if let Some(c) = self.conns.get_mut(&conn) {
-                    (c.watches, c.brief) = (watch.on, watch.brief);
+            Body::Watch(watch) => {
+                if let Some(connection) = self.connections.get_mut(&number) {
+                    (connection.watches, connection.brief) = (watch.on, watch.brief);
                 }
-                self.send(conn, true);
+                self.send(number, true);
             }
-            LinkEvent::Session(SessionEvent::Frame(Body::Fetch(fetch))) if fetch.question > 0 => {
-                let entries = with_capacity_for(self.rows.values().map(|r| &r.entry), conn, &fetch);
+            Body::Fetch(fetch) if fetch.question > 0 => {
+                let all = self.rows.values().map(|row| &row.entry);
+                let entries = with_capacity_for(all, number, &fetch);
                 self.stamp += 1;
                 let list = wire::List { whole: false, stamp: self.stamp, entries, question: fetch.question };
-                if let Some(c) = self.conns.get(&conn) {
-                    let _ = c.orders.try_send(LinkCommand::Send(Body::List(list), None));
+                if let Some(connection) = self.connections.get(&number) {
+                    let _ = connection.orders.try_send(LinkCommand::Send(Body::List(list), None));
                 }
             }
-            LinkEvent::Session(SessionEvent::Frame(Body::Fetch(_))) => self.send(conn, true),
-            LinkEvent::Session(SessionEvent::Frame(Body::Drain(drain))) => {
-                // A conductor's word under an older token is refused.
-                if drain.token != 0 && drain.token < self.fence {
-                    return;
-                }
-                self.fence = self.fence.max(drain.token);
-                let to = self.rows.get(&drain.machine).and_then(|r| self.conns.get(&r.by));
-                if let Some(c) = to {
-                    let _ = c.orders.try_send(LinkCommand::Send(Body::Drain(drain), None));
-                }
-            }
-            LinkEvent::Ended { .. } => {
-                let Some(c) = self.conns.remove(&conn) else { return };
-                match c.party {
-                    Some(p) if p.role == Role::Machine => self.lost(conn),
-                    Some(p) => self.past.entry(p.name).or_default().add(&c.traffic.borrow()),
-                    None => {}
-                }
+            Body::Fetch(_) => self.send(number, true),
+            Body::Drain(drain) => self.drain(drain),
+            _ => {}
+        }
+    }
+
+    /// Passes an order to drain on. A coordinator's order under an older token is refused.
+    fn drain(&mut self, drain: wire::Drain) {
+        if drain.token != 0 && drain.token < self.fencing_token {
+            return;
+        }
+        self.fencing_token = self.fencing_token.max(drain.token);
+        let row = self.rows.get(&drain.machine);
+        if let Some(connection) = row.and_then(|row| self.connections.get(&row.source)) {
+            let _ = connection.orders.try_send(LinkCommand::Send(Body::Drain(drain), None));
+        }
+    }
+
+    fn disconnected(&mut self, number: u64) {
+        let Some(connection) = self.connections.remove(&number) else { return };
+        match connection.party {
+            Some(party) if party.role == Role::Machine => self.machines_gone(number),
+            Some(party) => {
+                let traffic = connection.traffic.borrow();
+                self.past_traffic.entry(party.name).or_default().add(&traffic);
             }
-            LinkEvent::Session(_) => {}
+            None => {}
         }
     }
 
     /// The process of these machines is gone, and they with it.
-    fn lost(&mut self, by: u64) {
-        let gone = |r: &&Row| r.by == by;
-        let gone: Vec<Entry> = self.rows.values().filter(gone).map(|r| r.entry.clone()).collect();
-        gone.into_iter().for_each(|e| self.takes(by, Entry { readiness: Readiness::Gone as i32, ..e }));
+    fn machines_gone(&mut self, source: u64) {
+        let gone = self.rows.values().filter(|row| row.source == source);
+        let gone: Vec<Entry> = gone.map(|row| row.entry.clone()).collect();
+        for entry in gone {
+            self.update(source, Entry { readiness: Readiness::Gone as i32, ..entry });
+        }
     }
 
-    fn look(&mut self) {
-        let watching: Vec<u64> = self.conns.iter().filter(|c| c.1.watches).map(|c| *c.0).collect();
-        watching.into_iter().for_each(|conn| self.send(conn, false));
+    fn update_watchers(&mut self) {
+        let watching = self.connections.iter().filter(|(_, connection)| connection.watches);
+        let watching: Vec<u64> = watching.map(|(number, _)| *number).collect();
+        watching.into_iter().for_each(|number| self.send(number, false));
     }
 
-    fn send(&mut self, conn: u64, whole: bool) {
-        let Some(c) = self.conns.get_mut(&conn) else { return };
-        if !whole && c.told == self.changes {
+    /// Sends a watcher the whole list, or what changed.
+    fn send(&mut self, number: u64, whole: bool) {
+        let Some(connection) = self.connections.get_mut(&number) else { return };
+        if !whole && connection.sent_up_to == self.changes {
             return;
         }
-        let news = |r: &&Row| whole || if c.brief { r.other > c.told } else { r.changed > c.told };
-        let entries: Vec<Entry> = self.rows.values().filter(news).map(|r| r.entry.clone()).collect();
+        let (brief, sent_up_to) = (connection.brief, connection.sent_up_to);
+        let changed = |row: &Row| if brief { row.changed_beyond_capacity } else { row.changed };
+        let rows = self.rows.values().filter(|row| whole || changed(row) > sent_up_to);
+        let entries: Vec<Entry> = rows.map(|row| row.entry.clone()).collect();
         if !whole && entries.is_empty() {
-            c.told = self.changes;
+            connection.sent_up_to = self.changes;
             return;
         }
         self.stamp += 1;
         let list = wire::List { whole, stamp: self.stamp, entries, question: 0 };
-        if c.orders.try_send(LinkCommand::Send(Body::List(list), None)).is_ok() {
-            c.told = self.changes;
+        if connection.orders.try_send(LinkCommand::Send(Body::List(list), None)).is_ok() {
+            connection.sent_up_to = self.changes;
         }
     }
 
     /// What was carried, seen from here, by planner; and what is listed.
     fn view(&self) -> Value {
-        let mut all = self.past.clone();
-        for c in self.conns.values() {
-            if let Some(p) = c.party.as_ref().filter(|p| p.role != Role::Machine) {
-                all.entry(p.name.clone()).or_default().add(&c.traffic.borrow());
-            }
-        }
-        let by: serde_json::Map<String, Value> = all.iter().map(|(p, t)| (p.clone(), t.view())).collect();
-        let ready = self.rows.values().filter(|r| r.entry.readiness == Readiness::Ready as i32).count();
-        json!({"listed": self.rows.len(), "ready": ready, "changes": self.changes, "planners": by})
+        let planners = self.connections.values().filter_map(|connection| {
+            let party = connection.party.as_ref().filter(|party| party.role != Role::Machine)?;
+            Some((party.name.as_str(), *connection.traffic.borrow()))
+        });
+        let ready = self.rows.values().filter(|row| row.entry.readiness == Readiness::Ready as i32);
+        let view = RegistryView {
+            listed: self.rows.len(),
+            ready: ready.count(),
+            changes: self.changes,
+            planners: by_planner(&self.past_traffic, planners),
+        };
+        serde_json::to_value(view).unwrap_or_default()
     }
 }
+
+/// What a registry reports. The names of the fields are those of lines between processes.
+#[derive(Serialize)]
+struct RegistryView {
+    listed: usize,
+    ready: usize,
+    changes: u64,
+    planners: TrafficByPlanner,
+}
