--- a/testbed/src/scale/traffic.rs
+++ b/testbed/src/scale/traffic.rs
@@ -1,18 +1,17 @@
 //! Bytes and frames by kind, as the sockets carry them: read off the length and the first field of each
-//! frame, so that counting decodes nothing. And a relay that counts both ways of what it carries.
-use super::registry::host_of;
-use basaltpitch_agent::frame_decoder::FrameDecoder;
-use basaltpitch_agent::wire::Body;
-use serde_json::{json, Value};
+//! frame, so that counting decodes nothing.
+use serde::ser::{Serialize, SerializeMap, Serializer};
+use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
-use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
-use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
-use tokio::net::{TcpListener, TcpStream};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+
+pub use super::counting_relay::{relay, RelayCounts};
 
 /// Kinds of frames. `links`: hello, credit, goodbye.
 pub const KINDS: [&str; 9] =
@@ -31,75 +30,163 @@
         23 | 50..=53 => "operators",
         _ => "links",
     };
-    KINDS.iter().position(|k| *k == name).unwrap_or(KINDS.len() - 1)
+    index_of(name)
 }
 
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+/// The place of a kind among [`KINDS`]; kinds that are not known count as `links`.
+pub fn index_of(kind: &str) -> usize {
+    KINDS.iter().position(|known| *known == kind).unwrap_or(KINDS.len() - 1)
+}
+
+/// What was carried of one kind, in both directions.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
+pub struct FrameCount {
+    /// Bytes that came in.
     pub bytes_in: u64,
+    /// Bytes that went out.
     pub bytes_out: u64,
+    /// Frames that came in.
     pub frames_in: u64,
+    /// Frames that went out.
     pub frames_out: u64,
 }
 
-/// By kind, in the order of `KINDS`.
+impl FrameCount {
+    /// Bytes of both directions.
+    pub fn bytes(&self) -> u64 {
+        self.bytes_in + self.bytes_out
+    }
+
+    /// Frames of both directions.
+    pub fn frames(&self) -> u64 {
+        self.frames_in + self.frames_out
+    }
+
+    /// All four counts.
+    pub fn to_array(self) -> [u64; 4] {
+        [self.bytes_in, self.bytes_out, self.frames_in, self.frames_out]
+    }
+
+    /// With a function applied to each of the four counts and its counterpart.
+    fn combined(self, other: &FrameCount, combine: fn(u64, u64) -> u64) -> FrameCount {
+        FrameCount {
+            bytes_in: combine(self.bytes_in, other.bytes_in),
+            bytes_out: combine(self.bytes_out, other.bytes_out),
+            frames_in: combine(self.frames_in, other.frames_in),
+            frames_out: combine(self.frames_out, other.frames_out),
+        }
+    }
+
+    pub(super) fn count_in(&mut self, bytes: u64) {
+        self.bytes_in += bytes;
+        self.frames_in += 1;
+    }
+
+    pub(super) fn count_out(&mut self, bytes: u64) {
+        self.bytes_out += bytes;
+        self.frames_out += 1;
+    }
+}
+
+/// By kind, in the order of [`KINDS`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Traffic(pub [Count; KINDS.len()]);
+pub struct Traffic(pub [FrameCount; KINDS.len()]);
+
+/// What was carried, by planner.
+pub type TrafficByPlanner = BTreeMap<String, Traffic>;
 
 impl Traffic {
+    /// Adds what another link carried.
     pub fn add(&mut self, other: &Traffic) {
-        for (mine, more) in self.0.iter_mut().zip(&other.0) {
-            mine.bytes_in += more.bytes_in;
-            mine.bytes_out += more.bytes_out;
-            mine.frames_in += more.frames_in;
-            mine.frames_out += more.frames_out;
+        for (count, more) in self.0.iter_mut().zip(&other.0) {
+            *count = count.combined(more, |count, more| count + more);
+        }
+    }
+
+    /// What was carried since an earlier reading.
+    #[must_use]
+    pub fn since(&self, earlier: &Traffic) -> Traffic {
+        let mut all = *self;
+        for (count, before) in all.0.iter_mut().zip(&earlier.0) {
+            *count = count.combined(before, u64::saturating_sub);
         }
+        all
     }
 
+    /// The same, as the far end sees it: in and out change places.
+    #[must_use]
+    pub fn reversed(&self) -> Traffic {
+        Traffic(self.0.map(|count| FrameCount {
+            bytes_in: count.bytes_out,
+            bytes_out: count.bytes_in,
+            frames_in: count.frames_out,
+            frames_out: count.frames_in,
+        }))
+    }
+
+    /// Bytes of all kinds and both directions.
     pub fn bytes(&self) -> u64 {
-        self.0.iter().map(|c| c.bytes_in + c.bytes_out).sum()
+        self.0.iter().map(FrameCount::bytes).sum()
     }
 
+    /// As JSON: an object of each kind.
     pub fn view(&self) -> Value {
-        let of = |(kind, c): (&&str, &Count)| {
-            let count = json!({"bytes_in": c.bytes_in, "bytes_out": c.bytes_out,
-                "frames_in": c.frames_in, "frames_out": c.frames_out});
-            ((*kind).to_owned(), count)
-        };
-        Value::Object(KINDS.iter().zip(&self.0).map(of).collect())
+        serde_json::to_value(self).unwrap_or_default()
     }
 
-    /// What `view` wrote; kinds that are not known count as `links`.
+    /// What [`Traffic::view`] wrote; kinds that are not known count as `links`.
     pub fn read(value: &Value) -> Traffic {
         let mut all = Traffic::default();
         for (kind, count) in value.as_object().into_iter().flatten() {
-            let at = KINDS.iter().position(|k| k == kind).unwrap_or(KINDS.len() - 1);
             let number = |field: &str| count[field].as_u64().unwrap_or(0);
-            let one = Count {
+            let read = FrameCount {
                 bytes_in: number("bytes_in"),
                 bytes_out: number("bytes_out"),
                 frames_in: number("frames_in"),
                 frames_out: number("frames_out"),
             };
-            let mut more = Traffic::default();
-            more.0[at] = one;
-            all.add(&more);
+            let sum = &mut all.0[index_of(kind)];
+            *sum = sum.combined(&read, |sum, read| sum + read);
         }
         all
     }
 }
 
+impl Serialize for Traffic {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        let mut map = serializer.serialize_map(Some(KINDS.len()))?;
+        for (kind, count) in KINDS.iter().zip(&self.0) {
+            map.serialize_entry(kind, count)?;
+        }
+        map.end()
+    }
+}
+
+/// By planner: what links that ended carried, and what those that are there did.
+pub(super) fn by_planner<'a>(
+    past: &TrafficByPlanner,
+    current: impl Iterator<Item = (&'a str, Traffic)>,
+) -> TrafficByPlanner {
+    let mut all = past.clone();
+    for (planner, traffic) in current {
+        all.entry(planner.to_owned()).or_default().add(&traffic);
+    }
+    all
+}
+
 /// Finds where frames begin in a stream of bytes, and of what kind they are.
 #[derive(Debug, Default)]
-struct Frames {
+pub(super) struct FrameScanner {
+    /// Length and first tag of the next frame, as far as they are there.
     head: [u8; 6],
     have: usize,
+    /// Bytes of the last frame that are still to come.
     left: u64,
 }
 
-impl Frames {
+impl FrameScanner {
     /// Calls `each` with kind and bytes (length included) of every frame whose head is there.
-    fn feed(&mut self, mut bytes: &[u8], mut each: impl FnMut(usize, u64)) {
+    pub(super) fn feed(&mut self, mut bytes: &[u8], mut each: impl FnMut(usize, u64)) {
         while !bytes.is_empty() {
             let skip = (bytes.len() as u64).min(self.left);
             self.left -= skip;
@@ -125,19 +212,21 @@
     }
 }
 
-/// A stream that counts what it carries, and is still while `still` is set: nothing comes and nothing goes.
+/// A stream that counts what it carries, and is paused while `paused` is set: nothing comes and nothing goes.
 pub struct CountingStream {
     stream: TcpStream,
-    still: Rc<Cell<bool>>,
+    paused: Rc<Cell<bool>>,
     traffic: Rc<RefCell<Traffic>>,
-    ins: Frames,
-    outs: Frames,
+    incoming: FrameScanner,
+    outgoing: FrameScanner,
 }
 
 impl CountingStream {
-    pub fn new(stream: TcpStream, still: Rc<Cell<bool>>, traffic: Rc<RefCell<Traffic>>) -> Self {
+    /// Counts what a stream carries into `traffic`.
+    pub fn new(stream: TcpStream, paused: Rc<Cell<bool>>, traffic: Rc<RefCell<Traffic>>) -> Self {
         let _ = stream.set_nodelay(true);
-        CountingStream { stream, still, traffic, ins: Frames::default(), outs: Frames::default() }
+        let (incoming, outgoing) = (FrameScanner::default(), FrameScanner::default());
+        CountingStream { stream, paused, traffic, incoming, outgoing }
     }
 }
 
@@ -147,35 +236,27 @@
         cx: &mut Context<'_>,
         to: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.still.get() {
+        if self.paused.get() {
             // The session looks again at its next tick.
             return Poll::Pending;
         }
         let before = to.filled().len();
         let done = Pin::new(&mut self.stream).poll_read(cx, to);
-        let CountingStream { ins, traffic, .. } = &mut *self;
-        ins.feed(&to.filled()[before..], |kind, bytes| {
-            let count = &mut traffic.borrow_mut().0[kind];
-            count.bytes_in += bytes;
-            count.frames_in += 1;
-        });
+        let CountingStream { incoming, traffic, .. } = &mut *self;
+        incoming.feed(&to.filled()[before..], |kind, bytes| traffic.borrow_mut().0[kind].count_in(bytes));
         done
     }
 }
 
 impl AsyncWrite for CountingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        if self.still.get() {
+        if self.paused.get() {
             return Poll::Pending;
         }
         let done = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        if let Poll::Ready(Ok(n)) = done {
-            let CountingStream { outs, traffic, .. } = &mut *self;
-            outs.feed(&bytes[..n], |kind, bytes| {
-                let count = &mut traffic.borrow_mut().0[kind];
-                count.bytes_out += bytes;
-                count.frames_out += 1;
-            });
+        if let Poll::Ready(Ok(written)) = done {
+            let CountingStream { outgoing, traffic, .. } = &mut *self;
+            outgoing.feed(&bytes[..written], |kind, bytes| traffic.borrow_mut().0[kind].count_out(bytes));
         }
         done
     }
@@ -185,80 +266,9 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.still.get() {
+        if self.paused.get() {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_shutdown(cx)
     }
 }
-
-/// What a relay counts. `in` is what goes to the address behind it.
-#[derive(Debug, Default)]
-pub struct RelayCounts {
-    pub traffic: RefCell<Traffic>,
-    /// The same by the name under which who dialled said hello.
-    pub by: RefCell<BTreeMap<String, Traffic>>,
-    /// All bytes, whether or not a frame's head was there.
-    pub carried: Cell<u64>,
-}
-
-/// Listens on a loopback port of its own, which it returns, relays to `to`, and counts both ways by kind.
-pub async fn relay(to: String, way: Rc<RelayCounts>) -> io::Result<String> {
-    let listener = TcpListener::bind((host_of(7).as_str(), 0)).await?;
-    let address = listener.local_addr()?.to_string();
-    tokio::task::spawn_local(async move {
-        while let Ok((near, _)) = listener.accept().await {
-            let (to, way) = (to.clone(), way.clone());
-            tokio::task::spawn_local(async move {
-                let Ok(far) = TcpStream::connect(to).await else { return };
-                let _ = (near.set_nodelay(true), far.set_nodelay(true));
-                let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-                let who = RefCell::new(None);
-                tokio::join!(
-                    one_way(near_in, far_out, true, &way, &who),
-                    one_way(far_in, near_out, false, &way, &who)
-                );
-            });
-        }
-    });
-    Ok(address)
-}
-
-/// Carries one direction to its end, and then closes it.
-async fn one_way(
-    mut from: OwnedReadHalf,
-    mut to: OwnedWriteHalf,
-    goes_in: bool,
-    way: &RelayCounts,
-    who: &RefCell<Option<String>>,
-) {
-    let (mut frames, mut bytes, mut first) = (Frames::default(), vec![0; 16 * 1024], FrameDecoder::default());
-    // What the other side said before it was known to whom.
-    let mut early = Traffic::default();
-    while let Ok(n @ 1..) = from.read(&mut bytes).await {
-        way.carried.set(way.carried.get() + n as u64);
-        if goes_in && who.borrow().is_none() {
-            first.push_bytes(&bytes[..n]);
-            if let Some((_, Some(Body::Hello(hello)))) = first.next_frame() {
-                *who.borrow_mut() = Some(hello.name);
-            }
-        }
-        frames.feed(&bytes[..n], |kind, bytes| {
-            let count = &mut early.0[kind];
-            let (all, frames) = match goes_in {
-                true => (&mut count.bytes_in, &mut count.frames_in),
-                false => (&mut count.bytes_out, &mut count.frames_out),
-            };
-            (*all, *frames) = (*all + bytes, *frames + 1);
-        });
-        if let Some(who) = &*who.borrow() {
-            way.by.borrow_mut().entry(who.clone()).or_default().add(&early);
-            way.traffic.borrow_mut().add(&std::mem::take(&mut early));
-        }
-        if to.write_all(&bytes[..n]).await.is_err() {
-            break;
-        }
-    }
-    way.traffic.borrow_mut().add(&early);
-    let _ = to.shutdown().await;
-}
--- a/testbed/tests/faulty_link.rs
+++ b/testbed/tests/faulty_link.rs
@@ -1,4 +1,4 @@
-//! A rough link shows each frame twice each way: on the socket, and with the stand-in.
+//! A faulty link shows each frame twice each way: on the socket, and with the simulated peer.
 use basaltpitch_agent::frame_decoder::FrameDecoder;
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{Body, Frame, Heartbeat, Hello, Role};
@@ -36,21 +36,21 @@
         let mut planner = TcpStream::connect(at).await.expect("a connection");
         let (socket, _) = listener.accept().await.expect("the other end");
         let (outer, mut machine) = tokio::io::duplex(4096);
-        let (knobs, clock) = (Rc::new(FaultInjection::default()), Clock::start());
-        knobs.held_until.set(i64::MAX);
+        let (faults, clock) = (Rc::new(FaultInjection::default()), Clock::start());
+        faults.hold_until_us.set(i64::MAX);
         let seen: Rc<RefCell<Vec<String>>> = Rc::default();
         let shown = seen.clone();
         let show = move |peer: &Hello, seen: LinkObservation| {
             let word = match seen {
-                LinkObservation::Read { .. } => "read",
-                LinkObservation::Heard { .. } => "heard",
-                LinkObservation::Wrote { .. } => "wrote",
-                LinkObservation::Sent { .. } => "sent",
-                LinkObservation::Gone => "gone",
+                LinkObservation::SocketRead { .. } => "read",
+                LinkObservation::Received { .. } => "heard",
+                LinkObservation::Sent { .. } => "wrote",
+                LinkObservation::SocketWritten { .. } => "sent",
+                LinkObservation::Closed => "gone",
             };
             shown.borrow_mut().push(format!("{word} {}", peer.epoch));
         };
-        let link = tokio::task::spawn_local(carry(socket, outer, 1, knobs.clone(), clock, show));
+        let link = tokio::task::spawn_local(carry(socket, outer, 1, faults.clone(), clock, show));
         let hello =
             Hello { role: Role::Planner as i32, name: "planner-1".into(), epoch: 7, ..Hello::default() };
         planner.write_all(&bytes(Body::Hello(hello.clone()))).await.expect("it is written");
@@ -63,7 +63,7 @@
         }
         assert_eq!(*seen.borrow(), ["read 7", "wrote 7"], "while all is held");
 
-        knobs.held_until.set(0);
+        faults.hold_until_us.set(0);
         assert_eq!(reads(&mut machine).await, Some(Body::Hello(hello)));
         assert!(matches!(reads(&mut planner).await, Some(Body::Heartbeat(_))));
         drop(planner);
--- a/testbed/tests/registry.rs
+++ b/testbed/tests/registry.rs
@@ -4,9 +4,10 @@
 use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{Body, Fetch, List, Role, Watch};
 use basaltpitch_config::installation::load_texts;
-use basaltpitch_testbed::drill::{context, start_machines};
+use basaltpitch_testbed::drill::start_machines;
 use basaltpitch_testbed::machine::MachineCommand;
 use basaltpitch_testbed::registry::{self, RegistryDelays};
+use basaltpitch_testbed::settings::context;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -61,22 +62,22 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let site = load_texts(&[("site.rec", SITE)]).map_err(|e| format!("{:?}", e.1)).unwrap();
-        let world = context(&site, Rc::default());
-        let fleet = start_machines(&site.all, &world, "std", "hall-a", 4).await.unwrap();
+        let context = context(&site, Rc::default());
+        let fleet = start_machines(&site.all, &context, "std", "hall-a", 4).await.unwrap();
         let late = RegistryDelays { notice_us: 0, silent_notice_us: 1_000_000, period_us: 20_000 };
-        let address = registry::start(world, fleet.clone(), late).await.unwrap().address.clone();
+        let address = registry::start(context, fleet.clone(), late).await.unwrap().address.clone();
         tokio::time::sleep(Duration::from_millis(100)).await;
         let mut usual = Watcher::start(&address, "usual", false).await;
         let mut brief = Watcher::start(&address, "brief", true).await;
         assert_eq!((usual.list().await.entries.len(), brief.list().await.entries.len()), (4, 4));
         // Room alone: told as ever, and not to who watches brief.
-        fleet[0].asked.set((12.0, 8.0));
+        fleet[0].reserved.set((12.0, 8.0));
         assert_eq!(usual.names().await, ["machine-0"]);
-        fleet[1].tell(MachineCommand::Drain(true));
+        fleet[1].send(MachineCommand::Drain(true));
         assert_eq!(brief.names().await, ["machine-1"], "the drain comes first");
         assert_eq!(usual.names().await, ["machine-1"]);
         // While a machine drains, its room tells when it is empty.
-        fleet[1].asked.set((1.0, 1.0));
+        fleet[1].reserved.set((1.0, 1.0));
         assert_eq!(brief.names().await, ["machine-1"]);
         let fetch = Fetch { question: 7, cores: 8.0, memory: 8.0, most: 8, ..Fetch::default() };
         brief.orders.send(LinkCommand::Send(Body::Fetch(fetch.clone()), None)).await.unwrap();
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -81,9 +81,9 @@
                 assert_eq!((c.bytes_in, c.frames_in), of(0), "seed {seed}: {kind} in");
                 assert_eq!((c.bytes_out, c.frames_out), of(1), "seed {seed}: {kind} out");
             }
-            assert_eq!(way.carried.get(), (sent[0].len() + sent[1].len()) as u64, "seed {seed}");
-            assert_eq!(traffic.bytes(), way.carried.get(), "seed {seed}");
-            assert_eq!(way.by.borrow().get("planner-9"), Some(&traffic), "seed {seed}: by who dialled");
+            assert_eq!(way.bytes.get(), (sent[0].len() + sent[1].len()) as u64, "seed {seed}");
+            assert_eq!(traffic.bytes(), way.bytes.get(), "seed {seed}");
+            assert_eq!(way.by_peer.borrow().get("planner-9"), Some(&traffic), "seed {seed}: by who dialled");
             assert_eq!(Traffic::read(&traffic.view()), traffic, "seed {seed}");
         }
     });
