--- a/cli/src/constraints.rs
+++ b/cli/src/constraints.rs
@@ -53,7 +53,7 @@
             Constraints::Check { files } => {
                 let clauses = clauses_of(&load(&files)?)?;
                 let rows = clauses.iter().map(|(c, place)| {
-                    let how = c.wish.map_or("must".to_owned(), |rank| format!("prefer {rank}"));
+                    let how = c.preference_rank.map_or("must".to_owned(), |rank| format!("prefer {rank}"));
                     let rule = serde_json::to_value(&c.rule).unwrap_or_default();
                     serde_json::json!({"clause": place, "how": how, "rule": rule})
                 });
--- a/constraints/benches/decision.rs
+++ b/constraints/benches/decision.rs
@@ -28,7 +28,7 @@
 fn machine(m: usize) -> MachineAttributes {
     let labels = if m.is_multiple_of(3) { vec!["ssd".into()] } else { vec![] };
     let kind = if m.is_multiple_of(2) { "std" } else { "wide" };
-    MachineAttributes { kind: kind.into(), hall: format!("h{}", m % 4), rack: (m / 40) as u32, labels }
+    MachineAttributes { kind: kind.into(), zone: format!("h{}", m % 4), rack: (m / 40) as u32, labels }
 }
 
 /// Clauses of many frameworks; a task of the first is bound by one in ten of them at the most.
@@ -37,7 +37,7 @@
     let frameworks = (n / 10).max(10);
     let rule = |i: usize| match i % 5 {
         0 => Rule::In(MachineSelector { labels: vec!["ssd".into()], ..MachineSelector::default() }),
-        1 => Rule::NotIn(MachineSelector { halls: vec!["h3".into()], ..MachineSelector::default() }),
+        1 => Rule::NotIn(MachineSelector { zones: vec!["h3".into()], ..MachineSelector::default() }),
         2 => Rule::Apart(of((i + 7) % frameworks), TopologyLevel::Machine),
         3 => Rule::Spread {
             over: TopologyLevel::Rack,
@@ -58,7 +58,7 @@
         name: format!("c{i}"),
         at: Default::default(),
         of: of(i / 5 % frameworks),
-        wish: None,
+        preference_rank: None,
         rule: rule(i),
     };
     (0..n).map(one).collect()
@@ -108,8 +108,8 @@
         let here = &self.machines[m];
         let near = |o: usize, level: TopologyLevel| match level {
             TopologyLevel::Machine => o == m,
-            TopologyLevel::Rack => self.machines[o].hall == here.hall && self.machines[o].rack == here.rack,
-            TopologyLevel::Zone => self.machines[o].hall == here.hall,
+            TopologyLevel::Rack => self.machines[o].zone == here.zone && self.machines[o].rack == here.rack,
+            TopologyLevel::Zone => self.machines[o].zone == here.zone,
         };
         let count = |level: TopologyLevel, is: &dyn Fn(&TaskAttributes) -> bool| {
             let places: Box<dyn Iterator<Item = usize>> = if level == TopologyLevel::Machine {
@@ -169,6 +169,6 @@
     all[at].rule = Rule::NotIn(MachineSelector { labels: vec!["ssd".into()], ..MachineSelector::default() });
     let t = task(0, 3);
     bencher.bench_local(|| {
-        conflict(&all, machines.iter(), black_box(&t), 50_000_000).expect("a conflict").clauses.len()
+        conflict(&all, machines.iter(), black_box(&t), 50_000_000).expect("a conflict").constraints.len()
     });
 }
--- a/constraints/src/conflict.rs
+++ b/constraints/src/conflict.rs
@@ -6,28 +6,29 @@
 use std::collections::BTreeSet;
 
 /// How far clauses of those that a task must be with are followed.
-const DEEP: u32 = 3;
+const MAX_DEPTH: u32 = 3;
 
 /// A set of clauses, by their place in the files, that no machine meets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Conflict {
-    pub clauses: Vec<usize>,
+    /// Their places in the files.
+    pub constraints: Vec<usize>,
     /// None can be left out; false: the steps ended before that was sure.
-    pub smallest: bool,
+    pub minimal: bool,
 }
 
 /// TaskSelector clauses are about: the task itself, or any that it must be with.
 enum TaskSelector<'a> {
     Task(&'a TaskAttributes),
-    Some(&'a Scope),
+    AnyOf(&'a Scope),
 }
 
 struct Search<'a> {
-    clauses: &'a [Constraint],
+    constraints: &'a [Constraint],
     /// Machines that differ in what is listed of them.
     fleet: Vec<&'a MachineAttributes>,
     /// How many machines there are of each.
-    many: Vec<usize>,
+    count_of: Vec<usize>,
     steps: u64,
 }
 
@@ -37,34 +38,42 @@
         // Machines of one row here may be one machine or several: the same row is as near as can be.
         match level {
             TopologyLevel::Machine => a == b,
-            TopologyLevel::Rack => (&a.hall, a.rack) == (&b.hall, b.rack),
-            TopologyLevel::Zone => a.hall == b.hall,
+            TopologyLevel::Rack => (&a.zone, a.rack) == (&b.zone, b.rack),
+            TopologyLevel::Zone => a.zone == b.zone,
         }
     }
 
     /// Whether the clauses let some machine like `m` have the task, with those that it must be with somewhere
     /// near.
-    fn meets(&mut self, among: &BTreeSet<usize>, whom: &TaskSelector, m: usize, depth: u32) -> Option<bool> {
-        let clauses = self.clauses;
-        let binds = |c: &Constraint| match whom {
-            TaskSelector::Task(t) => c.of.matches(t),
-            TaskSelector::Some(s) => c.of.covers(s),
+    fn meets(
+        &mut self,
+        among: &BTreeSet<usize>,
+        selector: &TaskSelector,
+        machine: usize,
+        depth: u32,
+    ) -> Option<bool> {
+        let constraints = self.constraints;
+        let binds = |constraint: &Constraint| match selector {
+            TaskSelector::Task(task) => constraint.of.matches(task),
+            TaskSelector::AnyOf(scope) => constraint.of.covers(scope),
         };
         for &c in among {
-            let clause = &clauses[c];
-            if !binds(clause) {
+            let constraint = &constraints[c];
+            if !binds(constraint) {
                 continue;
             }
             self.steps = self.steps.checked_sub(1)?;
-            let met = match &clause.rule {
-                Rule::In(which) => which.names(self.fleet[m]),
-                Rule::NotIn(which) => !which.names(self.fleet[m]),
+            let met = match &constraint.rule {
+                Rule::In(machines) => machines.names(self.fleet[machine]),
+                Rule::NotIn(machines) => !machines.names(self.fleet[machine]),
                 Rule::With(others, level) => {
-                    let itself = match whom {
-                        TaskSelector::Task(t) => others.matches(t),
-                        TaskSelector::Some(s) => others.covers(s),
+                    let itself = match selector {
+                        TaskSelector::Task(task) => others.matches(task),
+                        TaskSelector::AnyOf(scope) => others.covers(scope),
                     };
-                    itself || depth == 0 || self.somebody_near(among, whom, m, others, *level, depth)?
+                    itself
+                        || depth == 0
+                        || self.companion_near(among, selector, machine, others, *level, depth)?
                 }
                 Rule::Apart(..) | Rule::Spread { .. } => true,
             };
@@ -76,25 +85,25 @@
     }
 
     /// Whether one of `others` could be near a machine like `m`, and not so near that it must be apart.
-    fn somebody_near(
+    fn companion_near(
         &mut self,
         among: &BTreeSet<usize>,
-        whom: &TaskSelector,
-        m: usize,
+        selector: &TaskSelector,
+        machine: usize,
         others: &Scope,
         level: TopologyLevel,
         depth: u32,
     ) -> Option<bool> {
-        let clauses = self.clauses;
+        let constraints = self.constraints;
         let apart = among.iter().filter_map(|&c| {
-            let Rule::Apart(from, far) = &clauses[c].rule else { return None };
-            let of = &clauses[c].of;
-            let there = match whom {
-                TaskSelector::Task(t) => {
-                    of.matches(t) && from.covers(others) || from.matches(t) && of.covers(others)
+            let Rule::Apart(from, far) = &constraints[c].rule else { return None };
+            let of = &constraints[c].of;
+            let there = match selector {
+                TaskSelector::Task(task) => {
+                    of.matches(task) && from.covers(others) || from.matches(task) && of.covers(others)
                 }
-                TaskSelector::Some(s) => {
-                    of.covers(s) && from.covers(others) || from.covers(s) && of.covers(others)
+                TaskSelector::AnyOf(scope) => {
+                    of.covers(scope) && from.covers(others) || from.covers(scope) && of.covers(others)
                 }
             };
             there.then_some(*far)
@@ -102,18 +111,18 @@
         let apart = apart.max();
         for n in 0..self.fleet.len() {
             self.steps = self.steps.checked_sub(1)?;
-            if !self.near(m, n, level) {
+            if !self.near(machine, n, level) {
                 continue;
             }
             let too_near = match apart {
                 // Two machines of one row are two machines.
                 Some(TopologyLevel::Machine) => {
-                    n == m && (self.many[m] < 2 || level == TopologyLevel::Machine)
+                    n == machine && (self.count_of[machine] < 2 || level == TopologyLevel::Machine)
                 }
-                Some(far) => self.near(m, n, far),
+                Some(far) => self.near(machine, n, far),
                 None => false,
             };
-            if !too_near && self.meets(among, &TaskSelector::Some(others), n, depth - 1)? {
+            if !too_near && self.meets(among, &TaskSelector::AnyOf(others), n, depth - 1)? {
                 return Some(true);
             }
         }
@@ -122,8 +131,8 @@
 
     /// Whether any machine meets a set of clauses; `None`: the steps ended.
     fn possible(&mut self, among: &BTreeSet<usize>, task: &TaskAttributes) -> Option<bool> {
-        for m in 0..self.fleet.len() {
-            if self.meets(among, &TaskSelector::Task(task), m, DEEP)? {
+        for machine in 0..self.fleet.len() {
+            if self.meets(among, &TaskSelector::Task(task), machine, MAX_DEPTH)? {
                 return Some(true);
             }
         }
@@ -132,15 +141,15 @@
 }
 
 /// Hard clauses that can matter to a task: such as bind it, or those that it must be with, and so on.
-fn relevant(clauses: &[Constraint], task: &TaskAttributes) -> BTreeSet<usize> {
+fn relevant(constraints: &[Constraint], task: &TaskAttributes) -> BTreeSet<usize> {
     let mut company: Vec<&Scope> = Vec::new();
     let mut set = BTreeSet::new();
-    for _ in 0..=DEEP {
-        for (c, clause) in clauses.iter().enumerate().filter(|x| x.1.must()) {
+    for _ in 0..=MAX_DEPTH {
+        for (c, constraint) in constraints.iter().enumerate().filter(|x| x.1.is_hard()) {
             let about = |s: &Scope| s.matches(task) || company.iter().any(|x| s.covers(x));
-            let apart = matches!(&clause.rule, Rule::Apart(from, _) if about(from));
-            if (about(&clause.of) || apart) && set.insert(c) {
-                if let Rule::With(others, _) = &clause.rule {
+            let apart = matches!(&constraint.rule, Rule::Apart(from, _) if about(from));
+            if (about(&constraint.of) || apart) && set.insert(c) {
+                if let Rule::With(others, _) = &constraint.rule {
                     company.push(others);
                 }
             }
@@ -152,28 +161,28 @@
 /// Why no machine of a fleet could ever take a task; `None`: one could, or the steps ended before that was
 /// known, and then the task waits as if one could.
 pub fn conflict<'a>(
-    clauses: &[Constraint],
+    constraints: &[Constraint],
     fleet: impl Iterator<Item = &'a MachineAttributes>,
     task: &TaskAttributes,
     steps: u64,
 ) -> Option<Conflict> {
     let mut rows: Vec<&MachineAttributes> = fleet.collect();
     rows.sort();
-    let mut many: Vec<usize> = Vec::new();
+    let mut count_of: Vec<usize> = Vec::new();
     let mut kinds: Vec<&MachineAttributes> = Vec::new();
-    for m in rows {
-        if kinds.last() == Some(&m) {
-            *many.last_mut()? += 1;
+    for machine in rows {
+        if kinds.last() == Some(&machine) {
+            *count_of.last_mut()? += 1;
         } else {
-            kinds.push(m);
-            many.push(1);
+            kinds.push(machine);
+            count_of.push(1);
         }
     }
     if kinds.is_empty() {
         return None;
     }
-    let mut search = Search { clauses, fleet: kinds, many, steps };
-    let mut set = relevant(clauses, task);
+    let mut search = Search { constraints, fleet: kinds, count_of, steps };
+    let mut set = relevant(constraints, task);
     if search.possible(&set, task)? {
         return None;
     }
@@ -187,10 +196,10 @@
             }
             None => {
                 set.insert(c);
-                let clauses = set.into_iter().collect();
-                return Some(Conflict { clauses, smallest: false });
+                let constraints = set.into_iter().collect();
+                return Some(Conflict { constraints, minimal: false });
             }
         }
     }
-    Some(Conflict { clauses: set.into_iter().collect(), smallest: true })
+    Some(Conflict { constraints: set.into_iter().collect(), minimal: true })
 }
--- a/constraints/src/lib.rs
+++ b/constraints/src/lib.rs
@@ -1,9 +1,10 @@
-//! Clauses on where tasks may run. `read` takes them out of an installation's records and finds what makes no
-//! sense before anything runs; `deciding` keeps, for each group of tasks that the same clauses bind, which
-//! machines are allowed, mended by each change; `conflict` names a smallest set of clauses that no machine of
-//! the known fleet can meet. No I/O, no clock.
+//! Constraints on where tasks may run. `parse` takes them out of an installation's records and finds what makes
+//! no sense before anything runs; `state` keeps, for each group of tasks that the same constraints bind, which
+//! machines are allowed, updated by each change; `conflict` names a smallest set of constraints that no machine
+//! of the known fleet can meet. No I/O, no clock.
 //!
-//! What a clause means, in plain words, is in `docs/protocol/clauses.md`; the types here are its grammar.
+//! Installations write them as `clauses`, and what is sent keeps the words of that form. What one means, in
+//! plain words, is in `docs/protocol/clauses.md`; the types here are its grammar.
 pub mod conflict;
 pub mod parse;
 pub mod state;
@@ -14,29 +15,37 @@
 /// Which tasks: all parts that are given must match. Nothing given: all tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Scope {
+    /// Name of a framework.
     pub framework: Option<String>,
+    /// Name of a tenant.
     pub tenant: Option<String>,
+    /// Number of a service.
     pub service: Option<u64>,
     /// What a task's key begins with.
     pub task: Option<String>,
 }
 
-/// What clauses see of a task.
+/// What constraints see of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TaskAttributes {
+    /// Name of its framework.
     pub framework: String,
+    /// Name of its tenant, empty where it has none.
     pub tenant: String,
+    /// Number of its service.
     pub service: u64,
+    /// Its key.
     pub key: String,
 }
 
 impl Scope {
-    pub fn matches(&self, t: &TaskAttributes) -> bool {
+    /// Whether a task is one of these.
+    pub fn matches(&self, task: &TaskAttributes) -> bool {
         let is = |want: &Option<String>, have: &str| want.as_ref().is_none_or(|w| w == have);
-        is(&self.framework, &t.framework)
-            && is(&self.tenant, &t.tenant)
-            && self.service.is_none_or(|s| s == t.service)
-            && self.task.as_ref().is_none_or(|k| t.key.starts_with(k.as_str()))
+        is(&self.framework, &task.framework)
+            && is(&self.tenant, &task.tenant)
+            && self.service.is_none_or(|service| service == task.service)
+            && self.task.as_ref().is_none_or(|prefix| task.key.starts_with(prefix.as_str()))
     }
 
     /// Every task of `other` is one of this.
@@ -65,12 +74,14 @@
     }
 }
 
-/// How near is near.
+/// A level of the fleet's topology: what counts as one place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum TopologyLevel {
+    /// Each machine for itself.
     Machine,
+    /// A rack of a zone.
     Rack,
-    /// Written `Hall` in what is sent.
+    /// Machines that fail together; written `Hall` in what is sent.
     #[serde(rename = "Hall")]
     Zone,
 }
@@ -79,33 +90,43 @@
 /// have one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MachineSelector {
+    /// Kinds of machine.
     pub kinds: Vec<String>,
-    pub halls: Vec<String>,
-    /// Hall and number of a rack.
+    /// Written `halls` in what is sent.
+    #[serde(rename = "halls")]
+    pub zones: Vec<String>,
+    /// Zone and number of a rack.
     pub racks: Vec<(String, u32)>,
+    /// Labels, of which it must bear one.
     pub labels: Vec<String>,
 }
 
-/// What clauses see of a machine.
+/// What constraints see of a machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachineAttributes {
+    /// Its kind.
     pub kind: String,
-    pub hall: String,
+    /// Its zone.
+    pub zone: String,
+    /// Number of its rack in the zone.
     pub rack: u32,
+    /// Labels that it bears.
     pub labels: Vec<String>,
 }
 
 impl MachineSelector {
-    pub fn names(&self, m: &MachineAttributes) -> bool {
+    /// Whether a machine is one of these.
+    pub fn names(&self, machine: &MachineAttributes) -> bool {
         let is = |list: &[String], have: &str| list.is_empty() || list.iter().any(|x| x == have);
-        is(&self.kinds, &m.kind)
-            && is(&self.halls, &m.hall)
-            && (self.racks.is_empty() || self.racks.iter().any(|r| r.0 == m.hall && r.1 == m.rack))
-            && (self.labels.is_empty() || self.labels.iter().any(|l| m.labels.contains(l)))
+        is(&self.kinds, &machine.kind)
+            && is(&self.zones, &machine.zone)
+            && (self.racks.is_empty()
+                || self.racks.iter().any(|(zone, rack)| *zone == machine.zone && *rack == machine.rack))
+            && (self.labels.is_empty() || self.labels.iter().any(|label| machine.labels.contains(label)))
     }
 }
 
-/// Which places count for a spread when some have no machine that takes work.
+/// Which domains count for a spread when some have no machine that takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum UnavailableDomains {
     /// Only those with a machine that is ready: the others do without.
@@ -119,10 +140,13 @@
 /// Tasks that a spread counts together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum SpreadGrouping {
+    /// Those of one service.
     Service,
+    /// All that the constraint binds.
     All,
 }
 
+/// What a constraint demands of a machine for the tasks that it binds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Rule {
     /// Only on those machines.
@@ -133,30 +157,41 @@
     With(Scope, TopologyLevel),
     /// Not where one of these is, nor one of these where it is.
     Apart(Scope, TopologyLevel),
-    /// At most so many in a place, and at most so many more than in the place with the fewest.
+    /// At most so many in a domain, and at most so many more than in the domain with the fewest.
     Spread {
+        /// The level whose domains are counted.
         over: TopologyLevel,
+        /// Which tasks are counted together.
         by: SpreadGrouping,
+        /// At most so many in a domain.
         most: Option<u32>,
+        /// At most so many more than in the domain with the fewest.
         skew: Option<u32>,
+        /// Whether domains without a ready machine count for the fewest.
         gone: UnavailableDomains,
     },
 }
 
+/// One constraint on where tasks may run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Constraint {
+    /// Its name, once in an installation.
     pub name: String,
-    /// Where it stands; what is sent to a planner has words for that beside it.
+    /// Where it stands in the files; what is sent to a planner has words for that beside it.
     #[serde(skip)]
     pub at: Span,
+    /// The tasks that it binds.
     pub of: Scope,
-    /// `None`: it must hold. Else how much it is wished for: higher ranks first.
-    pub wish: Option<u32>,
+    /// `None`: it must hold. Else how much it is preferred: higher ranks first.
+    #[serde(rename = "wish")]
+    pub preference_rank: Option<u32>,
+    /// What it demands.
     pub rule: Rule,
 }
 
 impl Constraint {
-    pub fn must(&self) -> bool {
-        self.wish.is_none()
+    /// Whether it must hold.
+    pub fn is_hard(&self) -> bool {
+        self.preference_rank.is_none()
     }
 }
--- a/constraints/src/parse.rs
+++ b/constraints/src/parse.rs
@@ -4,13 +4,13 @@
 use crate::{Constraint, MachineSelector, Rule, Scope, SpreadGrouping, TopologyLevel, UnavailableDomains};
 use basaltpitch_config::{ConfigError, ResolvedValue};
 
-/// Names that clauses may use.
-struct Known<'a> {
+/// Reads an installation's constraints, and keeps what is wrong with them.
+struct Parser<'a> {
     all: &'a ResolvedValue,
     faults: Vec<ConfigError>,
 }
 
-impl Known<'_> {
+impl Parser<'_> {
     fn named(&mut self, list: &str, name: &str, at: basaltpitch_config::Span) {
         let names: Vec<String> = match list {
             "zones" => self.all.texts(list).into_iter().map(|x| x.0).collect(),
@@ -41,7 +41,7 @@
         }
     }
 
-    fn which(&mut self, w: &ResolvedValue) -> MachineSelector {
+    fn selector(&mut self, w: &ResolvedValue) -> MachineSelector {
         for (list, names) in [("kinds", "kinds"), ("halls", "zones"), ("racks", "racks")] {
             for (name, at) in w.texts(list) {
                 self.named(names, &name, at);
@@ -53,17 +53,17 @@
             r.text("name").is_some_and(|n| wanted.iter().any(|w| w == n))
         });
         let racks = racks.map(|r| (r.text("hall").unwrap_or("").to_owned(), number(r, "cell")));
-        let which = MachineSelector {
+        let selector = MachineSelector {
             kinds: plain("kinds"),
-            halls: plain("halls"),
+            zones: plain("halls"),
             racks: racks.collect(),
             labels: plain("labels"),
         };
-        if w.texts("racks").is_empty() && which == MachineSelector::default() {
+        if w.texts("racks").is_empty() && selector == MachineSelector::default() {
             let what = "found no kinds, halls, racks or labels; expected at least one";
             self.faults.push(ConfigError::new(w.at, what));
         }
-        which
+        selector
     }
 
     fn rule(&mut self, c: &ResolvedValue, name: &str) -> Option<Rule> {
@@ -79,8 +79,8 @@
         };
         let rule = c.get(one)?;
         Some(match one {
-            "in" => Rule::In(self.which(rule)),
-            "not_in" => Rule::NotIn(self.which(rule)),
+            "in" => Rule::In(self.selector(rule)),
+            "not_in" => Rule::NotIn(self.selector(rule)),
             "with" => Rule::With(self.scope(rule), level(rule, "within")),
             "apart" => Rule::Apart(self.scope(rule), level(rule, "within")),
             _ => {
@@ -120,25 +120,25 @@
 
 /// The clauses of an installation, in the order of its files, or all that is wrong with them.
 pub fn parse(all: &ResolvedValue) -> Result<Vec<Constraint>, Vec<ConfigError>> {
-    let mut known = Known { all, faults: Vec::new() };
+    let mut parser = Parser { all, faults: Vec::new() };
     for rack in all.list("racks") {
-        let (name, hall) = (rack.text("name").unwrap_or(""), rack.text("hall").unwrap_or(""));
-        if !all.texts("zones").iter().any(|z| z.0 == hall) {
-            let halls: Vec<String> = all.texts("zones").into_iter().map(|x| x.0).collect();
+        let (name, zone) = (rack.text("name").unwrap_or(""), rack.text("hall").unwrap_or(""));
+        if !all.texts("zones").iter().any(|z| z.0 == zone) {
+            let zones: Vec<String> = all.texts("zones").into_iter().map(|x| x.0).collect();
             let at = rack.get("hall").map_or(rack.at, |h| h.at);
-            let what = format!("rack {name}: found hall {hall:?}; expected one of {}", halls.join(", "));
-            known.faults.push(ConfigError::new(at, what));
+            let what = format!("rack {name}: found hall {zone:?}; expected one of {}", zones.join(", "));
+            parser.faults.push(ConfigError::new(at, what));
         }
     }
     let mut clauses = Vec::new();
     for c in all.list("clauses") {
         let name = c.text("name").unwrap_or("").to_owned();
-        let of = c.get("of").map(|s| known.scope(s)).unwrap_or_default();
-        let wish = (c.text("how") == Some("prefer")).then(|| number(c, "rank"));
-        let Some(rule) = known.rule(c, &name) else { continue };
-        clauses.push(Constraint { name, at: c.at, of, wish, rule });
+        let of = c.get("of").map(|s| parser.scope(s)).unwrap_or_default();
+        let preference_rank = (c.text("how") == Some("prefer")).then(|| number(c, "rank"));
+        let Some(rule) = parser.rule(c, &name) else { continue };
+        clauses.push(Constraint { name, at: c.at, of, preference_rank, rule });
     }
-    let mut faults = known.faults;
+    let mut faults = parser.faults;
     if faults.is_empty() {
         faults = nonsense(&clauses);
     }
@@ -160,7 +160,7 @@
             }
             // Either may be the one that covers the other.
             for (a, b) in [(a, b), (b, a)] {
-                if a.must() && b.must() && b.of.covers(&a.of) {
+                if a.is_hard() && b.is_hard() && b.of.covers(&a.of) {
                     if let Some(why) = never(&a.rule, &b.rule, a) {
                         let what =
                             format!("{}: found {why}; expected clauses that can hold together", a.name);
@@ -201,7 +201,7 @@
         (Rule::In(a), Rule::In(b)) if disjoint(&a.kinds, &b.kinds) => {
             Some("kinds of which none is in both".into())
         }
-        (Rule::In(a), Rule::In(b)) if disjoint(&a.halls, &b.halls) => {
+        (Rule::In(a), Rule::In(b)) if disjoint(&a.zones, &b.zones) => {
             Some("halls of which none is in both".into())
         }
         (Rule::In(a), Rule::In(b))
@@ -232,7 +232,7 @@
     let part =
         |a: &[String], b: &[String]| b.is_empty() || (!a.is_empty() && a.iter().all(|x| b.contains(x)));
     let racks = b.racks.is_empty() || (!a.racks.is_empty() && a.racks.iter().all(|r| b.racks.contains(r)));
-    part(&a.kinds, &b.kinds) && part(&a.halls, &b.halls) && part(&a.labels, &b.labels) && racks
+    part(&a.kinds, &b.kinds) && part(&a.zones, &b.zones) && part(&a.labels, &b.labels) && racks
 }
 
 /// Whatever the first allows, the second allows.
@@ -259,7 +259,7 @@
 fn circles(clauses: &[Constraint]) -> Vec<ConfigError> {
     let waits: Vec<(&Constraint, &Scope)> = clauses
         .iter()
-        .filter(|c| c.must())
+        .filter(|c| c.is_hard())
         .filter_map(|c| match &c.rule {
             // A task of the same kind may begin.
             Rule::With(other, _) if !other.covers(&c.of) => Some((c, other)),
--- /dev/null
+++ b/constraints/src/state/counts.rs
@@ -0,0 +1,148 @@
+//! Counts of attempts by topology domain, and the machines that constraints forbid by them.
+use super::{level_index, put, AttemptKey, BoundRule, ConstraintState, DomainCounts, MachineState};
+use crate::{Scope, TopologyLevel};
+
+impl ConstraintState {
+    /// The counts of a scope, by its domains of a level, made where there are none.
+    pub(super) fn counts_for(&mut self, scope: &Scope, service: Option<u64>, level: TopologyLevel) -> usize {
+        let key = (scope.clone(), service, level);
+        if let Some(&counts) = self.counts_of.get(&key) {
+            return counts;
+        }
+        let by_domain = vec![0; self.domain_count(level)];
+        let reachable = by_domain.clone();
+        let entry = DomainCounts {
+            scope: scope.clone(),
+            service,
+            level,
+            by_domain,
+            reachable,
+            total: 0,
+            watchers: Vec::new(),
+        };
+        let counts = put(&mut self.counts, &mut self.free_counts, entry);
+        self.counts_of.insert(key, counts);
+        counts
+    }
+
+    /// Domains of a level.
+    pub(super) fn domain_count(&self, level: TopologyLevel) -> usize {
+        if level == TopologyLevel::Machine {
+            self.machines.len()
+        } else {
+            self.domains[level_index(level)].machines.len()
+        }
+    }
+
+    /// One attempt of a group more or less in the domains of a machine.
+    pub(super) fn adjust_counts(&mut self, group: usize, at: [usize; 3], far: bool, more: bool) {
+        for &counts in &self.groups[group].counted_in {
+            let entry = &mut self.counts[counts];
+            let domain = at[level_index(entry.level)];
+            for (count, counts) in [
+                (&mut entry.by_domain[domain], true),
+                (&mut entry.reachable[domain], !far),
+                (&mut entry.total, !far),
+            ] {
+                if counts {
+                    *count = if more { *count + 1 } else { *count - 1 };
+                }
+            }
+        }
+    }
+
+    /// An attempt of a group's task is on a machine, or was sent there and its outcome is not known.
+    pub fn attempt_started(&mut self, attempt: AttemptKey, group: usize, machine: usize) {
+        if self.attempts.insert(attempt, (group, machine)).is_none() {
+            self.groups[group].uses += 1;
+            self.count(group, machine, true);
+        }
+    }
+
+    /// An attempt is over, or is known never to have begun.
+    pub fn attempt_ended(&mut self, attempt: AttemptKey) {
+        if let Some((group, machine)) = self.attempts.remove(&attempt) {
+            self.count(group, machine, false);
+            self.release_group(group);
+        }
+    }
+
+    /// An attempt of a group more or less on a machine, and what that changes for constraints.
+    pub(super) fn count(&mut self, group: usize, machine: usize, more: bool) {
+        let Some(known) = self.machines.get_mut(machine).and_then(Option::as_mut) else { return };
+        if more {
+            known.groups.push(group);
+        } else if let Some(i) = known.groups.iter().position(|&other| other == group) {
+            known.groups.swap_remove(i);
+        }
+        let (at, far) = (known.domains, known.state == MachineState::Far);
+        let before: Vec<u32> =
+            self.groups[group].counted_in.iter().map(|&counts| self.counts[counts].total).collect();
+        self.adjust_counts(group, at, far, more);
+        for (i, total_before) in before.into_iter().enumerate() {
+            let counts = self.groups[group].counted_in[i];
+            let entry = &self.counts[counts];
+            let domain = at[level_index(entry.level)];
+            let (level, turned) = (entry.level, (total_before == 0) != (entry.total == 0));
+            for w in 0..self.counts[counts].watchers.len() {
+                let constraint = self.counts[counts].watchers[w];
+                let begins = turned && matches!(self.bound[constraint].test, BoundRule::With { .. });
+                if begins || self.update_fewest(constraint) {
+                    self.refresh_all(constraint);
+                } else if level == TopologyLevel::Machine {
+                    self.refresh(constraint, domain);
+                } else {
+                    for n in 0..self.domains[level_index(level)].machines[domain].len() {
+                        let machine = self.domains[level_index(level)].machines[domain][n];
+                        self.refresh(constraint, machine);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Whether a bound constraint forbids a machine, by what is counted now.
+    pub(super) fn forbids(&self, constraint: usize, machine: usize) -> bool {
+        let Some(known) = &self.machines[machine] else { return true };
+        let entry = &self.bound[constraint];
+        let here = |counts: usize| {
+            let entry = &self.counts[counts];
+            entry.by_domain.get(known.domains[level_index(entry.level)]).copied().unwrap_or(0)
+        };
+        match &entry.test {
+            BoundRule::Selector { selector, inside } => selector.names(&known.facts) != *inside,
+            BoundRule::With { counts, may_begin } if self.counts[*counts].total == 0 => !may_begin,
+            BoundRule::With { counts, .. } => {
+                let entry = &self.counts[*counts];
+                entry.reachable.get(known.domains[level_index(entry.level)]).is_none_or(|n| *n == 0)
+            }
+            BoundRule::Apart { counts } => here(*counts) > 0,
+            BoundRule::Spread { counts, most, skew, .. } => {
+                most.is_some_and(|most| here(*counts) >= most)
+                    || skew.is_some_and(|skew| here(*counts) + 1 > entry.fewest + skew)
+            }
+        }
+    }
+
+    /// Finds anew whether a bound constraint forbids a machine.
+    pub(super) fn refresh(&mut self, constraint: usize, machine: usize) {
+        let forbids = self.forbids(constraint, machine);
+        let entry = &mut self.bound[constraint];
+        if std::mem::replace(&mut entry.forbids[machine], forbids) == forbids
+            || !self.constraints[entry.constraint].is_hard()
+        {
+            return;
+        }
+        for &group in &entry.groups {
+            let blocking = &mut self.groups[group].blocking[machine];
+            *blocking = if forbids { *blocking + 1 } else { *blocking - 1 };
+        }
+    }
+
+    /// The same for all machines.
+    pub(super) fn refresh_all(&mut self, constraint: usize) {
+        for machine in 0..self.machines.len() {
+            self.refresh(constraint, machine);
+        }
+    }
+}
--- a/constraints/tests/plain.rs
+++ b/constraints/tests/plain.rs
@@ -41,7 +41,7 @@
 fn which() -> impl Strategy<Value = MachineSelector> {
     let racks = proptest::collection::vec((text(HALLS), 0u32..2), 0..3);
     (some(KINDS), some(HALLS), racks, some(LABELS))
-        .prop_map(|(kinds, halls, racks, labels)| MachineSelector { kinds, halls, racks, labels })
+        .prop_map(|(kinds, zones, racks, labels)| MachineSelector { kinds, zones, racks, labels })
 }
 
 fn rule() -> impl Strategy<Value = Rule> {
@@ -64,12 +64,8 @@
 }
 
 fn clause() -> impl Strategy<Value = Constraint> {
-    (scope(), proptest::option::weighted(0.3, 1u32..4), rule()).prop_map(|(of, wish, rule)| Constraint {
-        name: String::new(),
-        at: Default::default(),
-        of,
-        wish,
-        rule,
+    (scope(), proptest::option::weighted(0.3, 1u32..4), rule()).prop_map(|(of, preference_rank, rule)| {
+        Constraint { name: String::new(), at: Default::default(), of, preference_rank, rule }
     })
 }
 
@@ -80,7 +76,7 @@
 
 fn machine() -> impl Strategy<Value = MachineAttributes> {
     (text(KINDS), text(HALLS), 0u32..2, some(LABELS))
-        .prop_map(|(kind, hall, rack, labels)| MachineAttributes { kind, hall, rack, labels })
+        .prop_map(|(kind, zone, rack, labels)| MachineAttributes { kind, zone, rack, labels })
 }
 
 fn state() -> impl Strategy<Value = MachineState> {
@@ -99,8 +95,8 @@
         let (x, y) = (&self.machines[a].0, &self.machines[b].0);
         match level {
             TopologyLevel::Machine => a == b,
-            TopologyLevel::Rack => x.hall == y.hall && x.rack == y.rack,
-            TopologyLevel::Zone => x.hall == y.hall,
+            TopologyLevel::Rack => x.zone == y.zone && x.rack == y.rack,
+            TopologyLevel::Zone => x.zone == y.zone,
         }
     }
 
@@ -131,7 +127,7 @@
                 };
                 let n = self.count(m, *over, alike);
                 let fixed = |x: usize| {
-                    all.iter().filter(|c| c.must() && c.of.matches(t)).all(|c| match &c.rule {
+                    all.iter().filter(|c| c.is_hard() && c.of.matches(t)).all(|c| match &c.rule {
                         Rule::In(w) => w.names(&self.machines[x].0),
                         Rule::NotIn(w) => !w.names(&self.machines[x].0),
                         _ => true,
@@ -153,7 +149,7 @@
     }
 
     fn allows(&self, all: &[Constraint], t: &TaskAttributes, m: usize) -> bool {
-        all.iter().filter(|c| c.must()).all(|c| self.met(all, c, t, m))
+        all.iter().filter(|c| c.is_hard()).all(|c| self.met(all, c, t, m))
     }
 }
 
@@ -225,7 +221,7 @@
                     let named: Vec<&Constraint> = ours.violated_constraints(g, m).into_iter().map(|c| &clauses[c]).collect();
                     prop_assert!(named.iter().all(|c| !plain.met(&clauses, c, t, m)), "{:?} on {}", t, m);
                     // Wishes, by the plain meaning: rank before rank, in the order of the files.
-                    let mut soft: Vec<&Constraint> = clauses.iter().filter(|c| !c.must()).collect();
+                    let mut soft: Vec<&Constraint> = clauses.iter().filter(|c| !c.is_hard()).collect();
                     soft.retain(|c| c.of.matches(t) || matches!(&c.rule, Rule::Apart(s, _) if s.matches(t)));
                     if soft.len() == 1 && !matches!(soft[0].rule, Rule::Apart(..)) {
                         prop_assert_eq!(ours.preference_score(g, m), u64::from(plain.met(&clauses, soft[0], t, m)));
@@ -249,8 +245,8 @@
     };
     let near = |a: usize, b: usize, level: TopologyLevel| match level {
         TopologyLevel::Machine => a == b,
-        TopologyLevel::Rack => fleet[a].hall == fleet[b].hall && fleet[a].rack == fleet[b].rack,
-        TopologyLevel::Zone => fleet[a].hall == fleet[b].hall,
+        TopologyLevel::Rack => fleet[a].zone == fleet[b].zone && fleet[a].rack == fleet[b].rack,
+        TopologyLevel::Zone => fleet[a].zone == fleet[b].zone,
     };
     (0..fleet.len()).any(|m| {
         fixed(&|c| c.of.matches(t), m)
@@ -282,7 +278,7 @@
         fleet in proptest::collection::vec(machine(), 1..6),
         task in task(),
     ) {
-        let clauses: Vec<Constraint> = clauses.into_iter().map(|c| Constraint { wish: None, ..c }).collect();
+        let clauses: Vec<Constraint> = clauses.into_iter().map(|c| Constraint { preference_rank: None, ..c }).collect();
         let waits = |d: &Constraint, s: &Scope| matches!(d.rule, Rule::With(..)) && d.of.covers(s);
         let helps = |c: &Constraint| match &c.rule {
             Rule::With(s, _) => clauses.iter().any(|d| waits(d, s)),
@@ -293,8 +289,8 @@
         let found = conflict(&clauses, fleet.iter(), &task, 1_000_000);
         prop_assert_eq!(found.is_none(), possible(&all, &fleet, &task));
         if let Some(found) = found {
-            prop_assert!(found.smallest);
-            let set: Vec<&Constraint> = found.clauses.iter().map(|&c| &clauses[c]).collect();
+            prop_assert!(found.minimal);
+            let set: Vec<&Constraint> = found.constraints.iter().map(|&c| &clauses[c]).collect();
             prop_assert!(!possible(&set, &fleet, &task), "a conflict");
             for left_out in 0..set.len() {
                 let mut fewer = set.clone();
@@ -307,21 +303,21 @@
 
 #[test]
 fn steps_end_honestly() {
-    let of = |halls: &str| Constraint {
-        name: halls.into(),
+    let of = |zones: &str| Constraint {
+        name: zones.into(),
         at: Default::default(),
         of: Scope::default(),
-        wish: None,
-        rule: Rule::In(MachineSelector { halls: vec![halls.into()], ..MachineSelector::default() }),
+        preference_rank: None,
+        rule: Rule::In(MachineSelector { zones: vec![zones.into()], ..MachineSelector::default() }),
     };
     let clauses = [of("a"), of("a"), of("b")];
     let fleet = [
-        MachineAttributes { hall: "a".into(), ..MachineAttributes::default() },
-        MachineAttributes { hall: "b".into(), ..MachineAttributes::default() },
+        MachineAttributes { zone: "a".into(), ..MachineAttributes::default() },
+        MachineAttributes { zone: "b".into(), ..MachineAttributes::default() },
     ];
     let found = |steps| conflict(&clauses, fleet.iter(), &TaskAttributes::default(), steps);
     assert_eq!(found(2), None, "not known: it waits");
-    assert!(!found(6).unwrap().smallest);
+    assert!(!found(6).unwrap().minimal);
     let all = found(1000).unwrap();
-    assert_eq!((all.clauses, all.smallest), (vec![1, 2], true));
+    assert_eq!((all.constraints, all.minimal), (vec![1, 2], true));
 }
--- a/constraints/tests/reading.rs
+++ b/constraints/tests/reading.rs
@@ -21,8 +21,8 @@
 /// A rule, each field of it, in the words of installations' files.
 fn in_words(rule: &Rule) -> String {
     let machines = |selector: &MachineSelector| {
-        let MachineSelector { kinds, halls, racks, labels } = selector;
-        format!("Which {{ kinds: {kinds:?}, halls: {halls:?}, racks: {racks:?}, labels: {labels:?} }}")
+        let MachineSelector { kinds, zones, racks, labels } = selector;
+        format!("Which {{ kinds: {kinds:?}, halls: {zones:?}, racks: {racks:?}, labels: {labels:?} }}")
     };
     let within = |level: &TopologyLevel| match level {
         TopologyLevel::Machine => "Machine",
@@ -185,7 +185,7 @@
         let hall = |d: &mut ConstraintState, name: &str, from: usize, state: MachineState| {
             for m in from..from + 2 {
                 let facts =
-                    MachineAttributes { kind: "std".into(), hall: name.into(), rack: 1, labels: vec![] };
+                    MachineAttributes { kind: "std".into(), zone: name.into(), rack: 1, labels: vec![] };
                 d.update_machine(m, facts, state);
             }
         };
@@ -222,7 +222,7 @@
     for m in 0..4 {
         d.update_machine(
             m,
-            MachineAttributes { hall: "hall-a".into(), ..MachineAttributes::default() },
+            MachineAttributes { zone: "hall-a".into(), ..MachineAttributes::default() },
             MachineState::Ready,
         );
     }
--- a/planner/src/placement_constraints.rs
+++ b/planner/src/placement_constraints.rs
@@ -24,7 +24,7 @@
     Blocked,
     /// No machine that is known could ever take it: the clauses that say so, and whether none can be left
     /// out.
-    Infeasible { clauses: Vec<usize>, smallest: bool },
+    Infeasible { constraints: Vec<usize>, minimal: bool },
 }
 
 fn copy(launch: AttemptId) -> (u64, u64) {
@@ -76,7 +76,7 @@
         }
         let fleet = self.state.fleet().filter(|x| x.2 != MachineState::Gone).map(|x| x.1);
         match conflict(self.state.constraints(), fleet, facts, STEPS) {
-            Some(found) => Eligibility::Infeasible { clauses: found.clauses, smallest: found.smallest },
+            Some(found) => Eligibility::Infeasible { constraints: found.constraints, minimal: found.minimal },
             None => Eligibility::Blocked,
         }
     }
--- a/planner/src/state/clauses.rs
+++ b/planner/src/state/clauses.rs
@@ -45,9 +45,9 @@
     /// Why no machine could ever take a task, if none could.
     pub(super) fn never(&mut self, facts: Option<&Rc<TaskAttributes>>) -> Option<String> {
         match self.placement.host.constraints.as_mut()?.eligibility(facts?) {
-            Eligibility::Infeasible { clauses, smallest } => {
-                let names = self.clause_names(&clauses);
-                let more = if smallest { "" } else { "; not found smaller" };
+            Eligibility::Infeasible { constraints, minimal } => {
+                let names = self.clause_names(&constraints);
+                let more = if minimal { "" } else { "; not found smaller" };
                 Some(format!("no machine that is known could ever meet together: {names}{more}"))
             }
             _ => None,
@@ -132,13 +132,13 @@
             let forbidding = named(&bounds.state.violated_constraints(g, m));
             by_machine
                 .push(json!({"machine": &**self.machine_ids.ids.id(m), "state": state, "kind": facts.kind,
-                "hall": facts.hall, "rack": facts.rack, "labels": facts.labels, "forbidden_by": forbidding}));
+                "hall": facts.zone, "rack": facts.rack, "labels": facts.labels, "forbidden_by": forbidding}));
         }
         let verdict = match &stands {
             Eligibility::Eligible => json!("some machine is allowed"),
             Eligibility::Blocked => json!("kept out by what runs"),
-            Eligibility::Infeasible { clauses, smallest } => {
-                json!({"never": named(clauses), "smallest": smallest})
+            Eligibility::Infeasible { constraints, minimal } => {
+                json!({"never": named(constraints), "smallest": minimal})
             }
         };
         bounds.state.release_group(g);
--- a/planner/src/state/registry.rs
+++ b/planner/src/state/registry.rs
@@ -181,7 +181,7 @@
         let (kind, zone, cell) = availability.location;
         let facts = MachineAttributes {
             kind: self.names.kinds[kind].clone(),
-            hall: self.names.zones[zone].clone(),
+            zone: self.names.zones[zone].clone(),
             rack: cell as u32,
             labels: record.labels.clone(),
         };
