--- a/cli/src/roll.rs
+++ b/cli/src/roll.rs
@@ -10,7 +10,7 @@
 use basaltpitch_planner::lease_client::{self, LeaseClientConfig, LeaseCommand, LeaseDeadline, LeaseEvent};
 use basaltpitch_planner::rolling_restart::{PLAN_LEASE, RESTART_LEASE};
 use basaltpitch_planner::voter_links::VoterEndpoint;
-use basaltpitch_rolling_restart::{How, Plan, Progress, Stage};
+use basaltpitch_rolling_restart::{RestartOutcome, RestartPlan, RestartProgress, RestartStage};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -56,7 +56,9 @@
 }
 
 /// What operators want, and how far it is, as a majority of the voters keeps it.
-fn record(voters: &[VoterEndpoint]) -> Result<(Option<Plan>, Option<Progress<String>>), Failure> {
+fn record(
+    voters: &[VoterEndpoint],
+) -> Result<(Option<RestartPlan>, Option<RestartProgress<String>>), Failure> {
     let (mut answers, mut faults) = (Vec::new(), Vec::new());
     for (voter, kept) in records(voters, false)? {
         match kept {
@@ -80,7 +82,11 @@
 }
 
 /// Leaves a plan in the record, once a majority keeps it.
-async fn leave(terms: LeaseConfig, voters: Vec<VoterEndpoint>, plan: Plan) -> Result<Plan, Failure> {
+async fn leave(
+    terms: LeaseConfig,
+    voters: Vec<VoterEndpoint>,
+    plan: RestartPlan,
+) -> Result<RestartPlan, Failure> {
     let epoch = Clock::start().now() as u64;
     let name = format!("command-{}", std::process::id());
     let me = PeerIdentity { role: Role::Planner, name, epoch, link: 0, login: String::new() };
@@ -130,20 +136,20 @@
     done
 }
 
-fn word(stage: Stage) -> &'static str {
+fn word(stage: RestartStage) -> &'static str {
     match stage {
-        Stage::Waits => "waits",
-        Stage::Drains => "drains",
-        Stage::Restarts => "restarts",
-        Stage::Released(_) => "released",
-        Stage::Done(How::Restarted) => "restarted",
-        Stage::Done(How::NotRestarted) => "not restarted",
-        Stage::Done(How::Absent) => "absent",
-        Stage::Done(How::Stopped) => "stopped",
+        RestartStage::Waiting => "waits",
+        RestartStage::Draining => "drains",
+        RestartStage::Restarting => "restarts",
+        RestartStage::Released(_) => "released",
+        RestartStage::Done(RestartOutcome::Restarted) => "restarted",
+        RestartStage::Done(RestartOutcome::NotRestarted) => "not restarted",
+        RestartStage::Done(RestartOutcome::Absent) => "absent",
+        RestartStage::Done(RestartOutcome::Stopped) => "stopped",
     }
 }
 
-fn told(wish: Option<&Plan>, far: Option<&Progress<String>>, all: bool) -> Value {
+fn told(wish: Option<&RestartPlan>, far: Option<&RestartProgress<String>>, all: bool) -> Value {
     // One that is wanted, and that no conductor has begun yet.
     let begun = far.filter(|f| wish.is_none_or(|w| w.id <= f.plan.id));
     let Some(plan) = wish.filter(|w| begun.is_none_or(|f| w.id == f.plan.id)).or(begun.map(|f| &f.plan))
@@ -158,10 +164,10 @@
         Some(_) => "goes on",
         None => "wanted; no planner conducts it yet",
     };
-    let mut value = json!({"roll": plan.id, "zone": plan.zone, "at_once": plan.at_once, "state": state});
+    let mut value = json!({"roll": plan.id, "zone": plan.zone, "at_once": plan.max_draining, "state": state});
     let mut by_stage: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-    for (m, (_, stage)) in begun.iter().flat_map(|f| &f.machines) {
-        by_stage.entry(word(*stage)).or_default().push(m);
+    for (machine, restart) in begun.iter().flat_map(|f| &f.machines) {
+        by_stage.entry(word(restart.stage)).or_default().push(machine);
     }
     for (stage, machines) in by_stage {
         // Those that are well or wait are many, and looked at one by one by nobody.
@@ -194,12 +200,12 @@
             (None, _) => None,
         };
         let plan = match (self.zone, open) {
-            (Some(zone), None) => Plan {
+            (Some(zone), None) => RestartPlan {
                 id: 0,
                 zone,
-                at_once: usize::from(self.at_once),
-                empty_us: (self.empty_within * 1e6) as i64,
-                restart_us: (self.restart_within * 1e6) as i64,
+                max_draining: usize::from(self.at_once),
+                drain_timeout_us: (self.empty_within * 1e6) as i64,
+                restart_timeout_us: (self.restart_within * 1e6) as i64,
                 paused: false,
                 stopped: false,
             },
@@ -216,7 +222,7 @@
             (None, None) => return Err(Failure::Failed("found no roll that is open".into())),
             (None, Some(open)) => {
                 let stopped = open.stopped || self.stop;
-                Plan { paused: self.pause || (open.paused && !self.resume), stopped, ..open.clone() }
+                RestartPlan { paused: self.pause || (open.paused && !self.resume), stopped, ..open.clone() }
             }
         };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
--- a/planner/src/rolling_restart.rs
+++ b/planner/src/rolling_restart.rs
@@ -1,186 +1,208 @@
-//! A planner that conducts a roll, between the council, the register and the decisions of
-//! `basaltpitch_rolling_restart`: what is heard goes in, what is to be written and said comes out.
+//! A planner that coordinates rolling restarts, between its lease client, the registry and the decisions of
+//! `basaltpitch_rolling_restart`: events go in, metadata to be written and frames come out.
 use crate::lease_client::{LeaseCommand, LeaseDeadline, LeaseEvent};
 use crate::voter_server::LONGEST_METADATA;
-use basaltpitch_agent::wire::{self, Body, List, Readiness};
-use basaltpitch_rolling_restart::{Call, Conductor, Listed, Pace, Plan, Progress};
+use basaltpitch_agent::wire::{self, Body, Entry, List, Readiness};
+use basaltpitch_rolling_restart::{
+    ListedMachine, RestartAction, RestartConfig, RestartCoordinator, RestartPlan, RestartProgress,
+};
 use std::collections::{BTreeMap, HashMap};
 use tokio::sync::mpsc;
 
-/// The duty of who conducts rolls; its note is how far the roll is.
+/// The name of the lease of who coordinates rolling restarts; its metadata is the progress.
 pub const RESTART_LEASE: &str = "roll";
-/// The duty of an operator who says what roll is wanted; its note says it.
+/// The name of the lease of an operator who asks for a rolling restart; its metadata is the plan.
 pub const PLAN_LEASE: &str = "roll-wanted";
 
-/// What a planner under a seat can do beside placing.
+/// Cores or memory may differ by so much from those of an empty machine: sums of figures are rounded.
+const ROUNDING: f64 = 1e-6;
+
+/// What a planner with a slot needs to coordinate rolling restarts.
 pub struct RollingRestartConfig {
+    /// Events of the leases beside the slot.
     pub lease_events: mpsc::Receiver<LeaseEvent>,
+    /// Commands for the lease client.
     pub lease_commands: mpsc::Sender<LeaseCommand>,
     /// Cores and memory of each kind of machine: what is free on one that is empty.
     pub machine_sizes: HashMap<String, (f64, f64)>,
-    /// Launches are on their way to a machine that drains for so long, in microseconds.
+    /// Attempts are on their way to a machine that drains for so long, in microseconds.
     pub drain_grace_us: i64,
 }
 
-struct Conducting {
+/// What is held with the lease.
+struct Coordination {
     token: u64,
-    tenure: LeaseDeadline,
-    conductor: Conductor<String>,
+    deadline: LeaseDeadline,
+    coordinator: RestartCoordinator<String>,
 }
 
-/// The list of machines as the register last told it, and the roll, while this planner conducts it.
+/// The machine list as the registry last sent it, and the rolling restart, while this planner coordinates it.
 pub struct RollingRestartCoordinator {
-    duties: RollingRestartConfig,
-    fleet: BTreeMap<String, (String, Listed)>,
-    /// Whether the list was heard whole since the register's link came up.
-    whole: bool,
-    conducting: Option<Conducting>,
-    looks_at: i64,
+    config: RollingRestartConfig,
+    /// Machines and their zones.
+    fleet: BTreeMap<String, (String, ListedMachine)>,
+    /// Whether the list was received whole since the registry's link came up.
+    has_whole_list: bool,
+    coordination: Option<Coordination>,
+    wakeup_us: i64,
+}
+
+/// What the last coordinator left; `Err` where it makes no sense.
+fn read_progress(metadata: &[u8]) -> Result<Option<RestartProgress<String>>, serde_json::Error> {
+    if metadata.is_empty() {
+        return Ok(None);
+    }
+    serde_json::from_slice(metadata).map(Some)
 }
 
 impl RollingRestartCoordinator {
-    pub fn new(duties: RollingRestartConfig) -> Self {
+    /// A planner that does not hold the lease yet.
+    pub fn new(config: RollingRestartConfig) -> Self {
         RollingRestartCoordinator {
-            duties,
+            config,
             fleet: BTreeMap::new(),
-            whole: false,
-            conducting: None,
-            looks_at: i64::MAX,
+            has_whole_list: false,
+            coordination: None,
+            wakeup_us: i64::MAX,
         }
     }
 
-    /// The next word of the council; none any more once the seat is lost.
+    /// The next event of a lease; none any more once the slot is lost.
     pub async fn next_lease_event(&mut self) -> Option<LeaseEvent> {
-        self.duties.lease_events.recv().await
+        self.config.lease_events.recv().await
     }
 
-    /// The time at which `clock` has something to do.
+    /// When `advance` has something to do, in microseconds.
     pub fn next_wakeup_us(&self) -> i64 {
-        self.looks_at
+        self.wakeup_us
     }
 
     /// Time passes.
     pub fn advance(&mut self, now: i64) {
-        if now < self.looks_at {
+        if now < self.wakeup_us {
             return;
         }
-        self.looks_at = i64::MAX;
-        if let Some(c) = &mut self.conducting {
-            c.conductor.clock(now);
-            self.looks_at = now + self.duties.drain_grace_us;
+        self.wakeup_us = i64::MAX;
+        if let Some(held) = &mut self.coordination {
+            held.coordinator.advance(now);
+            self.wakeup_us = now + self.config.drain_grace_us;
         }
     }
 
-    /// A word of the council.
-    pub fn on_lease_event(&mut self, now: i64, word: LeaseEvent) {
-        match (word, &mut self.conducting) {
-            (LeaseEvent::Acquired { lease: duty, token, metadata: note, deadline: tenure }, _)
-                if &*duty == RESTART_LEASE =>
-            {
-                let left = match note.is_empty() {
-                    true => None,
+    /// An event of a lease.
+    pub fn on_lease_event(&mut self, now: i64, event: LeaseEvent) {
+        match (event, &mut self.coordination) {
+            (LeaseEvent::Acquired { lease, token, metadata, deadline }, _) if &*lease == RESTART_LEASE => {
+                match read_progress(&metadata) {
+                    Ok(left) => self.on_acquired(now, token, deadline, left),
                     // Begun anew, it would drain machines a second time.
-                    false => match serde_json::from_slice::<Progress<String>>(&note) {
-                        Ok(left) => Some(left),
-                        Err(e) => {
-                            tracing::error!(error = %e, "what the last conductor left makes no sense");
-                            return;
-                        }
-                    },
-                };
-                // The list shows a drain when its machine has heard of it, which takes a moment.
-                let pace = Pace { quiet: self.duties.drain_grace_us, again: self.duties.drain_grace_us };
-                let conductor = Conductor::won(now, pace, left);
-                self.looks_at = now + self.duties.drain_grace_us;
-                let conducting = self.conducting.insert(Conducting { token, tenure, conductor });
-                if self.whole {
-                    let c = &mut conducting.conductor;
-                    self.fleet.iter().for_each(|(m, (zone, is))| c.listed(now, m.clone(), zone, *is));
-                    c.list_was_whole(|m| self.fleet.contains_key(m));
-                    c.clock(now);
+                    Err(e) => {
+                        tracing::error!(error = %e, "the last coordinator's progress makes no sense");
+                    }
                 }
             }
-            (LeaseEvent::Lost { lease: duty }, _) if &*duty == RESTART_LEASE => self.conducting = None,
-            (LeaseEvent::MetadataRecorded { lease: duty }, Some(c)) if &*duty == RESTART_LEASE => {
-                c.conductor.recorded(now)
+            (LeaseEvent::Lost { lease }, _) if &*lease == RESTART_LEASE => self.coordination = None,
+            (LeaseEvent::MetadataRecorded { lease }, Some(held)) if &*lease == RESTART_LEASE => {
+                held.coordinator.on_progress_recorded(now);
             }
-            (LeaseEvent::MetadataChanged { lease: duty, metadata: note }, Some(c))
-                if &*duty == PLAN_LEASE =>
-            {
-                match serde_json::from_slice::<Plan>(&note) {
-                    Ok(plan) => c.conductor.wished(now, plan),
-                    Err(e) => tracing::error!(error = %e, "the roll that is wanted makes no sense"),
+            (LeaseEvent::MetadataChanged { lease, metadata }, Some(held)) if &*lease == PLAN_LEASE => {
+                match serde_json::from_slice::<RestartPlan>(&metadata) {
+                    Ok(plan) => held.coordinator.on_plan(now, plan),
+                    Err(e) => {
+                        tracing::error!(error = %e, "the plan of the rolling restart makes no sense");
+                    }
                 }
             }
             _ => {}
         }
     }
 
-    /// Entries of the register's list, whole or changes.
+    fn on_acquired(
+        &mut self,
+        now: i64,
+        token: u64,
+        deadline: LeaseDeadline,
+        left: Option<RestartProgress<String>>,
+    ) {
+        // The list shows a drain when its machine has received it, which takes a moment.
+        let grace_us = self.config.drain_grace_us;
+        let config = RestartConfig { empty_settle_us: grace_us, resend_after_us: grace_us };
+        let coordinator = RestartCoordinator::new(now, config, left);
+        self.wakeup_us = now + grace_us;
+        let held = self.coordination.insert(Coordination { token, deadline, coordinator });
+        if self.has_whole_list {
+            for (machine, (zone, listed)) in &self.fleet {
+                held.coordinator.on_machine(now, machine.clone(), zone, *listed);
+            }
+            held.coordinator.on_whole_list(|machine| self.fleet.contains_key(machine));
+            held.coordinator.advance(now);
+        }
+    }
+
+    fn listed_machine(&self, entry: &Entry) -> ListedMachine {
+        let size = self.config.machine_sizes.get(&entry.kind).copied();
+        let (cores, memory) = size.unwrap_or((f64::MAX, f64::MAX));
+        let readiness = Readiness::try_from(entry.readiness);
+        ListedMachine {
+            started_us: entry.started_us,
+            is_draining: readiness == Ok(Readiness::Draining),
+            is_gone: readiness != Ok(Readiness::Draining) && readiness != Ok(Readiness::Ready),
+            is_empty: entry.cores_left >= cores - ROUNDING && entry.memory_left >= memory - ROUNDING,
+        }
+    }
+
+    /// Entries of the registry's list, whole or changes.
     pub fn on_machine_list(&mut self, now: i64, list: &List) {
         if list.whole {
-            (self.whole, self.fleet) = (true, BTreeMap::new());
+            (self.has_whole_list, self.fleet) = (true, BTreeMap::new());
         }
-        for e in &list.entries {
-            let size = self.duties.machine_sizes.get(&e.kind).copied().unwrap_or((f64::MAX, f64::MAX));
-            let ready = Readiness::try_from(e.readiness);
-            let is = Listed {
-                started: e.started_us,
-                drains: ready == Ok(Readiness::Draining),
-                gone: ready != Ok(Readiness::Draining) && ready != Ok(Readiness::Ready),
-                empty: e.cores_left >= size.0 - 1e-6 && e.memory_left >= size.1 - 1e-6,
-            };
-            if let Some(c) = &mut self.conducting {
-                c.conductor.listed(now, e.machine.clone(), &e.zone, is);
+        for entry in &list.entries {
+            let listed = self.listed_machine(entry);
+            if let Some(held) = &mut self.coordination {
+                held.coordinator.on_machine(now, entry.machine.clone(), &entry.zone, listed);
             }
-            self.fleet.insert(e.machine.clone(), (e.zone.clone(), is));
+            self.fleet.insert(entry.machine.clone(), (entry.zone.clone(), listed));
         }
-        if let Some(c) = &mut self.conducting {
+        if let Some(held) = &mut self.coordination {
             if list.whole {
-                c.conductor.list_was_whole(|m| self.fleet.contains_key(m));
+                held.coordinator.on_whole_list(|machine| self.fleet.contains_key(machine));
             }
-            c.conductor.clock(now);
+            held.coordinator.advance(now);
         }
     }
 
-    /// The register's link ended.
+    /// The registry's link ended.
     pub fn on_registry_lost(&mut self) {
-        self.whole = false;
-        if let Some(c) = &mut self.conducting {
-            c.conductor.unheard();
+        self.has_whole_list = false;
+        if let Some(held) = &mut self.coordination {
+            held.coordinator.on_list_lost();
         }
     }
 
-    /// The next frame for the register. What is to be recorded goes to the council.
+    /// The next frame for the registry. What is to be recorded goes to the lease client.
     pub fn next_frame(&mut self) -> Option<Body> {
-        let c = self.conducting.as_mut()?;
-        while let Some(call) = c.conductor.next_call() {
-            match call {
-                Call::Write(progress) => {
-                    let text = serde_json::to_vec(&progress).expect("it has texts for keys");
-                    let long = text.len() > LONGEST_METADATA;
-                    let write = LeaseCommand::WriteMetadata {
-                        lease: RESTART_LEASE.into(),
-                        token: c.token,
-                        metadata: text,
-                    };
-                    if long || self.duties.lease_commands.try_send(write).is_err() {
+        let held = self.coordination.as_mut()?;
+        while let Some(action) = held.coordinator.next_action() {
+            match action {
+                RestartAction::RecordProgress(progress) => {
+                    let metadata = serde_json::to_vec(&progress).expect("it has texts for keys");
+                    let is_too_long = metadata.len() > LONGEST_METADATA;
+                    let (lease, token) = (RESTART_LEASE.into(), held.token);
+                    let write = LeaseCommand::WriteMetadata { lease, token, metadata };
+                    if is_too_long || self.config.lease_commands.try_send(write).is_err() {
                         let machines = progress.machines.len();
-                        tracing::error!(
-                            machines,
-                            long,
-                            "the council takes no note of the roll; it stands still"
-                        );
-                        self.conducting = None;
+                        let why = "the progress of the rolling restart cannot be recorded; it stands still";
+                        tracing::error!(machines, is_too_long, why);
+                        self.coordination = None;
                         return None;
                     }
                 }
-                // A process that was stopped wakes with words decided: another may conduct by then.
-                Call::Drain { .. } if !c.tenure.is_held() => {}
-                Call::Drain { machine, started, on, number } => {
-                    tracing::info!(machine, on, "the roll");
-                    let drain = wire::Drain { machine, on, token: c.token, number, started_us: started };
-                    return Some(Body::Drain(drain));
+                // A process that was stopped wakes with requests decided: another may coordinate by then.
+                RestartAction::SetDraining { .. } if !held.deadline.is_held() => {}
+                RestartAction::SetDraining { machine, started_us, draining, number } => {
+                    tracing::info!(machine, draining, "rolling restart");
+                    let (on, token) = (draining, held.token);
+                    return Some(Body::Drain(wire::Drain { machine, on, token, number, started_us }));
                 }
             }
         }
--- a/planner/tests/golden_json.rs
+++ b/planner/tests/golden_json.rs
@@ -3,7 +3,7 @@
 //! `roll-wanted`, `roll` and `halls` in the notes that voters keep. The file is never edited.
 use basaltpitch_constraints::Constraint;
 use basaltpitch_planner::placement_event::PlacementEvent;
-use basaltpitch_rolling_restart::{Plan, Progress};
+use basaltpitch_rolling_restart::{RestartPlan, RestartProgress};
 use basaltpitch_zone_failover::FailoverDecision;
 use serde::{de::DeserializeOwned, Serialize};
 
@@ -25,9 +25,9 @@
         let found = match sort {
             "told" => again::<PlacementEvent>(text),
             "clause" => again::<Constraint>(text),
-            "roll-wanted" => again::<Plan>(text),
-            "roll" => again::<Progress<String>>(text),
             "halls" => again::<FailoverDecision>(text),
+            "roll-wanted" => again::<RestartPlan>(text),
+            "roll" => again::<RestartProgress<String>>(text),
             _ => panic!("{line}"),
         };
         assert_eq!(found, text, "{sort}");
--- a/planner/tests/rolls.rs
+++ b/planner/tests/rolls.rs
@@ -6,7 +6,7 @@
     RollingRestartConfig, RollingRestartCoordinator, PLAN_LEASE, RESTART_LEASE,
 };
 use basaltpitch_planner::voter_links::boottime_us;
-use basaltpitch_rolling_restart::{Plan, Progress};
+use basaltpitch_rolling_restart::{RestartPlan, RestartProgress};
 use std::collections::HashMap;
 use tokio::sync::mpsc;
 
@@ -60,7 +60,7 @@
         self.rolls.on_machine_list(self.now, &list);
     }
 
-    fn wanted(&mut self, plan: &Plan) {
+    fn wanted(&mut self, plan: &RestartPlan) {
         let note = serde_json::to_vec(plan).unwrap();
         self.rolls.on_lease_event(
             self.now,
@@ -90,8 +90,15 @@
     }
 }
 
-fn plan() -> Plan {
-    Plan { id: 3, zone: "hall-a".into(), at_once: 1, empty_us: 60 * S, restart_us: 60 * S, ..Plan::default() }
+fn plan() -> RestartPlan {
+    RestartPlan {
+        id: 3,
+        zone: "hall-a".into(),
+        max_draining: 1,
+        drain_timeout_us: 60 * S,
+        restart_timeout_us: 60 * S,
+        ..RestartPlan::default()
+    }
 }
 
 const READY: Readiness = Readiness::Ready;
@@ -116,7 +123,7 @@
     assert_eq!(two.said(), [("m0".into(), false, 8, 1, 0)]);
     two.now += 2 * S;
     two.rolls.advance(two.now);
-    let progress: Progress<String> = serde_json::from_slice(&two.kept()).unwrap();
+    let progress: RestartProgress<String> = serde_json::from_slice(&two.kept()).unwrap();
     assert_eq!(progress.machines.len(), 2);
     assert_eq!(two.said(), [("m1".into(), true, 8, 2, 200)]);
 }
