--- a/cli/tests/node.rs
+++ b/cli/tests/node.rs
@@ -14,7 +14,7 @@
     let at = machine.local_addr().unwrap().to_string();
     let mut node = started("life", &coordinator, &[("a", &at)]);
     let mut client = Peer::to(&node);
-    client.say(&said("probe", &id(1), json!({}), 0));
+    client.say(&message("probe", &id(1), json!({}), 0));
     assert_eq!(client.next("probed").unwrap()["code"], 1);
     client.say(&request(&id(2), json!({})));
     let mut link = Peer::of(&machine);
@@ -26,7 +26,7 @@
     );
     link.say(&ready(&id(2), "taken\r\n"));
     assert_eq!(client.next("ready").unwrap()["text"], "taken\r\n");
-    link.say(&said("close", &id(2), json!({}), 16));
+    link.say(&message("close", &id(2), json!({}), 16));
     assert_eq!(client.next("close").unwrap()["code"], 16);
     node.signal("-TERM");
     client.say(&request(&id(3), json!({})));
@@ -119,7 +119,7 @@
     // Nothing more is said on it, not even to tests: that would end the line.
     link.read.read_to_end(&mut Vec::new()).expect("the link is given up");
     let mut next = Peer::of(&machine);
-    next.say(&said("close", &id(2), json!({}), 16));
+    next.say(&message("close", &id(2), json!({}), 16));
     loop {
         let end = client.next("close").unwrap();
         if end["sid"] == id(2) {
@@ -150,7 +150,7 @@
     client.say(&request(&id(5), json!({})));
     let mut link = Peer::of(&machine);
     assert_eq!(link.next("open").unwrap()["sid"], id(5));
-    link.say(&said("close", &id(4), json!({}), 16));
+    link.say(&message("close", &id(4), json!({}), 16));
     assert_eq!(client.next("close").unwrap()["sid"], id(4));
 }
 
--- a/cli/tests/node_connections.rs
+++ b/cli/tests/node_connections.rs
@@ -33,7 +33,7 @@
     // As many as the limit of 64 leaves to clients; each is of no use by now.
     let mut idle: Vec<Peer> = (0..29).map(|_| Peer::to(&node)).collect();
     for peer in &mut idle {
-        peer.say(&said("probe", &id(1), json!({}), 0));
+        peer.say(&message("probe", &id(1), json!({}), 0));
         peer.next("probed").unwrap();
     }
     node.hold();
@@ -48,7 +48,7 @@
     assert_eq!(idle[0].next("ready").unwrap()["sid"], id(2));
     assert!(idle[1].line().is_none());
     for mut peer in newcomers {
-        peer.say(&said("probe", &id(3), json!({}), 0));
+        peer.say(&message("probe", &id(3), json!({}), 0));
         assert_eq!(peer.next("probed").unwrap()["sid"], id(3));
     }
 }
@@ -74,7 +74,7 @@
         let _ = stream.write_all(format!("{line}\n").as_bytes());
     }
     // Once it is cut, what is written to it fails.
-    let (until, line) = (Instant::now() + PATIENCE, said("probe", &id(1), json!({}), 0));
+    let (until, line) = (Instant::now() + TIMEOUT, message("probe", &id(1), json!({}), 0));
     while stream.write_all(format!("{line}\n").as_bytes()).is_ok() {
         assert!(Instant::now() < until, "it is never cut");
         std::thread::sleep(Duration::from_millis(5));
@@ -102,7 +102,7 @@
         let mut stream = TcpStream::connect(&node.listen).unwrap();
         if n % 3 == 0 {
             // It asks a lot and reads nothing.
-            let line = said("probe", &id(n), json!({}), 0);
+            let line = message("probe", &id(n), json!({}), 0);
             let _ = (0..200).try_for_each(|_| stream.write_all(format!("{line}\n").as_bytes()));
         }
         idle.push(stream);
@@ -114,7 +114,7 @@
     assert!(first.contains("follow=1&"), "{first}");
     assert!(since.elapsed() < Duration::from_secs(5), "{:?}", since.elapsed());
     let mut client = Peer::to(&node);
-    client.say(&said("probe", &id(999), json!({}), 0));
+    client.say(&message("probe", &id(999), json!({}), 0));
     assert_eq!(client.next("probed").unwrap()["sid"], id(999));
     most = most.max(node.descriptors());
     assert!(most < 64, "{most} descriptors of 64");
@@ -135,7 +135,7 @@
     let node = started("after", &free_address(), &machines);
     let _queue: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(&node.listen).unwrap()).collect();
     let mut test = Peer::to(&node);
-    test.say(&said("probe", &id(1), json!({}), 0));
+    test.say(&message("probe", &id(1), json!({}), 0));
     assert_eq!(test.next("probed").unwrap()["code"], 1);
     assert!(since.elapsed() < Duration::from_secs(10), "{:?}", since.elapsed());
 }
--- a/cli/tests/node_departures.rs
+++ b/cli/tests/node_departures.rs
@@ -26,7 +26,7 @@
 /// A client whose connection is accepted.
 fn known(node: &Node) -> Peer {
     let mut client = Peer::to(node);
-    client.say(&said("probe", &id(1), json!({}), 0));
+    client.say(&message("probe", &id(1), json!({}), 0));
     client.next("probed").unwrap();
     client
 }
@@ -44,7 +44,7 @@
     node.hold();
     for n in 10..20 {
         cancels.say(&request(&id(n), json!({})));
-        cancels.say(&said("close", &id(n), json!({}), 16));
+        cancels.say(&message("close", &id(n), json!({}), 16));
         closes.say(&request(&id(n + 10), json!({})));
     }
     drop(closes);
@@ -89,16 +89,16 @@
             ids.push(line["sid"].as_str().unwrap().to_owned());
             open += 1;
         }
-        link.stream().set_read_timeout(Some(PATIENCE)).unwrap();
+        link.stream().set_read_timeout(Some(TIMEOUT)).unwrap();
     }
     assert!(open == 20 && on.iter().all(|ids| !ids.is_empty()), "{on:?}");
     node.hold();
     for (link, ids) in links.iter_mut().zip(&on) {
-        ids.iter().for_each(|id| link.say(&said("close", id, json!({"note": "queue_full"}), 34)));
+        ids.iter().for_each(|id| link.say(&message("close", id, json!({"note": "queue_full"}), 34)));
     }
     for (n, mut client) in clients.into_iter().enumerate() {
         match n % 3 {
-            0 => client.say(&said("close", &id(100 + n as u64), json!({}), 16)),
+            0 => client.say(&message("close", &id(100 + n as u64), json!({}), 16)),
             1 => drop(client),
             _ => client.reset(),
         }
@@ -106,9 +106,9 @@
     stays.say(&request(&id(500), json!({})));
     node.go_on();
     let begun = requests_on(links);
-    assert_eq!(begun.recv_timeout(PATIENCE).unwrap(), id(500));
+    assert_eq!(begun.recv_timeout(TIMEOUT).unwrap(), id(500));
     stays.say(&request(&id(501), json!({})));
-    assert_eq!(begun.recv_timeout(PATIENCE).unwrap(), id(501));
+    assert_eq!(begun.recv_timeout(TIMEOUT).unwrap(), id(501));
 }
 
 /// A request that was cancelled while its machine's connection was on its way up is not sent once it is up.
@@ -123,11 +123,11 @@
     cancels.say(&request(&id(2), json!({})));
     closes.say(&request(&id(3), json!({})));
     stays.say(&request(&id(4), json!({"left": "12000"})));
-    cancels.say(&said("close", &id(2), json!({}), 16));
+    cancels.say(&message("close", &id(2), json!({}), 16));
     assert_eq!(cancels.line().unwrap()["msg"], "closed");
     drop(closes);
     // What is said behind it is answered once it was read.
-    stays.say(&said("probe", &id(5), json!({}), 0));
+    stays.say(&message("probe", &id(5), json!({}), 0));
     stays.next("probed").unwrap();
     accept(&machine);
     drop(fills);
@@ -156,7 +156,7 @@
     let small = "cores:0.01;memory:0.01;service:00000000000000b1";
     let text = "x".repeat(15_000);
     (10..10 + REQUESTS).for_each(|n| leaves.say(&request(&id(n), json!({"extras": small, "text": text}))));
-    leaves.say(&said("probe", &id(5), json!({}), 0));
+    leaves.say(&message("probe", &id(5), json!({}), 0));
     leaves.next("probed").unwrap();
     drop(leaves);
     stays.say(&request(&id(2), json!({"extras": small})));
@@ -164,7 +164,7 @@
     let begun = requests_on(vec![link]);
     let mut seen = Vec::new();
     while seen.last() != Some(&id(2)) {
-        seen.push(begun.recv_timeout(PATIENCE).unwrap());
+        seen.push(begun.recv_timeout(TIMEOUT).unwrap());
     }
     assert!(
         seen.len() < REQUESTS as usize / 2 && !seen.contains(&id(9 + REQUESTS)),
--- a/cli/tests/node_exit.rs
+++ b/cli/tests/node_exit.rs
@@ -23,7 +23,7 @@
     let (_machine, at) = listener();
     let mut node = started_with("kernel", &free_address(), &[("a", &at)], quiet);
     let mut old = Peer::to(&node);
-    old.say(&said("probe", &id(1), json!({}), 0));
+    old.say(&message("probe", &id(1), json!({}), 0));
     old.next("probed").unwrap();
     let since = node.told_to_stop();
     wait_until(since, 300);
@@ -84,7 +84,7 @@
     let since = node.told_to_stop();
     wait_until(since, 300);
     node.hold();
-    link.say(&said("close", &id(2), json!({}), 16));
+    link.say(&message("close", &id(2), json!({}), 16));
     wait_until(since, 900);
     node.go_on();
     let end = client.line().expect("the release");
@@ -139,7 +139,7 @@
     let mut other = from_address(&node, "127.0.9.9:0");
     other.say(&request(&id(4), json!({})));
     link.next("open").unwrap();
-    link.say(&said("close", &id(2), json!({}), 16));
+    link.say(&message("close", &id(2), json!({}), 16));
     link.say(&ready(&id(4), "stands"));
     other.next("ready").unwrap();
     other.say(&request(&id(5), json!({})));
@@ -158,7 +158,7 @@
     other.say(&request(&id(6), json!({})));
     let mut link = Peer::of(&machine);
     link.next("open").unwrap();
-    link.say(&said("close", &id(2), json!({}), 16));
+    link.say(&message("close", &id(2), json!({}), 16));
     link.say(&ready(&id(6), "stands"));
     other.next("ready").unwrap();
     let mut client = Peer::to(&node);
--- a/cli/tests/wire/mod.rs
+++ b/cli/tests/wire/mod.rs
@@ -10,13 +10,13 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-#[path = "../../../platform/tests/stage/mod.rs"]
-pub mod stage;
+#[path = "../../../platform/tests/harness/mod.rs"]
+pub mod harness;
 #[allow(unused_imports)]
-pub use stage::{configuration, entry, id, ready, request, said, update};
+pub use harness::{configuration, entry, id, message, ready, request, update};
 
 /// How long a test waits for what must come.
-pub const PATIENCE: Duration = Duration::from_secs(15);
+pub const TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A planner's process with its configuration file; it ends with the test.
 pub struct Node {
@@ -107,7 +107,7 @@
 impl Node {
     /// Waits for a line of its log.
     pub fn logged(&self, text: &str) -> String {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let line = self.log.recv_timeout(left).unwrap_or_else(|e| panic!("no line with {text:?}: {e}"));
@@ -133,7 +133,7 @@
     pub fn hold(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
             assert!(Instant::now() < until, "it does not stand still");
             std::thread::yield_now();
@@ -151,7 +151,7 @@
 
     /// Waits for its end; whether that was a good one.
     pub fn ended(&mut self) -> bool {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.success();
@@ -174,7 +174,7 @@
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         // What is written waits in the other kernel at once, not behind an acknowledgement.
         stream.set_nodelay(true).unwrap();
         Peer { read: BufReader::new(stream) }
@@ -222,7 +222,7 @@
                 return Some(found);
             }
             let id = found["sid"].as_str().unwrap().to_owned();
-            self.say(&said("probed", &id, json!({"load": "x0:16;x1:32"}), 1));
+            self.say(&message("probed", &id, json!({"load": "x0:16;x1:32"}), 1));
         }
     }
 
@@ -245,14 +245,14 @@
 
 /// The next connection, which must come.
 pub fn accept(listener: &TcpListener) -> TcpStream {
-    socket2::SockRef::from(listener).set_read_timeout(Some(PATIENCE)).unwrap();
+    socket2::SockRef::from(listener).set_read_timeout(Some(TIMEOUT)).unwrap();
     listener.accept().expect("a connection").0
 }
 
 /// One call of the coordinator's: what was asked, and the way to reply.
 pub fn call(listener: &TcpListener) -> (String, TcpStream) {
     let stream = accept(listener);
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     (asked(&stream), stream)
 }
 
@@ -274,7 +274,7 @@
 
 /// Reads to the end of the stream; whether it came.
 pub fn ends(stream: &mut TcpStream) -> bool {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     loop {
         match stream.read(&mut [0; 4096]) {
             Ok(0) => return true,
