--- a/planner/src/host_adapter.rs
+++ b/planner/src/host_adapter.rs
@@ -1,4 +1,5 @@
-//! The placing module's hands: each of its calls goes into the ledger or becomes a wish of the planner's.
+//! What the placement module actions through: each of its calls goes into the ledger or becomes a request to the
+//! planner.
 use crate::placement_constraints::PlacementConstraints;
 use basaltpitch::host::Host;
 use basaltpitch_constraints::TaskAttributes;
@@ -9,20 +10,27 @@
 use std::fmt::Write as _;
 use std::rc::Rc;
 
+/// The client's key of a task.
 pub type TaskKey = Rc<str>;
 
-/// What a task asks for, as the planner keeps it.
+/// What a task needs, as the planner keeps it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskJob {
+    /// Its framework, as the module's index.
     pub framework: usize,
+    /// Its tenant, as the module's index.
     pub tenant: Option<usize>,
+    /// Its service, as clients number them.
     pub service: u64,
+    /// The cores that it needs.
     pub cores: f64,
+    /// The memory that it needs, in the unit of the settings.
     pub memory: f64,
+    /// How long it is expected to run.
     pub runs_for_us: i64,
     /// How old what was known of tenants was when it was asked for; see `Answer.stale_us`.
     pub stale_us: i64,
-    /// What clauses see of it, where the installation has clauses.
+    /// What constraints see of it, where the installation has constraints.
     pub facts: Option<Rc<TaskAttributes>>,
 }
 
@@ -31,55 +39,70 @@
 pub enum TimerKind {
     /// The module's, with its token.
     Placement(u64),
-    /// The patience with a launch is over.
+    /// The timeout of an attempt.
     AttemptTimeout(AttemptId),
+    /// The timeout of a health check, by its number.
     Probe(u64),
-    /// The planner's own round: records and ids that leave.
+    /// Records and ids that nothing needs leave.
     Housekeeping,
     /// The admission threshold is recomputed.
     AdmissionThreshold,
-    /// The planner's part of the fleet changes with time.
+    /// The planner's subset of the fleet changes with time.
     Subset,
 }
 
 /// Calls of the module that are not about a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostRequest {
+    /// Check the health of a machine.
     Probe(usize),
+    /// Have the registry send changes of the list, or no more.
     Watch(bool),
+    /// Have the registry send the list once.
     Fetch,
 }
 
+/// The host of the placement module.
 pub struct HostAdapter {
+    /// The time of the calls that are being made.
     pub now: i64,
+    /// The record of each task.
     pub ledger: Ledger<TaskKey, TaskJob>,
+    /// What the ledger wants done, in order.
     pub actions: VecDeque<LedgerAction<TaskKey>>,
+    /// Calls that are not about a task, in order.
     pub requests: VecDeque<HostRequest>,
+    /// All timers of the planner.
     pub timers: Wheel<TimerKind>,
     /// The module's calls as text, where they are recorded.
     pub transcript: Option<CallTranscript>,
-    /// The installation's clauses, where it has any.
+    /// The installation's constraints, where it has any.
     pub constraints: Option<PlacementConstraints>,
-    /// What the module asked of clauses, where its calls are recorded; see `recording`.
+    /// What constraints answered the module, where its calls are recorded; see `recording`.
     answers: RefCell<ConstraintAnswers>,
     buffer: Vec<LedgerAction<TaskKey>>,
 }
 
-/// Answers to the module's questions about clauses, in their order.
+/// Answers to the module's questions about constraints, in their order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConstraintAnswers {
+    /// Whether a task may go to a machine.
     pub allows: VecDeque<bool>,
+    /// How much a machine is preferred for a task.
     pub preferences: VecDeque<u64>,
+    /// The group of tasks that constraints do not tell apart.
     pub groups: VecDeque<usize>,
 }
 
 impl ConstraintAnswers {
+    /// Whether nothing was asked.
     pub fn is_empty(&self) -> bool {
         self.allows.is_empty() && self.preferences.is_empty() && self.groups.is_empty()
     }
 }
 
 impl HostAdapter {
+    /// A host without constraints; `records`: whether calls are written down.
     pub fn new(now: i64, ledger: Ledger<TaskKey, TaskJob>, records: bool) -> Self {
         HostAdapter {
             now,
@@ -94,31 +117,29 @@
         }
     }
 
-    /// Asks the ledger for something and keeps the acts that come of it, in order.
+    /// Calls the ledger and keeps the actions that come of it, in order.
     pub fn on_ledger<R>(
         &mut self,
         ask: impl FnOnce(&mut Ledger<TaskKey, TaskJob>, &mut Vec<LedgerAction<TaskKey>>) -> R,
     ) -> R {
         self.ledger.set_clock(self.now);
         let answer = ask(&mut self.ledger, &mut self.buffer);
-        for act in self.buffer.drain(..) {
-            match (act, &mut self.constraints) {
-                // Counted at once: the module may send the next task before this one's act is carried out.
-                (LedgerAction::AttemptStarted { attempt: launch, machine, key }, Some(bounds)) => {
+        for action in self.buffer.drain(..) {
+            match (action, &mut self.constraints) {
+                // Counted at once: the module may send the next task before this one's action is carried out.
+                (LedgerAction::AttemptStarted { attempt, machine, key }, Some(bounds)) => {
                     let facts = self.ledger.record(&key).and_then(|r| r.job.facts.clone());
-                    facts.into_iter().for_each(|facts| bounds.attempt_started(launch, machine, &facts));
-                }
-                (LedgerAction::AttemptEnded { attempt: launch }, Some(bounds)) => {
-                    bounds.attempt_ended(launch)
+                    facts.into_iter().for_each(|facts| bounds.attempt_started(attempt, machine, &facts));
                 }
+                (LedgerAction::AttemptEnded { attempt }, Some(bounds)) => bounds.attempt_ended(attempt),
                 (LedgerAction::AttemptStarted { .. } | LedgerAction::AttemptEnded { .. }, None) => {}
-                (act, _) => self.actions.push_back(act),
+                (action, _) => self.actions.push_back(action),
             }
         }
         answer
     }
 
-    /// What the module asked of clauses since this was last taken.
+    /// What constraints answered the module since this was last taken.
     pub fn take_answers(&mut self) -> ConstraintAnswers {
         self.answers.take()
     }
@@ -140,6 +161,7 @@
 /// How each call of the module is written in a recording, a line each.
 #[derive(Default)]
 pub struct CallTranscript {
+    /// The calls, each with its line end.
     pub text: String,
     /// What was answered when this was recorded, for a replay.
     pub answers: RefCell<ConstraintAnswers>,
@@ -189,43 +211,43 @@
 
 impl Host for HostAdapter {
     fn launch(&mut self, task: usize, machine: usize, timeout_us: i64) {
-        self.call(|words| words.launch(task, machine, timeout_us));
-        self.on_ledger(|ledger, acts| ledger.launch(task, machine, timeout_us, acts));
+        self.call(|transcript| transcript.launch(task, machine, timeout_us));
+        self.on_ledger(|ledger, actions| ledger.launch(task, machine, timeout_us, actions));
     }
     /// The ledger called the launch back already, when it told the module that the task is over.
     fn cancel(&mut self, task: usize, launch: u32) {
-        self.call(|words| words.cancel(task, launch));
+        self.call(|transcript| transcript.cancel(task, launch));
     }
     fn reject(&mut self, task: usize, retry_after_us: i64) {
-        self.call(|words| words.reject(task, retry_after_us));
-        self.on_ledger(|ledger, acts| ledger.decline(task, retry_after_us, acts));
+        self.call(|transcript| transcript.reject(task, retry_after_us));
+        self.on_ledger(|ledger, actions| ledger.decline(task, retry_after_us, actions));
     }
     fn abort(&mut self, task: usize) {
-        self.call(|words| words.abort(task));
-        self.on_ledger(|ledger, acts| ledger.abort(task, acts));
+        self.call(|transcript| transcript.abort(task));
+        self.on_ledger(|ledger, actions| ledger.abort(task, actions));
     }
     fn evict(&mut self, task: usize) {
-        self.call(|words| words.evict(task));
-        self.on_ledger(|ledger, acts| ledger.move_away(task, acts));
+        self.call(|transcript| transcript.evict(task));
+        self.on_ledger(|ledger, actions| ledger.move_away(task, actions));
     }
     fn probe(&mut self, machine: usize) {
-        self.call(|words| words.probe(machine));
+        self.call(|transcript| transcript.probe(machine));
         self.requests.push_back(HostRequest::Probe(machine));
     }
     fn watch_list(&mut self, on: bool) {
-        self.call(|words| words.watch_list(on));
+        self.call(|transcript| transcript.watch_list(on));
         self.requests.push_back(HostRequest::Watch(on));
     }
     fn fetch_list(&mut self) {
-        self.call(|words| words.fetch_list());
+        self.call(|transcript| transcript.fetch_list());
         self.requests.push_back(HostRequest::Fetch);
     }
     fn set_timer(&mut self, after_us: i64, token: u64) {
-        self.call(|words| words.set_timer(after_us, token));
+        self.call(|transcript| transcript.set_timer(after_us, token));
         self.timers.set(self.now + after_us, TimerKind::Placement(token));
     }
     fn log(&mut self, text: &str) {
-        self.call(|words| words.log(text));
+        self.call(|transcript| transcript.log(text));
         tracing::info!(text, "the placing module");
     }
     fn allows(&self, task: usize, machine: usize) -> bool {
