--- a/cli/src/council.rs
+++ b/cli/src/council.rs
@@ -43,7 +43,7 @@
     to: Option<String>,
 }
 
-/// How long votes bind, and the ways to the voters, where an installation has a council.
+/// How long votes are valid and where the voters are, where an installation has voters.
 pub fn council_of(found: &Installation) -> Option<(LeaseConfig, Vec<VoterEndpoint>)> {
     let council = found.all.get("council")?;
     let time = |field: &str| council.duration_us(field).unwrap_or(0);
@@ -55,15 +55,16 @@
     ))
 }
 
-/// The seats of an installation, by the number of the planner.
-/// What the names of all seats begin with.
+/// What the names of all slots begin with.
 pub const SEATS: &str = "planner-";
 
+/// The slots of an installation, by the number of the planner.
 pub fn seats(found: &Installation) -> Vec<Rc<str>> {
     let planners = found.all.number("planners").unwrap_or(1.0) as usize;
     (0..planners).map(|n| format!("{SEATS}{n}").into()).collect()
 }
 
+/// How long votes are valid and where the voters are; an error where an installation has none.
 pub fn needed(found: &Installation) -> Result<(LeaseConfig, Vec<VoterEndpoint>), Failure> {
     let none = || Failure::Wrong("council: found none in these files; expected its voters".into());
     council_of(found).ok_or_else(none)
--- a/planner/src/lease_client/actor.rs
+++ b/planner/src/lease_client/actor.rs
@@ -56,6 +56,7 @@
 }
 
 impl Actor {
+    /// A client that holds nothing yet.
     pub fn new(
         config: LeaseClientConfig,
         deadline: LeaseDeadline,
