--- a/agent/src/session.rs
+++ b/agent/src/session.rs
@@ -187,8 +187,8 @@
                     Ok(_) => self.refuse(
                         "a frame of a kind that version 1 does not know; expected one of agent.proto",
                     ),
-                    Err(e) => self.refuse(&format!(
-                        "{} bytes that are no frame ({e}); expected one of agent.proto",
+                    Err(error) => self.refuse(&format!(
+                        "{} bytes that are no frame ({error}); expected one of agent.proto",
                         frame.len()
                     )),
                 },
@@ -396,7 +396,7 @@
     }
 
     fn refuse(&mut self, what: &str) {
-        let peer = self.peer.as_ref().map_or("a peer without hello", |p| p.name.as_str());
+        let peer = self.peer.as_ref().map_or("a peer without hello", |known| known.name.as_str());
         self.goodbye(&format!("{peer}: {what}"));
     }
 
--- a/config/src/syntax.rs
+++ b/config/src/syntax.rs
@@ -182,11 +182,11 @@
 
 impl Parser<'_> {
     fn peek(&self) -> Option<&Token> {
-        self.tokens.get(self.position).map(|t| &t.0)
+        self.tokens.get(self.position).map(|token| &token.0)
     }
 
     fn here(&self) -> Span {
-        self.tokens.get(self.position).map_or(self.end, |t| t.1)
+        self.tokens.get(self.position).map_or(self.end, |token| token.1)
     }
 
     fn unexpected(&self, expected: &str) -> ConfigError {
@@ -355,7 +355,7 @@
     }
 
     fn number(&self, text: &str, at: Span) -> Result<ExprKind, ConfigError> {
-        let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic() || c == '%');
+        let digits = text.trim_end_matches(|char: char| char.is_ascii_alphabetic() || char == '%');
         let unit_name = &text[digits.len()..];
         let wrong = |expected: &str| ConfigError::new(at, format!("found {text}; expected {expected}"));
         let number: f64 = digits.replace('_', "").parse().map_err(|_| wrong("a number"))?;
@@ -373,19 +373,20 @@
     }
 }
 
+/// The text within quotes, with its escapes resolved.
 fn unquote(text: &str) -> String {
     let inner = &text[1..text.len() - 1];
     let mut out = String::new();
     let mut chars = inner.chars();
-    while let Some(c) = chars.next() {
-        match (c, c == '\\') {
-            (_, true) => match chars.next() {
+    while let Some(char) = chars.next() {
+        match char {
+            '\\' => match chars.next() {
                 Some('n') => out.push('\n'),
                 Some('t') => out.push('\t'),
                 Some(other) => out.push(other),
                 None => {}
             },
-            (c, _) => out.push(c),
+            _ => out.push(char),
         }
     }
     out
