--- a/cli/src/council.rs
+++ b/cli/src/council.rs
@@ -7,7 +7,7 @@
 use basaltpitch_lease::{majority_value, LeaseConfig};
 use basaltpitch_planner::voter_links::VoterEndpoint;
 use basaltpitch_planner::voter_server::{self, VoterConfig};
-use basaltpitch_snapshot_store::{Found, Store};
+use basaltpitch_snapshot_store::{OpenOutcome, SnapshotStore};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -71,16 +71,16 @@
 }
 
 /// Opens a store in a folder; a file that could not be read is set aside and named.
-pub fn open(folder: &Path, name: &str) -> Result<Store, Failure> {
+pub fn open(folder: &Path, name: &str) -> Result<SnapshotStore, Failure> {
     let wrong = |e: String| Failure::Wrong(format!("--state {}: {e}", folder.display()));
     if name.contains(['/', '\\']) || name.starts_with('.') {
         return Err(Failure::Wrong(format!("--name: found {name:?}; expected a plain name")));
     }
     std::fs::create_dir_all(folder).map_err(|e| wrong(e.to_string()))?;
     let (store, found) =
-        Store::open(&folder.join(format!("{name}.store"))).map_err(|e| wrong(e.to_string()))?;
-    if let Found::SetAside { to, why } = found {
-        tracing::error!(to = %to.display(), why, "a file that cannot be read was set aside");
+        SnapshotStore::open(&folder.join(format!("{name}.store"))).map_err(|e| wrong(e.to_string()))?;
+    if let OpenOutcome::SetAside { to, reason } = found {
+        tracing::error!(to = %to.display(), why = reason, "a file that cannot be read was set aside");
     }
     Ok(store)
 }
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -12,7 +12,7 @@
 use basaltpitch_planner::service::{self, PlannerConfig};
 use basaltpitch_planner::state::Identity;
 use basaltpitch_planner::zone_monitor;
-use basaltpitch_subsetting::{hash, Terms};
+use basaltpitch_subsetting::{name_hash, SubsetConfig};
 use std::collections::HashMap;
 use std::future::Future;
 use std::io::Write;
@@ -91,11 +91,11 @@
 }
 
 /// The terms of a planner's part, where the installation has parts, and all seats.
-fn part(installation: &Installation, seats: &[Rc<str>], me: usize) -> Option<(Terms, Vec<Rc<str>>)> {
+fn part(installation: &Installation, seats: &[Rc<str>], me: usize) -> Option<(SubsetConfig, Vec<Rc<str>>)> {
     let (copies, term) =
         (installation.planners_per_machine()?, installation.all.duration_us("council.term")?);
-    let names = seats.iter().map(|seat| hash(seat)).collect();
-    Some((Terms::of_term(copies, names, me, term), seats.to_vec()))
+    let names = seats.iter().map(|seat| name_hash(seat)).collect();
+    Some((SubsetConfig::from_lease_duration(copies, names, me, term), seats.to_vec()))
 }
 
 impl Serve {
--- a/ldap/tests/over_a_restart.rs
+++ b/ldap/tests/over_a_restart.rs
@@ -2,7 +2,7 @@
 //! on.
 #![allow(clippy::too_many_lines, reason = "one scenario, told in order")]
 use basaltpitch_ldap::{sync, AttributeNames, LdapSource, SyncState};
-use basaltpitch_snapshot_store::{Found, Store};
+use basaltpitch_snapshot_store::{OpenOutcome, SnapshotStore};
 use basaltpitch_tenants::health::{State, PACE};
 use basaltpitch_tenants::keeper::{Keeper, FORMAT};
 use basaltpitch_tenants::rights::{Asks, Terms};
@@ -66,7 +66,7 @@
         let terms = Terms { place_stale: true, ..Terms::default() };
         let asks = Asks::Submit { tenant: "orders" };
         {
-            let (store, _) = Store::open(&path).unwrap();
+            let (store, _) = SnapshotStore::open(&path).unwrap();
             let mut k = Keeper::new(1, 0, &names(1), None, PACE, CAUTION).unwrap();
             assert_eq!(k.next(0), Some(0));
             k.swept(S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
@@ -75,10 +75,11 @@
             store.put("tenants", FORMAT, at, &bytes).unwrap();
         }
         there.fault.set(DirectoryFault::Stalls);
-        let (store, found) = Store::open(&path).unwrap();
-        assert_eq!(found, Found::Ours);
+        let (store, found) = SnapshotStore::open(&path).unwrap();
+        assert_eq!(found, OpenOutcome::Opened);
         let kept = store.get("tenants", FORMAT).unwrap().unwrap();
-        let mut k = Keeper::new(2, 400 * S, &names(1), Some((kept.at, &kept.bytes)), PACE, CAUTION).unwrap();
+        let mut k =
+            Keeper::new(2, 400 * S, &names(1), Some((kept.time_us, &kept.bytes)), PACE, CAUTION).unwrap();
         assert_eq!(k.next(400 * S), Some(0));
         k.swept(401 * S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
         let r = k.rule(401 * S, &terms, "asha", asks);
--- a/planner/src/service.rs
+++ b/planner/src/service.rs
@@ -16,8 +16,8 @@
 use basaltpitch_agent::wire::{Body, Role};
 use basaltpitch_constraints::Constraint;
 use basaltpitch_ldap::{DirectorySettings, SeenEntries, SyncError, SyncResult, SyncState};
-use basaltpitch_snapshot_store::Store;
-use basaltpitch_subsetting::Terms;
+use basaltpitch_snapshot_store::SnapshotStore;
+use basaltpitch_subsetting::SubsetConfig;
 use basaltpitch_tenants::keeper::FORMAT;
 use std::collections::HashMap;
 use std::io;
@@ -62,7 +62,7 @@
     /// Where tenants are learnt from.
     pub directory: Option<DirectorySettings>,
     /// What outlives this planner.
-    pub store: Option<Store>,
+    pub store: Option<SnapshotStore>,
     /// The seat that it serves under, where there is a council.
     pub lease_deadline: Option<LeaseDeadline>,
     /// What it does beside placing, under a seat.
@@ -74,7 +74,7 @@
     /// What its links share with the others of the process.
     pub links: LinkConfig,
     /// The part of the fleet that it links to, where it has one, and the names of all seats.
-    pub subset: Option<(Terms, Vec<Rc<str>>)>,
+    pub subset: Option<(SubsetConfig, Vec<Rc<str>>)>,
 }
 
 /// Names of what is remembered of tenants: all of it, and when it was last heard in full.
@@ -137,7 +137,7 @@
 }
 
 /// What is remembered is written on a thread of its own: the disk must not hold up the planner.
-fn writer(store: Store) -> std::sync::mpsc::SyncSender<(i64, Option<Vec<u8>>)> {
+fn writer(store: SnapshotStore) -> std::sync::mpsc::SyncSender<(i64, Option<Vec<u8>>)> {
     let (memories, inbox) = std::sync::mpsc::sync_channel::<(i64, Option<Vec<u8>>)>(MOST_WAITING);
     std::thread::spawn(move || {
         for (at, all) in inbox {
@@ -155,7 +155,7 @@
 
 /// What is remembered of tenants, with the time when it was last heard in full. What cannot be read is named
 /// and left.
-fn remembered(store: &Store) -> Option<(i64, Vec<u8>)> {
+fn remembered(store: &SnapshotStore) -> Option<(i64, Vec<u8>)> {
     let get = |name| {
         store.get(name, FORMAT).unwrap_or_else(|e| {
             tracing::error!(error = %e, "what is remembered of tenants cannot be read; beginning without it");
@@ -163,11 +163,11 @@
         })
     };
     let all = get(TENANTS)?;
-    Some((get(HEARD).map_or(all.at, |h| h.at.max(all.at)), all.bytes))
+    Some((get(HEARD).map_or(all.time_us, |h| h.time_us.max(all.time_us)), all.bytes))
 }
 
 /// Begins to learn from a directory, with what an earlier life remembered.
-fn learnt(seed: u64, now: i64, directory: &DirectorySettings, store: Option<&Store>) -> Learnt {
+fn learnt(seed: u64, now: i64, directory: &DirectorySettings, store: Option<&SnapshotStore>) -> Learnt {
     let ways = Ways {
         servers: directory.source.urls.clone(),
         terms: directory.terms.clone(),
--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -9,12 +9,13 @@
 mod errors;
 mod machines;
 mod names;
-mod parts;
 mod registry;
+mod subset;
 mod tenants;
 
 pub use errors::{ClientFrameError, MachineFrameError, RegistryFrameError};
 pub use names::idempotency_text;
+pub(crate) use subset::SubsetView;
 
 use crate::admission::{AdmissionController, RequestNeeds};
 use crate::host_adapter::{HostAdapter, HostRequest, TaskJob, TaskKey, TimerKind};
@@ -165,7 +166,7 @@
     /// A report that came with the frame being handled.
     pending_report: Vec<f64>,
     /// The planner's subset of the fleet, where it has one.
-    part: Option<parts::Parts>,
+    subset: Option<subset::SubsetState>,
     outputs: VecDeque<Output>,
     /// What operators are told of its work.
     pub counts: TaskCounts,
@@ -247,7 +248,7 @@
             connect_timeout_us,
             zone_attempts: Vec::new(),
             pending_report: Vec::new(),
-            part: None,
+            subset: None,
             outputs: VecDeque::new(),
             counts: TaskCounts::default(),
             placement: Planner::new(host, identity.seed, now, settings),
@@ -287,7 +288,7 @@
                 TimerKind::Probe(probe) => self.probe_failed(probe, AttemptOutcome::TimedOut),
                 TimerKind::Housekeeping => self.housekeeping(),
                 TimerKind::AdmissionThreshold => self.update_admission_threshold(),
-                TimerKind::Subset => self.part_due(),
+                TimerKind::Subset => self.subset_tick(),
             }
             self.perform_pending();
         }
@@ -394,7 +395,7 @@
         }
         while let Some(machine) = self.machine_ids.pop_expired(now, ID_RETENTION_US) {
             self.machines[machine] = None;
-            self.part_forgets(machine);
+            self.subset_forget_machine(machine);
             self.notify_placement(PlacementEvent::MachineLeft { machine });
         }
         if let Some(recorder) = &mut self.recorder {
--- a/planner/src/state/machines.rs
+++ b/planner/src/state/machines.rs
@@ -182,7 +182,7 @@
             availability.link = LinkState::Healthy;
         }
         availability.draining = inventory.draining;
-        self.part_visited(machine);
+        self.subset_inventory_received(machine);
         self.availability_changed(machine);
         Ok(())
     }
--- a/planner/src/state/registry.rs
+++ b/planner/src/state/registry.rs
@@ -55,7 +55,7 @@
         }
         self.notify_placement(PlacementEvent::ListEnds);
         self.perform_pending();
-        self.part_listed(list.question, &named);
+        self.subset_list_received(list.question, &named);
         Ok(())
     }
 
@@ -78,7 +78,7 @@
     }
 
     pub(super) fn watch(&mut self, on: bool) {
-        let brief = self.part.is_some();
+        let brief = self.subset.is_some();
         self.outputs.push_back(Output::Registry(Body::Watch(wire::Watch { on, brief })));
     }
 
@@ -128,7 +128,7 @@
     /// is up.
     pub(super) fn machine_unlisted(&mut self, machine: usize) {
         self.dials.remove(machine);
-        self.part_unlisted(machine);
+        self.subset_machine_unlisted(machine);
         let now = self.now();
         let Some(record) = self.machines[machine].as_mut() else { return };
         if record.availability.is_lost() {
--- a/planner/src/view.rs
+++ b/planner/src/view.rs
@@ -1,5 +1,6 @@
 //! What a planner tells operators, as JSON.
-use crate::state::{idempotency_text, ClientFrameError, PlannerState, TaskCounts, MOST_ROWS};
+use crate::admission::{AdmissionController, AdmissionView};
+use crate::state::{idempotency_text, ClientFrameError, PlannerState, SubsetView, TaskCounts, MOST_ROWS};
 use basaltpitch::host::Readiness;
 use basaltpitch_agent::traffic::{FrameKind, Traffic};
 use basaltpitch_agent::wire::Body;
@@ -137,9 +138,9 @@
     open_requests: usize,
     counts: TaskCounts,
     #[serde(rename = "part")]
-    subset: Option<Value>,
+    subset: Option<SubsetView>,
     #[serde(rename = "line")]
-    admission: Option<Value>,
+    admission: Option<AdmissionView>,
 }
 
 fn planner(state: &PlannerState) -> Value {
@@ -150,7 +151,7 @@
         open_requests: state.open_requests(),
         counts: state.counts,
         subset: state.subset_view(),
-        admission: state.admission().map(|admission| to_json(admission.view())),
+        admission: state.admission().map(AdmissionController::view),
     })
 }
 
--- a/planner/src/voter_server.rs
+++ b/planner/src/voter_server.rs
@@ -11,7 +11,7 @@
 use basaltpitch_lease::record::RevisionLog;
 use basaltpitch_lease::voter::Voter;
 use basaltpitch_lease::LeaseConfig;
-use basaltpitch_snapshot_store::Store;
+use basaltpitch_snapshot_store::SnapshotStore;
 use std::collections::{HashMap, VecDeque};
 use std::future::Future;
 use std::rc::Rc;
@@ -41,7 +41,7 @@
     /// Its index among all voters.
     pub index: usize,
     /// Where its votes are stored; without it a start recovers them from the other voters.
-    pub store: Option<Store>,
+    pub store: Option<SnapshotStore>,
 }
 
 /// Who held each lease, the newest last.
@@ -64,7 +64,7 @@
     others: HashMap<usize, mpsc::Sender<LinkCommand>>,
     /// Links to the other voters, while there is something to recover from them.
     recovery_links: tokio::task::JoinSet<()>,
-    store: Option<Store>,
+    store: Option<SnapshotStore>,
     links: LinkConfig,
     identity: PeerIdentity,
     clock: Clock,
--- a/planner/src/voter_server/stored.rs
+++ b/planner/src/voter_server/stored.rs
@@ -5,7 +5,7 @@
 use basaltpitch_lease::record::RecordDelta;
 use basaltpitch_lease::voter::{RecoveredVote, StoredVote, Voter};
 use basaltpitch_lease::LeaseMetadata;
-use basaltpitch_snapshot_store::Store;
+use basaltpitch_snapshot_store::SnapshotStore;
 use prost::Message;
 use std::rc::Rc;
 
@@ -51,7 +51,7 @@
 }
 
 /// Whether everything that the voter stores was written to the disk.
-pub(super) fn save(store: &Store, voter: &PlannerVoter, history: &HolderHistory, now: i64) -> bool {
+pub(super) fn save(store: &SnapshotStore, voter: &PlannerVoter, history: &HolderHistory, now: i64) -> bool {
     let request = wire::Record::default();
     let record = RecordReply { voter, history, now, request: &request, delta: RecordDelta::default() };
     let saved = store.put(VOTES, FORMAT, now, &record.frame(|_| true).encode_to_vec());
--- a/planner/tests/net/mod.rs
+++ b/planner/tests/net/mod.rs
@@ -10,7 +10,7 @@
     Framework, InvariantChecker, InvariantConfig, Location, TrafficTotals, Violation,
 };
 use basaltpitch_planner::state::{Identity, Output, PlannerState, REGISTRY};
-use basaltpitch_subsetting as aperture;
+use basaltpitch_subsetting::SubsetConfig;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 pub const SMALL: &str = "small";
@@ -114,7 +114,7 @@
     pub told: Vec<String>,
     pub launched: Vec<wire::Launch>,
     /// Of a planner that works a part, and what was sent to the register.
-    pub part: Option<aperture::Terms>,
+    pub part: Option<SubsetConfig>,
     pub asked: Vec<Body>,
 }
 
@@ -190,7 +190,7 @@
     }
 
     /// From now on the planner works a part.
-    pub fn use_subset(&mut self, terms: aperture::Terms) {
+    pub fn use_subset(&mut self, terms: SubsetConfig) {
         self.part = Some(terms.clone());
         self.core.use_subset(self.now, terms);
     }
--- a/planner/tests/parts.rs
+++ b/planner/tests/subset.rs
@@ -4,7 +4,7 @@
 use basaltpitch_agent::wire::{AnswerKind, Body, Fetch};
 use basaltpitch_config::installation::load_texts;
 use basaltpitch_constraints::parse::parse;
-use basaltpitch_subsetting::{hash, Terms};
+use basaltpitch_subsetting::{name_hash, SubsetConfig};
 use net::{Net, ONCE, SMALL};
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -14,9 +14,9 @@
 
 /// One of eight planners, each machine in two parts; clauses bind where there are any.
 fn begin(clauses: &str, labelled: &[usize]) -> Net {
-    let seats = (0..8).map(|s| hash(&format!("planner-{s}"))).collect();
+    let seats = (0..8).map(|s| name_hash(&format!("planner-{s}"))).collect();
     let mut net = Net::bare(MACHINES);
-    net.use_subset(Terms::of_term(2, seats, 3, S));
+    net.use_subset(SubsetConfig::from_lease_duration(2, seats, 3, S));
     if !clauses.is_empty() {
         let site = "zones: [\"hall-a\", \"hall-b\"]\nkinds: [{name: \"std\", cores: 16, memory: 32}]\n\
                     frameworks: [{name: \"small\", repeat: \"repeatable\", goal: 600ms, limit: 6s}]\n";
--- a/snapshot_store/tests/files.rs
+++ b/snapshot_store/tests/damaged_files.rs
@@ -1,5 +1,5 @@
 //! What becomes of a file that was cut, overwritten or never ours.
-use basaltpitch_snapshot_store::{Fault, Found, Snapshot, Store};
+use basaltpitch_snapshot_store::{OpenOutcome, Snapshot, SnapshotStore, StoreError};
 use proptest::prelude::*;
 use std::path::{Path, PathBuf};
 
@@ -11,8 +11,8 @@
 }
 
 fn full(path: &Path) {
-    let (store, found) = Store::open(path).unwrap();
-    assert_eq!(found, Found::Nothing);
+    let (store, outcome) = SnapshotStore::open(path).unwrap();
+    assert_eq!(outcome, OpenOutcome::Created);
     store.put("tenants", 1, 5, b"the first").unwrap();
     store.put("tenants", 1, 7, &[42; 5000]).unwrap();
 }
@@ -21,9 +21,9 @@
 fn a_snapshot_outlives_its_planner_and_the_newest_stands() {
     let path = file("outlives");
     full(&path);
-    let (store, found) = Store::open(&path).unwrap();
-    assert_eq!(found, Found::Ours);
-    assert_eq!(store.get("tenants", 1).unwrap(), Some(Snapshot { at: 7, bytes: vec![42; 5000] }));
+    let (store, outcome) = SnapshotStore::open(&path).unwrap();
+    assert_eq!(outcome, OpenOutcome::Opened);
+    assert_eq!(store.get("tenants", 1).unwrap(), Some(Snapshot { time_us: 7, bytes: vec![42; 5000] }));
     assert_eq!(store.get("quotas", 1).unwrap(), None);
 }
 
@@ -31,9 +31,9 @@
 fn a_file_in_use_is_not_set_aside() {
     let path = file("in-use");
     full(&path);
-    let (_store, _) = Store::open(&path).unwrap();
-    let said = Store::open(&path).map(|x| x.1).unwrap_err().to_string();
-    assert!(said.contains("found a file in use"), "{said}");
+    let (_store, _) = SnapshotStore::open(&path).unwrap();
+    let error = SnapshotStore::open(&path).map(|x| x.1).unwrap_err().to_string();
+    assert!(error.contains("found a file in use"), "{error}");
     assert!(path.exists());
 }
 
@@ -41,10 +41,10 @@
 fn another_format_is_named() {
     let path = file("format");
     full(&path);
-    let (store, _) = Store::open(&path).unwrap();
-    let said = store.get("tenants", 2).unwrap_err();
-    assert!(matches!(said, Fault::Snapshot { .. }));
-    assert_eq!(said.to_string(), "snapshot tenants: found format 1; expected format 2");
+    let (store, _) = SnapshotStore::open(&path).unwrap();
+    let error = store.get("tenants", 2).unwrap_err();
+    assert!(matches!(error, StoreError::InvalidSnapshot { .. }));
+    assert_eq!(error.to_string(), "snapshot tenants: found format 1; expected format 2");
 }
 
 #[test]
@@ -52,9 +52,9 @@
     let path = file("foreign");
     for n in 0..2 {
         std::fs::write(&path, "this is a letter to a friend").unwrap();
-        let (store, found) = Store::open(&path).unwrap();
-        let Found::SetAside { to, why } = found else { panic!("{found:?}") };
-        assert!(to.ends_with(format!("planner.set-aside-{n}")) && !why.is_empty());
+        let (store, outcome) = SnapshotStore::open(&path).unwrap();
+        let OpenOutcome::SetAside { to, reason } = outcome else { panic!("{outcome:?}") };
+        assert!(to.ends_with(format!("planner.set-aside-{n}")) && !reason.is_empty());
         assert_eq!(std::fs::read(to).unwrap(), b"this is a letter to a friend");
         assert_eq!(store.get("tenants", 1).unwrap(), None);
     }
@@ -63,18 +63,18 @@
 #[test]
 fn a_place_that_cannot_be_written_is_an_error_with_its_path() {
     let path = file("nowhere").join("no/such/folder.store");
-    let said = Store::open(&path).err().unwrap().to_string();
-    assert!(said.contains("no/such/folder.store"), "{said}");
+    let error = SnapshotStore::open(&path).err().unwrap().to_string();
+    assert!(error.contains("no/such/folder.store"), "{error}");
 }
 
-/// After any damage: the newest snapshot, or nothing, or a word about it. Never half of one.
+/// After any damage: the newest snapshot, or nothing, or an error about it. Never half of one.
 fn damaged(name: &str, damage: impl Fn(&mut Vec<u8>)) -> Result<(), TestCaseError> {
     let path = file(name);
     full(&path);
     let mut bytes = std::fs::read(&path).unwrap();
     damage(&mut bytes);
     std::fs::write(&path, &bytes).unwrap();
-    let (store, _) = Store::open(&path).unwrap();
+    let (store, _) = SnapshotStore::open(&path).unwrap();
     if let Ok(Some(s)) = store.get("tenants", 1) {
         prop_assert!(s.bytes == vec![42; 5000] || s.bytes == b"the first", "half a snapshot");
     }
--- a/subsetting/examples/compare.rs
+++ b/subsetting/examples/compare.rs
@@ -1,40 +1,40 @@
-//! Ways to deal machines to planners, side by side: the largest, smallest and mean part, the most of one zone
-//! and kind, and how many links change when a machine or a seat joins. `cargo run --release --example compare
-//! -p basaltpitch-subsetting -- SEATS MACHINES COPIES`.
-use basaltpitch_subsetting::deal::{deal, weight};
-use basaltpitch_subsetting::hash;
+//! Ways to assign machines to planners, side by side: the largest, smallest and mean part, the most of one zone
+//! and kind, and how many links change when a machine or a slot joins. `cargo run --release --example compare
+//! -p basaltpitch-subsetting -- SLOTS MACHINES REPLICAS`.
+use basaltpitch_subsetting::assignment::{assign, rendezvous_weight};
+use basaltpitch_subsetting::name_hash;
 use std::collections::{BTreeMap, BTreeSet};
 
 type Links = BTreeSet<(u64, u64)>;
-type Way = fn(&[u64], &[(u64, usize)], usize) -> Links;
+type Assignment = fn(&[u64], &[(u64, usize)], usize) -> Links;
 
-fn bounded(seats: &[u64], machines: &[(u64, usize)], copies: usize) -> Links {
+fn bounded(slots: &[u64], machines: &[(u64, usize)], replicas: usize) -> Links {
     let mut strata: BTreeMap<usize, Vec<u64>> = BTreeMap::new();
     machines.iter().for_each(|m| strata.entry(m.1).or_default().push(m.0));
     let mut links = Links::new();
     for (stratum, mut names) in strata {
         names.sort_unstable();
-        let dealt = deal(seats, &names, copies, hash(&stratum.to_string()));
-        for (name, taken) in names.iter().zip(dealt) {
-            links.extend(taken.iter().map(|&s| (*name, seats[s as usize])));
+        let assignment = assign(slots, &names, replicas, name_hash(&stratum.to_string()));
+        for (name, chosen) in names.iter().zip(assignment) {
+            links.extend(chosen.iter().map(|&s| (*name, slots[s as usize])));
         }
     }
     links
 }
 
-fn rendezvous(seats: &[u64], machines: &[(u64, usize)], copies: usize) -> Links {
+fn rendezvous(slots: &[u64], machines: &[(u64, usize)], replicas: usize) -> Links {
     let of = |m: &(u64, usize)| {
-        let mut all: Vec<u64> = seats.to_vec();
-        all.sort_unstable_by_key(|&s| std::cmp::Reverse(weight(m.0, s)));
-        all.into_iter().take(copies).map(|s| (m.0, s)).collect::<Vec<_>>()
+        let mut all: Vec<u64> = slots.to_vec();
+        all.sort_unstable_by_key(|&s| std::cmp::Reverse(rendezvous_weight(m.0, s)));
+        all.into_iter().take(replicas).map(|s| (m.0, s)).collect::<Vec<_>>()
     };
     machines.iter().flat_map(of).collect()
 }
 
-fn ring(seats: &[u64], machines: &[(u64, usize)], copies: usize) -> Links {
-    let points: BTreeMap<u64, u64> = seats
+fn ring(slots: &[u64], machines: &[(u64, usize)], replicas: usize) -> Links {
+    let points: BTreeMap<u64, u64> = slots
         .iter()
-        .flat_map(|&s| (0..100).map(move |v| (weight(s, hash(&format!("point {v}"))), s)))
+        .flat_map(|&s| (0..100).map(move |v| (rendezvous_weight(s, name_hash(&format!("point {v}"))), s)))
         .collect();
     let of = |m: &(u64, usize)| {
         let mut found: Vec<u64> = Vec::new();
@@ -42,7 +42,7 @@
             if !found.contains(&s) {
                 found.push(s);
             }
-            if found.len() == copies {
+            if found.len() == replicas {
                 break;
             }
         }
@@ -51,71 +51,74 @@
     machines.iter().flat_map(of).collect()
 }
 
-/// Deterministic subsetting: machines in the order of their names, seats in theirs, dealt in turns.
-fn subsets(seats: &[u64], machines: &[(u64, usize)], copies: usize) -> Links {
+/// Deterministic subsetting: machines in the order of their names, slots in theirs, assignment in turns.
+fn subsets(slots: &[u64], machines: &[(u64, usize)], replicas: usize) -> Links {
     let mut all = machines.to_vec();
     all.sort_unstable_by_key(|m| (m.1, m.0));
-    let mut sorted = seats.to_vec();
+    let mut sorted = slots.to_vec();
     sorted.sort_unstable();
     let turn = |i: usize| sorted[i % sorted.len()];
     all.iter()
         .enumerate()
-        .flat_map(|(i, m)| (0..copies).map(move |c| (m.0, i * copies + c)))
+        .flat_map(|(i, m)| (0..replicas).map(move |c| (m.0, i * replicas + c)))
         .map(|(m, i)| (m, turn(i)))
         .collect()
 }
 
 fn main() {
     let args: Vec<usize> = std::env::args().skip(1).filter_map(|x| x.parse().ok()).collect();
-    let [seats, machines, copies] = args[..] else { panic!("expected SEATS MACHINES COPIES") };
-    let seats: Vec<u64> = (0..=seats).map(|n| hash(&format!("planner-{n}"))).collect();
+    let [slots, machines, replicas] = args[..] else { panic!("expected SLOTS MACHINES REPLICAS") };
+    let slots: Vec<u64> = (0..=slots).map(|n| name_hash(&format!("planner-{n}"))).collect();
     // Seven zones; of ten machines seven are of the first kind, two of the second, one of the third.
     let kind = |n: usize| [0, 0, 0, 0, 0, 0, 0, 1, 1, 2][n / 7 % 10];
     let all: Vec<(u64, usize)> =
-        (0..machines + 20).map(|n| (hash(&format!("machine-{n}")), n % 7 * 3 + kind(n))).collect();
-    let (p, m) = (seats.len() - 1, machines);
-    let ways: [(&str, Way); 4] = [
+        (0..machines + 20).map(|n| (name_hash(&format!("machine-{n}")), n % 7 * 3 + kind(n))).collect();
+    let (p, m) = (slots.len() - 1, machines);
+    let ways: [(&str, Assignment); 4] = [
         ("bounded rendezvous", bounded),
         ("rendezvous", rendezvous),
         ("ring, 100 points", ring),
         ("subsets in turn", subsets),
     ];
-    println!("{p} seats, {m} machines, {copies} copies: mean part {:.1}", (copies * m) as f64 / p as f64);
+    println!(
+        "{p} slots, {m} machines, {replicas} replicas: mean part {:.1}",
+        (replicas * m) as f64 / p as f64
+    );
     for (name, way) in ways {
         let begun = std::time::Instant::now();
-        let base = way(&seats[..p], &all[..m], copies);
+        let base = way(&slots[..p], &all[..m], replicas);
         let took = begun.elapsed().as_secs_f64() * 1e3;
-        let mut sizes: BTreeMap<u64, usize> = seats[..p].iter().map(|&s| (s, 0)).collect();
+        let mut sizes: BTreeMap<u64, usize> = slots[..p].iter().map(|&s| (s, 0)).collect();
         let mut zones: BTreeMap<(u64, usize), usize> = BTreeMap::new();
         let stratum: BTreeMap<u64, usize> = all.iter().copied().collect();
-        for (machine, seat) in &base {
-            *sizes.get_mut(seat).expect("a seat") += 1;
-            *zones.entry((*seat, stratum[machine] / 3)).or_default() += 1;
+        for (machine, slot) in &base {
+            *sizes.get_mut(slot).expect("a slot") += 1;
+            *zones.entry((*slot, stratum[machine] / 3)).or_default() += 1;
         }
         let changed = |other: &Links| base.symmetric_difference(other).count();
         let joins: Vec<usize> = (1..=20)
             .map(|k| {
                 let mut with = all[..m].to_vec();
                 with.push(all[m - 1 + k]);
-                changed(&way(&seats[..p], &with, copies))
+                changed(&way(&slots[..p], &with, replicas))
             })
             .collect();
-        let seat_joins = changed(&way(&seats, &all[..m], copies));
+        let seat_joins = changed(&way(&slots, &all[..m], replicas));
         let leaves: Vec<usize> = (0..20.min(p))
             .map(|k| {
-                let mut without = seats[..p].to_vec();
+                let mut without = slots[..p].to_vec();
                 without.remove(k);
-                changed(&way(&without, &all[..m], copies))
+                changed(&way(&without, &all[..m], replicas))
             })
             .collect();
-        let mean = (copies * m) as f64 / p as f64;
-        let in_zones = seats[..p]
+        let mean = (replicas * m) as f64 / p as f64;
+        let in_zones = slots[..p]
             .iter()
             .flat_map(|&s| (0..7).map(move |z| (s, z)))
             .map(|k| zones.get(&k).copied().unwrap_or(0));
         let (most, least) = (in_zones.clone().max().unwrap(), in_zones.min().unwrap());
         println!(
-            "{name}: part {} to {} ({:.2} of the mean at most), of a zone {least} to {most}; links changed: machine joins {:.1} (most {}), seat joins {seat_joins}, seat leaves {:.1} (most {}); dealt in {took:.1} ms",
+            "{name}: part {} to {} ({:.2} of the mean at most), of a zone {least} to {most}; links changed: machine joins {:.1} (most {}), slot joins {seat_joins}, slot leaves {:.1} (most {}); assignment in {took:.1} ms",
             sizes.values().min().unwrap(), sizes.values().max().unwrap(), *sizes.values().max().unwrap() as f64 / mean,
             joins.iter().sum::<usize>() as f64 / 20.0, joins.iter().max().unwrap(),
             leaves.iter().sum::<usize>() as f64 / leaves.len() as f64, leaves.iter().max().unwrap(),
--- /dev/null
+++ b/subsetting/src/assignment.rs
@@ -0,0 +1,64 @@
+//! The assignment of the machines of one stratum (a zone and a kind) to slots: rendezvous hashing (highest
+//! random weight) with bounded loads. Machines choose in the order of their hashes; each takes the slots of its
+//! highest weights that have capacity left. The result depends on names alone, so that all planners that know
+//! the same names and the same live slots compute the same.
+use xxhash_rust::xxh3::xxh3_64;
+
+/// Capacity of a slot over the even share, so that a change moves little (docs/design/aperture.md compares).
+const HEADROOM: f64 = 0.25;
+
+/// A hash of a name that is the same in every process and build.
+pub fn name_hash(name: &str) -> u64 {
+    xxh3_64(name.as_bytes())
+}
+
+/// The rendezvous weight of one name for another.
+pub fn rendezvous_weight(first: u64, second: u64) -> u64 {
+    let mixed = (first ^ second.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let mixed = (mixed ^ mixed >> 32).wrapping_add(second).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let mixed = (mixed ^ mixed >> 29).wrapping_mul(0x94d0_49bb_1331_11eb);
+    mixed ^ mixed >> 32
+}
+
+/// How many machines of a stratum each slot takes at the most. The share is a fraction; which slots round it up
+/// depends on their order by weight, so that a machine more or less changes the bound of few.
+pub fn slot_capacities(slots: &[u64], machines: usize, replicas: usize, stratum: u64) -> Vec<usize> {
+    let (slot_count, replicas) = (slots.len() as f64, replicas as f64);
+    let even = replicas * machines as f64 / slot_count * (1.0 + HEADROOM);
+    // The last machine finds this many slots with capacity even where the first ones are full.
+    let share = even + (replicas - 1.0) * (even + 1.0) / slot_count;
+    let mut order: Vec<usize> = (0..slots.len()).collect();
+    order.sort_unstable_by_key(|&slot| rendezvous_weight(slots[slot], stratum));
+    let mut capacities = vec![0; slots.len()];
+    for (rank, slot) in order.into_iter().enumerate() {
+        capacities[slot] = (share + (rank as f64 + 0.5) / slot_count) as usize;
+    }
+    capacities
+}
+
+/// For each machine, by its position in `machines`, the positions in `slots` of those that take it: `replicas`
+/// of them, or all slots if there are no more. `machines` are hashes in rising order.
+pub fn assign(slots: &[u64], machines: &[u64], replicas: usize, stratum: u64) -> Vec<Vec<u16>> {
+    if slots.len() <= replicas {
+        return vec![(0..slots.len() as u16).collect(); machines.len()];
+    }
+    let mut capacity = slot_capacities(slots, machines.len(), replicas, stratum);
+    let mut weights = vec![0; slots.len()];
+    let choose = |&machine: &u64| {
+        weights.iter_mut().zip(slots).for_each(|(weight, &slot)| *weight = rendezvous_weight(machine, slot));
+        let mut chosen: Vec<u16> = Vec::with_capacity(replicas);
+        while chosen.len() < replicas {
+            let free = |slot: &usize| !chosen.contains(&(*slot as u16));
+            let best = (0..slots.len())
+                .filter(|slot| capacity[*slot] > 0 && free(slot))
+                .max_by_key(|&slot| weights[slot]);
+            // Rounding may leave the last machine short: it goes one over the bound.
+            let best = best.or_else(|| (0..slots.len()).filter(free).max_by_key(|&slot| weights[slot]));
+            let Some(slot) = best else { break };
+            capacity[slot] = capacity[slot].saturating_sub(1);
+            chosen.push(slot as u16);
+        }
+        chosen
+    };
+    machines.iter().map(choose).collect()
+}
