--- a/testbed/src/client.rs
+++ b/testbed/src/client.rs
@@ -172,7 +172,7 @@
     /// Submits a request for a task, if a planner is there.
     fn submit(&mut self, key: &str) {
         let now = self.now();
-        let (Some(orders), Some(life)) = (&self.orders, self.incarnation.clone()) else { return };
+        let (Some(orders), Some(planner)) = (&self.orders, self.incarnation.clone()) else { return };
         let Some(task) = self.tasks.get_mut(key) else { return };
         task.plan.submit.ask += 1;
         task.plan.submit.time_left_us = task.plan.limit_us;
@@ -182,7 +182,7 @@
         if orders.try_send(LinkCommand::Send(Body::Submit(task.plan.submit.clone()), None)).is_ok() {
             self.setup.totals.borrow_mut().submitted += 1;
             (task.submitted_at, task.phase, task.planner) =
-                (now, Phase::Submitted(now + task.plan.limit_us), Some(life));
+                (now, Phase::Submitted(now + task.plan.limit_us), Some(planner));
         }
     }
 
@@ -217,9 +217,11 @@
                 let _ = orders.try_send(LinkCommand::Send(Body::Withdraw(body), None));
             }
             // No connection, so no answer can come.
-            (None, Some(life)) => {
-                self.setup.context.checker.borrow_mut().client_disconnected(life, key, task.plan.submit.ask)
-            }
+            (None, Some(planner)) => self.setup.context.checker.borrow_mut().client_disconnected(
+                planner,
+                key,
+                task.plan.submit.ask,
+            ),
             (None, None) => {}
         }
         self.setup.totals.borrow_mut().given_up += 1;
@@ -278,7 +280,7 @@
             clock,
             show,
         ));
-        let me = PeerIdentity {
+        let identity = PeerIdentity {
             role: Role::Owner,
             name: format!("owner-{}", self.setup.number),
             epoch: 1,
@@ -288,7 +290,7 @@
         let to = events.clone();
         tokio::task::spawn_local(link::run(
             outer,
-            link::LinkContext::new(me, clock),
+            link::LinkContext::new(identity, clock),
             inbox,
             to,
             move |event| (connection, event),
@@ -300,7 +302,7 @@
         match event {
             LinkEvent::Session(SessionEvent::Up(party)) => self.planner_connected((party.name, party.epoch)),
             LinkEvent::Session(SessionEvent::Frame(Body::Answer(answer))) => self.answered(answer),
-            LinkEvent::Session(SessionEvent::Frame(Body::Life(life))) => self.lifecycle(life),
+            LinkEvent::Session(SessionEvent::Frame(Body::Life(event))) => self.lifecycle(event),
             LinkEvent::Ended { .. } => {
                 (self.orders, self.connect_at) = (None, self.now() + RECONNECT_AFTER_US);
                 self.incarnation = None;
@@ -311,13 +313,13 @@
 
     /// A planner is there. What the same incarnation of it has is submitted again under the same number; what
     /// another had may run, and gets a new request once that is sure.
-    fn planner_connected(&mut self, life: Incarnation) {
-        self.incarnation = Some(life.clone());
+    fn planner_connected(&mut self, planner: Incarnation) {
+        self.incarnation = Some(planner.clone());
         let now = self.now();
         let keys: Vec<String> = self.tasks.keys().cloned().collect();
         for key in keys {
             let task = self.tasks.get_mut(&key).expect("just listed");
-            let same = task.planner.as_ref() == Some(&life);
+            let same = task.planner.as_ref() == Some(&planner);
             match task.phase {
                 Phase::Submitted(until) if same && until > now => {
                     task.plan.submit.time_left_us = until - now;
@@ -371,21 +373,21 @@
         }
     }
 
-    fn lifecycle(&mut self, life: wire::Life) {
-        let Some(task) = self.tasks.get(&life.key).filter(|task| task.plan.submit.ask == life.ask) else {
+    fn lifecycle(&mut self, event: wire::Life) {
+        let Some(task) = self.tasks.get(&event.key).filter(|task| task.plan.submit.ask == event.ask) else {
             return;
         };
         let repeatable = task.plan.repeatable;
-        match LifeHow::try_from(life.how) {
+        match LifeHow::try_from(event.how) {
             Ok(LifeHow::LifeEnded | LifeHow::LifeStopped) => {
-                self.tasks.remove(&life.key);
+                self.tasks.remove(&event.key);
                 self.setup.totals.borrow_mut().completed += 1;
             }
             Ok(LifeHow::LifeLost) => {
                 self.setup.totals.borrow_mut().lost += 1;
-                self.retry(&life.key, if repeatable { 0 } else { self.setup.settle_us });
+                self.retry(&event.key, if repeatable { 0 } else { self.setup.settle_us });
             }
-            _ => self.retry(&life.key, 0),
+            _ => self.retry(&event.key, 0),
         }
     }
 }
--- a/testbed/src/machine.rs
+++ b/testbed/src/machine.rs
@@ -32,7 +32,7 @@
     /// Time that the start of a task takes, on average.
     pub start_us: i64,
     /// So many times longer where the machine has not the program.
-    pub cold_program_factor: f64,
+    pub uncached_start_factor: f64,
     /// Tasks that start at once, at most.
     pub concurrent_starts: usize,
     /// Offers that wait, at most.
--- a/testbed/src/machine/lifecycle.rs
+++ b/testbed/src/machine/lifecycle.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Reports are kept for so long, in microseconds.
-const REPORTS_KEPT_US: i64 = 20_000_000;
+const REPORT_RETENTION_US: i64 = 20_000_000;
 /// A drained machine restarts so long after its drain at the earliest, in microseconds: a launch may be on
 /// its way.
 const QUIET_US: i64 = 2_000_000;
@@ -23,7 +23,7 @@
         self.update();
         let (now, used) = (self.now(), self.used());
         self.reports.push_back((now, self.shared.cores - used.0, self.shared.memory - used.1));
-        while self.reports.front().is_some_and(|report| report.0 < now - REPORTS_KEPT_US) {
+        while self.reports.front().is_some_and(|report| report.0 < now - REPORT_RETENTION_US) {
             self.reports.pop_front();
         }
         let served = (self.shared.cores / used.0.max(0.001)).min(1.0);
--- a/testbed/src/process_harness/setup.rs
+++ b/testbed/src/process_harness/setup.rs
@@ -45,15 +45,15 @@
 fn voters_file(
     folder: &Path,
     name: &str,
-    seats: &ResolvedValue,
+    settings: &ResolvedValue,
     addresses: &[String],
 ) -> io::Result<PathBuf> {
-    let time = |field: &str| seats.duration_us(field).unwrap_or(LEASE_DURATION_US);
+    let time = |field: &str| settings.duration_us(field).unwrap_or(LEASE_DURATION_US);
     let voter = |(n, address): (usize, &String)| format!("{{name: \"voter-{n}\", address: {address:?}}}");
     let voters: Vec<String> = addresses.iter().enumerate().map(voter).collect();
     let (term, drift, voters) = (time("term"), time("drift"), voters.join(", "));
     let parts =
-        seats.number("copies").map_or(String::new(), |copies| format!("parts: {{copies: {copies}}}\n"));
+        settings.number("copies").map_or(String::new(), |copies| format!("parts: {{copies: {copies}}}\n"));
     let text = format!("council: {{term: {term}us, drift: {drift}us, voters: [{voters}]}}\n{parts}");
     let file = folder.join(format!("{name}.rec"));
     std::fs::write(&file, text)?;
@@ -63,7 +63,7 @@
 /// What the processes are laid out by.
 struct Layout<'a> {
     setup: &'a HarnessSetup,
-    seats: &'a ResolvedValue,
+    settings: &'a ResolvedValue,
     files: Vec<String>,
     zones: Vec<String>,
     /// Where voters listen.
@@ -73,30 +73,31 @@
 }
 
 impl Layout<'_> {
-    /// The `n`th process: voters first.
-    async fn process(&self, n: usize) -> io::Result<HarnessProcess> {
+    /// A process by its number: voters come first.
+    async fn process(&self, number: usize) -> io::Result<HarnessProcess> {
         let voters = self.voters.len();
-        let name = if n < voters { format!("voter-{n}") } else { format!("process-{}", n - voters) };
+        let name =
+            if number < voters { format!("voter-{number}") } else { format!("process-{}", number - voters) };
         let (mut relays, mut through) = (Vec::new(), Vec::new());
         for (voter, address) in self.voters.iter().enumerate() {
             let control = Rc::new(RelayControl::default());
-            let itself = n == voter;
+            let itself = number == voter;
             through.push(match itself {
                 true => address.clone(),
                 false => relay::start(address.clone(), control.clone()).await?,
             });
             relays.push(control);
         }
-        let file = voters_file(&self.setup.folder, &name, self.seats, &through)?.display().to_string();
+        let file = voters_file(&self.setup.folder, &name, self.settings, &through)?.display().to_string();
         let own_relay = Rc::new(RelayControl::default());
         let mut state = None;
-        let mut args = if n < voters {
+        let mut args = if number < voters {
             let folder = self.setup.folder.join(&name);
             let args = self.voter_args(&file, &name, &folder);
             state = Some(folder);
             args
         } else {
-            self.planner_args(n, &file, &name, &own_relay).await?
+            self.planner_args(number, &file, &name, &own_relay).await?
         };
         args.extend(["-o", "json"].map(str::to_owned));
         Ok(HarnessProcess { name, args, relays, own_relay, state, ..HarnessProcess::default() })
@@ -111,17 +112,17 @@
 
     async fn planner_args(
         &self,
-        n: usize,
+        number: usize,
         file: &str,
         name: &str,
         own_relay: &Rc<RelayControl>,
     ) -> io::Result<Vec<String>> {
         let mut args = vec!["serve".to_owned()];
         args.extend(self.files.clone());
-        let zone = &self.zones[n % self.zones.len()];
+        let zone = &self.zones[number % self.zones.len()];
         let registry = &self.setup.registry;
         args.extend([file, "--seat", "any", "--zone", zone, "--register", registry].map(str::to_owned));
-        let listen = &self.planners[n - self.voters.len()];
+        let listen = &self.planners[number - self.voters.len()];
         let advertised = relay::start(listen.clone(), own_relay.clone()).await?;
         args.extend(["--listen", listen, "--advertise", &advertised].map(str::to_owned));
         if let Some(folder) = &self.setup.config.record {
@@ -139,14 +140,14 @@
     /// Where the scenario has no slots, the installation has voters of its own, or a port or file cannot be
     /// had.
     pub async fn new(setup: HarnessSetup, day: &ResolvedValue) -> io::Result<Rc<ProcessHarness>> {
-        let seats = day.get("seats").ok_or_else(|| io::Error::other("the day has no seats"))?;
+        let settings = day.get("seats").ok_or_else(|| io::Error::other("the day has no seats"))?;
         let installation = &setup.config.installation;
         if installation.all.get("council").is_some() {
             let why =
                 "found a council beside day.seats; expected one of them: the drill starts voters itself";
             return Err(io::Error::other(why));
         }
-        let number = |field: &str| seats.number(field).unwrap_or(1.0) as usize;
+        let number = |field: &str| settings.number(field).unwrap_or(1.0) as usize;
         let (slots, voters) = (setup.addresses.borrow().len(), number("voters"));
         let all = voters + slots + number("spares");
         // Asked for in one go: a second time could bring a voter's port once more, and whoever came later ended.
@@ -154,7 +155,7 @@
         let planner_addresses = voter_addresses.split_off(voters);
         let layout = Layout {
             setup: &setup,
-            seats,
+            settings,
             files: setup.config.files.iter().map(|file| file.display().to_string()).collect(),
             zones: installation.names("zones"),
             voters: voter_addresses,
@@ -164,11 +165,11 @@
         for n in 0..all {
             processes.push(layout.process(n).await?);
         }
-        let operators = voters_file(&setup.folder, "operators", seats, &layout.voters)?;
+        let operators = voters_file(&setup.folder, "operators", settings, &layout.voters)?;
         let Layout { mut files, zones, .. } = layout;
         files.push(operators.display().to_string());
         let planners = processes.split_off(voters);
-        let lease_duration_us = seats.duration_us("term").unwrap_or(LEASE_DURATION_US);
+        let lease_duration_us = settings.duration_us("term").unwrap_or(LEASE_DURATION_US);
         let HarnessSetup { config, context, addresses, .. } = setup;
         Ok(Rc::new_cyclic(|me| ProcessHarness {
             me: me.clone(),
--- a/testbed/src/registry.rs
+++ b/testbed/src/registry.rs
@@ -33,12 +33,15 @@
     pub stale_us: Cell<i64>,
 }
 
+/// What was so is remembered for so long, in microseconds.
+const RETENTION_US: i64 = 30_000_000;
+
 type Entries = BTreeMap<String, Entry>;
 
 /// Whether two entries of a ready machine differ in its capacity alone: a brief watch leaves such changes out.
-pub fn differ_in_capacity_only(a: &Entry, b: &Entry) -> bool {
-    let alike = Entry { cores_left: b.cores_left, memory_left: b.memory_left, ..a.clone() };
-    alike == *b && b.readiness() == Readiness::Ready
+pub fn differ_in_capacity_only(first: &Entry, second: &Entry) -> bool {
+    let alike = Entry { cores_left: second.cores_left, memory_left: second.memory_left, ..first.clone() };
+    alike == *second && second.readiness() == Readiness::Ready
 }
 
 /// What answers a question: ready machines with capacity, drawn anew for each, so that planners do not crowd one.
@@ -62,11 +65,11 @@
 }
 
 struct Watcher {
-    orders: mpsc::Sender<LinkCommand>,
+    commands: mpsc::Sender<LinkCommand>,
     watches: bool,
     brief: bool,
     /// What it was sent, by machine.
-    knows: Entries,
+    sent: Entries,
 }
 
 struct RegistryState {
@@ -80,7 +83,7 @@
     watchers: BTreeMap<u64, Watcher>,
     stamp: u64,
     /// Of rolling restarts: the highest token that was seen, and token and number of the last order to each machine.
-    fence: u64,
+    fencing_token: u64,
     orders: HashMap<String, (u64, u64)>,
 }
 
@@ -106,7 +109,7 @@
         silent_since: HashMap::new(),
         watchers: BTreeMap::new(),
         stamp: 0,
-        fence: 0,
+        fencing_token: 0,
         orders: HashMap::new(),
     };
     tokio::task::spawn_local(state.run(listener));
@@ -115,29 +118,30 @@
 
 impl RegistryState {
     async fn run(mut self, listener: TcpListener) {
-        let (news, mut inbox) = mpsc::channel(1024);
+        let (events, mut inbox) = mpsc::channel(1024);
         let mut period =
             tokio::time::interval(std::time::Duration::from_micros(self.delays.period_us as u64));
-        let mut conns = 0;
+        let mut connections = 0;
         loop {
             tokio::select! {
-                _ = period.tick() => self.look(),
+                _ = period.tick() => self.record(),
                 accepted = listener.accept() => {
                     if let Ok((stream, _)) = accepted {
-                        conns += 1;
-                        self.accept(stream, conns, news.clone());
+                        connections += 1;
+                        self.accept(stream, connections, events.clone());
                     }
                 }
-                Some((conn, news)) = inbox.recv() => self.link_event(conn, news),
+                Some((number, event)) = inbox.recv() => self.link_event(number, event),
             }
         }
     }
 
-    fn accept(&mut self, stream: tokio::net::TcpStream, conn: u64, news: mpsc::Sender<(u64, LinkEvent)>) {
+    fn accept(&mut self, stream: tokio::net::TcpStream, number: u64, events: mpsc::Sender<(u64, LinkEvent)>) {
         let _ = stream.set_nodelay(true);
         let (outer, inner) = tokio::io::duplex(256 * 1024);
-        let (orders, inbox) = mpsc::channel(1024);
-        self.watchers.insert(conn, Watcher { orders, watches: false, brief: false, knows: Entries::new() });
+        let (commands, inbox) = mpsc::channel(1024);
+        self.watchers
+            .insert(number, Watcher { commands, watches: false, brief: false, sent: Entries::new() });
         let (context, clock) = (self.context.clone(), self.context.clock);
         let show = move |hello: &wire::Hello, seen: LinkObservation| {
             if let LinkObservation::SocketWritten { body: Body::List(list) } = seen {
@@ -148,41 +152,43 @@
         tokio::task::spawn_local(faulty_link::carry(
             stream,
             inner,
-            conn,
+            number,
             self.shared.faults.clone(),
             clock,
             show,
         ));
-        let me = PeerIdentity {
+        let identity = PeerIdentity {
             role: Role::Register,
             name: "register".into(),
             epoch: 1,
-            link: conn,
+            link: number,
             login: String::new(),
         };
         tokio::task::spawn_local(link::run(
             outer,
-            link::LinkContext::new(me, clock),
+            link::LinkContext::new(identity, clock),
             inbox,
-            news,
-            move |n| (conn, n),
+            events,
+            move |event| (number, event),
         ));
     }
 
-    fn link_event(&mut self, conn: u64, news: LinkEvent) {
-        match news {
+    fn link_event(&mut self, number: u64, event: LinkEvent) {
+        match event {
             LinkEvent::Session(SessionEvent::Frame(Body::Watch(watch))) => {
-                if let Some(w) = self.watchers.get_mut(&conn) {
-                    (w.watches, w.brief) = (watch.on, watch.brief);
+                if let Some(watcher) = self.watchers.get_mut(&number) {
+                    (watcher.watches, watcher.brief) = (watch.on, watch.brief);
                 }
-                self.send(conn, true);
+                self.send(number, true);
             }
             LinkEvent::Session(SessionEvent::Frame(Body::Fetch(fetch))) if fetch.question > 0 => {
-                self.offer(conn, &fetch)
+                self.answer(number, &fetch)
             }
-            LinkEvent::Session(SessionEvent::Frame(Body::Fetch(_))) => self.send(conn, true),
+            LinkEvent::Session(SessionEvent::Frame(Body::Fetch(_))) => self.send(number, true),
             LinkEvent::Session(SessionEvent::Frame(Body::Drain(drain))) => {
-                if let Some(machine) = self.fleet.iter().find(|m| m.name == drain.machine).cloned() {
+                if let Some(machine) =
+                    self.fleet.iter().find(|machine| machine.name == drain.machine).cloned()
+                {
                     if drain.token == 0 {
                         return machine.send(MachineCommand::Drain(drain.on));
                     }
@@ -190,7 +196,7 @@
                 }
             }
             LinkEvent::Ended { .. } => {
-                self.watchers.remove(&conn);
+                self.watchers.remove(&number);
             }
             LinkEvent::Session(_) => {}
         }
@@ -198,8 +204,9 @@
 
     /// A coordinator's order: refused if it is older than one that was taken.
     fn rolling_drain(&mut self, machine: &SimulatedMachine, drain: &wire::Drain) {
-        let (of, last) = ((drain.token, drain.number), self.orders.entry(machine.name.clone()).or_default());
-        let late = drain.token < self.fence || (of.0 == last.0 && of <= *last);
+        let (order, last) =
+            ((drain.token, drain.number), self.orders.entry(machine.name.clone()).or_default());
+        let late = drain.token < self.fencing_token || (order.0 == last.0 && order <= *last);
         if late {
             tracing::info!(
                 machine = machine.name,
@@ -208,78 +215,85 @@
             );
             return;
         }
-        (self.fence, *last) = (drain.token, of);
+        (self.fencing_token, *last) = (drain.token, order);
         machine.send(MachineCommand::RollingDrain { on: drain.on, started_us: drain.started_us });
     }
 
     /// Writes down how things are, and tells watchers how they were.
-    fn look(&mut self) {
+    fn record(&mut self) {
         let now = self.context.clock.now();
         let mut entries = Entries::new();
-        for m in &self.fleet {
-            let silent = !m.up.get() || m.unresponsive.get();
-            let since = if silent { *self.silent_since.entry(m.name.clone()).or_insert(now) } else { now };
+        for machine in &self.fleet {
+            let silent = !machine.up.get() || machine.unresponsive.get();
+            let since =
+                if silent { *self.silent_since.entry(machine.name.clone()).or_insert(now) } else { now };
             if !silent {
-                self.silent_since.remove(&m.name);
+                self.silent_since.remove(&machine.name);
             }
             let readiness = match silent {
                 true if now >= since + self.delays.silent_notice_us => Readiness::Gone,
-                _ if m.draining.get() => Readiness::Draining,
+                _ if machine.draining.get() => Readiness::Draining,
                 _ => Readiness::Ready,
             };
-            let reserved = m.reserved.get();
+            let reserved = machine.reserved.get();
             let entry = Entry {
-                machine: m.name.clone(),
-                address: m.address.clone(),
-                kind: m.kind.clone(),
-                zone: m.zone.clone(),
-                cell: m.cell,
+                machine: machine.name.clone(),
+                address: machine.address.clone(),
+                kind: machine.kind.clone(),
+                zone: machine.zone.clone(),
+                cell: machine.cell,
                 readiness: readiness as i32,
-                started_us: m.started_us.get(),
-                cores_left: m.cores - reserved.0,
-                memory_left: m.memory - reserved.1,
-                labels: m.labels.borrow().clone(),
+                started_us: machine.started_us.get(),
+                cores_left: machine.cores - reserved.0,
+                memory_left: machine.memory - reserved.1,
+                labels: machine.labels.borrow().clone(),
             };
-            entries.insert(m.name.clone(), entry);
+            entries.insert(machine.name.clone(), entry);
         }
         self.past.push_back((now, entries));
         let shown = now - self.delays.notice_us - self.shared.stale_us.get();
-        while self.past.len() > 1 && self.past[1].0 <= shown && self.past[0].0 < now - 30_000_000 {
+        while self.past.len() > 1 && self.past[1].0 <= shown && self.past[0].0 < now - RETENTION_US {
             self.past.pop_front();
         }
-        let watching: Vec<u64> = self.watchers.iter().filter(|w| w.1.watches).map(|w| *w.0).collect();
-        watching.into_iter().for_each(|conn| self.send(conn, false));
+        let watching: Vec<u64> =
+            self.watchers.iter().filter(|watcher| watcher.1.watches).map(|watcher| *watcher.0).collect();
+        watching.into_iter().for_each(|number| self.send(number, false));
     }
 
-    fn offer(&mut self, conn: u64, fetch: &wire::Fetch) {
+    /// Answers a question for machines with capacity.
+    fn answer(&mut self, number: u64, fetch: &wire::Fetch) {
         let Some(shown) = self.shown() else { return };
-        let entries = with_capacity_for(shown.values(), conn, fetch);
+        let entries = with_capacity_for(shown.values(), number, fetch);
         self.stamp += 1;
         let list = wire::List { whole: false, stamp: self.stamp, entries, question: fetch.question };
-        if let Some(w) = self.watchers.get(&conn) {
-            let _ = w.orders.try_send(LinkCommand::Send(Body::List(list), None));
+        if let Some(watcher) = self.watchers.get(&number) {
+            let _ = watcher.commands.try_send(LinkCommand::Send(Body::List(list), None));
         }
     }
 
+    /// What it tells now: how things were a while ago.
     fn shown(&self) -> Option<&Entries> {
         let until = self.context.clock.now() - self.delays.notice_us - self.shared.stale_us.get();
-        self.past.iter().rev().find(|p| p.0 <= until).or(self.past.front()).map(|p| &p.1)
+        self.past.iter().rev().find(|past| past.0 <= until).or(self.past.front()).map(|past| &past.1)
     }
 
-    fn send(&mut self, conn: u64, whole: bool) {
+    /// Sends a watcher the whole list, or what is new to it.
+    fn send(&mut self, number: u64, whole: bool) {
         let Some(shown) = self.shown().cloned() else { return };
         self.stamp += 1;
         let stamp = self.stamp;
-        let Some(w) = self.watchers.get_mut(&conn) else { return };
-        let brief = w.brief;
-        let same = |known: &Entry, e: &Entry| known == e || brief && differ_in_capacity_only(known, e);
-        let knows = |name: &String, e: &Entry| w.knows.get(name).is_some_and(|known| same(known, e));
-        let news = shown.iter().filter(|(name, e)| whole || !knows(name, e));
-        let entries: Vec<Entry> = news.map(|(_, e)| e.clone()).collect();
+        let Some(watcher) = self.watchers.get_mut(&number) else { return };
+        let brief = watcher.brief;
+        let same =
+            |sent: &Entry, entry: &Entry| sent == entry || brief && differ_in_capacity_only(sent, entry);
+        let is_new =
+            |name: &String, entry: &Entry| !watcher.sent.get(name).is_some_and(|sent| same(sent, entry));
+        let new = shown.iter().filter(|(name, entry)| whole || is_new(name, entry));
+        let entries: Vec<Entry> = new.map(|(_, entry)| entry.clone()).collect();
         if whole || !entries.is_empty() {
             let list = wire::List { whole, stamp, entries, question: 0 };
-            if w.orders.try_send(LinkCommand::Send(Body::List(list), None)).is_ok() {
-                w.knows = shown;
+            if watcher.commands.try_send(LinkCommand::Send(Body::List(list), None)).is_ok() {
+                watcher.sent = shown;
             }
         }
     }
--- a/testbed/src/scale/clients.rs
+++ b/testbed/src/scale/clients.rs
@@ -290,8 +290,8 @@
         match event {
             LinkEvent::Session(SessionEvent::Up(party)) => self.connections[number].planner = party.name,
             LinkEvent::Session(SessionEvent::Frame(Body::Answer(answer))) => self.answer(&answer),
-            LinkEvent::Session(SessionEvent::Frame(Body::Life(life))) => {
-                let lost = LifeHow::try_from(life.how) == Ok(LifeHow::LifeLost);
+            LinkEvent::Session(SessionEvent::Frame(Body::Life(event))) => {
+                let lost = LifeHow::try_from(event.how) == Ok(LifeHow::LifeLost);
                 self.totals[0].counts.lost += u64::from(lost);
             }
             LinkEvent::Session(_) => {}
--- a/testbed/src/scale/counting_relay.rs
+++ b/testbed/src/scale/counting_relay.rs
@@ -71,7 +71,7 @@
                 *peer.borrow_mut() = Some(hello.name);
             }
         }
-        scanner.feed(&bytes[..count], |kind, bytes| match inward {
+        scanner.scan(&bytes[..count], |kind, bytes| match inward {
             true => pending.0[kind].count_in(bytes),
             false => pending.0[kind].count_out(bytes),
         });
--- a/testbed/src/scale/traffic.rs
+++ b/testbed/src/scale/traffic.rs
@@ -186,7 +186,7 @@
 
 impl FrameScanner {
     /// Calls `each` with kind and bytes (length included) of every frame whose head is there.
-    pub(super) fn feed(&mut self, mut bytes: &[u8], mut each: impl FnMut(usize, u64)) {
+    pub(super) fn scan(&mut self, mut bytes: &[u8], mut each: impl FnMut(usize, u64)) {
         while !bytes.is_empty() {
             let skip = (bytes.len() as u64).min(self.left);
             self.left -= skip;
@@ -243,7 +243,7 @@
         let before = to.filled().len();
         let done = Pin::new(&mut self.stream).poll_read(cx, to);
         let CountingStream { incoming, traffic, .. } = &mut *self;
-        incoming.feed(&to.filled()[before..], |kind, bytes| traffic.borrow_mut().0[kind].count_in(bytes));
+        incoming.scan(&to.filled()[before..], |kind, bytes| traffic.borrow_mut().0[kind].count_in(bytes));
         done
     }
 }
@@ -256,7 +256,7 @@
         let done = Pin::new(&mut self.stream).poll_write(cx, bytes);
         if let Poll::Ready(Ok(written)) = done {
             let CountingStream { outgoing, traffic, .. } = &mut *self;
-            outgoing.feed(&bytes[..written], |kind, bytes| traffic.borrow_mut().0[kind].count_out(bytes));
+            outgoing.scan(&bytes[..written], |kind, bytes| traffic.borrow_mut().0[kind].count_out(bytes));
         }
         done
     }
--- a/testbed/src/settings.rs
+++ b/testbed/src/settings.rs
@@ -63,7 +63,7 @@
     MachineBehaviour {
         offer_check_us: day.duration_us("look").unwrap_or(3_000),
         start_us: day.duration_us("start").unwrap_or(30_000),
-        cold_program_factor: day.number("cold_start").unwrap_or(8.0),
+        uncached_start_factor: day.number("cold_start").unwrap_or(8.0),
         concurrent_starts: count("starts"),
         max_queue: count("line"),
         cached_programs: count("keeps"),
