--- a/gossip/src/frame_size.rs
+++ b/gossip/src/frame_size.rs
@@ -1,10 +1,15 @@
-//! Bytes: what a call costs as a frame, and the bucket that bounds what is sent. The lengths are those of
-//! `agent.proto`; a planner's test holds them against the encoder.
+//! What requests and replies cost as frames, in bytes. The lengths are those of `agent.proto`; a planner's test
+//! holds them against the encoder.
 use crate::{GossipAction, PullRequest, SummaryDelta, Version};
 
-/// Of a number on the wire.
-fn varint(n: u64) -> usize {
-    (64 - (n | 1).leading_zeros() as usize).div_ceil(7)
+/// The most bytes that a token takes.
+const MAX_TOKEN_BYTES: usize = 10;
+/// A reply's bytes beside its summaries, at most.
+pub(crate) const REPLY_OVERHEAD: i64 = 48;
+
+/// Bytes of a variable-length number.
+fn varint(number: u64) -> usize {
+    (64 - (number | 1).leading_zeros() as usize).div_ceil(7)
 }
 
 /// A list of so many bytes behind its tag; nothing where it is empty.
@@ -15,11 +20,11 @@
     1 + varint(bytes as u64) + bytes
 }
 
-fn field(n: u64) -> usize {
-    if n == 0 {
+fn field(number: u64) -> usize {
+    if number == 0 {
         return 0;
     }
-    1 + varint(n)
+    1 + varint(number)
 }
 
 /// The length before the frame, the kind's tag and the body's length.
@@ -28,10 +33,10 @@
     4 + inner
 }
 
-/// Gaps between places, each from the one before.
+/// Gaps between indices of changed metrics, each from the one before.
 pub fn index_gaps(changed: &[(usize, u32)]) -> impl Iterator<Item = u32> + '_ {
-    let before = std::iter::once(None).chain(changed.iter().map(|c| Some(c.0)));
-    changed.iter().zip(before).map(|(c, before)| (c.0 - before.map_or(0, |b| b + 1)) as u32)
+    let next = std::iter::once(0).chain(changed.iter().map(|(index, _)| index + 1));
+    changed.iter().zip(next).map(|((index, _), next)| (index - next) as u32)
 }
 
 /// Ages go on the wire in milliseconds, rounded up.
@@ -40,111 +45,71 @@
 }
 
 /// Tokens, each as the step from the one before: those of one installation are near each other.
-pub fn token_steps(all: &[SummaryDelta]) -> impl Iterator<Item = i64> + '_ {
-    let before = std::iter::once(0).chain(all.iter().map(|t| t.token));
-    all.iter().zip(before).map(|(t, before)| t.token.wrapping_sub(before) as i64)
+pub fn token_steps(deltas: &[SummaryDelta]) -> impl Iterator<Item = i64> + '_ {
+    let before = std::iter::once(0).chain(deltas.iter().map(|delta| delta.token));
+    deltas.iter().zip(before).map(|(delta, before)| delta.token.wrapping_sub(before) as i64)
 }
 
 /// A number of either sign on the wire.
-fn signed(n: i64) -> u64 {
-    ((n << 1) ^ (n >> 63)) as u64
+fn zigzag(number: i64) -> u64 {
+    ((number << 1) ^ (number >> 63)) as u64
 }
 
-/// The most that a token takes.
-const TOKEN: usize = 10;
-
-/// How far the number is before its base; 0: whole.
-pub fn base_distance(told: &SummaryDelta) -> u64 {
-    if told.base == 0 {
+/// How far a summary's number is beyond that of its base; 0: it is whole.
+pub fn base_distance(delta: &SummaryDelta) -> u64 {
+    if delta.base == 0 {
         0
     } else {
-        told.number - told.base
+        delta.number - delta.base
     }
 }
 
-/// One summary's bytes in the lists of an answer, at most.
-pub(crate) fn summary(told: &SummaryDelta) -> i64 {
-    let of = [told.subject as u64, told.number, base_distance(told), age_ms(told.age_us)];
-    let places: usize = index_gaps(&told.changed).map(|gap| varint(u64::from(gap))).sum();
-    let figures: usize = told.changed.iter().map(|c| varint(u64::from(c.1.swap_bytes()))).sum();
-    let bytes = of.into_iter().map(varint).sum::<usize>()
-        + varint(told.changed.len() as u64)
-        + TOKEN
-        + places
-        + figures;
-    bytes as i64
+/// Metrics go on the wire with their bytes swapped: rounded ones end in zeros, which then cost nothing.
+fn metric(bits: u32) -> usize {
+    varint(u64::from(bits.swap_bytes()))
 }
 
-/// An answer's bytes beside its summaries, at most.
-pub(crate) const ANSWER: i64 = 48;
+/// One summary's bytes in the lists of a reply, at most.
+pub(crate) fn delta_bytes(delta: &SummaryDelta) -> i64 {
+    let numbers = [delta.subject as u64, delta.number, base_distance(delta), age_ms(delta.age_us)];
+    let indices: usize = index_gaps(&delta.changed).map(|gap| varint(u64::from(gap))).sum();
+    let metrics: usize = delta.changed.iter().map(|(_, bits)| metric(*bits)).sum();
+    let bytes = numbers.into_iter().map(varint).sum::<usize>()
+        + varint(delta.changed.len() as u64)
+        + MAX_TOKEN_BYTES
+        + indices
+        + metrics;
+    bytes as i64
+}
 
-/// What a call costs as a frame, in bytes; 0 for those that are none.
-pub fn frame_bytes(call: &GossipAction) -> usize {
-    match call {
-        GossipAction::Request {
-            request: PullRequest { id: question, acknowledged: took, has_updates: news, versions: has },
-            ..
-        } => {
-            let column = |of: fn(&Version) -> u64| list(has.iter().map(|h| varint(of(h))).sum());
-            let lists = column(|h| h.subject as u64) + column(|h| h.number);
-            frame(field(*question) + field(question - took) + field(u64::from(*news)) + lists)
-        }
-        GossipAction::Reply { request_id: question, deltas: all, .. } => {
-            let column = |of: &dyn Fn(&SummaryDelta) -> u64| list(all.iter().map(|t| varint(of(t))).sum());
-            let lists = column(&|t| t.subject as u64)
-                + list(token_steps(all).map(|step| varint(signed(step))).sum())
-                + column(&|t| t.number)
-                + column(&base_distance)
-                + column(&|t| age_ms(t.age_us))
-                + column(&|t| t.changed.len() as u64);
-            let places =
-                all.iter().flat_map(|t| index_gaps(&t.changed)).map(|gap| varint(u64::from(gap))).sum();
-            let figures = all.iter().flat_map(|t| &t.changed).map(|c| varint(u64::from(c.1.swap_bytes())));
-            frame(field(*question) + lists + list(places) + list(figures.sum()))
-        }
+/// What an action costs as a frame, in bytes; 0 for those that are none.
+pub fn frame_bytes(action: &GossipAction) -> usize {
+    match action {
+        GossipAction::Request { request, .. } => request_bytes(request),
+        GossipAction::Reply { request_id, deltas, .. } => reply_bytes(*request_id, deltas),
         GossipAction::Dial { .. } | GossipAction::CloseLink { .. } => 0,
     }
 }
 
-/// The most that one summary can take, with an answer around it.
-const MOST: i64 = 2048;
-
-/// A token bucket, in bytes; full at first. What goes while anything is left may overdraw it by one summary,
-/// which counts as part of the burst.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Bucket {
-    rate: Option<i64>,
-    /// Millionths of a byte.
-    most: i64,
-    left: i64,
-    at: i64,
-    pub spent: u64,
+fn request_bytes(request: &PullRequest) -> usize {
+    let PullRequest { id, acknowledged, has_updates, versions } = request;
+    let column =
+        |number: fn(&Version) -> u64| list(versions.iter().map(|version| varint(number(version))).sum());
+    let lists = column(|version| version.subject as u64) + column(|version| version.number);
+    frame(field(*id) + field(id - acknowledged) + field(u64::from(*has_updates)) + lists)
 }
 
-impl Bucket {
-    pub fn new(now: i64, rate: Option<i64>, burst: i64) -> Self {
-        let most = (burst - MOST).max(1).saturating_mul(1_000_000);
-        Bucket { rate, most, left: most, at: now, spent: 0 }
-    }
-
-    /// Bytes that may be sent now.
-    pub fn left(&mut self, now: i64) -> i64 {
-        let Some(rate) = self.rate else { return i64::MAX };
-        let filled = (now - self.at).max(0).saturating_mul(rate);
-        self.left = self.left.saturating_add(filled).min(self.most);
-        self.at = self.at.max(now);
-        self.left.div_euclid(1_000_000)
-    }
-
-    /// With less than this an answer is mostly frame: it waits for more.
-    pub fn worth(&self) -> i64 {
-        self.rate.map_or(0, |rate| (rate / 2).min(self.most / 2_000_000))
-    }
-
-    pub fn spend(&mut self, bytes: usize) {
-        self.spent += bytes as u64;
-        if self.rate.is_some() {
-            self.left -= (bytes as i64).saturating_mul(1_000_000);
-        }
-    }
+fn reply_bytes(request_id: u64, deltas: &[SummaryDelta]) -> usize {
+    let column =
+        |number: &dyn Fn(&SummaryDelta) -> u64| list(deltas.iter().map(|delta| varint(number(delta))).sum());
+    let lists = column(&|delta| delta.subject as u64)
+        + list(token_steps(deltas).map(|step| varint(zigzag(step))).sum())
+        + column(&|delta| delta.number)
+        + column(&base_distance)
+        + column(&|delta| age_ms(delta.age_us))
+        + column(&|delta| delta.changed.len() as u64);
+    let gaps = deltas.iter().flat_map(|delta| index_gaps(&delta.changed));
+    let indices = gaps.map(|gap| varint(u64::from(gap))).sum();
+    let metrics = deltas.iter().flat_map(|delta| &delta.changed).map(|(_, bits)| metric(*bits)).sum();
+    frame(field(request_id) + lists + list(indices) + list(metrics))
 }
--- a/gossip/src/freshness.rs
+++ b/gossip/src/freshness.rs
@@ -1,22 +1,40 @@
-//! What a reader knows of a seat or a zone: quiet is not unheard.
+//! What a reader knows of a slot or a zone: a planner that has nothing to do is not a stale one.
 use crate::payload::Metrics;
 
-/// What is known of a seat. Ages in microseconds by the reader's own clock, never less than the true ones.
+/// What is known of a slot. Ages are in microseconds by the reader's own clock, never less than the true ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness<'a> {
-    /// Nobody was ever seated there, as far as the council told.
+    /// Nobody ever held it, as far as the voters announced.
     Unassigned,
-    /// Somebody is seated, of whom nothing was heard lately: cut off, stopped, dead, or just seated. `age`:
-    /// of the last thing heard.
-    Stale { token: u64, age_us: Option<i64> },
-    /// It stands in another zone, of which only the zone's summaries are heard.
-    RemoteZone { token: u64, zone: Option<usize> },
-    /// It lives and says this; a seat that has nothing to do says so.
-    Fresh { token: u64, number: u64, age_us: i64, metrics: &'a Metrics },
+    /// Somebody holds it whose last summary is too old: cut off, stopped, dead, or just started.
+    Stale {
+        /// The holder's token.
+        token: u64,
+        /// The age of its last summary; none: there is none.
+        age_us: Option<i64>,
+    },
+    /// Its holder is in another zone, of which only the zone's summaries are passed on.
+    RemoteZone {
+        /// The holder's token.
+        token: u64,
+        /// That zone, where it is known.
+        zone: Option<usize>,
+    },
+    /// Its holder is alive and reports this; one that has nothing to do says so.
+    Fresh {
+        /// The holder's token.
+        token: u64,
+        /// The number of its summary.
+        number: u64,
+        /// How old that is.
+        age_us: i64,
+        /// What it reports.
+        metrics: &'a Metrics,
+    },
 }
 
 impl<'a> Freshness<'a> {
-    /// What the seat says and how old that is, where it is heard.
+    /// The age of a fresh summary in microseconds, and what it reports.
     pub fn fresh(self) -> Option<(i64, &'a Metrics)> {
         match self {
             Freshness::Fresh { age_us, metrics, .. } => Some((age_us, metrics)),
@@ -24,6 +42,7 @@
         }
     }
 
+    /// As operators read it.
     pub fn label(&self) -> &'static str {
         match self {
             Freshness::Unassigned => "nobody seated",
@@ -37,15 +56,18 @@
 /// A zone's summary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneSummary<'a> {
-    /// The seat that made it, under which token, and its number.
+    /// The slot that made it.
     pub reporter: usize,
+    /// The token under which it did.
     pub token: u64,
+    /// The number of the summary.
     pub number: u64,
-    /// Of its oldest part.
+    /// The age of its oldest part, in microseconds.
     pub age_us: i64,
-    /// Planners that it stands for, and those of the zone that were unheard there.
+    /// Planners that it stands for.
     pub planners: usize,
+    /// Planners of the zone that were stale there.
     pub stale_planners: usize,
-    /// Laid out like a seat's, and two more behind.
+    /// Laid out like a slot's, and two counts behind them.
     pub metrics: &'a Metrics,
 }
--- a/gossip/tests/invalid_summary.rs
+++ b/gossip/tests/invalid_summary.rs
@@ -1,5 +1,6 @@
 //! What cannot be true is dropped, with an error that names the peer and the field and what to do; what is in
 //! order beside it is taken.
+#![allow(clippy::too_many_lines, reason = "one frame with every error in it")]
 use basaltpitch_gossip::{
     Freshness, Gossip, GossipAction, GossipConfig, InvalidSummary, LinkedPeer, Membership, MergeRule,
     MetricLayout, PullRequest, SummaryDelta, Version,
--- a/zone_failover/tests/evidence.rs
+++ b/zone_failover/tests/evidence.rs
@@ -1,4 +1,5 @@
 //! The evidence of a zone from what planners see of it.
+#![allow(clippy::too_many_lines, reason = "one table of cases")]
 use basaltpitch_zone_failover::{evidence, Evidence, Observation, Opinion};
 use Opinion::{Healthy, Partial, Unknown, Unreachable};
 
