--- a/planner/src/peer_links.rs
+++ b/planner/src/peer_links.rs
@@ -208,9 +208,8 @@
         for (zone, rates) in self.attempts.iter_mut().enumerate() {
             let attempts = state.zone_attempts(zone);
             let counted = [attempts.launched, attempts.failed];
-            for kind in 0..2 {
-                let new = (counted[kind] - rates.counted[kind]) as f64;
-                rates.recent[kind] = rates.recent[kind] * ATTEMPTS_DECAY + new;
+            for ((recent, before), now) in rates.recent.iter_mut().zip(rates.counted).zip(counted) {
+                *recent = *recent * ATTEMPTS_DECAY + (now - before) as f64;
             }
             rates.counted = counted;
         }
