--- a/agent/src/link.rs
+++ b/agent/src/link.rs
@@ -126,7 +126,7 @@
             () = tokio::time::sleep_until(tick) => session.tick(clock.now()),
         }
     };
-    let ended = close(session, stream, commands, end).await;
+    let ended = close(session, &mut stream, commands, end).await;
     let _ = events.send(wrap(ended)).await;
 }
 
@@ -181,7 +181,7 @@
 /// Ends the stream, and collects the marks of all frames that were not handed to it.
 async fn close<S: AsyncWrite + Unpin>(
     mut session: Session,
-    mut stream: S,
+    stream: &mut S,
     mut commands: mpsc::Receiver<LinkCommand>,
     end: LinkEnd,
 ) -> LinkEvent {
