--- a/cli/src/tenants.rs
+++ b/cli/src/tenants.rs
@@ -3,7 +3,7 @@
 use crate::Failure;
 use basaltpitch_agent::wire::{self, Body};
 use basaltpitch_ldap::{sync, DirectorySettings, SyncState};
-use basaltpitch_tenants::What;
+use basaltpitch_tenants::EntryKind;
 use clap::Subcommand;
 use std::time::Instant;
 
@@ -66,11 +66,11 @@
             Err(fault) => (Vec::new(), vec![fault.to_string()]),
         };
         wrong += usize::from(!lacks.is_empty());
-        let count = |is: fn(&What) -> bool| entries.iter().filter(|e| is(&e.what)).count();
+        let count = |is: fn(&EntryKind) -> bool| entries.iter().filter(|e| is(&e.what)).count();
         rows.push(serde_json::json!({
             "server": url, "all": lacks.is_empty(), "lacks": lacks, "took_ms": took_ms,
-            "tenants": count(|w| matches!(w, What::Tenant { .. })),
-            "groups": count(|w| *w == What::Group), "people": count(|w| *w == What::Person),
+            "tenants": count(|w| matches!(w, EntryKind::Tenant { .. })),
+            "groups": count(|w| *w == EntryKind::Group), "people": count(|w| *w == EntryKind::Person),
         }));
     }
     show(&rows.into(), json);
--- a/ldap/src/entry.rs
+++ b/ldap/src/entry.rs
@@ -1,6 +1,6 @@
 //! Reads one entry of the directory, with care: what is huge, doubled, missing or binary where text is wanted
 //! is an error that names the entry, the attribute, what was found and what was expected.
-use basaltpitch_tenants::{Entry, Id, What};
+use basaltpitch_tenants::{Entry, EntryKind, Id};
 use std::collections::HashMap;
 
 /// The attributes that are read, and the object classes that tell what an entry is. Compared without case.
@@ -187,16 +187,16 @@
     }
 
     /// What an entry is by its classes, and its name.
-    fn kind_and_name(&self, names: &AttributeNames) -> Result<(What, &'a str), InvalidEntry> {
+    fn kind_and_name(&self, names: &AttributeNames) -> Result<(EntryKind, &'a str), InvalidEntry> {
         let classes = self.values(&names.class)?;
         let has_class = |class: &str| classes.iter().any(|name| name.eq_ignore_ascii_case(class));
         if has_class(&names.tenant_class) {
-            Ok((What::Tenant { share: self.share(names)? }, self.required(&names.name)?))
+            Ok((EntryKind::Tenant { share: self.share(names)? }, self.required(&names.name)?))
         } else if has_class(&names.group_class) {
             // A group may have several names; it goes by its distinguished name.
-            Ok((What::Group, self.values(&names.name)?.first().map_or("", String::as_str)))
+            Ok((EntryKind::Group, self.values(&names.name)?.first().map_or("", String::as_str)))
         } else if has_class(&names.person_class) {
-            Ok((What::Person, self.required(&names.login)?))
+            Ok((EntryKind::Person, self.required(&names.login)?))
         } else {
             let expected = format!("{}, {} or {}", names.tenant_class, names.group_class, names.person_class);
             Err(self.invalid(&names.class, format!("{} values", classes.len()), &expected))
--- a/ldap/src/settings.rs
+++ b/ldap/src/settings.rs
@@ -3,9 +3,9 @@
 //! together.
 use crate::{plain_dn, AttributeNames, LdapSource};
 use basaltpitch_config::{ConfigError, PlainValue, ResolvedValue};
-use basaltpitch_tenants::health::Pace;
-use basaltpitch_tenants::rights::Terms;
-use basaltpitch_tenants::trust::Caution;
+use basaltpitch_tenants::authorization::AccessPolicy;
+use basaltpitch_tenants::change_guard::ChangeGuard;
+use basaltpitch_tenants::sync_schedule::SyncSchedule;
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -15,11 +15,11 @@
     /// How the directory is reached and asked.
     pub source: LdapSource,
     /// Who may do what, and what holds while the directory is away.
-    pub terms: Terms,
+    pub terms: AccessPolicy,
     /// When it is read.
-    pub pace: Pace,
+    pub pace: SyncSchedule,
     /// Which changes are held back until they are confirmed.
-    pub caution: Caution,
+    pub caution: ChangeGuard,
 }
 
 /// A description of an attribute or class, or its number (RFC 4512).
@@ -188,14 +188,14 @@
     fn settings(&self) -> DirectorySettings {
         DirectorySettings {
             source: self.source(),
-            terms: Terms {
+            terms: AccessPolicy {
                 operators: self.dns("operators").into_iter().collect(),
                 auditors: self.dns("auditors").into_iter().collect(),
                 always: self.texts("always").into_iter().collect(),
                 place_blind: self.flag("place_blind"),
                 place_stale: self.flag("place_stale"),
             },
-            pace: Pace {
+            pace: SyncSchedule {
                 every_us: self.duration_us("every"),
                 // A sync is many pages, each of which may take its timeout.
                 patience_us: self.duration_us("whole"),
@@ -204,7 +204,7 @@
                 most_wait_us: self.duration_us("most_wait"),
                 slower: self.count("slower") as i64,
             },
-            caution: Caution {
+            caution: ChangeGuard {
                 few: self.count("caution.few"),
                 percent: self.count("caution.percent"),
                 sweeps: self.count("caution.sweeps") as u32,
--- a/ldap/tests/over_a_restart.rs
+++ b/ldap/tests/over_a_restart.rs
@@ -3,10 +3,10 @@
 #![allow(clippy::too_many_lines, reason = "one scenario, told in order")]
 use basaltpitch_ldap::{sync, AttributeNames, LdapSource, SyncState};
 use basaltpitch_snapshot_store::{OpenOutcome, SnapshotStore};
-use basaltpitch_tenants::health::{State, PACE};
-use basaltpitch_tenants::keeper::{Keeper, FORMAT};
-use basaltpitch_tenants::rights::{Asks, Terms};
-use basaltpitch_tenants::trust::CAUTION;
+use basaltpitch_tenants::authorization::{AccessPolicy, Operation};
+use basaltpitch_tenants::change_guard::DEFAULT_CHANGE_GUARD;
+use basaltpitch_tenants::sync_schedule::{DirectoryState, DEFAULT_SYNC_SCHEDULE};
+use basaltpitch_tenants::tenant_directory::{TenantDirectory, FORMAT};
 use basaltpitch_testbed::ldap_server::{self, ldap_entry, DirectoryFault};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -63,11 +63,13 @@
             timeout: Duration::from_millis(300),
         };
         let path = folder.join("planner.store");
-        let terms = Terms { place_stale: true, ..Terms::default() };
-        let asks = Asks::Submit { tenant: "orders" };
+        let terms = AccessPolicy { place_stale: true, ..AccessPolicy::default() };
+        let asks = Operation::Submit { tenant: "orders" };
         {
             let (store, _) = SnapshotStore::open(&path).unwrap();
-            let mut k = Keeper::new(1, 0, &names(1), None, PACE, CAUTION).unwrap();
+            let mut k =
+                TenantDirectory::new(1, 0, &names(1), None, DEFAULT_SYNC_SCHEDULE, DEFAULT_CHANGE_GUARD)
+                    .unwrap();
             assert_eq!(k.next(0), Some(0));
             k.swept(S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
             assert!(k.rule(S, &terms, "asha", asks).may);
@@ -78,12 +80,19 @@
         let (store, found) = SnapshotStore::open(&path).unwrap();
         assert_eq!(found, OpenOutcome::Opened);
         let kept = store.get("tenants", FORMAT).unwrap().unwrap();
-        let mut k =
-            Keeper::new(2, 400 * S, &names(1), Some((kept.time_us, &kept.bytes)), PACE, CAUTION).unwrap();
+        let mut k = TenantDirectory::new(
+            2,
+            400 * S,
+            &names(1),
+            Some((kept.time_us, &kept.bytes)),
+            DEFAULT_SYNC_SCHEDULE,
+            DEFAULT_CHANGE_GUARD,
+        )
+        .unwrap();
         assert_eq!(k.next(400 * S), Some(0));
         k.swept(401 * S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
         let r = k.rule(401 * S, &terms, "asha", asks);
-        assert_eq!((r.may, r.stale, k.state(401 * S)), (true, true, State::Stale));
+        assert_eq!((r.may, r.stale, k.state(401 * S)), (true, true, DirectoryState::Stale));
         there.fault.set(DirectoryFault::None);
         let at = k.next_at();
         assert_eq!(k.next(at), Some(0));
--- a/ldap/tests/settings.rs
+++ b/ldap/tests/settings.rs
@@ -34,7 +34,7 @@
         expect![[r#"
         Some(
             (
-                Terms {
+                AccessPolicy {
                     operators: [
                         "cn=keepers,dc=campus",
                     ],
@@ -43,7 +43,7 @@
                     place_blind: false,
                     place_stale: true,
                 },
-                Pace {
+                SyncSchedule {
                     every_us: 30000000,
                     patience_us: 60000000,
                     fresh_us: 120000000,
--- a/ldap/tests/sweeps.rs
+++ b/ldap/tests/sweeps.rs
@@ -3,8 +3,8 @@
 use basaltpitch_ldap::{
     plain_dn, read, sync, AttributeNames, LdapSource, RawEntry, SyncError, SyncResult, SyncState,
 };
-use basaltpitch_tenants::trust::{Trust, CAUTION};
-use basaltpitch_tenants::{Id, Tenants, What};
+use basaltpitch_tenants::change_guard::{ChangeReview, DEFAULT_CHANGE_GUARD};
+use basaltpitch_tenants::{EntryKind, Id, Tenants};
 use basaltpitch_testbed::ldap_server::{self, ldap_entry, DirectoryFault, LdapEntry, LdapServer};
 use proptest::prelude::*;
 use std::collections::HashMap;
@@ -82,8 +82,8 @@
         let swept = sync(&source, 0, SyncState::default(), || ()).await.unwrap();
         assert_eq!((swept.sweep.entries.len(), swept.problems.len(), swept.sweep.complete), (44, 0, true));
         assert_eq!(there.searches.get(), 7);
-        let (mut ours, mut trust) = (Tenants::default(), Trust::default());
-        let believed = trust.judge(0, &ours, swept.sweep, CAUTION);
+        let (mut ours, mut trust) = (Tenants::default(), ChangeReview::default());
+        let believed = trust.judge(0, &ours, swept.sweep, DEFAULT_CHANGE_GUARD);
         ours.take(0, believed.entries, &believed.gone);
         let team = ours.find("team 2", 0).unwrap();
         assert_eq!(ours.tenant(team, 0).unwrap().members, 10);
@@ -97,9 +97,9 @@
 fn a_sweep_cut_anywhere_loses_no_tenant() {
     on_sockets(async {
         let (there, source) = begin("cut").await;
-        let (mut ours, mut trust) = (Tenants::default(), Trust::default());
+        let (mut ours, mut trust) = (Tenants::default(), ChangeReview::default());
         let mut take = |swept: SyncResult| {
-            let believed = trust.judge(0, &ours, swept.sweep, CAUTION);
+            let believed = trust.judge(0, &ours, swept.sweep, DEFAULT_CHANGE_GUARD);
             ours.take(0, believed.entries, &believed.gone);
             ours.tenants(0).count()
         };
@@ -195,7 +195,7 @@
         ("basaltpitchShare", &["0.4"]),
     ];
     let entry = read(&AttributeNames::default(), raw(&good)).unwrap();
-    assert_eq!((entry.id, entry.what), (Id(7), What::Tenant { share: 0.4 }));
+    assert_eq!((entry.id, entry.what), (Id(7), EntryKind::Tenant { share: 0.4 }));
     let long = "x".repeat(600);
     let with = |at: usize, values: &[&str]| {
         let mut all = good;
--- a/ldap/tests/ways.rs
+++ b/ldap/tests/ways.rs
@@ -1,9 +1,9 @@
 //! The three ways to read a directory beside each other, under random edits and cuts; TLS; two servers that
 //! disagree.
 use basaltpitch_ldap::{filter_of_ids, sync, AttributeNames, LdapSource, SeenEntries, SyncError, SyncState};
-use basaltpitch_tenants::health::Pace;
-use basaltpitch_tenants::keeper::Keeper;
-use basaltpitch_tenants::trust::Caution;
+use basaltpitch_tenants::change_guard::ChangeGuard;
+use basaltpitch_tenants::sync_schedule::SyncSchedule;
+use basaltpitch_tenants::tenant_directory::TenantDirectory;
 use basaltpitch_tenants::{Entry, Id};
 use basaltpitch_testbed::ldap_server::{
     self, ldap_entry, DirectoryFault, LdapEntry, LdapServer, TransportSecurity,
@@ -18,9 +18,15 @@
 use tokio_rustls::TlsAcceptor;
 
 const S: i64 = 1_000_000;
-const PACE: Pace =
-    Pace { every_us: S, patience_us: 10 * S, fresh_us: 5 * S, first_wait_us: 1, most_wait_us: 1, slower: 4 };
-const BOLD: Caution = Caution { few: 1000, percent: 100, sweeps: 1, over_us: 0 };
+const PACE: SyncSchedule = SyncSchedule {
+    every_us: S,
+    patience_us: 10 * S,
+    fresh_us: 5 * S,
+    first_wait_us: 1,
+    most_wait_us: 1,
+    slower: 4,
+};
+const BOLD: ChangeGuard = ChangeGuard { few: 1000, percent: 100, sweeps: 1, over_us: 0 };
 
 fn on_sockets(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -118,14 +124,14 @@
 
 /// A keeper with its edge, as a planner has them.
 struct Ours {
-    keeper: Keeper,
+    keeper: TenantDirectory,
     seen: Vec<SeenEntries>,
     now: i64,
 }
 
 impl Ours {
     fn new(source: &LdapSource) -> Ours {
-        let keeper = Keeper::new(1, 0, &source.urls, None, PACE, BOLD).unwrap();
+        let keeper = TenantDirectory::new(1, 0, &source.urls, None, PACE, BOLD).unwrap();
         Ours { keeper, seen: vec![SeenEntries::default(); source.urls.len()], now: 0 }
     }
 
@@ -226,13 +232,13 @@
         *there.entries.borrow_mut() = reference.laid();
         there.sent.set(0);
         let mut later = Ours::new(&source);
-        later.keeper = Keeper::new(2, at + 1, &source.urls, Some((at, &kept)), PACE, BOLD).unwrap();
+        later.keeper = TenantDirectory::new(2, at + 1, &source.urls, Some((at, &kept)), PACE, BOLD).unwrap();
         later.now = at + 1;
         later.sweep(&source).await.unwrap();
         assert_eq!((later.entries(), there.sent.get()), (reference.entries(&source.names), 1));
         // Another server under the same number does not get it.
         let other = vec!["ldap://other".to_owned()];
-        let mut k = Keeper::new(2, at + 1, &other, Some((at, &kept)), PACE, BOLD).unwrap();
+        let mut k = TenantDirectory::new(2, at + 1, &other, Some((at, &kept)), PACE, BOLD).unwrap();
         assert_eq!((k.next(at + 1), k.cookie(), k.whole()), (Some(0), None, true));
     });
 }
--- a/planner/benches/asked.rs
+++ b/planner/benches/asked.rs
@@ -2,10 +2,10 @@
 //! with so many people in tenants, each through groups nested five deep. `cargo bench -p
 //! basaltpitch-planner`.
 use basaltpitch_planner::tenancy::{Learnt, Tenancy, Ways};
-use basaltpitch_tenants::health::PACE;
-use basaltpitch_tenants::rights::Terms;
-use basaltpitch_tenants::trust::CAUTION;
-use basaltpitch_tenants::{Entry, Id, Sweep, What};
+use basaltpitch_tenants::authorization::AccessPolicy;
+use basaltpitch_tenants::change_guard::DEFAULT_CHANGE_GUARD;
+use basaltpitch_tenants::sync_schedule::DEFAULT_SYNC_SCHEDULE;
+use basaltpitch_tenants::{Entry, EntryKind, Id, Sweep};
 use divan::{black_box, Bencher};
 
 const TENANTS: usize = 100;
@@ -16,11 +16,12 @@
 }
 
 fn learnt(people: usize) -> Tenancy {
-    let entry = |id: usize, what: What, name: String, members: Vec<String>| {
+    let entry = |id: usize, what: EntryKind, name: String, members: Vec<String>| {
         let stamp = "20261201000000Z".to_owned();
         Entry { id: Id(id as u128), what, dn: format!("cn={name}"), name, members, stamp }
     };
-    let mut all: Vec<Entry> = (0..people).map(|n| entry(n, What::Person, format!("p{n}"), vec![])).collect();
+    let mut all: Vec<Entry> =
+        (0..people).map(|n| entry(n, EntryKind::Person, format!("p{n}"), vec![])).collect();
     for t in 0..TENANTS {
         for depth in 0..=DEEP {
             let below = if depth < DEEP {
@@ -28,13 +29,18 @@
             } else {
                 (t..people).step_by(TENANTS).map(|n| format!("cn=p{n}")).collect()
             };
-            let what = if depth == 0 { What::Tenant { share: 0.01 } } else { What::Group };
+            let what = if depth == 0 { EntryKind::Tenant { share: 0.01 } } else { EntryKind::Group };
             let name = if depth == 0 { format!("t{t}") } else { format!("t{t}g{depth}") };
             all.push(entry(10_000_000 + t * 10 + depth, what, name, below));
         }
     }
-    let terms = Terms { place_stale: true, ..Terms::default() };
-    let ways = Ways { servers: vec!["one".into()], terms, pace: PACE, caution: CAUTION };
+    let terms = AccessPolicy { place_stale: true, ..AccessPolicy::default() };
+    let ways = Ways {
+        servers: vec!["one".into()],
+        terms,
+        pace: DEFAULT_SYNC_SCHEDULE,
+        caution: DEFAULT_CHANGE_GUARD,
+    };
     let mut learnt = Learnt::new(1, 0, ways, None).expect("nothing is remembered");
     let task = learnt.next(0).expect("a first sweep");
     learnt.swept(1, task.number, Some(Sweep::of(all, true)), vec![]);
--- a/planner/src/service.rs
+++ b/planner/src/service.rs
@@ -18,7 +18,7 @@
 use basaltpitch_ldap::{DirectorySettings, SeenEntries, SyncError, SyncResult, SyncState};
 use basaltpitch_snapshot_store::SnapshotStore;
 use basaltpitch_subsetting::SubsetConfig;
-use basaltpitch_tenants::keeper::FORMAT;
+use basaltpitch_tenants::tenant_directory::FORMAT;
 use std::collections::HashMap;
 use std::io;
 use std::rc::Rc;
--- a/planner/src/tenancy.rs
+++ b/planner/src/tenancy.rs
@@ -3,20 +3,22 @@
 //! may go on and on what that rests. What is believed, how fresh it is and who may do what is decided in the
 //! package `tenants`.
 use basaltpitch_ledger::RejectReason;
-use basaltpitch_tenants::health::{Pace, State};
-use basaltpitch_tenants::keeper::Keeper;
-use basaltpitch_tenants::rights::{Asks, Ruling, Terms, Why};
-use basaltpitch_tenants::trust::Caution;
-use basaltpitch_tenants::{Change, Id, Sweep, What};
+use basaltpitch_tenants::authorization::{
+    AccessPolicy, AuthorizationBasis, AuthorizationDecision, Operation,
+};
+use basaltpitch_tenants::change_guard::ChangeGuard;
+use basaltpitch_tenants::sync_schedule::{DirectoryState, SyncSchedule};
+use basaltpitch_tenants::tenant_directory::TenantDirectory;
+use basaltpitch_tenants::{Change, EntryKind, Id, Sweep};
 use serde_json::{json, Value};
 
 /// How a planner learns from a directory.
 #[derive(Clone, Debug)]
 pub struct Ways {
     pub servers: Vec<String>,
-    pub terms: Terms,
-    pub pace: Pace,
-    pub caution: Caution,
+    pub terms: AccessPolicy,
+    pub pace: SyncSchedule,
+    pub caution: ChangeGuard,
 }
 
 /// A sweep that is to be made.
@@ -38,7 +40,7 @@
 
 pub struct Learnt {
     ways: Ways,
-    keeper: Keeper,
+    keeper: TenantDirectory,
     /// The sweep that is under way.
     under: Option<Task>,
     sweeps: u64,
@@ -62,7 +64,7 @@
     /// `remembered`: what an earlier life kept, and when that was heard in full.
     pub fn new(seed: u64, now: i64, ways: Ways, remembered: Option<(i64, &[u8])>) -> Result<Self, String> {
         let lacks = vec![Vec::new(); ways.servers.len()];
-        let keeper = Keeper::new(seed, now, &ways.servers, remembered, ways.pace, ways.caution)?;
+        let keeper = TenantDirectory::new(seed, now, &ways.servers, remembered, ways.pace, ways.caution)?;
         Ok(Learnt { ways, keeper, under: None, sweeps: 0, lacks, said_held: false, remembered: None })
     }
 
@@ -114,18 +116,18 @@
     pub fn say(&mut self, now: i64) {
         let age_s = self.keeper.full_at().map(|at| (now - at) / 1_000_000);
         match self.keeper.news(now) {
-            Some(State::Blind) => {
+            Some(DirectoryState::Blind) => {
                 tracing::warn!(placed = self.ways.terms.place_blind, "nothing is known of the directory yet");
             }
-            Some(State::Stale) => tracing::warn!(
+            Some(DirectoryState::Stale) => tracing::warn!(
                 age_s,
                 placed = self.ways.terms.place_stale,
                 "the directory is not heard: the last known tenants stand"
             ),
-            Some(State::Recovering) => {
+            Some(DirectoryState::Recovering) => {
                 tracing::info!(age_s, "the directory answers again; not all of it is heard yet")
             }
-            Some(State::Fresh) => tracing::info!("the directory is heard in full"),
+            Some(DirectoryState::Fresh) => tracing::info!("the directory is heard in full"),
             None => {}
         }
         let held = self.keeper.held().map_or(0, |h| h.ids.len());
@@ -146,7 +148,7 @@
     fn held_tenants(&self) -> Vec<String> {
         let known = self.keeper.tenants();
         let name = |id: &Id| {
-            let e = known.entry(*id).filter(|e| matches!(e.what, What::Tenant { .. }))?;
+            let e = known.entry(*id).filter(|e| matches!(e.what, EntryKind::Tenant { .. }))?;
             Some(e.name.clone())
         };
         self.keeper.held().into_iter().flat_map(|h| &h.ids).filter_map(name).collect()
@@ -177,19 +179,19 @@
         self.keeper.tenants().tenants(0).map(|t| (t.index, t.share)).collect()
     }
 
-    fn rule(&self, now: i64, login: &str, asks: Asks) -> Ruling {
+    fn rule(&self, now: i64, login: &str, asks: Operation) -> AuthorizationDecision {
         self.keeper.rule(now, &self.ways.terms, login, asks)
     }
 
     /// Whether someone may see a tenant's tasks and people; an error says why not.
     fn may_see(&self, now: i64, login: &str, tenant: Option<Id>) -> Result<(), String> {
-        let ruling = self.rule(now, login, Asks::See { tenant });
+        let ruling = self.rule(now, login, Operation::See { tenant });
         let words = ruling.why.words();
         let no = || format!("found login {login:?}: {words}; expected a member, an auditor or an operator");
         ruling.may.then_some(()).ok_or_else(no)
     }
 
-    fn refusal(&self, now: i64, ruling: Ruling) -> Option<(RejectReason, i64)> {
+    fn refusal(&self, now: i64, ruling: AuthorizationDecision) -> Option<(RejectReason, i64)> {
         (!ruling.may).then(|| (RejectReason::NotAllowed(ruling.why.words()), self.keeper.retry_after_us(now)))
     }
 
@@ -219,7 +221,7 @@
                 let (person, tenant) = about
                     .split_once(' ')
                     .ok_or_else(|| format!("why: found {about:?}; expected a login, a blank and a tenant"))?;
-                let ruling = self.rule(now, person, Asks::Submit { tenant });
+                let ruling = self.rule(now, person, Operation::Submit { tenant });
                 let way = known.login(person).zip(known.find(tenant, now)).map(|(p, t)| known.why(p, t));
                 json!({"login": person, "tenant": tenant, "may_submit": ruling.may,
                        "why": ruling.why.words(), "by": way.unwrap_or_default(),
@@ -245,18 +247,18 @@
 
     fn state(&self, now: i64) -> Value {
         let known = self.keeper.tenants();
-        let count = |is: fn(&What) -> bool| known.ids().filter(|x| is(&x.1.what)).count();
+        let count = |is: fn(&EntryKind) -> bool| known.ids().filter(|x| is(&x.1.what)).count();
         let state = match self.keeper.state(now) {
-            State::Blind => "blind",
-            State::Fresh => "fresh",
-            State::Stale => "stale",
-            State::Recovering => "recovering",
+            DirectoryState::Blind => "blind",
+            DirectoryState::Fresh => "fresh",
+            DirectoryState::Stale => "stale",
+            DirectoryState::Recovering => "recovering",
         };
         let terms = &self.ways.terms;
         let places = match self.keeper.state(now) {
-            State::Blind => terms.place_blind,
-            State::Fresh => true,
-            State::Stale | State::Recovering => terms.place_stale,
+            DirectoryState::Blind => terms.place_blind,
+            DirectoryState::Fresh => true,
+            DirectoryState::Stale | DirectoryState::Recovering => terms.place_stale,
         };
         let held = self.keeper.held().map(|h| {
             json!({"entries": h.ids.len(), "tenants": self.held_tenants(), "sweeps": h.sweeps,
@@ -268,8 +270,8 @@
             "sweeps_now": self.under.as_ref().map(|u| &self.ways.servers[u.server]),
             "next_ms": (self.keeper.next_at() - now).max(0) / 1000,
             "servers": self.servers(), "held": held, "server_set_back": self.keeper.is_behind(),
-            "tenants": count(|w| matches!(w, What::Tenant { .. })),
-            "groups": count(|w| *w == What::Group), "people": count(|w| *w == What::Person),
+            "tenants": count(|w| matches!(w, EntryKind::Tenant { .. })),
+            "groups": count(|w| *w == EntryKind::Group), "people": count(|w| *w == EntryKind::Person),
         })
     }
 }
@@ -300,7 +302,7 @@
                 Ok(Asked { tenant: place, ..Asked::default() })
             }
             Tenancy::Learnt(l) => {
-                let ruling = l.rule(now, login, Asks::Submit { tenant });
+                let ruling = l.rule(now, login, Operation::Submit { tenant });
                 let known = l.keeper.tenants();
                 let found = || known.find(tenant, now).and_then(|id| known.index(id));
                 let place = ruling.may.then(found).flatten();
@@ -361,11 +363,14 @@
     /// An operator's act: an error says why someone may not.
     pub fn operates(&self, now: i64, login: &str, what: &str) -> Result<(), String> {
         let Tenancy::Learnt(l) = self else { return Ok(()) };
-        match l.rule(now, login, Asks::Drain) {
-            Ruling { may: true, .. } => Ok(()),
-            Ruling { why, stale, .. } => {
-                let old =
-                    if stale && why != Why::NothingKnown { " (the directory is not heard now)" } else { "" };
+        match l.rule(now, login, Operation::Drain) {
+            AuthorizationDecision { may: true, .. } => Ok(()),
+            AuthorizationDecision { why, stale, .. } => {
+                let old = if stale && why != AuthorizationBasis::NothingKnown {
+                    " (the directory is not heard now)"
+                } else {
+                    ""
+                };
                 Err(format!("{what}: found login {login:?}: {}{old}; expected an operator", why.words()))
             }
         }
--- a/planner/tests/tenants.rs
+++ b/planner/tests/tenants.rs
@@ -5,41 +5,47 @@
 
 use basaltpitch_agent::wire::{self, AnswerKind, Body};
 use basaltpitch_planner::tenancy::{Learnt, Ways};
-use basaltpitch_tenants::health::PACE;
-use basaltpitch_tenants::rights::Terms;
-use basaltpitch_tenants::trust::CAUTION;
-use basaltpitch_tenants::{Entry, Id, Sweep, What};
+use basaltpitch_tenants::authorization::AccessPolicy;
+use basaltpitch_tenants::change_guard::DEFAULT_CHANGE_GUARD;
+use basaltpitch_tenants::sync_schedule::DEFAULT_SYNC_SCHEDULE;
+use basaltpitch_tenants::{Entry, EntryKind, Id, Sweep};
 use net::{Net, BIG, SMALL};
 use serde_json::Value;
 
 const S: i64 = 1_000_000;
 
-fn entry(id: u128, what: What, name: &str, members: &[&str], version: u32) -> Entry {
+fn entry(id: u128, what: EntryKind, name: &str, members: &[&str], version: u32) -> Entry {
     let members = members.iter().map(|m| format!("cn={m}")).collect();
     let stamp = format!("2026{version:010}Z");
     Entry { id: Id(id), what, name: name.into(), dn: format!("cn={name}"), members, stamp }
 }
 
 fn tenant(id: u128, name: &str, members: &[&str], version: u32) -> Entry {
-    entry(id, What::Tenant { share: 0.5 }, name, members, version)
+    entry(id, EntryKind::Tenant { share: 0.5 }, name, members, version)
 }
 
 /// Asha is in orders, Ravi in stores; Lena keeps the machines.
 fn begin() -> Vec<Entry> {
-    let person = |id, name| entry(id, What::Person, name, &[], 1);
+    let person = |id, name| entry(id, EntryKind::Person, name, &[], 1);
     vec![
         person(1, "asha"),
         person(2, "ravi"),
         person(3, "lena"),
         tenant(10, "orders", &["asha"], 1),
         tenant(11, "stores", &["ravi"], 1),
-        entry(20, What::Group, "keepers", &["lena"], 1),
+        entry(20, EntryKind::Group, "keepers", &["lena"], 1),
     ]
 }
 
 fn ways() -> Ways {
-    let terms = Terms { operators: vec!["cn=keepers".into()], place_stale: true, ..Terms::default() };
-    Ways { servers: vec!["one".into(), "two".into()], terms, pace: PACE, caution: CAUTION }
+    let terms =
+        AccessPolicy { operators: vec!["cn=keepers".into()], place_stale: true, ..AccessPolicy::default() };
+    Ways {
+        servers: vec!["one".into(), "two".into()],
+        terms,
+        pace: DEFAULT_SYNC_SCHEDULE,
+        caution: DEFAULT_CHANGE_GUARD,
+    }
 }
 
 struct Day {
@@ -131,7 +137,7 @@
     // It comes back, with a new member, and the old one gone.
     let mut now = begin();
     now[3] = tenant(10, "orders", &["meera"], 2);
-    now.push(entry(4, What::Person, "meera", &[], 2));
+    now.push(entry(4, EntryKind::Person, "meera", &[], 2));
     day.there = Some(now);
     day.pass(70);
     assert_eq!(day.see("asha", "directory", "").unwrap()["state"], "fresh");
@@ -213,7 +219,7 @@
     );
     // A sudden lack of both tenants and most people is held until she says so.
     day.there = Some(begin().into_iter().filter(|e| e.id.0 == 3 || e.id.0 == 20).collect());
-    day.there.as_mut().unwrap().push(entry(30, What::Group, "dc", &[], 9));
+    day.there.as_mut().unwrap().push(entry(30, EntryKind::Group, "dc", &[], 9));
     day.pass(32);
     let accept = || Body::Accept(wire::Accept {});
     day.net.core.client_connected(1, "lena");
@@ -232,7 +238,7 @@
     day.pass(40);
     assert!(placed(&day.ask("asha", "t3", "held", 1)));
     let mut few = begin();
-    few.push(entry(30, What::Group, "dc", &[], 9));
+    few.push(entry(30, EntryKind::Group, "dc", &[], 9));
     day.there = Some(few);
     day.pass(40);
     assert!(placed(&day.ask("asha", "t3", "still", 1)), "not believed yet");
--- a/tenants/benches/closure.rs
+++ b/tenants/benches/closure.rs
@@ -1,6 +1,6 @@
 //! The closure that is mended beside plain sets that are worked out anew: a full load, one change, a look-up.
 //! Members spread over groups nested five deep, ten groups a level, each in two of the level above.
-use basaltpitch_tenants::closure::Closure;
+use basaltpitch_tenants::group_closure::GroupClosure;
 use roaring::RoaringBitmap;
 use std::collections::HashSet;
 
@@ -27,8 +27,8 @@
     groups
 }
 
-fn load(members: u32) -> Closure {
-    let mut closure = Closure::default();
+fn load(members: u32) -> GroupClosure {
+    let mut closure = GroupClosure::default();
     for (g, persons) in directs(members).into_iter().enumerate() {
         closure.set_persons(g as u32, persons);
     }
@@ -55,7 +55,7 @@
 }
 
 #[divan::bench(args = MEMBERS, sample_count = 5)]
-fn load_mended(members: u32) -> Closure {
+fn load_mended(members: u32) -> GroupClosure {
     load(members)
 }
 
--- a/tenants/src/trust.rs
+++ b/tenants/src/change_guard.rs
@@ -5,12 +5,12 @@
 //! A server lags where it gives an entry older than it is known, or says so itself by its mark
 //! (`contextCSN`). Where it gives no mark and lacks an entry newer than all that it has, it may lag or the
 //! entry may have been deleted: that removal is held as well.
-use crate::{Entry, Id, Mark, Sweep, Tenants, What};
+use crate::{Entry, EntryKind, Id, Mark, Sweep, Tenants};
 use std::collections::BTreeSet;
 
 /// When a removal is held, and what confirms it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Caution {
+pub struct ChangeGuard {
     /// So many tenants may go in one sweep, or such a share of them (in a hundred), whichever is more.
     pub few: usize,
     pub percent: usize,
@@ -19,11 +19,12 @@
     pub over_us: i64,
 }
 
-pub const CAUTION: Caution = Caution { few: 2, percent: 10, sweeps: 3, over_us: 600_000_000 };
+pub const DEFAULT_CHANGE_GUARD: ChangeGuard =
+    ChangeGuard { few: 2, percent: 10, sweeps: 3, over_us: 600_000_000 };
 
 /// A removal that is not believed yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct HeldChanges {
     pub ids: BTreeSet<Id>,
     pub since: i64,
     pub sweeps: u32,
@@ -31,7 +32,7 @@
 
 /// What to take in of a sweep.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Believed {
+pub struct AcceptedChanges {
     pub entries: Vec<Entry>,
     pub gone: Vec<Id>,
     /// The sweep came from a server that lags behind what was seen before.
@@ -43,16 +44,16 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Trust {
-    held: Option<Held>,
+pub struct ChangeReview {
+    held: Option<HeldChanges>,
     /// The last complete sweep came from a server that lags.
     behind: bool,
     accepted: bool,
     mark: Mark,
 }
 
-impl Trust {
-    pub fn held(&self) -> Option<&Held> {
+impl ChangeReview {
+    pub fn held(&self) -> Option<&HeldChanges> {
         self.held.as_ref()
     }
 
@@ -84,10 +85,16 @@
         !sweep.mark.is_empty() && self.mark.iter().any(behind) || sweep.entries.iter().any(old)
     }
 
-    pub fn judge(&mut self, now: i64, known: &Tenants, sweep: Sweep, caution: Caution) -> Believed {
+    pub fn judge(
+        &mut self,
+        now: i64,
+        known: &Tenants,
+        sweep: Sweep,
+        caution: ChangeGuard,
+    ) -> AcceptedChanges {
         let older = self.lags(known, &sweep);
         let unknown = sweep.present.iter().any(|&id| known.entry(id).is_none());
-        let mut believed = Believed { older, unknown, ..Believed::default() };
+        let mut believed = AcceptedChanges { older, unknown, ..AcceptedChanges::default() };
         if !sweep.complete || older && !self.accepted {
             self.behind |= older;
             believed.entries = sweep.entries;
@@ -124,8 +131,10 @@
         }
         // The same removal again, or more of it: the count goes on. Anything that came back starts it anew.
         let held = match self.held.take() {
-            Some(h) if h.ids.is_subset(&missing) => Held { ids: held, since: h.since, sweeps: h.sweeps + 1 },
-            _ => Held { ids: held, since: now, sweeps: 1 },
+            Some(h) if h.ids.is_subset(&missing) => {
+                HeldChanges { ids: held, since: h.since, sweeps: h.sweeps + 1 }
+            }
+            _ => HeldChanges { ids: held, since: now, sweeps: 1 },
         };
         if held.sweeps >= caution.sweeps && now >= held.since + caution.over_us {
             believed.gone.extend(held.ids);
@@ -137,13 +146,14 @@
 }
 
 /// So many tenants or people are missing at once that it is not believed.
-fn much_is_missing(known: &Tenants, missing: &BTreeSet<Id>, caution: Caution) -> bool {
-    let much = |is: &dyn Fn(&What) -> bool| {
+fn much_is_missing(known: &Tenants, missing: &BTreeSet<Id>, caution: ChangeGuard) -> bool {
+    let much = |is: &dyn Fn(&EntryKind) -> bool| {
         let of = known.ids().filter(|x| is(&x.1.what)).count();
         let went = missing.iter().filter(|&&id| known.entry(id).is_some_and(|e| is(&e.what))).count();
         went > caution.few.max(of * caution.percent / 100)
     };
-    !missing.is_empty() && (much(&|w| matches!(w, What::Tenant { .. })) || much(&|w| *w == What::Person))
+    !missing.is_empty()
+        && (much(&|w| matches!(w, EntryKind::Tenant { .. })) || much(&|w| *w == EntryKind::Person))
 }
 
 /// Missing entries that are newer than all that the server has: deleted, or not yet heard of there.
--- a/tenants/src/closure.rs
+++ b/tenants/src/group_closure.rs
@@ -18,11 +18,11 @@
 
 /// Groups and persons are small dense numbers of the caller's, each from 0.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Closure {
+pub struct GroupClosure {
     groups: Vec<Group>,
 }
 
-impl Closure {
+impl GroupClosure {
     fn know(&mut self, g: u32) {
         while self.groups.len() <= g as usize {
             let own: RoaringBitmap = [self.groups.len() as u32].into_iter().collect();
--- a/tenants/src/lib.rs
+++ b/tenants/src/lib.rs
@@ -2,15 +2,15 @@
 //! changes go out, and questions are answered with how far the answer can be relied on. `closure` keeps
 //! members of nested groups, `health` says when to ask which server and how fresh what is known is, `trust`
 //! what of a sweep is believed, `rights` who may do what. Times are whole microseconds.
-pub mod closure;
-pub mod health;
-pub mod keeper;
-pub mod rights;
-pub mod trust;
+pub mod authorization;
+pub mod change_guard;
+pub mod group_closure;
+pub mod sync_schedule;
+pub mod tenant_directory;
 
 use basaltpitch_interner::IdAllocator;
-use closure::Closure;
 use fnv::FnvHashMap;
+use group_closure::GroupClosure;
 use roaring::RoaringBitmap;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,7 +48,7 @@
 pub type Stamp = String;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum What {
+pub enum EntryKind {
     /// A tenant is a group with a share of the fleet.
     Tenant {
         share: f64,
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     pub id: Id,
-    pub what: What,
+    pub what: EntryKind,
     /// What people call it: the tenant's name, the person's login.
     pub name: String,
     /// Its distinguished name, in one spelling.
@@ -155,7 +155,7 @@
     old_names: FnvHashMap<String, Id>,
     /// The last stamp of an entry that went.
     gone: FnvHashMap<Id, Stamp>,
-    closure: Closure,
+    closure: GroupClosure,
     edits: u64,
 }
 
@@ -231,7 +231,7 @@
         self.edits += 1;
         self.gone.remove(&id);
         let number = match entry.what {
-            What::Person => self.persons.intern(id),
+            EntryKind::Person => self.persons.intern(id),
             _ => self.groups.intern(id),
         } as u32;
         let old = self.known.remove(&id);
@@ -253,7 +253,7 @@
             self.mention(id, members, &entry.members);
             dirty.insert(id);
         }
-        if let What::Tenant { share } = entry.what {
+        if let EntryKind::Tenant { share } = entry.what {
             let index = self.place(id);
             self.names[index].0.clone_from(&entry.name);
             match &old {
@@ -265,7 +265,7 @@
                         let (from, to) = (k.entry.name.clone(), entry.name.clone());
                         changes.push(Change::Renamed { id, from, to });
                     }
-                    if let What::Tenant { share: from } = k.entry.what {
+                    if let EntryKind::Tenant { share: from } = k.entry.what {
                         if from != share {
                             changes.push(Change::Share { id, name: entry.name.clone(), from, to: share });
                         }
@@ -273,7 +273,7 @@
                 }
             }
             self.by_name.insert(entry.name.clone(), id);
-        } else if entry.what == What::Person {
+        } else if entry.what == EntryKind::Person {
             self.by_login.insert(entry.name.clone(), id);
         }
         self.by_dn.insert(entry.dn.clone(), id);
@@ -282,7 +282,7 @@
 
     /// A name is free again, unless another entry has taken it in the meantime.
     fn unname(&mut self, entry: &Entry) {
-        let names = if entry.what == What::Person { &mut self.by_login } else { &mut self.by_name };
+        let names = if entry.what == EntryKind::Person { &mut self.by_login } else { &mut self.by_name };
         if names.get(&entry.name) == Some(&entry.id) {
             names.remove(&entry.name);
         }
@@ -297,14 +297,14 @@
         if self.by_dn.get(&k.entry.dn) == Some(&id) {
             self.by_dn.remove(&k.entry.dn);
         }
-        if k.entry.what == What::Person {
+        if k.entry.what == EntryKind::Person {
             self.persons.release(k.number as usize);
         } else {
             self.closure.set_persons(k.number, RoaringBitmap::new());
             self.closure.set_groups(k.number, RoaringBitmap::new());
             self.groups.release(k.number as usize);
         }
-        if matches!(k.entry.what, What::Tenant { .. }) {
+        if matches!(k.entry.what, EntryKind::Tenant { .. }) {
             changes.push(Change::Went { id, name: k.entry.name.clone() });
         }
         self.gone.insert(id, k.entry.stamp);
@@ -317,7 +317,7 @@
         for dn in &k.entry.members {
             let member = self.by_dn.get(dn).or_else(|| self.old_dns.get(dn)).and_then(|m| self.known.get(m));
             match member {
-                Some(m) if m.entry.what == What::Person => persons.insert(m.number),
+                Some(m) if m.entry.what == EntryKind::Person => persons.insert(m.number),
                 Some(m) => groups.insert(m.number),
                 None => false,
             };
@@ -372,7 +372,7 @@
 
     /// The module's index of a tenant that is there.
     pub fn index(&self, id: Id) -> Option<usize> {
-        self.known.get(&id).filter(|k| matches!(k.entry.what, What::Tenant { .. }))?;
+        self.known.get(&id).filter(|k| matches!(k.entry.what, EntryKind::Tenant { .. }))?;
         self.places.get(&id).copied()
     }
 
@@ -384,7 +384,7 @@
     /// A group or tenant by its distinguished name.
     pub fn group(&self, dn: &str) -> Option<Id> {
         let id = *self.by_dn.get(dn)?;
-        (self.known[&id].entry.what != What::Person).then_some(id)
+        (self.known[&id].entry.what != EntryKind::Person).then_some(id)
     }
 
     pub fn is_member(&self, person: Id, group: Id) -> bool {
@@ -412,7 +412,7 @@
     /// A tenant as it is shown at a time.
     pub fn tenant(&self, id: Id, now: i64) -> Option<Tenant> {
         let (k, index) = (self.known.get(&id)?, self.index(id)?);
-        let What::Tenant { share } = k.entry.what else { return None };
+        let EntryKind::Tenant { share } = k.entry.what else { return None };
         let was = k.was.as_ref().filter(|w| now < w.1 + OLD_NAME_SHOWN).map(|w| w.0.clone());
         Some(Tenant { id, name: k.entry.name.clone(), was, share, members: self.count(id), index })
     }
--- a/tenants/src/health.rs
+++ b/tenants/src/sync_schedule.rs
@@ -6,7 +6,7 @@
 
 /// How often the directory is asked, and when what is known counts as stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Pace {
+pub struct SyncSchedule {
     pub every_us: i64,
     /// A sweep that takes longer has failed.
     pub patience_us: i64,
@@ -18,7 +18,7 @@
     pub slower: i64,
 }
 
-pub const PACE: Pace = Pace {
+pub const DEFAULT_SYNC_SCHEDULE: SyncSchedule = SyncSchedule {
     every_us: 30_000_000,
     patience_us: 60_000_000,
     fresh_us: 120_000_000,
@@ -29,7 +29,7 @@
 
 /// How far what is known can be relied on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum State {
+pub enum DirectoryState {
     /// Nothing was ever known.
     Blind,
     /// Heard in full lately.
@@ -42,7 +42,7 @@
 
 /// How a sweep ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Ended {
+pub enum SyncOutcome {
     /// Everything came.
     Full,
     /// Something came, and it is known not to be all, or the server is an older replica.
@@ -64,8 +64,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Health {
-    pace: Pace,
+pub struct SyncScheduler {
+    pace: SyncSchedule,
     seed: u64,
     servers: Vec<Server>,
     at: usize,
@@ -75,10 +75,10 @@
     answers: bool,
 }
 
-impl Health {
+impl SyncScheduler {
     /// `known_at`: when the snapshot that is remembered was heard in full, if one is.
-    pub fn new(seed: u64, now: i64, servers: usize, known_at: Option<i64>, pace: Pace) -> Self {
-        Health {
+    pub fn new(seed: u64, now: i64, servers: usize, known_at: Option<i64>, pace: SyncSchedule) -> Self {
+        SyncScheduler {
             pace,
             seed,
             servers: vec![Server::default(); servers.max(1)],
@@ -90,12 +90,12 @@
         }
     }
 
-    pub fn state(&self, now: i64) -> State {
+    pub fn state(&self, now: i64) -> DirectoryState {
         match self.full_at {
-            None => State::Blind,
-            Some(at) if now < at + self.pace.fresh_us => State::Fresh,
-            Some(_) if self.answers => State::Recovering,
-            Some(_) => State::Stale,
+            None => DirectoryState::Blind,
+            Some(at) if now < at + self.pace.fresh_us => DirectoryState::Fresh,
+            Some(_) if self.answers => DirectoryState::Recovering,
+            Some(_) => DirectoryState::Stale,
         }
     }
 
@@ -107,7 +107,7 @@
     /// The server to sweep now, if it is time. A sweep that took too long is given up first.
     pub fn next(&mut self, now: i64) -> Option<usize> {
         if self.under.is_some_and(|u| now >= u.since + self.pace.patience_us) {
-            self.ended(now, Ended::Failed);
+            self.ended(now, SyncOutcome::Failed);
         }
         if self.under.is_some() || now < self.due {
             return None;
@@ -150,12 +150,12 @@
     }
 
     /// The sweep that is under way ended.
-    pub fn ended(&mut self, now: i64, how: Ended) {
+    pub fn ended(&mut self, now: i64, how: SyncOutcome) {
         let Some(under) = self.under.take() else { return };
         let pace = self.pace;
         let s = &mut self.servers[under.server];
         match how {
-            Ended::Full => {
+            SyncOutcome::Full => {
                 let took = now - under.since;
                 s.took_us = Some(s.took_us.map_or(took, |t| (3 * t + took) / 4));
                 (s.fails, s.not_before) = (0, now);
@@ -163,11 +163,11 @@
                 self.answers = false;
                 self.due = now + pace.every_us;
             }
-            Ended::Partial | Ended::Failed => {
+            SyncOutcome::Partial | SyncOutcome::Failed => {
                 s.fails = s.fails.saturating_add(1);
                 let wait = (pace.first_wait_us << s.fails.min(16)).min(pace.most_wait_us);
                 s.not_before = now + wait - jitter(self.seed, under.server, s.fails) % (wait / 2).max(1);
-                self.answers = how == Ended::Partial;
+                self.answers = how == SyncOutcome::Partial;
                 self.due = now;
             }
         }
@@ -191,25 +191,25 @@
 
     #[test]
     fn servers_are_tried_in_order_and_a_failing_one_waits() {
-        let mut h = Health::new(1, 0, 3, None, PACE);
+        let mut h = SyncScheduler::new(1, 0, 3, None, DEFAULT_SYNC_SCHEDULE);
         let mut tried = Vec::new();
         for now in 0..4 {
             let server = h.next(now * S / 10);
             tried.push(server);
-            h.ended(now * S / 10, Ended::Failed);
+            h.ended(now * S / 10, SyncOutcome::Failed);
         }
         assert_eq!(tried, [Some(0), Some(1), Some(2), None]);
-        assert_eq!(h.state(S), State::Blind);
+        assert_eq!(h.state(S), DirectoryState::Blind);
         assert!(h.next_at() > 3 * S / 10 && h.next_at() <= 3 * S);
     }
 
     #[test]
     fn a_slow_server_is_left_for_a_fast_one() {
-        let mut h = Health::new(1, 0, 2, None, PACE);
+        let mut h = SyncScheduler::new(1, 0, 2, None, DEFAULT_SYNC_SCHEDULE);
         assert_eq!(h.next(0), Some(0));
-        h.ended(S, Ended::Failed);
+        h.ended(S, SyncOutcome::Failed);
         assert_eq!(h.next(S), Some(1));
-        h.ended(2 * S, Ended::Full);
+        h.ended(2 * S, SyncOutcome::Full);
         // The second becomes slow once the first, which works again, is known to be fast.
         h.servers[0] = Server { took_us: Some(S / 10), ..Server::default() };
         assert_eq!(h.next(40 * S), Some(0));
@@ -217,24 +217,27 @@
 
     #[test]
     fn fresh_then_stale_then_recovering_then_fresh() {
-        let mut h = Health::new(1, 0, 1, Some(-200 * S), PACE);
-        assert_eq!(h.state(0), State::Stale, "what was remembered over a restart");
+        let mut h = SyncScheduler::new(1, 0, 1, Some(-200 * S), DEFAULT_SYNC_SCHEDULE);
+        assert_eq!(h.state(0), DirectoryState::Stale, "what was remembered over a restart");
         assert_eq!(h.next(0), Some(0));
         h.answered();
-        assert_eq!(h.state(1), State::Recovering);
-        h.ended(2, Ended::Partial);
-        assert_eq!(h.state(2), State::Recovering, "not all of it came");
+        assert_eq!(h.state(1), DirectoryState::Recovering);
+        h.ended(2, SyncOutcome::Partial);
+        assert_eq!(h.state(2), DirectoryState::Recovering, "not all of it came");
         let at = h.next_at();
         assert_eq!(h.next(at), Some(0));
-        h.ended(at, Ended::Full);
-        assert_eq!((h.state(at), h.state(at + PACE.fresh_us)), (State::Fresh, State::Stale));
+        h.ended(at, SyncOutcome::Full);
+        assert_eq!(
+            (h.state(at), h.state(at + DEFAULT_SYNC_SCHEDULE.fresh_us)),
+            (DirectoryState::Fresh, DirectoryState::Stale)
+        );
     }
 
     #[test]
     fn a_sweep_that_hangs_is_given_up() {
-        let mut h = Health::new(1, 0, 2, None, PACE);
+        let mut h = SyncScheduler::new(1, 0, 2, None, DEFAULT_SYNC_SCHEDULE);
         assert_eq!(h.next(0), Some(0));
-        assert_eq!(h.next_at(), PACE.patience_us);
-        assert_eq!(h.next(PACE.patience_us), Some(1));
+        assert_eq!(h.next_at(), DEFAULT_SYNC_SCHEDULE.patience_us);
+        assert_eq!(h.next(DEFAULT_SYNC_SCHEDULE.patience_us), Some(1));
     }
 }
--- a/tenants/src/keeper.rs
+++ b/tenants/src/tenant_directory.rs
@@ -1,9 +1,9 @@
 //! All that is known of a directory, in one place: what was learnt, what of it is believed, how fresh it is,
 //! and what is remembered over a restart. No I/O: it says which server to sweep and when, takes in what came,
 //! and answers.
-use crate::health::{Ended, Health, Pace, State};
-use crate::rights::{rule, Asks, Ruling, Terms};
-use crate::trust::{Caution, Held, Trust};
+use crate::authorization::{rule, AccessPolicy, AuthorizationDecision, Operation};
+use crate::change_guard::{ChangeGuard, ChangeReview, HeldChanges};
+use crate::sync_schedule::{DirectoryState, SyncOutcome, SyncSchedule, SyncScheduler};
 use crate::{Change, Entry, Id, Mark, Sweep, Tenants};
 use serde::{Deserialize, Serialize};
 
@@ -22,12 +22,12 @@
     cookies: Vec<(String, Vec<u8>)>,
 }
 
-pub struct Keeper {
+pub struct TenantDirectory {
     known: Tenants,
-    trust: Trust,
-    health: Health,
-    caution: Caution,
-    said: Option<State>,
+    trust: ChangeReview,
+    health: SyncScheduler,
+    caution: ChangeGuard,
+    said: Option<DirectoryState>,
     /// Of each server, how many sweeps ago all of it was read; none: it is to be read whole.
     since_whole: Vec<Option<u32>>,
     /// Names of the servers, and from where on each can say what changed.
@@ -39,7 +39,7 @@
 /// of its stamps hid comes to light then at the latest.
 const WHOLE_EVERY: u32 = 40;
 
-impl Keeper {
+impl TenantDirectory {
     /// `remembered`: what `memory` gave, and when it was heard in full. An error says why it cannot be read;
     /// begin without it then.
     pub fn new(
@@ -47,10 +47,10 @@
         now: i64,
         servers: &[String],
         remembered: Option<(i64, &[u8])>,
-        pace: Pace,
-        caution: Caution,
+        pace: SyncSchedule,
+        caution: ChangeGuard,
     ) -> Result<Self, String> {
-        let (mut known, mut trust) = (Tenants::default(), Trust::default());
+        let (mut known, mut trust) = (Tenants::default(), ChangeReview::default());
         let mut servers: Vec<_> = servers.iter().map(|s| (s.clone(), None)).collect();
         if let Some((at, bytes)) = remembered {
             let memory: Memory = serde_json::from_slice(bytes)
@@ -72,9 +72,9 @@
                 }
             }
         }
-        let health = Health::new(seed, now, servers.len(), remembered.map(|r| r.0), pace);
+        let health = SyncScheduler::new(seed, now, servers.len(), remembered.map(|r| r.0), pace);
         let since_whole = servers.iter().map(|s| s.1.as_ref().map(|_| 0)).collect();
-        Ok(Keeper { known, trust, health, caution, said: None, since_whole, servers, under: None })
+        Ok(TenantDirectory { known, trust, health, caution, said: None, since_whole, servers, under: None })
     }
 
     /// What to remember, as of the last full sweep.
@@ -125,7 +125,7 @@
     pub fn swept(&mut self, now: i64, sweep: Option<Sweep>) -> Vec<Change> {
         let Some(sweep) = sweep else {
             self.under = None;
-            self.health.ended(now, Ended::Failed);
+            self.health.ended(now, SyncOutcome::Failed);
             return Vec::new();
         };
         let (complete, whole) = (sweep.complete, self.whole());
@@ -140,18 +140,18 @@
             self.servers[server].1 = cookie.filter(|_| goes_on);
         }
         let changes = self.known.take_in(now, believed.entries, &believed.gone, believed.as_is);
-        self.health.ended(now, if full { Ended::Full } else { Ended::Partial });
+        self.health.ended(now, if full { SyncOutcome::Full } else { SyncOutcome::Partial });
         changes
     }
 
-    pub fn state(&self, now: i64) -> State {
+    pub fn state(&self, now: i64) -> DirectoryState {
         self.health.state(now)
     }
 
     /// How old what is known is: 0 while it is fresh, -1 while nothing is known.
     pub fn stale_us(&self, now: i64) -> i64 {
         match (self.state(now), self.full_at()) {
-            (State::Fresh, _) => 0,
+            (DirectoryState::Fresh, _) => 0,
             (_, Some(at)) => (now - at).max(1),
             (_, None) => -1,
         }
@@ -163,13 +163,19 @@
     }
 
     /// The state, once each time that it is another: for the log.
-    pub fn news(&mut self, now: i64) -> Option<State> {
+    pub fn news(&mut self, now: i64) -> Option<DirectoryState> {
         let state = self.state(now);
         (self.said.replace(state) != Some(state)).then_some(state)
     }
 
     /// Who may do what, by what is known now.
-    pub fn rule(&self, now: i64, terms: &Terms, login: &str, asks: Asks) -> Ruling {
+    pub fn rule(
+        &self,
+        now: i64,
+        terms: &AccessPolicy,
+        login: &str,
+        asks: Operation,
+    ) -> AuthorizationDecision {
         rule(&self.known, now, self.state(now), terms, login, asks)
     }
 
@@ -177,7 +183,7 @@
         &self.known
     }
 
-    pub fn held(&self) -> Option<&Held> {
+    pub fn held(&self) -> Option<&HeldChanges> {
         self.trust.held()
     }
 
--- a/tenants/tests/directory.rs
+++ b/tenants/tests/directory.rs
@@ -1,28 +1,28 @@
 //! Entries as a directory gives them, and what becomes of them.
-use basaltpitch_tenants::health::State;
-use basaltpitch_tenants::rights::{rule, Asks, Terms, Why};
-use basaltpitch_tenants::trust::{Caution, Trust};
-use basaltpitch_tenants::{Change, Entry, Id, Sweep, Tenants, What, OLD_NAME_SHOWN};
+use basaltpitch_tenants::authorization::{rule, AccessPolicy, AuthorizationBasis, Operation};
+use basaltpitch_tenants::change_guard::{ChangeGuard, ChangeReview};
+use basaltpitch_tenants::sync_schedule::DirectoryState;
+use basaltpitch_tenants::{Change, Entry, EntryKind, Id, Sweep, Tenants, OLD_NAME_SHOWN};
 use expect_test::expect;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn entry(id: u128, what: What, name: &str, members: &[&str], stamp: u32) -> Entry {
+fn entry(id: u128, what: EntryKind, name: &str, members: &[&str], stamp: u32) -> Entry {
     let dn = format!("cn={name}");
     let members = members.iter().map(|m| format!("cn={m}")).collect();
     Entry { id: Id(id), what, name: name.into(), dn, members, stamp: format!("2026{stamp:010}Z") }
 }
 
 fn tenant(id: u128, name: &str, members: &[&str], stamp: u32) -> Entry {
-    entry(id, What::Tenant { share: 0.5 }, name, members, stamp)
+    entry(id, EntryKind::Tenant { share: 0.5 }, name, members, stamp)
 }
 
 fn person(id: u128, name: &str) -> Entry {
-    entry(id, What::Person, name, &[], 1)
+    entry(id, EntryKind::Person, name, &[], 1)
 }
 
 fn group(id: u128, name: &str, members: &[&str], stamp: u32) -> Entry {
-    entry(id, What::Group, name, members, stamp)
+    entry(id, EntryKind::Group, name, members, stamp)
 }
 
 fn small() -> Tenants {
@@ -118,18 +118,19 @@
 #[test]
 fn who_may_do_what() {
     let t = small();
-    let terms = Terms { operators: vec!["cn=keepers".into()], place_stale: true, ..Terms::default() };
+    let terms =
+        AccessPolicy { operators: vec!["cn=keepers".into()], place_stale: true, ..AccessPolicy::default() };
     let mut table = String::new();
     for login in ["asha", "ravi", "meera", "nobody"] {
         let asks = [
-            ("submit for orders", Asks::Submit { tenant: "orders" }),
-            ("submit for stores", Asks::Submit { tenant: "stores" }),
-            ("submit for nothing", Asks::Submit { tenant: "nothing" }),
-            ("drain", Asks::Drain),
-            ("see a task of orders", Asks::See { tenant: t.find("orders", 0) }),
+            ("submit for orders", Operation::Submit { tenant: "orders" }),
+            ("submit for stores", Operation::Submit { tenant: "stores" }),
+            ("submit for nothing", Operation::Submit { tenant: "nothing" }),
+            ("drain", Operation::Drain),
+            ("see a task of orders", Operation::See { tenant: t.find("orders", 0) }),
         ];
         for (words, asks) in asks {
-            let r = rule(&t, 0, State::Fresh, &terms, login, asks);
+            let r = rule(&t, 0, DirectoryState::Fresh, &terms, login, asks);
             table +=
                 &format!("{login:7} {words:21} {:4} {}\n", if r.may { "yes" } else { "no" }, r.why.words());
         }
@@ -162,27 +163,33 @@
 #[test]
 fn what_may_be_decided_in_each_state() {
     let t = small();
-    let submit = Asks::Submit { tenant: "orders" };
+    let submit = Operation::Submit { tenant: "orders" };
     for place in [true, false] {
-        let terms = Terms { place_stale: place, place_blind: place, ..Terms::default() };
-        for state in [State::Stale, State::Recovering] {
+        let terms = AccessPolicy { place_stale: place, place_blind: place, ..AccessPolicy::default() };
+        for state in [DirectoryState::Stale, DirectoryState::Recovering] {
             let r = rule(&t, 0, state, &terms, "asha", submit);
             assert_eq!((r.may, r.stale), (place, true), "{state:?}");
             assert!(
-                rule(&t, 0, state, &terms, "asha", Asks::See { tenant: t.find("orders", 0) }).may,
+                rule(&t, 0, state, &terms, "asha", Operation::See { tenant: t.find("orders", 0) }).may,
                 "looking goes on"
             );
         }
-        let r = rule(&Tenants::default(), 0, State::Blind, &terms, "asha", submit);
+        let r = rule(&Tenants::default(), 0, DirectoryState::Blind, &terms, "asha", submit);
         assert_eq!((r.may, r.stale), (place, true));
-        assert_eq!(rule(&t, 0, State::Blind, &terms, "asha", Asks::Drain).why, Why::NothingKnown);
-        let terms = Terms { always: vec!["watch".into()], ..terms };
-        assert_eq!(rule(&t, 0, State::Blind, &terms, "watch", Asks::Drain).why, Why::Always);
-        assert_eq!(rule(&t, 0, State::Blind, &terms, "watch", submit).may, place);
+        assert_eq!(
+            rule(&t, 0, DirectoryState::Blind, &terms, "asha", Operation::Drain).why,
+            AuthorizationBasis::NothingKnown
+        );
+        let terms = AccessPolicy { always: vec!["watch".into()], ..terms };
+        assert_eq!(
+            rule(&t, 0, DirectoryState::Blind, &terms, "watch", Operation::Drain).why,
+            AuthorizationBasis::Always
+        );
+        assert_eq!(rule(&t, 0, DirectoryState::Blind, &terms, "watch", submit).may, place);
     }
 }
 
-const QUICK: Caution = Caution { few: 1, percent: 10, sweeps: 3, over_us: 100 };
+const QUICK: ChangeGuard = ChangeGuard { few: 1, percent: 10, sweeps: 3, over_us: 100 };
 
 fn sweep(entries: Vec<Entry>, complete: bool) -> Sweep {
     Sweep::of(entries, complete)
@@ -190,9 +197,9 @@
 
 #[test]
 fn a_sudden_lack_of_many_tenants_is_held_until_it_is_confirmed() {
-    let (t, mut trust) = (small(), Trust::default());
+    let (t, mut trust) = (small(), ChangeReview::default());
     let mut rest: Vec<Entry> =
-        t.ids().map(|x| x.1.clone()).filter(|e| !matches!(e.what, What::Tenant { .. })).collect();
+        t.ids().map(|x| x.1.clone()).filter(|e| !matches!(e.what, EntryKind::Tenant { .. })).collect();
     rest.push(person(9, "late"));
     rest.last_mut().unwrap().stamp = format!("2026{:010}Z", 9);
     for (at, sweeps) in [(0, 1), (50, 2), (99, 3)] {
@@ -210,9 +217,10 @@
 
 #[test]
 fn a_held_removal_that_comes_back_is_forgotten() {
-    let (t, mut trust) = (small(), Trust::default());
+    let (t, mut trust) = (small(), ChangeReview::default());
     let all: Vec<Entry> = t.ids().map(|x| x.1.clone()).collect();
-    let rest: Vec<Entry> = all.iter().filter(|e| !matches!(e.what, What::Tenant { .. })).cloned().collect();
+    let rest: Vec<Entry> =
+        all.iter().filter(|e| !matches!(e.what, EntryKind::Tenant { .. })).cloned().collect();
     trust.judge(0, &t, sweep(rest.clone(), true), QUICK);
     trust.judge(50, &t, sweep(all, true), QUICK);
     assert_eq!(trust.held(), None);
@@ -221,7 +229,7 @@
 
 #[test]
 fn the_newest_entry_can_be_deleted_and_a_server_that_lacks_it_may_only_lag() {
-    let (t, mut trust) = (small(), Trust::default());
+    let (t, mut trust) = (small(), ChangeReview::default());
     let mut all: Vec<Entry> = t.ids().map(|x| x.1.clone()).collect();
     let newest = all.iter().map(|e| e.stamp.clone()).max().unwrap();
     all[0].stamp = format!("{newest}Z");
@@ -239,7 +247,7 @@
         let mark = [("001".to_owned(), n.to_owned())].into();
         Sweep { mark, ..sweep(rest.clone(), true) }
     };
-    let mut trust = Trust::default();
+    let mut trust = ChangeReview::default();
     trust.judge(0, &t, Sweep { mark: marked("5").mark, ..sweep(all, false) }, QUICK);
     trust.remember(marked("5").mark);
     let behind = trust.judge(1, &t, marked("4"), QUICK);
@@ -249,7 +257,7 @@
 
 #[test]
 fn a_directory_that_was_set_back_is_believed_by_an_operators_word_alone() {
-    let (mut t, mut trust) = (small(), Trust::default());
+    let (mut t, mut trust) = (small(), ChangeReview::default());
     let all: Vec<Entry> = t.ids().map(|x| x.1.clone()).collect();
     let later: Vec<Entry> = all.iter().cloned().map(|e| Entry { stamp: "2027".into(), ..e }).collect();
     t.take(0, later, &[]);
@@ -304,9 +312,9 @@
         let of = |(&e, (version, members, stamp)): (&u8, &(u8, BTreeSet<u8>, u32))| Entry {
             id: Id(u128::from(e)),
             what: match e {
-                0..4 => What::Tenant { share: 0.1 },
-                4..8 => What::Group,
-                _ => What::Person,
+                0..4 => EntryKind::Tenant { share: 0.1 },
+                4..8 => EntryKind::Group,
+                _ => EntryKind::Person,
             },
             name: format!("e{e}v{version}"),
             dn: self.dn(e),
@@ -346,8 +354,8 @@
 
     #[test]
     fn after_a_full_sweep_both_agree_and_a_cut_one_loses_nobody(edits in proptest::collection::vec(edit(), 1..60)) {
-        let (mut there, mut ours, mut trust) = (Reference::new(), Tenants::default(), Trust::default());
-        let bold = Caution { few: 100, percent: 100, sweeps: 1, over_us: 0 };
+        let (mut there, mut ours, mut trust) = (Reference::new(), Tenants::default(), ChangeReview::default());
+        let bold = ChangeGuard { few: 100, percent: 100, sweeps: 1, over_us: 0 };
         for (now, edit) in edits.into_iter().chain([Edit::Sweep]).enumerate() {
             let now = now as i64;
             match edit {
--- a/tenants/tests/every_state.rs
+++ b/tenants/tests/every_state.rs
@@ -1,23 +1,29 @@
 //! Every state that sweeps of two servers can bring about within bounds: servers fail, hang, answer in part,
 //! lag behind, or lose much; entries come and go in the directory. In none does an entry leave for any reason
 //! but that a complete sweep of a server that is not behind lacked it.
-use basaltpitch_tenants::health::{Ended, Health, Pace, State};
-use basaltpitch_tenants::trust::{Caution, Trust};
-use basaltpitch_tenants::{Entry, Id, Sweep, Tenants, What};
+use basaltpitch_tenants::change_guard::{ChangeGuard, ChangeReview};
+use basaltpitch_tenants::sync_schedule::{DirectoryState, SyncOutcome, SyncSchedule, SyncScheduler};
+use basaltpitch_tenants::{Entry, EntryKind, Id, Sweep, Tenants};
 use pathfinding::prelude::bfs_reach;
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-const PACE: Pace =
-    Pace { every_us: 10, patience_us: 30, fresh_us: 25, first_wait_us: 4, most_wait_us: 16, slower: 4 };
-const CAUTION: Caution = Caution { few: 1, percent: 0, sweeps: 2, over_us: 12 };
+const PACE: SyncSchedule = SyncSchedule {
+    every_us: 10,
+    patience_us: 30,
+    fresh_us: 25,
+    first_wait_us: 4,
+    most_wait_us: 16,
+    slower: 4,
+};
+const CAUTION: ChangeGuard = ChangeGuard { few: 1, percent: 0, sweeps: 2, over_us: 12 };
 const UNTIL: i64 = 56;
 
 #[derive(Clone, Debug)]
 struct World {
     now: i64,
-    health: Health,
-    trust: Trust,
+    health: SyncScheduler,
+    trust: ChangeReview,
     ours: Tenants,
     /// Entries of the directory, and those of the second server, which may lag: ids, and how often something
     /// changed.
@@ -55,7 +61,7 @@
 fn entries(of: &(BTreeSet<u128>, u32), marks: bool) -> Vec<Entry> {
     let entry = |id: u128, stamp: u32| Entry {
         id: Id(id),
-        what: if id == 0 { What::Group } else { What::Tenant { share: 0.3 } },
+        what: if id == 0 { EntryKind::Group } else { EntryKind::Tenant { share: 0.3 } },
         name: format!("t{id}"),
         dn: format!("cn=t{id}"),
         members: Vec::new(),
@@ -69,8 +75,8 @@
         let there = (BTreeSet::from([1, 2, 3]), 1);
         World {
             now: 0,
-            health: Health::new(1, 0, 2, None, PACE),
-            trust: Trust::default(),
+            health: SyncScheduler::new(1, 0, 2, None, PACE),
+            trust: ChangeReview::default(),
             ours: Tenants::default(),
             replica: there.clone(),
             there,
@@ -81,29 +87,29 @@
         }
     }
 
-    fn sweep_ends(&mut self, how: Ended, only: usize) {
+    fn sweep_ends(&mut self, how: SyncOutcome, only: usize) {
         let Some(server) = self.under.take() else { return };
         let source = if server == 0 { self.there.clone() } else { self.replica.clone() };
         let mut how = how;
-        if how != Ended::Failed {
+        if how != SyncOutcome::Failed {
             let mut all = entries(&source, self.marks);
-            if how == Ended::Partial {
+            if how == SyncOutcome::Partial {
                 all.truncate(only);
             }
             let before: BTreeSet<Id> = self.ours.ids().map(|x| x.0).collect();
-            let mut sweep = Sweep::of(all, how == Ended::Full);
+            let mut sweep = Sweep::of(all, how == SyncOutcome::Full);
             if self.marks {
                 sweep.mark.insert("001".into(), format!("{:04}", source.1));
             }
             let believed = self.trust.judge(self.now, &self.ours, sweep, CAUTION);
             if believed.older {
-                how = Ended::Partial;
+                how = SyncOutcome::Partial;
             }
             let many = before.iter().filter(|id| id.0 > 0 && !source.0.contains(&id.0)).count() > CAUTION.few;
             self.ours.take(self.now, believed.entries, &believed.gone);
             let after: BTreeSet<Id> = self.ours.ids().map(|x| x.0).collect();
             for id in before.difference(&after) {
-                if how != Ended::Full {
+                if how != SyncOutcome::Full {
                     self.wrong = Some("an entry left by a partial answer or an older replica");
                 }
                 if source.0.contains(&id.0) {
@@ -134,9 +140,9 @@
         }
         if self.under.is_some() {
             with(&|w| w.health.answered());
-            with(&|w| w.sweep_ends(Ended::Full, 0));
-            with(&|w| w.sweep_ends(Ended::Partial, 1));
-            with(&|w| w.sweep_ends(Ended::Failed, 0));
+            with(&|w| w.sweep_ends(SyncOutcome::Full, 0));
+            with(&|w| w.sweep_ends(SyncOutcome::Partial, 1));
+            with(&|w| w.sweep_ends(SyncOutcome::Failed, 0));
         }
         if self.edits < 2 {
             with(&|w| {
@@ -174,7 +180,10 @@
             known
                 || matches!(
                     world.health.state(world.now),
-                    State::Blind | State::Fresh | State::Stale | State::Recovering
+                    DirectoryState::Blind
+                        | DirectoryState::Fresh
+                        | DirectoryState::Stale
+                        | DirectoryState::Recovering
                 )
         );
     }
--- a/tenants/tests/golden_memory.rs
+++ b/tenants/tests/golden_memory.rs
@@ -1,9 +1,9 @@
 //! What is remembered of a directory over a restart, as an earlier build wrote it: `golden/memory.json` holds
 //! the bytes. The file is never edited; planners in service find such bytes in their state folder.
-use basaltpitch_tenants::health::PACE;
-use basaltpitch_tenants::keeper::{Keeper, FORMAT};
-use basaltpitch_tenants::trust::CAUTION;
-use basaltpitch_tenants::{Entry, Id, Sweep, What};
+use basaltpitch_tenants::change_guard::DEFAULT_CHANGE_GUARD;
+use basaltpitch_tenants::sync_schedule::DEFAULT_SYNC_SCHEDULE;
+use basaltpitch_tenants::tenant_directory::{TenantDirectory, FORMAT};
+use basaltpitch_tenants::{Entry, EntryKind, Id, Sweep};
 
 /// When all was last heard, and a time at which it is asked of.
 const HEARD_AT: i64 = 90_000_000;
@@ -14,12 +14,20 @@
     std::fs::read(path).expect("golden/memory.json")
 }
 
-fn keeper(remembered: Option<(i64, &[u8])>) -> Keeper {
+fn keeper(remembered: Option<(i64, &[u8])>) -> TenantDirectory {
     let servers = ["ldap://one:389".to_owned(), "ldap://two:389".to_owned()];
-    Keeper::new(7, HEARD_AT - 60_000_000, &servers, remembered, PACE, CAUTION).expect("bytes that are read")
+    TenantDirectory::new(
+        7,
+        HEARD_AT - 60_000_000,
+        &servers,
+        remembered,
+        DEFAULT_SYNC_SCHEDULE,
+        DEFAULT_CHANGE_GUARD,
+    )
+    .expect("bytes that are read")
 }
 
-fn entry(id: u128, what: What, name: &str, members: &[&str], day: u32) -> Entry {
+fn entry(id: u128, what: EntryKind, name: &str, members: &[&str], day: u32) -> Entry {
     let dn = format!("cn={name},dc=example");
     let members = members.iter().map(|member| format!("cn={member},dc=example")).collect();
     Entry {
@@ -34,16 +42,16 @@
 
 fn first() -> Vec<Entry> {
     vec![
-        entry(1, What::Person, "asha", &[], 1),
-        entry(2, What::Person, "ravi", &[], 1),
-        entry(10, What::Group, "cooks", &["ravi"], 2),
-        entry(21, What::Tenant { share: 0.1 }, "stores", &["asha"], 3),
-        entry(20, What::Tenant { share: 0.75 }, "orders", &["asha", "cooks"], 3),
+        entry(1, EntryKind::Person, "asha", &[], 1),
+        entry(2, EntryKind::Person, "ravi", &[], 1),
+        entry(10, EntryKind::Group, "cooks", &["ravi"], 2),
+        entry(21, EntryKind::Tenant { share: 0.1 }, "stores", &["asha"], 3),
+        entry(20, EntryKind::Tenant { share: 0.75 }, "orders", &["asha", "cooks"], 3),
     ]
 }
 
 /// One whole sweep that ends at this time.
-fn swept(keeper: &mut Keeper, at: i64, entries: Vec<Entry>) {
+fn swept(keeper: &mut TenantDirectory, at: i64, entries: Vec<Entry>) {
     keeper.next(at - 1000).expect("a server to sweep");
     keeper.answered();
     let mut sweep = Sweep::of(entries, true);
@@ -53,11 +61,11 @@
 }
 
 /// Two sweeps: in the second a tenant has another name, and another tenant is gone.
-fn learnt() -> Keeper {
+fn learnt() -> TenantDirectory {
     let mut keeper = keeper(None);
     swept(&mut keeper, HEARD_AT - 50_000_000, first());
     let mut entries = first();
-    entries[4] = entry(20, What::Tenant { share: 0.75 }, "kitchen", &["asha", "cooks"], 4);
+    entries[4] = entry(20, EntryKind::Tenant { share: 0.75 }, "kitchen", &["asha", "cooks"], 4);
     entries.remove(3);
     swept(&mut keeper, HEARD_AT, entries);
     keeper
