--- a/planner/src/lib.rs
+++ b/planner/src/lib.rs
@@ -1,6 +1,6 @@
-//! The planner service. `state` is one planner without I/O: it holds the placing module, the ledger, the
-//! indices and the timers, and turns what comes from peers into calls and what is decided into frames.
-//! `service` puts it on sockets, on one thread. `placement_event` is what the module is told, as it is recorded and
+//! The planner service. `state` is one planner without I/O: it holds the placement module, the ledger, the indices
+//! and the timers, and turns what comes from peers into calls, and what is decided into frames. `service` puts it
+//! on sockets, on one thread. `placement_event` is what the placement module is called with, as it is recorded and
 //! replayed.
 pub mod admission;
 pub mod host_adapter;
