--- a/cli/src/tenants.rs
+++ b/cli/src/tenants.rs
@@ -66,7 +66,7 @@
             Err(fault) => (Vec::new(), vec![fault.to_string()]),
         };
         wrong += usize::from(!lacks.is_empty());
-        let count = |is: fn(&EntryKind) -> bool| entries.iter().filter(|e| is(&e.what)).count();
+        let count = |is: fn(&EntryKind) -> bool| entries.iter().filter(|e| is(&e.kind)).count();
         rows.push(serde_json::json!({
             "server": url, "all": lacks.is_empty(), "lacks": lacks, "took_ms": took_ms,
             "tenants": count(|w| matches!(w, EntryKind::Tenant { .. })),
--- a/ldap/src/entry.rs
+++ b/ldap/src/entry.rs
@@ -235,7 +235,7 @@
     let members = reader.members(names)?;
     Ok(Entry {
         id,
-        what,
+        kind: what,
         name: name.to_owned(),
         dn: plain_dn(&raw.dn),
         members: members.iter().map(|member| plain_dn(member)).collect(),
--- a/ldap/tests/over_a_restart.rs
+++ b/ldap/tests/over_a_restart.rs
@@ -72,7 +72,7 @@
                     .unwrap();
             assert_eq!(k.next(0), Some(0));
             k.swept(S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
-            assert!(k.rule(S, &terms, "asha", asks).may);
+            assert!(k.authorize(S, &terms, "asha", asks).may);
             let (at, bytes) = k.memory().unwrap();
             store.put("tenants", FORMAT, at, &bytes).unwrap();
         }
@@ -91,7 +91,7 @@
         .unwrap();
         assert_eq!(k.next(400 * S), Some(0));
         k.swept(401 * S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
-        let r = k.rule(401 * S, &terms, "asha", asks);
+        let r = k.authorize(401 * S, &terms, "asha", asks);
         assert_eq!((r.may, r.stale, k.state(401 * S)), (true, true, DirectoryState::Stale));
         there.fault.set(DirectoryFault::None);
         let at = k.next_at();
@@ -101,6 +101,6 @@
             [],
             "nothing changed"
         );
-        assert!(!k.rule(at, &terms, "asha", asks).stale);
+        assert!(!k.authorize(at, &terms, "asha", asks).stale);
     });
 }
--- a/ldap/tests/sweeps.rs
+++ b/ldap/tests/sweeps.rs
@@ -195,7 +195,7 @@
         ("basaltpitchShare", &["0.4"]),
     ];
     let entry = read(&AttributeNames::default(), raw(&good)).unwrap();
-    assert_eq!((entry.id, entry.what), (Id(7), EntryKind::Tenant { share: 0.4 }));
+    assert_eq!((entry.id, entry.kind), (Id(7), EntryKind::Tenant { share: 0.4 }));
     let long = "x".repeat(600);
     let with = |at: usize, values: &[&str]| {
         let mut all = good;
--- a/planner/benches/asked.rs
+++ b/planner/benches/asked.rs
@@ -18,7 +18,7 @@
 fn learnt(people: usize) -> Tenancy {
     let entry = |id: usize, what: EntryKind, name: String, members: Vec<String>| {
         let stamp = "20261201000000Z".to_owned();
-        Entry { id: Id(id as u128), what, dn: format!("cn={name}"), name, members, stamp }
+        Entry { id: Id(id as u128), kind: what, dn: format!("cn={name}"), name, members, stamp }
     };
     let mut all: Vec<Entry> =
         (0..people).map(|n| entry(n, EntryKind::Person, format!("p{n}"), vec![])).collect();
--- a/planner/src/tenancy.rs
+++ b/planner/src/tenancy.rs
@@ -64,7 +64,8 @@
     /// `remembered`: what an earlier life kept, and when that was heard in full.
     pub fn new(seed: u64, now: i64, ways: Ways, remembered: Option<(i64, &[u8])>) -> Result<Self, String> {
         let lacks = vec![Vec::new(); ways.servers.len()];
-        let keeper = TenantDirectory::new(seed, now, &ways.servers, remembered, ways.pace, ways.caution)?;
+        let keeper = TenantDirectory::new(seed, now, &ways.servers, remembered, ways.pace, ways.caution)
+            .map_err(|error| error.to_string())?;
         Ok(Learnt { ways, keeper, under: None, sweeps: 0, lacks, said_held: false, remembered: None })
     }
 
@@ -115,7 +116,7 @@
     /// Says each state of the directory once.
     pub fn say(&mut self, now: i64) {
         let age_s = self.keeper.full_at().map(|at| (now - at) / 1_000_000);
-        match self.keeper.news(now) {
+        match self.keeper.new_state(now) {
             Some(DirectoryState::Blind) => {
                 tracing::warn!(placed = self.ways.terms.place_blind, "nothing is known of the directory yet");
             }
@@ -148,7 +149,7 @@
     fn held_tenants(&self) -> Vec<String> {
         let known = self.keeper.tenants();
         let name = |id: &Id| {
-            let e = known.entry(*id).filter(|e| matches!(e.what, EntryKind::Tenant { .. }))?;
+            let e = known.entry(*id).filter(|e| matches!(e.kind, EntryKind::Tenant { .. }))?;
             Some(e.name.clone())
         };
         self.keeper.held().into_iter().flat_map(|h| &h.ids).filter_map(name).collect()
@@ -179,20 +180,21 @@
         self.keeper.tenants().tenants(0).map(|t| (t.index, t.share)).collect()
     }
 
-    fn rule(&self, now: i64, login: &str, asks: Operation) -> AuthorizationDecision {
-        self.keeper.rule(now, &self.ways.terms, login, asks)
+    fn authorize(&self, now: i64, login: &str, asks: Operation) -> AuthorizationDecision {
+        self.keeper.authorize(now, &self.ways.terms, login, asks)
     }
 
     /// Whether someone may see a tenant's tasks and people; an error says why not.
     fn may_see(&self, now: i64, login: &str, tenant: Option<Id>) -> Result<(), String> {
-        let ruling = self.rule(now, login, Operation::See { tenant });
-        let words = ruling.why.words();
+        let ruling = self.authorize(now, login, Operation::See { tenant });
+        let words = ruling.basis.description();
         let no = || format!("found login {login:?}: {words}; expected a member, an auditor or an operator");
         ruling.may.then_some(()).ok_or_else(no)
     }
 
     fn refusal(&self, now: i64, ruling: AuthorizationDecision) -> Option<(RejectReason, i64)> {
-        (!ruling.may).then(|| (RejectReason::NotAllowed(ruling.why.words()), self.keeper.retry_after_us(now)))
+        (!ruling.may)
+            .then(|| (RejectReason::NotAllowed(ruling.basis.description()), self.keeper.retry_after_us(now)))
     }
 
     /// A question that the directory answers.
@@ -221,10 +223,10 @@
                 let (person, tenant) = about
                     .split_once(' ')
                     .ok_or_else(|| format!("why: found {about:?}; expected a login, a blank and a tenant"))?;
-                let ruling = self.rule(now, person, Operation::Submit { tenant });
+                let ruling = self.authorize(now, person, Operation::Submit { tenant });
                 let way = known.login(person).zip(known.find(tenant, now)).map(|(p, t)| known.why(p, t));
                 json!({"login": person, "tenant": tenant, "may_submit": ruling.may,
-                       "why": ruling.why.words(), "by": way.unwrap_or_default(),
+                       "why": ruling.basis.description(), "by": way.unwrap_or_default(),
                        "stale_ms": self.stale_ms(now)})
             }
             _ => self.state(now),
@@ -247,7 +249,7 @@
 
     fn state(&self, now: i64) -> Value {
         let known = self.keeper.tenants();
-        let count = |is: fn(&EntryKind) -> bool| known.ids().filter(|x| is(&x.1.what)).count();
+        let count = |is: fn(&EntryKind) -> bool| known.ids().filter(|x| is(&x.1.kind)).count();
         let state = match self.keeper.state(now) {
             DirectoryState::Blind => "blind",
             DirectoryState::Fresh => "fresh",
@@ -302,7 +304,7 @@
                 Ok(Asked { tenant: place, ..Asked::default() })
             }
             Tenancy::Learnt(l) => {
-                let ruling = l.rule(now, login, Operation::Submit { tenant });
+                let ruling = l.authorize(now, login, Operation::Submit { tenant });
                 let known = l.keeper.tenants();
                 let found = || known.find(tenant, now).and_then(|id| known.index(id));
                 let place = ruling.may.then(found).flatten();
@@ -363,15 +365,18 @@
     /// An operator's act: an error says why someone may not.
     pub fn operates(&self, now: i64, login: &str, what: &str) -> Result<(), String> {
         let Tenancy::Learnt(l) = self else { return Ok(()) };
-        match l.rule(now, login, Operation::Drain) {
+        match l.authorize(now, login, Operation::Drain) {
             AuthorizationDecision { may: true, .. } => Ok(()),
-            AuthorizationDecision { why, stale, .. } => {
+            AuthorizationDecision { basis: why, stale, .. } => {
                 let old = if stale && why != AuthorizationBasis::NothingKnown {
                     " (the directory is not heard now)"
                 } else {
                     ""
                 };
-                Err(format!("{what}: found login {login:?}: {}{old}; expected an operator", why.words()))
+                Err(format!(
+                    "{what}: found login {login:?}: {}{old}; expected an operator",
+                    why.description()
+                ))
             }
         }
     }
--- a/planner/tests/tenants.rs
+++ b/planner/tests/tenants.rs
@@ -17,7 +17,7 @@
 fn entry(id: u128, what: EntryKind, name: &str, members: &[&str], version: u32) -> Entry {
     let members = members.iter().map(|m| format!("cn={m}")).collect();
     let stamp = format!("2026{version:010}Z");
-    Entry { id: Id(id), what, name: name.into(), dn: format!("cn={name}"), members, stamp }
+    Entry { id: Id(id), kind: what, name: name.into(), dn: format!("cn={name}"), members, stamp }
 }
 
 fn tenant(id: u128, name: &str, members: &[&str], version: u32) -> Entry {
--- a/tenants/benches/closure.rs
+++ b/tenants/benches/closure.rs
@@ -97,7 +97,7 @@
     let mut n = 0u32;
     bencher.bench_local(|| {
         n = n.wrapping_add(7919);
-        closure.holds(n % WIDE, n % members)
+        closure.contains(n % WIDE, n % members)
     });
 }
 
--- a/tenants/src/change_guard.rs
+++ b/tenants/src/change_guard.rs
@@ -13,27 +13,35 @@
 pub struct ChangeGuard {
     /// So many tenants may go in one sweep, or such a share of them (in a hundred), whichever is more.
     pub few: usize,
+    /// The share, in a hundred.
     pub percent: usize,
     /// A held removal is believed once so many sweeps in a row, over so long, lacked the same.
     pub sweeps: u32,
+    /// The least time, in microseconds, from the first of those sweeps to the last.
     pub over_us: i64,
 }
 
+/// The guard where settings say nothing else.
 pub const DEFAULT_CHANGE_GUARD: ChangeGuard =
     ChangeGuard { few: 2, percent: 10, sweeps: 3, over_us: 600_000_000 };
 
 /// A removal that is not believed yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HeldChanges {
+    /// The entries that sweeps lack.
     pub ids: BTreeSet<Id>,
+    /// When the first of the sweeps in a row lacked them, in microseconds.
     pub since: i64,
+    /// How many sweeps in a row lacked them.
     pub sweeps: u32,
 }
 
 /// What to take in of a sweep.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AcceptedChanges {
+    /// Entries that are there.
     pub entries: Vec<Entry>,
+    /// Entries that were removed.
     pub gone: Vec<Id>,
     /// The sweep came from a server that lags behind what was seen before.
     pub older: bool,
@@ -43,6 +51,7 @@
     pub as_is: bool,
 }
 
+/// Decides what of each sweep is accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ChangeReview {
     held: Option<HeldChanges>,
@@ -53,10 +62,12 @@
 }
 
 impl ChangeReview {
+    /// The removal that is held, if one is.
     pub fn held(&self) -> Option<&HeldChanges> {
         self.held.as_ref()
     }
 
+    /// Whether the last complete sweep came from a server that lags.
     pub fn is_behind(&self) -> bool {
         self.behind
     }
@@ -66,6 +77,7 @@
         &self.mark
     }
 
+    /// Sets the mark that was stored before a restart.
     pub fn remember(&mut self, mark: Mark) {
         self.mark = mark;
     }
@@ -85,6 +97,7 @@
         !sweep.mark.is_empty() && self.mark.iter().any(behind) || sweep.entries.iter().any(old)
     }
 
+    /// Decides what of a sweep is accepted, and what is held.
     pub fn judge(
         &mut self,
         now: i64,
@@ -148,8 +161,8 @@
 /// So many tenants or people are missing at once that it is not believed.
 fn much_is_missing(known: &Tenants, missing: &BTreeSet<Id>, caution: ChangeGuard) -> bool {
     let much = |is: &dyn Fn(&EntryKind) -> bool| {
-        let of = known.ids().filter(|x| is(&x.1.what)).count();
-        let went = missing.iter().filter(|&&id| known.entry(id).is_some_and(|e| is(&e.what))).count();
+        let of = known.ids().filter(|x| is(&x.1.kind)).count();
+        let went = missing.iter().filter(|&&id| known.entry(id).is_some_and(|e| is(&e.kind))).count();
         went > caution.few.max(of * caution.percent / 100)
     };
     !missing.is_empty()
--- a/tenants/src/group_closure.rs
+++ b/tenants/src/group_closure.rs
@@ -16,164 +16,166 @@
     all: RoaringBitmap,
 }
 
-/// Groups and persons are small dense numbers of the caller's, each from 0.
+/// The members of nested groups. Groups and persons are small dense numbers of the caller's, each from 0.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GroupClosure {
     groups: Vec<Group>,
 }
 
 impl GroupClosure {
-    fn know(&mut self, g: u32) {
-        while self.groups.len() <= g as usize {
+    fn ensure_group(&mut self, group_id: u32) {
+        while self.groups.len() <= group_id as usize {
             let own: RoaringBitmap = [self.groups.len() as u32].into_iter().collect();
             self.groups.push(Group { below: own.clone(), above: own, ..Group::default() });
         }
     }
 
-    fn of(&self, g: u32) -> Option<&Group> {
-        self.groups.get(g as usize)
+    fn get(&self, group_id: u32) -> Option<&Group> {
+        self.groups.get(group_id as usize)
     }
 
     /// Whether a person is in a group or in one below it.
-    pub fn holds(&self, g: u32, person: u32) -> bool {
-        self.of(g).is_some_and(|group| group.all.contains(person))
+    pub fn contains(&self, group_id: u32, person: u32) -> bool {
+        self.get(group_id).is_some_and(|group| group.all.contains(person))
     }
 
     /// Whether a group is below another, or is it.
-    pub fn is_below(&self, g: u32, above: u32) -> bool {
-        self.of(above).is_some_and(|group| group.below.contains(g))
+    pub fn is_below(&self, group_id: u32, above: u32) -> bool {
+        self.get(above).is_some_and(|group| group.below.contains(group_id))
     }
 
     /// All persons in a group and below it.
-    pub fn persons(&self, g: u32) -> impl Iterator<Item = u32> + '_ {
-        self.of(g).into_iter().flat_map(|group| group.all.iter())
+    pub fn persons(&self, group_id: u32) -> impl Iterator<Item = u32> + '_ {
+        self.get(group_id).into_iter().flat_map(|group| group.all.iter())
     }
 
-    pub fn count(&self, g: u32) -> u64 {
-        self.of(g).map_or(0, |group| group.all.len())
+    /// How many persons are in a group and below it.
+    pub fn count(&self, group_id: u32) -> u64 {
+        self.get(group_id).map_or(0, |group| group.all.len())
     }
 
     /// The groups on a way down from one group to one that holds a person, the first found; for "why".
-    pub fn way(&self, g: u32, person: u32) -> Vec<u32> {
-        let mut ways = vec![vec![g]];
-        let mut seen: RoaringBitmap = [g].into_iter().collect();
-        while !ways.is_empty() {
+    pub fn path(&self, group_id: u32, person: u32) -> Vec<u32> {
+        let mut paths = vec![vec![group_id]];
+        let mut seen: RoaringBitmap = [group_id].into_iter().collect();
+        while !paths.is_empty() {
             let mut next = Vec::new();
-            for way in ways {
-                let Some(group) = self.of(way[way.len() - 1]) else { continue };
+            for path in paths {
+                let Some(group) = self.get(path[path.len() - 1]) else { continue };
                 if group.persons.contains(person) {
-                    return way;
+                    return path;
                 }
-                for inner in group.groups.iter().filter(|&i| self.holds(i, person)) {
+                for inner in group.groups.iter().filter(|&i| self.contains(i, person)) {
                     if seen.insert(inner) {
-                        next.push(way.iter().copied().chain([inner]).collect());
+                        next.push(path.iter().copied().chain([inner]).collect());
                     }
                 }
             }
-            ways = next;
+            paths = next;
         }
         Vec::new()
     }
 
     /// Sets who is directly in a group. Returns whether that changed anything.
-    pub fn set_persons(&mut self, g: u32, persons: RoaringBitmap) -> bool {
-        self.know(g);
-        let old = std::mem::replace(&mut self.groups[g as usize].persons, persons);
-        let new = &self.groups[g as usize].persons;
-        let (came, went) = (new - &old, &old - new);
-        if came.is_empty() && went.is_empty() {
+    pub fn set_persons(&mut self, group_id: u32, persons: RoaringBitmap) -> bool {
+        self.ensure_group(group_id);
+        let old = std::mem::replace(&mut self.groups[group_id as usize].persons, persons);
+        let new = &self.groups[group_id as usize].persons;
+        let (added, removed) = (new - &old, &old - new);
+        if added.is_empty() && removed.is_empty() {
             return false;
         }
-        for a in self.groups[g as usize].above.clone() {
-            if !came.is_empty() {
-                self.groups[a as usize].all |= &came;
+        for ancestor in self.groups[group_id as usize].above.clone() {
+            if !added.is_empty() {
+                self.groups[ancestor as usize].all |= &added;
             }
-            if !went.is_empty() {
-                self.lose(a, &went);
+            if !removed.is_empty() {
+                self.remove_persons(ancestor, &removed);
             }
         }
         true
     }
 
-    /// Persons left one group below `a`: those whom no other group below holds leave its closure.
-    fn lose(&mut self, a: u32, went: &RoaringBitmap) {
-        let mut gone = went.clone();
-        for b in &self.groups[a as usize].below {
-            gone -= &self.groups[b as usize].persons;
+    /// Persons left one group below `ancestor`: those whom no other group below holds leave its closure.
+    fn remove_persons(&mut self, ancestor: u32, removed: &RoaringBitmap) {
+        let mut gone = removed.clone();
+        for descendant in &self.groups[ancestor as usize].below {
+            gone -= &self.groups[descendant as usize].persons;
             if gone.is_empty() {
                 return;
             }
         }
-        self.groups[a as usize].all -= &gone;
+        self.groups[ancestor as usize].all -= &gone;
     }
 
     /// Sets which groups are directly in a group. Returns whether that changed anything.
-    pub fn set_groups(&mut self, g: u32, groups: RoaringBitmap) -> bool {
-        self.know(groups.max().unwrap_or(0).max(g));
-        let old = self.groups[g as usize].groups.clone();
-        let (came, went) = (&groups - &old, &old - &groups);
-        if !went.is_empty() {
+    pub fn set_groups(&mut self, group_id: u32, groups: RoaringBitmap) -> bool {
+        self.ensure_group(groups.max().unwrap_or(0).max(group_id));
+        let old = self.groups[group_id as usize].groups.clone();
+        let (added, removed) = (&groups - &old, &old - &groups);
+        if !removed.is_empty() {
             // First what goes, without what comes: each step finds the sets as the other left them.
-            self.groups[g as usize].groups = &old & &groups;
-            self.count_anew(g);
+            self.groups[group_id as usize].groups = &old & &groups;
+            self.recompute_above(group_id);
         }
-        self.groups[g as usize].groups = groups;
-        for h in &came {
-            self.join(g, h);
+        self.groups[group_id as usize].groups = groups;
+        for child in &added {
+            self.add_edge(group_id, child);
         }
-        !came.is_empty() || !went.is_empty()
+        !added.is_empty() || !removed.is_empty()
     }
 
-    /// An edge from `g` down to `h` came.
-    fn join(&mut self, g: u32, h: u32) {
-        if self.groups[g as usize].below.contains(h) {
+    /// An edge from a group down to a child was added.
+    fn add_edge(&mut self, group_id: u32, child: u32) {
+        if self.groups[group_id as usize].below.contains(child) {
             return;
         }
-        let (above, below) = (self.groups[g as usize].above.clone(), self.groups[h as usize].below.clone());
-        let all = self.groups[h as usize].all.clone();
-        for a in &above {
-            let group = &mut self.groups[a as usize];
+        let (above, below) =
+            (self.groups[group_id as usize].above.clone(), self.groups[child as usize].below.clone());
+        let all = self.groups[child as usize].all.clone();
+        for ancestor in &above {
+            let group = &mut self.groups[ancestor as usize];
             group.below |= &below;
             group.all |= &all;
         }
-        for b in &below {
-            self.groups[b as usize].above |= &above;
+        for descendant in &below {
+            self.groups[descendant as usize].above |= &above;
         }
     }
 
-    /// An edge below `g` went: the groups above it find anew what is below them.
-    fn count_anew(&mut self, g: u32) {
-        let above = self.groups[g as usize].above.clone();
-        for a in &above {
-            let mut below: RoaringBitmap = [a].into_iter().collect();
-            let mut open = vec![a];
-            while let Some(b) = open.pop() {
-                open.extend(self.groups[b as usize].groups.iter().filter(|&c| below.insert(c)));
+    /// An edge below a group was removed: the groups above it recompute what is below them.
+    fn recompute_above(&mut self, group_id: u32) {
+        let above = self.groups[group_id as usize].above.clone();
+        for ancestor in &above {
+            let mut below: RoaringBitmap = [ancestor].into_iter().collect();
+            let mut open = vec![ancestor];
+            while let Some(descendant) = open.pop() {
+                open.extend(self.groups[descendant as usize].groups.iter().filter(|&c| below.insert(c)));
             }
-            let lost = &self.groups[a as usize].below - &below;
-            for b in &lost {
-                self.groups[b as usize].above.remove(a);
+            let lost = &self.groups[ancestor as usize].below - &below;
+            for descendant in &lost {
+                self.groups[descendant as usize].above.remove(ancestor);
             }
             if lost.is_empty() {
                 continue;
             }
-            let mut went = RoaringBitmap::new();
-            for b in &lost {
-                went |= &self.groups[b as usize].persons;
+            let mut removed = RoaringBitmap::new();
+            for descendant in &lost {
+                removed |= &self.groups[descendant as usize].persons;
             }
-            self.groups[a as usize].below = below;
-            self.lose(a, &went);
+            self.groups[ancestor as usize].below = below;
+            self.remove_persons(ancestor, &removed);
         }
     }
 
     /// Bytes that the sets take when written, as a measure of their size.
     pub fn bytes(&self) -> usize {
-        let of = |g: &Group| {
-            [&g.persons, &g.groups, &g.below, &g.above, &g.all]
+        let size = |group: &Group| {
+            [&group.persons, &group.groups, &group.below, &group.above, &group.all]
                 .iter()
-                .map(|b| b.serialized_size())
+                .map(|bitmap| bitmap.serialized_size())
                 .sum::<usize>()
         };
-        self.groups.iter().map(of).sum()
+        self.groups.iter().map(size).sum()
     }
 }
--- a/tenants/src/lib.rs
+++ b/tenants/src/lib.rs
@@ -1,7 +1,8 @@
 //! Tenants as a directory tells of them. No I/O and no clock of its own: sweeps of the directory come in,
-//! changes go out, and questions are answered with how far the answer can be relied on. `closure` keeps
-//! members of nested groups, `health` says when to ask which server and how fresh what is known is, `trust`
-//! what of a sweep is believed, `rights` who may do what. Times are whole microseconds.
+//! changes go out, and questions are answered with how far the answer can be relied on. `group_closure` keeps
+//! members of nested groups, `sync_schedule` says when to ask which server and how fresh what is known is,
+//! `change_guard` what of a sweep is accepted, `authorization` who may do what, and `tenant_directory` joins
+//! them. Times are whole microseconds.
 pub mod authorization;
 pub mod change_guard;
 pub mod group_closure;
@@ -36,10 +37,10 @@
 
 impl std::fmt::Display for Id {
     /// As RFC 4122 writes it.
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
         let hex = format!("{:032x}", self.0);
         let parts = [&hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..]];
-        f.write_str(&parts.join("-"))
+        formatter.write_str(&parts.join("-"))
     }
 }
 
@@ -47,27 +48,35 @@
 /// so.
 pub type Stamp = String;
 
+/// What an entry of the directory stands for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EntryKind {
     /// A tenant is a group with a share of the fleet.
     Tenant {
+        /// Its share of the fleet, from 0 to 1.
         share: f64,
     },
+    /// A group that is no tenant; it may be a member of other groups.
     Group,
+    /// Someone who submits and operates.
     Person,
 }
 
 /// One entry of the directory.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
+    /// Its stable id.
     pub id: Id,
-    pub what: EntryKind,
+    /// What it stands for.
+    #[serde(rename = "what")]
+    pub kind: EntryKind,
     /// What people call it: the tenant's name, the person's login.
     pub name: String,
     /// Its distinguished name, in one spelling.
     pub dn: String,
     /// Distinguished names of direct members.
     pub members: Vec<String>,
+    /// When it last changed.
     pub stamp: Stamp,
 }
 
@@ -78,11 +87,13 @@
 /// What came of a sweep of one server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sweep {
+    /// Entries that were read, as they are now.
     pub entries: Vec<Entry>,
     /// Entries that are there as this server gave them before.
     pub present: Vec<Id>,
     /// Every page came, no limit was met and no referral: what is not in it is not in the directory.
     pub complete: bool,
+    /// How far the server says that it is.
     pub mark: Mark,
     /// Entries that the server says were deleted; all others are as they were. None: what is not in it is
     /// gone.
@@ -101,15 +112,53 @@
 /// What is different from before.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    Came { id: Id, name: String },
-    Renamed { id: Id, from: String, to: String },
-    Went { id: Id, name: String },
-    Members { id: Id, name: String, count: u64 },
-    Share { id: Id, name: String, from: f64, to: f64 },
+    /// A tenant was added.
+    Came {
+        /// Its id.
+        id: Id,
+        /// Its name.
+        name: String,
+    },
+    /// A tenant has another name.
+    Renamed {
+        /// Its id.
+        id: Id,
+        /// Its name before.
+        from: String,
+        /// Its name now.
+        to: String,
+    },
+    /// A tenant was removed.
+    Went {
+        /// Its id.
+        id: Id,
+        /// Its last name.
+        name: String,
+    },
+    /// A tenant has more or fewer members.
+    Members {
+        /// Its id.
+        id: Id,
+        /// Its name.
+        name: String,
+        /// How many members it has now.
+        count: u64,
+    },
+    /// A tenant has another share of the fleet.
+    Share {
+        /// Its id.
+        id: Id,
+        /// Its name.
+        name: String,
+        /// Its share before.
+        from: f64,
+        /// Its share now.
+        to: f64,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Known {
+struct EntryRecord {
     entry: Entry,
     /// Number of a group or tenant, or of a person, in the closure.
     number: u32,
@@ -117,24 +166,30 @@
     was: Option<(String, i64)>,
 }
 
-/// For how long a renamed tenant's old name is shown beside the new one.
+/// For how long, in microseconds, a renamed tenant's old name is shown beside the new one.
 pub const OLD_NAME_SHOWN: i64 = 86_400_000_000;
 
 /// A tenant as it is shown.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
+    /// Its stable id.
     pub id: Id,
+    /// Its name now.
     pub name: String,
+    /// Its name before, for [`OLD_NAME_SHOWN`] after a renaming.
     pub was: Option<String>,
+    /// Its share of the fleet.
     pub share: f64,
+    /// How many persons are in it and in the groups below it.
     pub members: u64,
     /// The index under which the placing module knows it, which stays over renamings.
     pub index: usize,
 }
 
+/// The entries of a directory as last accepted, indexed for look-up.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
-    known: BTreeMap<Id, Known>,
+    known: BTreeMap<Id, EntryRecord>,
     by_dn: FnvHashMap<String, Id>,
     /// Distinguished names of before, for members that the directory has not mended yet. Entries of now go
     /// first.
@@ -167,15 +222,16 @@
 
     /// What is known of an entry.
     pub fn entry(&self, id: Id) -> Option<&Entry> {
-        self.known.get(&id).map(|k| &k.entry)
+        self.known.get(&id).map(|record| &record.entry)
     }
 
+    /// All entries, in the order of their ids.
     pub fn ids(&self) -> impl Iterator<Item = (Id, &Entry)> {
-        self.known.iter().map(|(id, k)| (*id, &k.entry))
+        self.known.iter().map(|(id, record)| (*id, &record.entry))
     }
 
-    /// Takes in what `trust` let through: entries that are there, and ids that are gone. An entry older than
-    /// what is known of it says nothing.
+    /// Takes in what `change_guard` accepted: entries that are there, and ids that are gone. An entry older
+    /// than what is known of it changes nothing.
     pub fn take(&mut self, now: i64, entries: Vec<Entry>, gone: &[Id]) -> Vec<Change> {
         self.take_in(now, entries, gone, false)
     }
@@ -191,9 +247,9 @@
         }
         for entry in entries {
             let id = entry.id;
-            let old = self.known.get(&id).is_some_and(|k| entry.stamp < k.entry.stamp)
+            let old = self.known.get(&id).is_some_and(|record| entry.stamp < record.entry.stamp)
                 || self.gone.get(&id).is_some_and(|stamp| entry.stamp < *stamp);
-            if (as_is || !old) && self.known.get(&id).is_none_or(|k| k.entry != entry) {
+            if (as_is || !old) && self.known.get(&id).is_none_or(|record| record.entry != entry) {
                 self.put(now, entry, &mut dirty, &mut changes);
             }
         }
@@ -201,8 +257,8 @@
             self.set_members(id);
         }
         for (id, count) in before {
-            let Some(k) = self.known.get(&id).filter(|_| self.count(id) != count) else { continue };
-            changes.push(Change::Members { id, name: k.entry.name.clone(), count: self.count(id) });
+            let Some(record) = self.known.get(&id).filter(|_| self.count(id) != count) else { continue };
+            changes.push(Change::Members { id, name: record.entry.name.clone(), count: self.count(id) });
         }
         changes
     }
@@ -230,42 +286,42 @@
         let id = entry.id;
         self.edits += 1;
         self.gone.remove(&id);
-        let number = match entry.what {
+        let number = match entry.kind {
             EntryKind::Person => self.persons.intern(id),
             _ => self.groups.intern(id),
         } as u32;
         let old = self.known.remove(&id);
-        let mut was = old.as_ref().and_then(|k| k.was.clone());
-        if let Some(k) = &old {
-            if k.entry.dn != entry.dn && self.by_dn.get(&k.entry.dn) == Some(&id) {
-                self.by_dn.remove(&k.entry.dn);
-                self.old_dns.insert(k.entry.dn.clone(), id);
-                self.dn_moves(&k.entry.dn, dirty);
+        let mut was = old.as_ref().and_then(|record| record.was.clone());
+        if let Some(record) = &old {
+            if record.entry.dn != entry.dn && self.by_dn.get(&record.entry.dn) == Some(&id) {
+                self.by_dn.remove(&record.entry.dn);
+                self.old_dns.insert(record.entry.dn.clone(), id);
+                self.dn_moves(&record.entry.dn, dirty);
             }
-            self.unname(&k.entry);
+            self.unname(&record.entry);
         }
-        let known_there = old.as_ref().is_some_and(|k| k.entry.dn == entry.dn);
+        let known_there = old.as_ref().is_some_and(|record| record.entry.dn == entry.dn);
         if !known_there {
             self.dn_moves(&entry.dn, dirty);
         }
-        let members: &[String] = old.as_ref().map_or(&[], |k| &k.entry.members);
+        let members: &[String] = old.as_ref().map_or(&[], |record| &record.entry.members);
         if members != entry.members {
             self.mention(id, members, &entry.members);
             dirty.insert(id);
         }
-        if let EntryKind::Tenant { share } = entry.what {
+        if let EntryKind::Tenant { share } = entry.kind {
             let index = self.place(id);
             self.names[index].0.clone_from(&entry.name);
             match &old {
                 None => changes.push(Change::Came { id, name: entry.name.clone() }),
-                Some(k) => {
-                    if k.entry.name != entry.name {
-                        was = Some((k.entry.name.clone(), now));
-                        self.old_names.insert(k.entry.name.clone(), id);
-                        let (from, to) = (k.entry.name.clone(), entry.name.clone());
+                Some(record) => {
+                    if record.entry.name != entry.name {
+                        was = Some((record.entry.name.clone(), now));
+                        self.old_names.insert(record.entry.name.clone(), id);
+                        let (from, to) = (record.entry.name.clone(), entry.name.clone());
                         changes.push(Change::Renamed { id, from, to });
                     }
-                    if let EntryKind::Tenant { share: from } = k.entry.what {
+                    if let EntryKind::Tenant { share: from } = record.entry.kind {
                         if from != share {
                             changes.push(Change::Share { id, name: entry.name.clone(), from, to: share });
                         }
@@ -273,62 +329,62 @@
                 }
             }
             self.by_name.insert(entry.name.clone(), id);
-        } else if entry.what == EntryKind::Person {
+        } else if entry.kind == EntryKind::Person {
             self.by_login.insert(entry.name.clone(), id);
         }
         self.by_dn.insert(entry.dn.clone(), id);
-        self.known.insert(id, Known { entry, number, was });
+        self.known.insert(id, EntryRecord { entry, number, was });
     }
 
     /// A name is free again, unless another entry has taken it in the meantime.
     fn unname(&mut self, entry: &Entry) {
-        let names = if entry.what == EntryKind::Person { &mut self.by_login } else { &mut self.by_name };
+        let names = if entry.kind == EntryKind::Person { &mut self.by_login } else { &mut self.by_name };
         if names.get(&entry.name) == Some(&entry.id) {
             names.remove(&entry.name);
         }
     }
 
     fn drop_entry(&mut self, id: Id, dirty: &mut BTreeSet<Id>, changes: &mut Vec<Change>) {
-        let Some(k) = self.known.remove(&id) else { return };
+        let Some(record) = self.known.remove(&id) else { return };
         self.edits += 1;
-        self.unname(&k.entry);
-        self.dn_moves(&k.entry.dn, dirty);
-        self.mention(id, &k.entry.members, &[]);
-        if self.by_dn.get(&k.entry.dn) == Some(&id) {
-            self.by_dn.remove(&k.entry.dn);
+        self.unname(&record.entry);
+        self.dn_moves(&record.entry.dn, dirty);
+        self.mention(id, &record.entry.members, &[]);
+        if self.by_dn.get(&record.entry.dn) == Some(&id) {
+            self.by_dn.remove(&record.entry.dn);
         }
-        if k.entry.what == EntryKind::Person {
-            self.persons.release(k.number as usize);
+        if record.entry.kind == EntryKind::Person {
+            self.persons.release(record.number as usize);
         } else {
-            self.closure.set_persons(k.number, RoaringBitmap::new());
-            self.closure.set_groups(k.number, RoaringBitmap::new());
-            self.groups.release(k.number as usize);
+            self.closure.set_persons(record.number, RoaringBitmap::new());
+            self.closure.set_groups(record.number, RoaringBitmap::new());
+            self.groups.release(record.number as usize);
         }
-        if matches!(k.entry.what, EntryKind::Tenant { .. }) {
-            changes.push(Change::Went { id, name: k.entry.name.clone() });
+        if matches!(record.entry.kind, EntryKind::Tenant { .. }) {
+            changes.push(Change::Went { id, name: record.entry.name.clone() });
         }
-        self.gone.insert(id, k.entry.stamp);
+        self.gone.insert(id, record.entry.stamp);
     }
 
     /// Finds a group's members among the entries of now; a name that leads nowhere is nobody.
     fn set_members(&mut self, id: Id) {
-        let Some(k) = self.known.get(&id) else { return };
+        let Some(record) = self.known.get(&id) else { return };
         let (mut persons, mut groups) = (RoaringBitmap::new(), RoaringBitmap::new());
-        for dn in &k.entry.members {
+        for dn in &record.entry.members {
             let member = self.by_dn.get(dn).or_else(|| self.old_dns.get(dn)).and_then(|m| self.known.get(m));
             match member {
-                Some(m) if m.entry.what == EntryKind::Person => persons.insert(m.number),
+                Some(m) if m.entry.kind == EntryKind::Person => persons.insert(m.number),
                 Some(m) => groups.insert(m.number),
                 None => false,
             };
         }
-        let number = k.number;
+        let number = record.number;
         self.closure.set_persons(number, persons);
         self.closure.set_groups(number, groups);
     }
 
     fn count(&self, id: Id) -> u64 {
-        self.known.get(&id).map_or(0, |k| self.closure.count(k.number))
+        self.known.get(&id).map_or(0, |record| self.closure.count(record.number))
     }
 
     /// A tenant by its id in hex digits or its name; by its name of before for a while, if no other has that
@@ -336,7 +392,7 @@
     pub fn find(&self, name: &str, now: i64) -> Option<Id> {
         let there = |id: &Id| self.index(*id).is_some();
         let was = |id: &Id| {
-            let was = self.known.get(id).and_then(|k| k.was.as_ref());
+            let was = self.known.get(id).and_then(|record| record.was.as_ref());
             there(id) && was.is_some_and(|w| w.0 == name && now < w.1 + OLD_NAME_SHOWN)
         };
         let by_id = Id::read(name).filter(there);
@@ -352,10 +408,12 @@
     /// The people in a group or tenant, by login.
     pub fn people(&self, group: Id) -> Vec<&str> {
         let Some(g) = self.known.get(&group) else { return Vec::new() };
-        let entry = |n: u32| self.known.get(self.persons.id(n as usize)).map(|k| k.entry.name.as_str());
+        let entry =
+            |n: u32| self.known.get(self.persons.id(n as usize)).map(|record| record.entry.name.as_str());
         self.closure.persons(g.number).filter_map(entry).collect()
     }
 
+    /// The person with a login.
     pub fn login(&self, login: &str) -> Option<Id> {
         self.by_login.get(login).copied()
     }
@@ -372,7 +430,7 @@
 
     /// The module's index of a tenant that is there.
     pub fn index(&self, id: Id) -> Option<usize> {
-        self.known.get(&id).filter(|k| matches!(k.entry.what, EntryKind::Tenant { .. }))?;
+        self.known.get(&id).filter(|record| matches!(record.entry.kind, EntryKind::Tenant { .. }))?;
         self.places.get(&id).copied()
     }
 
@@ -384,12 +442,13 @@
     /// A group or tenant by its distinguished name.
     pub fn group(&self, dn: &str) -> Option<Id> {
         let id = *self.by_dn.get(dn)?;
-        (self.known[&id].entry.what != EntryKind::Person).then_some(id)
+        (self.known[&id].entry.kind != EntryKind::Person).then_some(id)
     }
 
+    /// Whether a person is in a group or tenant, or in a group below it.
     pub fn is_member(&self, person: Id, group: Id) -> bool {
         match (self.known.get(&group), self.known.get(&person)) {
-            (Some(g), Some(p)) => self.closure.holds(g.number, p.number),
+            (Some(g), Some(p)) => self.closure.contains(g.number, p.number),
             _ => false,
         }
     }
@@ -405,18 +464,20 @@
     /// Names of the groups through which a person is in a group; empty where he is not.
     pub fn why(&self, person: Id, group: Id) -> Vec<String> {
         let (Some(g), Some(p)) = (self.known.get(&group), self.known.get(&person)) else { return Vec::new() };
-        let name = |n: u32| self.known.get(self.groups.id(n as usize)).map(|k| k.entry.name.clone());
-        self.closure.way(g.number, p.number).into_iter().filter_map(name).collect()
+        let name =
+            |n: u32| self.known.get(self.groups.id(n as usize)).map(|record| record.entry.name.clone());
+        self.closure.path(g.number, p.number).into_iter().filter_map(name).collect()
     }
 
     /// A tenant as it is shown at a time.
     pub fn tenant(&self, id: Id, now: i64) -> Option<Tenant> {
-        let (k, index) = (self.known.get(&id)?, self.index(id)?);
-        let EntryKind::Tenant { share } = k.entry.what else { return None };
-        let was = k.was.as_ref().filter(|w| now < w.1 + OLD_NAME_SHOWN).map(|w| w.0.clone());
-        Some(Tenant { id, name: k.entry.name.clone(), was, share, members: self.count(id), index })
+        let (record, index) = (self.known.get(&id)?, self.index(id)?);
+        let EntryKind::Tenant { share } = record.entry.kind else { return None };
+        let was = record.was.as_ref().filter(|w| now < w.1 + OLD_NAME_SHOWN).map(|w| w.0.clone());
+        Some(Tenant { id, name: record.entry.name.clone(), was, share, members: self.count(id), index })
     }
 
+    /// All tenants that are there, in the order of their indices.
     pub fn tenants(&self, now: i64) -> impl Iterator<Item = Tenant> + '_ {
         self.tenants.iter().filter_map(move |&id| self.tenant(id, now))
     }
--- a/tenants/src/sync_schedule.rs
+++ b/tenants/src/sync_schedule.rs
@@ -7,17 +7,21 @@
 /// How often the directory is asked, and when what is known counts as stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SyncSchedule {
+    /// From the end of a full sweep to the next.
     pub every_us: i64,
     /// A sweep that takes longer has failed.
     pub patience_us: i64,
     /// What was last heard in full longer ago than this is stale.
     pub fresh_us: i64,
+    /// The wait after failures is this, doubled with each.
     pub first_wait_us: i64,
+    /// The longest wait after failures.
     pub most_wait_us: i64,
     /// A server is left for one that takes less than one part in so many of its time.
     pub slower: i64,
 }
 
+/// The schedule where settings say nothing else.
 pub const DEFAULT_SYNC_SCHEDULE: SyncSchedule = SyncSchedule {
     every_us: 30_000_000,
     patience_us: 60_000_000,
@@ -47,6 +51,7 @@
     Full,
     /// Something came, and it is known not to be all, or the server is an older replica.
     Partial,
+    /// Nothing came, or it took too long.
     Failed,
 }
 
@@ -58,18 +63,19 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Under {
+struct RunningSweep {
     server: usize,
     since: i64,
 }
 
+/// Chooses the server to sweep and the time, and knows how fresh the last full sweep is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SyncScheduler {
     pace: SyncSchedule,
     seed: u64,
     servers: Vec<Server>,
     at: usize,
-    under: Option<Under>,
+    under: Option<RunningSweep>,
     full_at: Option<i64>,
     due: i64,
     answers: bool,
@@ -90,6 +96,7 @@
         }
     }
 
+    /// How far what is known can be relied on at a time.
     pub fn state(&self, now: i64) -> DirectoryState {
         match self.full_at {
             None => DirectoryState::Blind,
@@ -106,21 +113,21 @@
 
     /// The server to sweep now, if it is time. A sweep that took too long is given up first.
     pub fn next(&mut self, now: i64) -> Option<usize> {
-        if self.under.is_some_and(|u| now >= u.since + self.pace.patience_us) {
+        if self.under.is_some_and(|running| now >= running.since + self.pace.patience_us) {
             self.ended(now, SyncOutcome::Failed);
         }
         if self.under.is_some() || now < self.due {
             return None;
         }
         let server = self.choose(now)?;
-        self.under = Some(Under { server, since: now });
+        self.under = Some(RunningSweep { server, since: now });
         Some(server)
     }
 
     /// When `next` has something to do, if nothing else happens.
     pub fn next_at(&self) -> i64 {
         match self.under {
-            Some(u) => u.since + self.pace.patience_us,
+            Some(running) => running.since + self.pace.patience_us,
             None => self.due.max(self.servers.iter().map(|s| s.not_before).min().unwrap_or(0)),
         }
     }
@@ -137,8 +144,8 @@
         {
             self.at = i;
         } else if !free(&self.servers[self.at]) || self.servers[self.at].fails > 0 {
-            let n = self.servers.len();
-            let order = (1..=n).map(|i| (self.at + i) % n);
+            let count = self.servers.len();
+            let order = (1..=count).map(|i| (self.at + i) % count);
             self.at = order.into_iter().find(|&i| free(&self.servers[i]))?;
         }
         Some(self.at)
@@ -153,20 +160,21 @@
     pub fn ended(&mut self, now: i64, how: SyncOutcome) {
         let Some(under) = self.under.take() else { return };
         let pace = self.pace;
-        let s = &mut self.servers[under.server];
+        let server = &mut self.servers[under.server];
         match how {
             SyncOutcome::Full => {
                 let took = now - under.since;
-                s.took_us = Some(s.took_us.map_or(took, |t| (3 * t + took) / 4));
-                (s.fails, s.not_before) = (0, now);
+                server.took_us = Some(server.took_us.map_or(took, |t| (3 * t + took) / 4));
+                (server.fails, server.not_before) = (0, now);
                 self.full_at = Some(now);
                 self.answers = false;
                 self.due = now + pace.every_us;
             }
             SyncOutcome::Partial | SyncOutcome::Failed => {
-                s.fails = s.fails.saturating_add(1);
-                let wait = (pace.first_wait_us << s.fails.min(16)).min(pace.most_wait_us);
-                s.not_before = now + wait - jitter(self.seed, under.server, s.fails) % (wait / 2).max(1);
+                server.fails = server.fails.saturating_add(1);
+                let wait = (pace.first_wait_us << server.fails.min(16)).min(pace.most_wait_us);
+                server.not_before =
+                    now + wait - jitter(self.seed, under.server, server.fails) % (wait / 2).max(1);
                 self.answers = how == SyncOutcome::Partial;
                 self.due = now;
             }
@@ -184,60 +192,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const S: i64 = 1_000_000;
-
-    #[test]
-    fn servers_are_tried_in_order_and_a_failing_one_waits() {
-        let mut h = SyncScheduler::new(1, 0, 3, None, DEFAULT_SYNC_SCHEDULE);
-        let mut tried = Vec::new();
-        for now in 0..4 {
-            let server = h.next(now * S / 10);
-            tried.push(server);
-            h.ended(now * S / 10, SyncOutcome::Failed);
-        }
-        assert_eq!(tried, [Some(0), Some(1), Some(2), None]);
-        assert_eq!(h.state(S), DirectoryState::Blind);
-        assert!(h.next_at() > 3 * S / 10 && h.next_at() <= 3 * S);
-    }
-
-    #[test]
-    fn a_slow_server_is_left_for_a_fast_one() {
-        let mut h = SyncScheduler::new(1, 0, 2, None, DEFAULT_SYNC_SCHEDULE);
-        assert_eq!(h.next(0), Some(0));
-        h.ended(S, SyncOutcome::Failed);
-        assert_eq!(h.next(S), Some(1));
-        h.ended(2 * S, SyncOutcome::Full);
-        // The second becomes slow once the first, which works again, is known to be fast.
-        h.servers[0] = Server { took_us: Some(S / 10), ..Server::default() };
-        assert_eq!(h.next(40 * S), Some(0));
-    }
-
-    #[test]
-    fn fresh_then_stale_then_recovering_then_fresh() {
-        let mut h = SyncScheduler::new(1, 0, 1, Some(-200 * S), DEFAULT_SYNC_SCHEDULE);
-        assert_eq!(h.state(0), DirectoryState::Stale, "what was remembered over a restart");
-        assert_eq!(h.next(0), Some(0));
-        h.answered();
-        assert_eq!(h.state(1), DirectoryState::Recovering);
-        h.ended(2, SyncOutcome::Partial);
-        assert_eq!(h.state(2), DirectoryState::Recovering, "not all of it came");
-        let at = h.next_at();
-        assert_eq!(h.next(at), Some(0));
-        h.ended(at, SyncOutcome::Full);
-        assert_eq!(
-            (h.state(at), h.state(at + DEFAULT_SYNC_SCHEDULE.fresh_us)),
-            (DirectoryState::Fresh, DirectoryState::Stale)
-        );
-    }
-
-    #[test]
-    fn a_sweep_that_hangs_is_given_up() {
-        let mut h = SyncScheduler::new(1, 0, 2, None, DEFAULT_SYNC_SCHEDULE);
-        assert_eq!(h.next(0), Some(0));
-        assert_eq!(h.next_at(), DEFAULT_SYNC_SCHEDULE.patience_us);
-        assert_eq!(h.next(DEFAULT_SYNC_SCHEDULE.patience_us), Some(1));
-    }
-}
+mod tests;
--- a/tenants/src/tenant_directory.rs
+++ b/tenants/src/tenant_directory.rs
@@ -1,7 +1,7 @@
 //! All that is known of a directory, in one place: what was learnt, what of it is believed, how fresh it is,
 //! and what is remembered over a restart. No I/O: it says which server to sweep and when, takes in what came,
 //! and answers.
-use crate::authorization::{rule, AccessPolicy, AuthorizationDecision, Operation};
+use crate::authorization::{authorize, AccessPolicy, AuthorizationDecision, Operation};
 use crate::change_guard::{ChangeGuard, ChangeReview, HeldChanges};
 use crate::sync_schedule::{DirectoryState, SyncOutcome, SyncSchedule, SyncScheduler};
 use crate::{Change, Entry, Id, Mark, Sweep, Tenants};
@@ -12,7 +12,7 @@
 
 /// What outlives a planner: the entries, and the tenants in the order of their indices, gone ones too.
 #[derive(Serialize, Deserialize)]
-struct Memory {
+struct DirectorySnapshot {
     entries: Vec<Entry>,
     order: Vec<Id>,
     /// Names of before, and when a renaming was heard.
@@ -22,6 +22,15 @@
     cookies: Vec<(String, Vec<u8>)>,
 }
 
+/// A stored snapshot that cannot be read.
+#[derive(Debug, thiserror::Error)]
+#[error("remembered tenants: found {found}; expected entries of format {FORMAT}")]
+pub struct InvalidSnapshot {
+    /// What the JSON reader met, and where.
+    found: serde_json::Error,
+}
+
+/// The tenants of a directory, kept in step with it by sweeps of its servers.
 pub struct TenantDirectory {
     known: Tenants,
     trust: ChangeReview,
@@ -49,20 +58,20 @@
         remembered: Option<(i64, &[u8])>,
         pace: SyncSchedule,
         caution: ChangeGuard,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, InvalidSnapshot> {
         let (mut known, mut trust) = (Tenants::default(), ChangeReview::default());
         let mut servers: Vec<_> = servers.iter().map(|s| (s.clone(), None)).collect();
         if let Some((at, bytes)) = remembered {
-            let memory: Memory = serde_json::from_slice(bytes)
-                .map_err(|e| format!("remembered tenants: found {e}; expected entries of format {FORMAT}"))?;
+            let memory: DirectorySnapshot =
+                serde_json::from_slice(bytes).map_err(|found| InvalidSnapshot { found })?;
             memory.order.into_iter().for_each(|id| {
                 known.place(id);
             });
             known.take(at, memory.entries, &[]);
             for (id, name, at) in memory.was {
-                if let Some(k) = known.known.get_mut(&id) {
+                if let Some(record) = known.known.get_mut(&id) {
                     known.old_names.insert(name.clone(), id);
-                    k.was = Some((name, at));
+                    record.was = Some((name, at));
                 }
             }
             trust.remember(memory.mark);
@@ -81,14 +90,14 @@
     pub fn memory(&self) -> Option<(i64, Vec<u8>)> {
         let at = self.health.full_at()?;
         let entries = self.known.ids().map(|x| x.1.clone()).collect();
-        let was = self.known.known.iter().filter_map(|(id, k)| {
-            let (name, at) = k.was.clone()?;
+        let was = self.known.known.iter().filter_map(|(id, record)| {
+            let (name, at) = record.was.clone()?;
             Some((*id, name, at))
         });
         let (was, mark) = (was.collect(), self.trust.mark().clone());
         let with_cookie = self.servers.iter().filter_map(|s| Some((s.0.clone(), s.1.clone()?)));
         let (order, cookies) = (self.known.tenants.clone(), with_cookie.collect());
-        let memory = Memory { entries, order, was, mark, cookies };
+        let memory = DirectorySnapshot { entries, order, was, mark, cookies };
         Some((at, serde_json::to_vec(&memory).expect("plain values")))
     }
 
@@ -106,6 +115,7 @@
         self.under.is_none_or(|s| self.since_whole[s].is_none_or(|n| n >= WHOLE_EVERY))
     }
 
+    /// When `next` has something to do, if nothing else happens.
     pub fn next_at(&self) -> i64 {
         self.health.next_at()
     }
@@ -144,6 +154,7 @@
         changes
     }
 
+    /// How far what is known can be relied on at a time.
     pub fn state(&self, now: i64) -> DirectoryState {
         self.health.state(now)
     }
@@ -163,26 +174,28 @@
     }
 
     /// The state, once each time that it is another: for the log.
-    pub fn news(&mut self, now: i64) -> Option<DirectoryState> {
+    pub fn new_state(&mut self, now: i64) -> Option<DirectoryState> {
         let state = self.state(now);
         (self.said.replace(state) != Some(state)).then_some(state)
     }
 
     /// Who may do what, by what is known now.
-    pub fn rule(
+    pub fn authorize(
         &self,
         now: i64,
-        terms: &AccessPolicy,
+        policy: &AccessPolicy,
         login: &str,
-        asks: Operation,
+        operation: Operation,
     ) -> AuthorizationDecision {
-        rule(&self.known, now, self.state(now), terms, login, asks)
+        authorize(&self.known, now, self.state(now), policy, login, operation)
     }
 
+    /// The entries as last accepted.
     pub fn tenants(&self) -> &Tenants {
         &self.known
     }
 
+    /// The removal that is held, if one is.
     pub fn held(&self) -> Option<&HeldChanges> {
         self.trust.held()
     }
--- a/tenants/tests/directory.rs
+++ b/tenants/tests/directory.rs
@@ -1,5 +1,5 @@
 //! Entries as a directory gives them, and what becomes of them.
-use basaltpitch_tenants::authorization::{rule, AccessPolicy, AuthorizationBasis, Operation};
+use basaltpitch_tenants::authorization::{authorize, AccessPolicy, AuthorizationBasis, Operation};
 use basaltpitch_tenants::change_guard::{ChangeGuard, ChangeReview};
 use basaltpitch_tenants::sync_schedule::DirectoryState;
 use basaltpitch_tenants::{Change, Entry, EntryKind, Id, Sweep, Tenants, OLD_NAME_SHOWN};
@@ -10,7 +10,7 @@
 fn entry(id: u128, what: EntryKind, name: &str, members: &[&str], stamp: u32) -> Entry {
     let dn = format!("cn={name}");
     let members = members.iter().map(|m| format!("cn={m}")).collect();
-    Entry { id: Id(id), what, name: name.into(), dn, members, stamp: format!("2026{stamp:010}Z") }
+    Entry { id: Id(id), kind: what, name: name.into(), dn, members, stamp: format!("2026{stamp:010}Z") }
 }
 
 fn tenant(id: u128, name: &str, members: &[&str], stamp: u32) -> Entry {
@@ -130,9 +130,12 @@
             ("see a task of orders", Operation::See { tenant: t.find("orders", 0) }),
         ];
         for (words, asks) in asks {
-            let r = rule(&t, 0, DirectoryState::Fresh, &terms, login, asks);
-            table +=
-                &format!("{login:7} {words:21} {:4} {}\n", if r.may { "yes" } else { "no" }, r.why.words());
+            let r = authorize(&t, 0, DirectoryState::Fresh, &terms, login, asks);
+            table += &format!(
+                "{login:7} {words:21} {:4} {}\n",
+                if r.may { "yes" } else { "no" },
+                r.basis.description()
+            );
         }
     }
     expect![[r#"
@@ -167,25 +170,25 @@
     for place in [true, false] {
         let terms = AccessPolicy { place_stale: place, place_blind: place, ..AccessPolicy::default() };
         for state in [DirectoryState::Stale, DirectoryState::Recovering] {
-            let r = rule(&t, 0, state, &terms, "asha", submit);
+            let r = authorize(&t, 0, state, &terms, "asha", submit);
             assert_eq!((r.may, r.stale), (place, true), "{state:?}");
             assert!(
-                rule(&t, 0, state, &terms, "asha", Operation::See { tenant: t.find("orders", 0) }).may,
+                authorize(&t, 0, state, &terms, "asha", Operation::See { tenant: t.find("orders", 0) }).may,
                 "looking goes on"
             );
         }
-        let r = rule(&Tenants::default(), 0, DirectoryState::Blind, &terms, "asha", submit);
+        let r = authorize(&Tenants::default(), 0, DirectoryState::Blind, &terms, "asha", submit);
         assert_eq!((r.may, r.stale), (place, true));
         assert_eq!(
-            rule(&t, 0, DirectoryState::Blind, &terms, "asha", Operation::Drain).why,
+            authorize(&t, 0, DirectoryState::Blind, &terms, "asha", Operation::Drain).basis,
             AuthorizationBasis::NothingKnown
         );
         let terms = AccessPolicy { always: vec!["watch".into()], ..terms };
         assert_eq!(
-            rule(&t, 0, DirectoryState::Blind, &terms, "watch", Operation::Drain).why,
+            authorize(&t, 0, DirectoryState::Blind, &terms, "watch", Operation::Drain).basis,
             AuthorizationBasis::Always
         );
-        assert_eq!(rule(&t, 0, DirectoryState::Blind, &terms, "watch", submit).may, place);
+        assert_eq!(authorize(&t, 0, DirectoryState::Blind, &terms, "watch", submit).may, place);
     }
 }
 
@@ -199,7 +202,7 @@
 fn a_sudden_lack_of_many_tenants_is_held_until_it_is_confirmed() {
     let (t, mut trust) = (small(), ChangeReview::default());
     let mut rest: Vec<Entry> =
-        t.ids().map(|x| x.1.clone()).filter(|e| !matches!(e.what, EntryKind::Tenant { .. })).collect();
+        t.ids().map(|x| x.1.clone()).filter(|e| !matches!(e.kind, EntryKind::Tenant { .. })).collect();
     rest.push(person(9, "late"));
     rest.last_mut().unwrap().stamp = format!("2026{:010}Z", 9);
     for (at, sweeps) in [(0, 1), (50, 2), (99, 3)] {
@@ -220,7 +223,7 @@
     let (t, mut trust) = (small(), ChangeReview::default());
     let all: Vec<Entry> = t.ids().map(|x| x.1.clone()).collect();
     let rest: Vec<Entry> =
-        all.iter().filter(|e| !matches!(e.what, EntryKind::Tenant { .. })).cloned().collect();
+        all.iter().filter(|e| !matches!(e.kind, EntryKind::Tenant { .. })).cloned().collect();
     trust.judge(0, &t, sweep(rest.clone(), true), QUICK);
     trust.judge(50, &t, sweep(all, true), QUICK);
     assert_eq!(trust.held(), None);
@@ -311,7 +314,7 @@
     fn all(&self) -> Vec<Entry> {
         let of = |(&e, (version, members, stamp)): (&u8, &(u8, BTreeSet<u8>, u32))| Entry {
             id: Id(u128::from(e)),
-            what: match e {
+            kind: match e {
                 0..4 => EntryKind::Tenant { share: 0.1 },
                 4..8 => EntryKind::Group,
                 _ => EntryKind::Person,
--- a/tenants/tests/every_state.rs
+++ b/tenants/tests/every_state.rs
@@ -61,7 +61,7 @@
 fn entries(of: &(BTreeSet<u128>, u32), marks: bool) -> Vec<Entry> {
     let entry = |id: u128, stamp: u32| Entry {
         id: Id(id),
-        what: if id == 0 { EntryKind::Group } else { EntryKind::Tenant { share: 0.3 } },
+        kind: if id == 0 { EntryKind::Group } else { EntryKind::Tenant { share: 0.3 } },
         name: format!("t{id}"),
         dn: format!("cn=t{id}"),
         members: Vec::new(),
--- a/tenants/tests/golden_memory.rs
+++ b/tenants/tests/golden_memory.rs
@@ -32,7 +32,7 @@
     let members = members.iter().map(|member| format!("cn={member},dc=example")).collect();
     Entry {
         id: Id(id << 64 | id),
-        what,
+        kind: what,
         name: name.into(),
         dn,
         members,
--- a/tenants/tests/outage.rs
+++ b/tenants/tests/outage.rs
@@ -14,7 +14,14 @@
 
 fn entry(id: u128, what: EntryKind, name: &str, members: &[&str], stamp: &str) -> Entry {
     let members = members.iter().map(|m| format!("cn={m}")).collect();
-    Entry { id: Id(id), what, name: name.into(), dn: format!("cn={name}"), members, stamp: stamp.into() }
+    Entry {
+        id: Id(id),
+        kind: what,
+        name: name.into(),
+        dn: format!("cn={name}"),
+        members,
+        stamp: stamp.into(),
+    }
 }
 
 fn before() -> Vec<Entry> {
@@ -58,20 +65,23 @@
 fn placement_goes_on_through_an_outage_and_a_restart_and_all_that_changed_comes_once() {
     let terms = AccessPolicy { place_stale: true, ..AccessPolicy::default() };
     let submit = |k: &TenantDirectory, now, login: &str, tenant: &str| {
-        let r = k.rule(now, &terms, login, Operation::Submit { tenant });
+        let r = k.authorize(now, &terms, login, Operation::Submit { tenant });
         (r.may, r.stale)
     };
     let mut k =
         TenantDirectory::new(1, 0, &names(2), None, DEFAULT_SYNC_SCHEDULE, DEFAULT_CHANGE_GUARD).unwrap();
-    assert_eq!((k.news(0), submit(&k, 0, "asha", "orders")), (Some(DirectoryState::Blind), (false, true)));
+    assert_eq!(
+        (k.new_state(0), submit(&k, 0, "asha", "orders")),
+        (Some(DirectoryState::Blind), (false, true))
+    );
     assert_eq!(pass(&mut k, 0, 60 * S, || full(before())).len(), 2, "two tenants came, once");
-    assert_eq!((k.news(60 * S), k.news(60 * S)), (Some(DirectoryState::Fresh), None), "said once");
+    assert_eq!((k.new_state(60 * S), k.new_state(60 * S)), (Some(DirectoryState::Fresh), None), "said once");
     assert_eq!(submit(&k, 60 * S, "asha", "orders"), (true, false));
     let (index, remembered) = (k.tenants().index(Id(11)), k.memory().unwrap());
 
     // Away for ten minutes: nothing is lost, and every answer says that it is old.
     assert_eq!(pass(&mut k, 60 * S, 300 * S, || None), []);
-    assert_eq!(k.news(300 * S), Some(DirectoryState::Stale));
+    assert_eq!(k.new_state(300 * S), Some(DirectoryState::Stale));
     assert_eq!(submit(&k, 300 * S, "asha", "orders"), (true, true));
 
     // Restarted in the midst: it serves on from what it remembers, under the same indices.
@@ -84,7 +94,7 @@
         DEFAULT_CHANGE_GUARD,
     )
     .unwrap();
-    assert_eq!((k.news(301 * S), k.tenants().index(Id(11))), (Some(DirectoryState::Stale), index));
+    assert_eq!((k.new_state(301 * S), k.tenants().index(Id(11))), (Some(DirectoryState::Stale), index));
     assert_eq!(pass(&mut k, 301 * S, 600 * S, || None), []);
     assert_eq!(submit(&k, 600 * S, "ravi", "stores"), (true, true));
     assert_eq!(submit(&k, 600 * S, "meera", "orders"), (false, true), "nobody has heard of her yet");
@@ -92,7 +102,7 @@
     // It answers again, at first in part: that is no reason to forget anybody.
     let part = || Some(Sweep::of(after()[..1].to_vec(), false));
     assert_eq!(pass(&mut k, 600 * S, 640 * S, part), []);
-    assert_eq!((k.news(640 * S), k.tenants().tenants(0).count()), (Some(DirectoryState::Recovering), 2));
+    assert_eq!((k.new_state(640 * S), k.tenants().tenants(0).count()), (Some(DirectoryState::Recovering), 2));
     let changes = pass(&mut k, 700 * S, 900 * S, || full(after()));
     let name = |n: &str| n.to_owned();
     assert_eq!(
@@ -104,7 +114,7 @@
         ]
     );
     assert_eq!(
-        (k.news(900 * S), submit(&k, 900 * S, "meera", "kitchen")),
+        (k.new_state(900 * S), submit(&k, 900 * S, "meera", "kitchen")),
         (Some(DirectoryState::Fresh), (true, false))
     );
     assert_eq!(k.tenants().index(Id(11)), index);
@@ -121,7 +131,8 @@
         DEFAULT_CHANGE_GUARD,
     )
     .err()
-    .unwrap();
+    .unwrap()
+    .to_string();
     assert!(
         said.starts_with("remembered tenants: found") && said.ends_with("expected entries of format 2"),
         "{said}"
