--- a/planner/benches/asked.rs
+++ b/planner/benches/asked.rs
@@ -1,7 +1,7 @@
 //! What it takes to find whether someone may submit for a tenant: a list in the settings, and a directory
 //! with so many people in tenants, each through groups nested five deep. `cargo bench -p
 //! basaltpitch-planner`.
-use basaltpitch_planner::tenancy::{Learnt, Tenancy, Ways};
+use basaltpitch_planner::tenant_access::{DirectoryAccess, DirectoryOptions, TenantAccess};
 use basaltpitch_tenants::authorization::AccessPolicy;
 use basaltpitch_tenants::change_guard::DEFAULT_CHANGE_GUARD;
 use basaltpitch_tenants::sync_schedule::DEFAULT_SYNC_SCHEDULE;
@@ -15,7 +15,7 @@
     divan::main();
 }
 
-fn learnt(people: usize) -> Tenancy {
+fn learnt(people: usize) -> TenantAccess {
     let entry = |id: usize, what: EntryKind, name: String, members: Vec<String>| {
         let stamp = "20261201000000Z".to_owned();
         Entry { id: Id(id as u128), kind: what, dn: format!("cn={name}"), name, members, stamp }
@@ -35,21 +35,21 @@
         }
     }
     let terms = AccessPolicy { place_stale: true, ..AccessPolicy::default() };
-    let ways = Ways {
+    let ways = DirectoryOptions {
         servers: vec!["one".into()],
         terms,
         pace: DEFAULT_SYNC_SCHEDULE,
         caution: DEFAULT_CHANGE_GUARD,
     };
-    let mut learnt = Learnt::new(1, 0, ways, None).expect("nothing is remembered");
+    let mut learnt = DirectoryAccess::new(1, 0, ways, None).expect("nothing is remembered");
     let task = learnt.next(0).expect("a first sweep");
     learnt.swept(1, task.number, Some(Sweep::of(all, true)), vec![]);
-    Tenancy::Learnt(Box::new(learnt))
+    TenantAccess::Directory(Box::new(learnt))
 }
 
 #[divan::bench]
 fn listed(bencher: Bencher) {
-    let tenancy = Tenancy::Listed((0..TENANTS).map(|t| format!("t{t}")).collect());
+    let tenancy = TenantAccess::Listed((0..TENANTS).map(|t| format!("t{t}")).collect());
     bencher.bench_local(|| tenancy.asked(2, black_box("p77"), black_box("t77")));
 }
 
--- a/planner/src/lib.rs
+++ b/planner/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod shared_metrics;
 pub mod state;
 pub mod summary_codec;
-pub mod tenancy;
+pub mod tenant_access;
 pub mod view;
 pub mod voter_links;
 pub mod voter_server;
--- a/planner/src/service/directory_sync.rs
+++ b/planner/src/service/directory_sync.rs
@@ -1,6 +1,6 @@
 //! Syncs with the directory of tenants: one at a time, beside the planner's other work.
 use super::PlannerService;
-use crate::tenancy::Task;
+use crate::tenant_access::SweepTask;
 use basaltpitch_ldap::{DirectorySettings, SeenEntries, SyncError, SyncResult, SyncState};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
@@ -15,7 +15,7 @@
 
 /// A sync that is under way.
 struct RunningSync {
-    task: Task,
+    task: SweepTask,
     handle: JoinHandle<()>,
 }
 
@@ -36,7 +36,7 @@
     }
 
     /// Starts a sync; one that is under way is given up.
-    pub(super) fn begin(&mut self, task: Task) {
+    pub(super) fn begin(&mut self, task: SweepTask) {
         if let Some(superseded) = self.running.take() {
             superseded.handle.abort();
         }
--- a/planner/src/service/tenant_snapshots.rs
+++ b/planner/src/service/tenant_snapshots.rs
@@ -1,5 +1,5 @@
 //! What of the directory of tenants outlives a planner: read at its start, written on a thread of its own.
-use crate::tenancy::{Learnt, Ways};
+use crate::tenant_access::{DirectoryAccess, DirectoryOptions};
 use basaltpitch_ldap::DirectorySettings;
 use basaltpitch_snapshot_store::SnapshotStore;
 use basaltpitch_tenants::tenant_directory::FORMAT;
@@ -56,17 +56,17 @@
     now_us: i64,
     directory: &DirectorySettings,
     store: Option<&SnapshotStore>,
-) -> Learnt {
-    let ways = Ways {
+) -> DirectoryAccess {
+    let ways = DirectoryOptions {
         servers: directory.source.urls.clone(),
         terms: directory.terms.clone(),
         pace: directory.pace,
         caution: directory.caution,
     };
     let stored = store.and_then(load);
-    let restored = Learnt::new(seed, now_us, ways.clone(), stored.as_ref().map(|s| (s.0, &s.1[..])));
+    let restored = DirectoryAccess::new(seed, now_us, ways.clone(), stored.as_ref().map(|s| (s.0, &s.1[..])));
     restored.unwrap_or_else(|e| {
         tracing::error!(error = e, "what is remembered of tenants makes no sense; beginning without it");
-        Learnt::new(seed, now_us, ways, None).expect("nothing is remembered")
+        DirectoryAccess::new(seed, now_us, ways, None).expect("nothing is remembered")
     })
 }
--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -24,7 +24,7 @@
 use crate::placement_event::{outcome_code, readiness_code, PlacementEvent};
 use crate::recording::Recorder;
 use crate::settings_lists::numbered_texts;
-use crate::tenancy::{Asked, Learnt, Task, Tenancy};
+use crate::tenant_access::{AccessDecision, DirectoryAccess, SweepTask, TenantAccess};
 use basaltpitch::host::{number, text, AttemptOutcome, MachineEstimate, Readiness, Settings};
 use basaltpitch::placement::Planner;
 use basaltpitch_agent::dial_queue::{DialConfig, DialQueue};
@@ -95,7 +95,7 @@
         why: &'static str,
     },
     /// Sync with a server of the directory; a sync that is under way is given up.
-    SyncDirectory(Task),
+    SyncDirectory(SweepTask),
     /// Store what of the directory is to outlive this planner.
     StoreTenants {
         /// When the directory was last read in full.
@@ -136,7 +136,7 @@
     placement: Planner<HostAdapter>,
     recorder: Option<Recorder>,
     names: InstallationNames,
-    tenancy: Tenancy,
+    tenancy: TenantAccess,
     /// On whose behalf each connection asks.
     logins: HashMap<u64, Rc<str>>,
     /// The request that is being rejected on arrival.
@@ -229,7 +229,9 @@
         let mut state = PlannerState {
             recorder,
             names: InstallationNames::new(&settings),
-            tenancy: Tenancy::Listed(numbered_texts(&settings, &|index| format!("tenants.{index}.name"))),
+            tenancy: TenantAccess::Listed(numbered_texts(&settings, &|index| {
+                format!("tenants.{index}.name")
+            })),
             logins: HashMap::new(),
             pending_rejection: None,
             admission: None,
@@ -449,7 +451,7 @@
         })
     }
 
-    pub(crate) fn tenancy(&self) -> &Tenancy {
+    pub(crate) fn tenancy(&self) -> &TenantAccess {
         &self.tenancy
     }
 
--- a/planner/src/state/clients.rs
+++ b/planner/src/state/clients.rs
@@ -106,7 +106,7 @@
                 return self.outputs.push_back(Output::Client { conn, body: Body::Answer(answer) });
             }
         };
-        let Asked { tenant, stale_us, refused } = access;
+        let AccessDecision { tenant, stale_us, refused } = access;
         let facts = self.facts(framework, tenant, submit.service, &submit.key);
         let rejection = match refused {
             Some((reason, retry_after_us)) => Some((Rejection { reason, retry_after_us }, None)),
@@ -145,7 +145,7 @@
     }
 
     /// A request's framework and what its login may do, or the text that it is declined with.
-    fn check_submit(&self, conn: u64, submit: &wire::Submit) -> Result<(usize, Asked), String> {
+    fn check_submit(&self, conn: u64, submit: &wire::Submit) -> Result<(usize, AccessDecision), String> {
         let access = self.tenancy.asked(self.now(), &self.login(conn), &submit.tenant);
         let is_size = |size: f64| size.is_finite() && size > 0.0 && size < 1e9;
         let key_bytes = submit.key.len();
--- a/planner/src/state/tenants.rs
+++ b/planner/src/state/tenants.rs
@@ -5,10 +5,10 @@
     // The directory of tenants.
 
     /// From now on tenants are learnt from a directory. To be called before anything else comes.
-    pub fn use_directory(&mut self, now: i64, learnt: Learnt) {
+    pub fn use_directory(&mut self, now: i64, learnt: DirectoryAccess) {
         self.set_clock(now);
         let shares = learnt.shares();
-        self.tenancy = Tenancy::Learnt(Box::new(learnt));
+        self.tenancy = TenantAccess::Directory(Box::new(learnt));
         for (tenant, share) in shares {
             self.notify_placement(PlacementEvent::TenantShare { tenant, share });
         }
--- a/planner/src/tenancy.rs
+++ b/planner/src/tenant_access.rs
@@ -14,17 +14,23 @@
 
 /// How a planner learns from a directory.
 #[derive(Clone, Debug)]
-pub struct Ways {
+pub struct DirectoryOptions {
+    /// Addresses of its servers, in the order in which they are tried.
     pub servers: Vec<String>,
+    /// Who may do what, and whether tasks are placed while the directory is away.
     pub terms: AccessPolicy,
+    /// How often it is swept, and when what is known is stale.
     pub pace: SyncSchedule,
+    /// Which removals are held, and what confirms them.
     pub caution: ChangeGuard,
 }
 
 /// A sweep that is to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Task {
+pub struct SweepTask {
+    /// The index of the server.
     pub server: usize,
+    /// Counts the sweeps of this planner.
     pub number: u64,
     /// Read everything, not only what changed.
     pub whole: bool,
@@ -32,17 +38,19 @@
     pub cookie: Option<Vec<u8>>,
 }
 
-pub enum Tenancy {
+/// What a planner knows of tenants, and who may act for them.
+pub enum TenantAccess {
     /// Names in the settings, in order. Nobody is asked who he is.
     Listed(Vec<String>),
-    Learnt(Box<Learnt>),
+    Directory(Box<DirectoryAccess>),
 }
 
-pub struct Learnt {
-    ways: Ways,
-    keeper: TenantDirectory,
+/// Tenants as the servers of a directory describe them.
+pub struct DirectoryAccess {
+    options: DirectoryOptions,
+    directory: TenantDirectory,
     /// The sweep that is under way.
-    under: Option<Task>,
+    under: Option<SweepTask>,
     sweeps: u64,
     /// Of each server, why its last sweep brought less than all.
     lacks: Vec<Vec<String>>,
@@ -53,32 +61,49 @@
 
 /// What came of asking whether a task may be submitted.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Asked {
+pub struct AccessDecision {
+    /// The index of the tenant, if it may be submitted for.
     pub tenant: Option<usize>,
+    /// How old the knowledge is that this rests on; 0: fresh, -1: nothing is known.
     pub stale_us: i64,
     /// Why not, and after what time it is worth asking again.
     pub refused: Option<(RejectReason, i64)>,
 }
 
-impl Learnt {
+impl DirectoryAccess {
     /// `remembered`: what an earlier life kept, and when that was heard in full.
-    pub fn new(seed: u64, now: i64, ways: Ways, remembered: Option<(i64, &[u8])>) -> Result<Self, String> {
-        let lacks = vec![Vec::new(); ways.servers.len()];
-        let keeper = TenantDirectory::new(seed, now, &ways.servers, remembered, ways.pace, ways.caution)
-            .map_err(|error| error.to_string())?;
-        Ok(Learnt { ways, keeper, under: None, sweeps: 0, lacks, said_held: false, remembered: None })
+    pub fn new(
+        seed: u64,
+        now: i64,
+        options: DirectoryOptions,
+        remembered: Option<(i64, &[u8])>,
+    ) -> Result<Self, String> {
+        let lacks = vec![Vec::new(); options.servers.len()];
+        let directory =
+            TenantDirectory::new(seed, now, &options.servers, remembered, options.pace, options.caution)
+                .map_err(|error| error.to_string())?;
+        Ok(DirectoryAccess {
+            options,
+            directory,
+            under: None,
+            sweeps: 0,
+            lacks,
+            said_held: false,
+            remembered: None,
+        })
     }
 
+    /// When `next` has something to do, if nothing else happens.
     pub fn next_at(&self) -> i64 {
-        self.keeper.next_at()
+        self.directory.next_at()
     }
 
     /// The sweep to make now, if it is time; one that is under way is given up then.
-    pub fn next(&mut self, now: i64) -> Option<Task> {
-        let server = self.keeper.next(now)?;
+    pub fn next(&mut self, now: i64) -> Option<SweepTask> {
+        let server = self.directory.next(now)?;
         self.sweeps += 1;
-        let (whole, cookie) = (self.keeper.whole(), self.keeper.cookie());
-        self.under = Some(Task { server, number: self.sweeps, whole, cookie });
+        let (whole, cookie) = (self.directory.whole(), self.directory.cookie());
+        self.under = Some(SweepTask { server, number: self.sweeps, whole, cookie });
         self.under.clone()
     }
 
@@ -86,9 +111,10 @@
         self.under.as_ref().is_some_and(|u| u.number == number)
     }
 
+    /// A first page of a sweep came.
     pub fn answered(&mut self, number: u64) {
         if self.is_under_way(number) {
-            self.keeper.answered();
+            self.directory.answered();
         }
     }
 
@@ -102,7 +128,7 @@
         lacks: Vec<String>,
     ) -> Option<Vec<Change>> {
         let task = self.under.take_if(|u| u.number == number)?;
-        let server = &self.ways.servers[task.server];
+        let server = &self.options.servers[task.server];
         match (std::mem::replace(&mut self.lacks[task.server], lacks), &self.lacks[task.server]) {
             (before, now) if before == *now => {}
             (_, now) if now.is_empty() => tracing::info!(server, "a server of the directory gives all again"),
@@ -110,19 +136,22 @@
                 tracing::warn!(server, why = now.join("; "), "a server of the directory gives less than all")
             }
         }
-        Some(self.keeper.swept(now, sweep))
+        Some(self.directory.swept(now, sweep))
     }
 
     /// Says each state of the directory once.
     pub fn say(&mut self, now: i64) {
-        let age_s = self.keeper.full_at().map(|at| (now - at) / 1_000_000);
-        match self.keeper.new_state(now) {
+        let age_s = self.directory.full_at().map(|at| (now - at) / 1_000_000);
+        match self.directory.new_state(now) {
             Some(DirectoryState::Blind) => {
-                tracing::warn!(placed = self.ways.terms.place_blind, "nothing is known of the directory yet");
+                tracing::warn!(
+                    placed = self.options.terms.place_blind,
+                    "nothing is known of the directory yet"
+                );
             }
             Some(DirectoryState::Stale) => tracing::warn!(
                 age_s,
-                placed = self.ways.terms.place_stale,
+                placed = self.options.terms.place_stale,
                 "the directory is not heard: the last known tenants stand"
             ),
             Some(DirectoryState::Recovering) => {
@@ -131,7 +160,7 @@
             Some(DirectoryState::Fresh) => tracing::info!("the directory is heard in full"),
             None => {}
         }
-        let held = self.keeper.held().map_or(0, |h| h.ids.len());
+        let held = self.directory.held().map_or(0, |h| h.ids.len());
         if (held > 0) != std::mem::replace(&mut self.said_held, held > 0) {
             if held > 0 {
                 let tenants = self.held_tenants();
@@ -147,59 +176,63 @@
     }
 
     fn held_tenants(&self) -> Vec<String> {
-        let known = self.keeper.tenants();
+        let known = self.directory.tenants();
         let name = |id: &Id| {
             let e = known.entry(*id).filter(|e| matches!(e.kind, EntryKind::Tenant { .. }))?;
             Some(e.name.clone())
         };
-        self.keeper.held().into_iter().flat_map(|h| &h.ids).filter_map(name).collect()
+        self.directory.held().into_iter().flat_map(|h| &h.ids).filter_map(name).collect()
     }
 
     /// What to remember, if it is not what was remembered last.
     pub fn memory_if_new(&mut self) -> Option<(i64, Vec<u8>)> {
-        let edits = Some(self.keeper.edits());
+        let edits = Some(self.directory.edits());
         (self.remembered != edits).then(|| self.remembered = edits)?;
-        self.keeper.memory()
+        self.directory.memory()
     }
 
+    /// The last snapshot was not stored: it is to be given again.
     pub fn forgot(&mut self) {
         self.remembered = None;
     }
 
+    /// When all was last heard.
     pub fn full_at(&self) -> Option<i64> {
-        self.keeper.full_at()
+        self.directory.full_at()
     }
 
+    /// Index and share of a tenant that is there.
     pub fn share(&self, id: Id) -> Option<(usize, f64)> {
-        let tenant = self.keeper.tenants().tenant(id, 0)?;
+        let tenant = self.directory.tenants().tenant(id, 0)?;
         Some((tenant.index, tenant.share))
     }
 
     /// All shares, by index.
     pub fn shares(&self) -> Vec<(usize, f64)> {
-        self.keeper.tenants().tenants(0).map(|t| (t.index, t.share)).collect()
+        self.directory.tenants().tenants(0).map(|t| (t.index, t.share)).collect()
     }
 
     fn authorize(&self, now: i64, login: &str, asks: Operation) -> AuthorizationDecision {
-        self.keeper.authorize(now, &self.ways.terms, login, asks)
+        self.directory.authorize(now, &self.options.terms, login, asks)
     }
 
     /// Whether someone may see a tenant's tasks and people; an error says why not.
     fn may_see(&self, now: i64, login: &str, tenant: Option<Id>) -> Result<(), String> {
-        let ruling = self.authorize(now, login, Operation::See { tenant });
-        let words = ruling.basis.description();
+        let decision = self.authorize(now, login, Operation::See { tenant });
+        let words = decision.basis.description();
         let no = || format!("found login {login:?}: {words}; expected a member, an auditor or an operator");
-        ruling.may.then_some(()).ok_or_else(no)
+        decision.may.then_some(()).ok_or_else(no)
     }
 
-    fn refusal(&self, now: i64, ruling: AuthorizationDecision) -> Option<(RejectReason, i64)> {
-        (!ruling.may)
-            .then(|| (RejectReason::NotAllowed(ruling.basis.description()), self.keeper.retry_after_us(now)))
+    fn refusal(&self, now: i64, decision: AuthorizationDecision) -> Option<(RejectReason, i64)> {
+        (!decision.may).then(|| {
+            (RejectReason::NotAllowed(decision.basis.description()), self.directory.retry_after_us(now))
+        })
     }
 
     /// A question that the directory answers.
     fn question(&self, now: i64, login: &str, what: &str, about: &str) -> Result<Value, String> {
-        let known = self.keeper.tenants();
+        let known = self.directory.tenants();
         let find = || {
             let none =
                 || format!("{what}: found {about:?}; expected the name or id of a tenant that is known");
@@ -223,10 +256,10 @@
                 let (person, tenant) = about
                     .split_once(' ')
                     .ok_or_else(|| format!("why: found {about:?}; expected a login, a blank and a tenant"))?;
-                let ruling = self.authorize(now, person, Operation::Submit { tenant });
+                let decision = self.authorize(now, person, Operation::Submit { tenant });
                 let way = known.login(person).zip(known.find(tenant, now)).map(|(p, t)| known.why(p, t));
-                json!({"login": person, "tenant": tenant, "may_submit": ruling.may,
-                       "why": ruling.basis.description(), "by": way.unwrap_or_default(),
+                json!({"login": person, "tenant": tenant, "may_submit": decision.may,
+                       "why": decision.basis.description(), "by": way.unwrap_or_default(),
                        "stale_ms": self.stale_ms(now)})
             }
             _ => self.state(now),
@@ -235,7 +268,7 @@
 
     /// Age in milliseconds; 0: fresh, null: nothing is known.
     fn stale_ms(&self, now: i64) -> Option<i64> {
-        match self.keeper.stale_us(now) {
+        match self.directory.stale_us(now) {
             -1 => None,
             us => Some((us + 999) / 1000),
         }
@@ -244,72 +277,72 @@
     /// Each server, and what its last sweep lacked.
     fn servers(&self) -> Vec<Value> {
         let row = |(s, lacks): (&String, &Vec<String>)| json!({"server": s, "lacks": lacks});
-        self.ways.servers.iter().zip(&self.lacks).map(row).collect()
+        self.options.servers.iter().zip(&self.lacks).map(row).collect()
     }
 
     fn state(&self, now: i64) -> Value {
-        let known = self.keeper.tenants();
+        let known = self.directory.tenants();
         let count = |is: fn(&EntryKind) -> bool| known.ids().filter(|x| is(&x.1.kind)).count();
-        let state = match self.keeper.state(now) {
+        let state = match self.directory.state(now) {
             DirectoryState::Blind => "blind",
             DirectoryState::Fresh => "fresh",
             DirectoryState::Stale => "stale",
             DirectoryState::Recovering => "recovering",
         };
-        let terms = &self.ways.terms;
-        let places = match self.keeper.state(now) {
+        let terms = &self.options.terms;
+        let places = match self.directory.state(now) {
             DirectoryState::Blind => terms.place_blind,
             DirectoryState::Fresh => true,
             DirectoryState::Stale | DirectoryState::Recovering => terms.place_stale,
         };
-        let held = self.keeper.held().map(|h| {
+        let held = self.directory.held().map(|h| {
             json!({"entries": h.ids.len(), "tenants": self.held_tenants(), "sweeps": h.sweeps,
                    "since_ms": (now - h.since) / 1000})
         });
         json!({
-            "state": state, "heard_in_full_ms_ago": self.keeper.full_at().map(|at| (now - at) / 1000),
+            "state": state, "heard_in_full_ms_ago": self.directory.full_at().map(|at| (now - at) / 1000),
             "places": places, "sweeps": self.sweeps,
-            "sweeps_now": self.under.as_ref().map(|u| &self.ways.servers[u.server]),
-            "next_ms": (self.keeper.next_at() - now).max(0) / 1000,
-            "servers": self.servers(), "held": held, "server_set_back": self.keeper.is_behind(),
+            "sweeps_now": self.under.as_ref().map(|u| &self.options.servers[u.server]),
+            "next_ms": (self.directory.next_at() - now).max(0) / 1000,
+            "servers": self.servers(), "held": held, "server_set_back": self.directory.is_behind(),
             "tenants": count(|w| matches!(w, EntryKind::Tenant { .. })),
             "groups": count(|w| *w == EntryKind::Group), "people": count(|w| *w == EntryKind::Person),
         })
     }
 }
 
-impl Tenancy {
-    pub fn learnt(&mut self) -> Option<&mut Learnt> {
+impl TenantAccess {
+    pub fn learnt(&mut self) -> Option<&mut DirectoryAccess> {
         match self {
-            Tenancy::Learnt(l) => Some(l),
-            Tenancy::Listed(_) => None,
+            TenantAccess::Directory(access) => Some(access),
+            TenantAccess::Listed(_) => None,
         }
     }
 
     pub fn next_at(&self) -> i64 {
         match self {
-            Tenancy::Learnt(l) => l.next_at(),
-            Tenancy::Listed(_) => i64::MAX,
+            TenantAccess::Directory(access) => access.next_at(),
+            TenantAccess::Listed(_) => i64::MAX,
         }
     }
 
     /// Whether someone may submit for a tenant. An error: the settings know no such tenant.
-    pub fn asked(&self, now: i64, login: &str, tenant: &str) -> Result<Asked, String> {
+    pub fn asked(&self, now: i64, login: &str, tenant: &str) -> Result<AccessDecision, String> {
         match self {
-            Tenancy::Listed(names) => {
+            TenantAccess::Listed(names) => {
                 let place = names.iter().position(|n| n == tenant);
                 if place.is_none() && !tenant.is_empty() {
                     return Err(format!("tenant: found {tenant:?}; expected one of {}", names.join(", ")));
                 }
-                Ok(Asked { tenant: place, ..Asked::default() })
+                Ok(AccessDecision { tenant: place, ..AccessDecision::default() })
             }
-            Tenancy::Learnt(l) => {
-                let ruling = l.authorize(now, login, Operation::Submit { tenant });
-                let known = l.keeper.tenants();
+            TenantAccess::Directory(access) => {
+                let decision = access.authorize(now, login, Operation::Submit { tenant });
+                let known = access.directory.tenants();
                 let found = || known.find(tenant, now).and_then(|id| known.index(id));
-                let place = ruling.may.then(found).flatten();
-                let stale_us = if ruling.stale { l.keeper.stale_us(now) } else { 0 };
-                Ok(Asked { tenant: place, stale_us, refused: l.refusal(now, ruling) })
+                let place = decision.may.then(found).flatten();
+                let stale_us = if decision.stale { access.directory.stale_us(now) } else { 0 };
+                Ok(AccessDecision { tenant: place, stale_us, refused: access.refusal(now, decision) })
             }
         }
     }
@@ -317,18 +350,18 @@
     /// The tenant of a launch that a machine holds.
     pub fn of_launch(&mut self, name: &str, id: &str) -> Option<usize> {
         match self {
-            Tenancy::Listed(names) => names.iter().position(|n| n == name),
+            TenantAccess::Listed(names) => names.iter().position(|n| n == name),
             // By its id alone: its name may be another's by now.
-            Tenancy::Learnt(l) => Id::read(id).map(|id| l.keeper.place(id)),
+            TenantAccess::Directory(access) => Id::read(id).map(|id| access.directory.place(id)),
         }
     }
 
     /// Name and id of a tenant; the id is empty where tenants are listed.
     pub fn called(&self, tenant: usize) -> (String, String) {
         match self {
-            Tenancy::Listed(names) => (names[tenant].clone(), String::new()),
-            Tenancy::Learnt(l) => {
-                let (name, id) = l.keeper.tenants().called(tenant);
+            TenantAccess::Listed(names) => (names[tenant].clone(), String::new()),
+            TenantAccess::Directory(access) => {
+                let (name, id) = access.directory.tenants().called(tenant);
                 (name.to_owned(), id.to_owned())
             }
         }
@@ -337,9 +370,9 @@
     /// The name of before, for a while after a renaming.
     pub fn was(&self, now: i64, tenant: usize) -> Option<String> {
         match self {
-            Tenancy::Listed(_) => None,
-            Tenancy::Learnt(l) => {
-                let known = l.keeper.tenants();
+            TenantAccess::Listed(_) => None,
+            TenantAccess::Directory(access) => {
+                let known = access.directory.tenants();
                 known.at(tenant).and_then(|id| known.tenant(id, now)).and_then(|t| t.was)
             }
         }
@@ -348,24 +381,24 @@
     /// Whether someone may see a tenant's tasks.
     pub fn sees(&self, now: i64, login: &str, tenant: Option<usize>) -> bool {
         match self {
-            Tenancy::Listed(_) => true,
-            Tenancy::Learnt(l) => {
-                let tenant = tenant.and_then(|t| l.keeper.tenants().at(t));
-                l.may_see(now, login, tenant).is_ok()
+            TenantAccess::Listed(_) => true,
+            TenantAccess::Directory(access) => {
+                let tenant = tenant.and_then(|t| access.directory.tenants().at(t));
+                access.may_see(now, login, tenant).is_ok()
             }
         }
     }
 
     /// The same by a tenant's name; an error says why not.
     pub fn may_see(&self, now: i64, login: &str, tenant: &str) -> Result<(), String> {
-        let Tenancy::Learnt(l) = self else { return Ok(()) };
-        l.may_see(now, login, l.keeper.tenants().find(tenant, now))
+        let TenantAccess::Directory(access) = self else { return Ok(()) };
+        access.may_see(now, login, access.directory.tenants().find(tenant, now))
     }
 
     /// An operator's act: an error says why someone may not.
     pub fn operates(&self, now: i64, login: &str, what: &str) -> Result<(), String> {
-        let Tenancy::Learnt(l) = self else { return Ok(()) };
-        match l.authorize(now, login, Operation::Drain) {
+        let TenantAccess::Directory(access) = self else { return Ok(()) };
+        match access.authorize(now, login, Operation::Drain) {
             AuthorizationDecision { may: true, .. } => Ok(()),
             AuthorizationDecision { basis: why, stale, .. } => {
                 let old = if stale && why != AuthorizationBasis::NothingKnown {
@@ -383,10 +416,10 @@
 
     /// An operator's word for what is held.
     pub fn accept(&mut self) -> Result<(), String> {
-        let Tenancy::Learnt(l) = self else {
+        let TenantAccess::Directory(access) = self else {
             return Err("accept: found no directory in the settings; expected one".into());
         };
-        if l.keeper.accept() {
+        if access.directory.accept() {
             Ok(())
         } else {
             Err("accept: found nothing held; expected a held removal or a server that was set back".into())
@@ -395,11 +428,11 @@
 
     pub fn question(&self, now: i64, login: &str, what: &str, about: &str) -> Result<Value, String> {
         match self {
-            Tenancy::Learnt(l) => l.question(now, login, what, about),
-            Tenancy::Listed(names) if what == "tenants" => {
+            TenantAccess::Directory(access) => access.question(now, login, what, about),
+            TenantAccess::Listed(names) if what == "tenants" => {
                 Ok(names.iter().enumerate().map(|(i, n)| json!({"tenant": n, "index": i})).collect())
             }
-            Tenancy::Listed(_) => {
+            TenantAccess::Listed(_) => {
                 Err(format!("{what}: found tenants listed in the settings; expected a directory"))
             }
         }
--- a/planner/tests/net/mod.rs
+++ b/planner/tests/net/mod.rs
@@ -108,7 +108,7 @@
     dials: VecDeque<(usize, u64)>,
     /// For whom tasks are submitted, and what the planner said last of its directory.
     pub tenant: String,
-    pub sweeps: Vec<basaltpitch_planner::tenancy::Task>,
+    pub sweeps: Vec<basaltpitch_planner::tenant_access::SweepTask>,
     pub memories: Vec<(i64, Option<Vec<u8>>)>,
     pub heard: Vec<wire::Answer>,
     pub told: Vec<String>,
--- a/planner/tests/tenants.rs
+++ b/planner/tests/tenants.rs
@@ -4,7 +4,7 @@
 mod net;
 
 use basaltpitch_agent::wire::{self, AnswerKind, Body};
-use basaltpitch_planner::tenancy::{Learnt, Ways};
+use basaltpitch_planner::tenant_access::{DirectoryAccess, DirectoryOptions};
 use basaltpitch_tenants::authorization::AccessPolicy;
 use basaltpitch_tenants::change_guard::DEFAULT_CHANGE_GUARD;
 use basaltpitch_tenants::sync_schedule::DEFAULT_SYNC_SCHEDULE;
@@ -37,10 +37,10 @@
     ]
 }
 
-fn ways() -> Ways {
+fn ways() -> DirectoryOptions {
     let terms =
         AccessPolicy { operators: vec!["cn=keepers".into()], place_stale: true, ..AccessPolicy::default() };
-    Ways {
+    DirectoryOptions {
         servers: vec!["one".into(), "two".into()],
         terms,
         pace: DEFAULT_SYNC_SCHEDULE,
@@ -57,7 +57,7 @@
 impl Day {
     fn new() -> Day {
         let mut net = Net::new(4);
-        let learnt = Learnt::new(1, net.now, ways(), None).unwrap();
+        let learnt = DirectoryAccess::new(1, net.now, ways(), None).unwrap();
         net.core.use_directory(net.now, learnt);
         let mut day = Day { net, there: Some(begin()) };
         day.pass(1);
@@ -101,7 +101,7 @@
         let at = self.net.memories.last().unwrap().0;
         self.net.kill();
         self.net.sweeps.clear();
-        let learnt = Learnt::new(2, self.net.now, ways(), Some((at, &all))).unwrap();
+        let learnt = DirectoryAccess::new(2, self.net.now, ways(), Some((at, &all))).unwrap();
         self.net.core.use_directory(self.net.now, learnt);
         self.net.flow(40);
     }
