--- a/src/host.rs
+++ b/src/host.rs
@@ -1,21 +1,24 @@
-//! What the placement module is called with and what it calls: the `Host` trait and plain types.
-//! Tasks, machines, services, frameworks, tenants, kinds and zones are small indices that the caller
-//! hands out; all times are whole microseconds.
+//! The interface between the placement module and its caller: the `Host` trait, through which the
+//! placement module acts, and the plain types that both sides exchange.
+//!
+//! Tasks, machines, services, frameworks, tenants, kinds and zones are identified by small indices
+//! that the caller assigns. All times are in whole microseconds.
 use std::collections::BTreeMap;
 
-/// The settings of a planner under their dotted names, such as `rules.coldUs` or `classes.0.name`.
+/// The settings of a planner by dotted name, such as `rules.coldUs` or `classes.0.name`.
 pub type Settings = BTreeMap<String, Value>;
 
 /// The value of one setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// A number; a mark that is set is 1.
+    /// A number; a flag that is set has the value 1.
     Number(f64),
-    /// A text.
+    /// A string.
     Text(String),
 }
 
-/// The number under `name`; a mark that is set reads as 1. `None` where it is absent or a text.
+/// Returns the number stored under `name` (1 for a flag that is set), or `None` if the setting is
+/// absent or a string.
 pub fn number(settings: &Settings, name: &str) -> Option<f64> {
     match settings.get(name) {
         Some(Value::Number(found)) => Some(*found),
@@ -23,7 +26,7 @@
     }
 }
 
-/// The text under `name`, empty where there is none.
+/// Returns the string stored under `name`, or an empty string if the setting is absent or a number.
 pub fn text<'a>(settings: &'a Settings, name: &str) -> &'a str {
     match settings.get(name) {
         Some(Value::Text(found)) => found,
@@ -31,105 +34,112 @@
     }
 }
 
-/// Cores and memory units.
+/// An amount of resources: cores and memory units.
 pub type Resources = (f64, f64);
 
-/// Kind, zone and cell of a machine.
+/// The kind, zone and cell of a machine, each as an index.
 pub type Location = (usize, usize, usize);
 
-/// How an attempt or a probe ended, as far as is known.
+/// How an attempt or a probe ended, as far as the planner's host knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It ran to its end; a probe was answered.
+    /// The task ran to completion, or the machine answered the probe.
     Ended,
     /// The machine answered with an error.
     Error,
-    /// The machine refused it; it never ran.
+    /// The machine refused the attempt; the task did not run there.
     Full,
-    /// No answer came within the timeout; it may have run.
+    /// The machine did not answer within the timeout; the task may have run.
     TimedOut,
-    /// The machine could not be reached; it never ran.
+    /// The machine could not be reached; the task did not run there.
     ConnectFailed,
-    /// The link or the task was cut; it may have run.
+    /// The link to the machine or the task itself was cut; the task may have run.
     Reset,
-    /// The planner cancelled it; it may have run.
+    /// The planner cancelled the attempt; the task may have run.
     Cancelled,
-    /// It was over before it was sent; it never ran.
+    /// The attempt ended before it was sent to the machine; the task did not run there.
     Moot,
 }
 
-/// Whether a machine takes work, as listed.
+/// Whether a machine accepts work, as stated by the machine list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It takes work.
+    /// The machine accepts new tasks.
     Ready,
-    /// It takes no new work.
+    /// The machine finishes its tasks and accepts no new ones.
     Draining,
-    /// It is not there any more.
+    /// The machine no longer exists.
     Gone,
 }
 
-/// What a planner believes of a machine, for operators: nothing is decided from it.
+/// A planner's current estimates for one machine, as shown to operators. Placement does not read
+/// this type; it works on the values from which the estimates are computed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MachineEstimate {
-    /// Whether the list shows it as ready.
+    /// Whether the machine list shows the machine as ready.
     pub listed: bool,
-    /// All cores of the machine.
+    /// Total cores of the machine.
     pub cores: f64,
-    /// All memory units of the machine.
+    /// Total memory units of the machine.
     pub memory: f64,
-    /// Mean of the cores in use: the paper's C.
+    /// Mean of the cores in use (C in the paper's formula).
     pub mean_cores: f64,
-    /// Variance of the cores in use: the paper's B.
+    /// Variance of the cores in use (B in the paper's formula).
     pub cores_variance: f64,
-    /// Cores used at confidence: the paper's UCaC = C + D x root of B.
+    /// Cores in use at confidence (UCaC = C + D x square root of B in the paper, with the normal
+    /// quantile D).
     pub cores_at_confidence: f64,
     /// Memory units in use.
     pub used_memory: f64,
-    /// Own tasks with an attempt that has no outcome yet.
+    /// Number of this planner's tasks with an attempt on the machine that has not ended.
     pub own_tasks: usize,
-    /// Clock time of the last report, in microseconds, 0 where there was none.
+    /// Time of the machine's last usage report, in microseconds; 0 if it has sent none.
     pub reported_at: i64,
-    /// Clock time until which it warms up, in microseconds, 0 where it does not.
+    /// Time at which the machine's slow start ends, in microseconds; 0 if it never warmed up.
     pub slow_start_until: i64,
-    /// Clock time until which it is ejected, in microseconds, 0 where it is not.
+    /// Time at which the machine's ejection ends, in microseconds; 0 if it was never ejected.
     pub ejected_until: i64,
-    /// Whether slow start lets this planner send an attempt there now.
+    /// Whether slow start allows this planner to launch an attempt on the machine now.
     pub may_launch: bool,
 }
 
-/// What the planner can do. Each call takes effect at the time of the event being handled.
+/// The actions and queries that a planner calls while it handles an event. Each action takes effect
+/// at the time of that event.
 pub trait Host {
-    /// Offers the task to the machine; attempts of a task count 0, 1, 2 ...
+    /// Sends an attempt of the task to the machine. The attempts of a task are numbered from 0 in
+    /// the order of these calls.
     fn launch(&mut self, task: usize, machine: usize, timeout_us: i64);
-    /// Calls back an attempt of a task.
+    /// Cancels the attempt of the task with the given number.
     fn cancel(&mut self, task: usize, attempt: u32);
-    /// Answers that the task does not run; its client may ask again after that time.
+    /// Answers the client that the task was not placed; the client may submit it again after
+    /// `retry_after_us`.
     fn reject(&mut self, task: usize, retry_after_us: i64);
-    /// Answers that it is not known whether the task ran.
+    /// Answers the client that the request ended and that the task may or may not have run.
     fn abort(&mut self, task: usize);
-    /// Stops a placed task, so that its client asks again.
+    /// Stops a placed task on its machine, so that its client submits it again.
     fn evict(&mut self, task: usize);
-    /// Asks a machine whether it is well, and for its report.
+    /// Sends a health check to the machine, which also requests its usage report.
     fn probe(&mut self, machine: usize);
-    /// Begins or ends a watch of the machine list.
+    /// Starts (`on`) or stops a watch of the machine list.
     fn watch_list(&mut self, on: bool);
-    /// Asks for the machine list once.
+    /// Requests the machine list once, without a watch.
     fn fetch_list(&mut self);
-    /// Sets a timer, which comes back as `Planner::timer_fired` with the token.
+    /// Sets a timer; when it is due, the caller passes the token to `Planner::timer_fired`.
     fn set_timer(&mut self, after_us: i64, token: u64);
-    /// Writes a line to the log.
+    /// Writes a line of text to the log.
     fn log(&mut self, text: &str);
-    /// Whether the installation's constraints let the task go to the machine now.
+    /// Returns whether the installation's constraints allow the task on the machine now.
     fn allows(&self, _task: usize, _machine: usize) -> bool {
         true
     }
-    /// How well its preferences are met there; more is better. Asked of machines that fit and suit equally well.
+    /// Returns how well the machine meets the task's preferences; higher is better. Only called to
+    /// choose between machines that rank equally in the criteria that come before preferences.
     fn preference_score(&self, _task: usize, _machine: usize) -> u64 {
         0
     }
-    /// Tasks of one framework with the same number have the same constraints: where one cannot go, no larger one
-    /// can.
+    /// Returns a number that is equal for tasks of one framework with the same constraints. While
+    /// the planner serves its queue, a task that finds no machine also rules out the later tasks of
+    /// its group that request at least as many cores.
     fn constraint_group(&self, _task: usize) -> usize {
         0
     }
