--- a/src/placement/capacity.rs
+++ b/src/placement/capacity.rs
@@ -1,75 +1,94 @@
-//! Capacity at confidence: whether a task fits a machine, as mean plus margin. The margin melts while the
-//! task waits, as waiting costs more than a thin margin.
+//! Capacity at confidence: whether a task fits on a machine, judged by the mean of the cores in use
+//! plus a safety margin. The margin decays while the task waits, because a delay costs more than a
+//! small margin.
 use super::estimates::MachineLoad;
 use super::ranking::Candidate;
 use super::Planner;
 use crate::host::Host;
 
-/// Confidence 99%: the standard normal quantile (the paper's D; DESIGN runs 99.9% and 99%).
+/// Quantile of the standard normal distribution for a confidence of 99% (D in the paper's formula;
+/// the paper's design runs at 99.9% and 99%).
 pub(super) const CONFIDENCE_QUANTILE: f64 = 2.326;
-/// Share of a machine's cores that the mean plus margin may fill (see docs/design.md).
+/// Share of a machine's cores that the mean plus the margin may fill (see docs/design.md).
 pub(super) const CORES_SHARE: f64 = 1.0;
-/// Share of a machine's memory that may be filled.
+/// Share of a machine's memory that may be filled for a task whose margin has not decayed.
 pub(super) const MEMORY_SHARE: f64 = 0.95;
-/// The memory share for a task whose margin has melted: requests count in full but are not used in full.
+/// Share of a machine's memory that may be filled for a task whose margin has fully decayed. It may
+/// exceed 1, because recently sent requests count in full although tasks use only part of them.
 const MEMORY_SHARE_WITHOUT_MARGIN: f64 = 1.1;
-/// Share of the latency objective over which a waiting task's margin melts.
-const MARGIN_MELTS_OVER: f64 = 0.3;
+/// Share of the latency objective after which the margin of a waiting task has fully decayed.
+const MARGIN_DECAY_SHARE: f64 = 0.3;
 
-/// A task to place, with the settings and estimates that are the same for each machine.
+/// A task to place, with the settings and estimates that are the same for every machine.
 pub(super) struct Placement {
     pub(super) task: usize,
     pub(super) framework: usize,
     pub(super) service: usize,
+    /// Requested cores.
     cores: f64,
+    /// Requested memory units.
     memory: f64,
-    /// Mean and variance of the cores that it will use.
+    /// Estimated mean of the cores that the task will use.
     mean_cores: f64,
+    /// Estimated variance of the cores that the task will use.
     variance: f64,
-    /// How much of its margin has melted: 0 at first, 1 when none is left.
-    melted: f64,
-    /// Shares of a machine's cores and memory that may be requested of it.
-    requestable_cores: f64,
-    requestable_memory: f64,
+    /// Share of the safety margin that has decayed: 0 when the task arrives, 1 when no margin is
+    /// left.
+    margin_decay: f64,
+    /// Maximum ratio of the cores requested of a machine to its cores.
+    cores_overcommit: f64,
+    /// Maximum ratio of the memory requested of a machine to its memory.
+    memory_overcommit: f64,
+    /// Share of a machine's memory that may be filled for this task.
     memory_share: f64,
 }
 
-/// Machines for a task.
+/// The machines on which a task can be placed.
 #[derive(Default)]
 pub(super) struct Candidates {
-    /// Those that it fits.
+    /// Machines on which the task fits.
     pub(super) fitting: Vec<Candidate>,
-    /// Those that would be crowded, for a task that crowding only slows and that has no margin left.
-    pub(super) crowded: Vec<Candidate>,
-    /// Where the least must be evicted, while none fits.
+    /// Machines that would be congested with the task, if its margin has fully decayed and its
+    /// framework tolerates congestion.
+    pub(super) congested: Vec<Candidate>,
+    /// The preemption that frees the smallest share of a machine; `None` if no preemption is
+    /// possible. Only meaningful if no machine fits.
     pub(super) preemption: Option<Preemption>,
 }
 
-/// Tasks that would have to make way on a machine.
+/// A possible preemption on one machine.
 pub(super) struct Preemption {
-    /// The larger of the shares of its cores and memory that must be freed.
-    loss: f64,
+    /// The share of the machine's cores or of its memory that must be freed, whichever is larger.
+    freed_share: f64,
+    /// The machine to free capacity on.
     pub(super) machine: usize,
+    /// Cores that must be freed.
     pub(super) cores: f64,
+    /// Memory units that must be freed.
     pub(super) memory: f64,
+    /// The tasks that may be evicted; not all of them may be needed.
     pub(super) tasks: Vec<usize>,
 }
 
-/// By how much a machine would be overfull with a task; at most 0 where it fits.
+/// By how much a machine's usage with a task would exceed the usable capacity. The task fits if
+/// both excesses are 0 or negative.
 struct Excess {
+    /// Excess of the mean plus the remaining margin over the usable cores.
     cores: f64,
+    /// Excess of the memory over the usable memory units.
     memory: f64,
-    /// Used capacity at confidence, with the task.
+    /// Cores in use at confidence with the task, with the full margin.
     cores_at_confidence: f64,
 }
 
 impl<H: Host> Planner<H> {
+    /// Returns the task with the settings and estimates that placing it requires.
     pub(super) fn placement_of(&self, task: usize) -> Placement {
         let new = &self.tasks[task];
         let usage = &self.service_usage[new.service];
         let waited = self.now - new.requested_at;
-        let melts_over_us = MARGIN_MELTS_OVER * self.frameworks[new.framework].latency_objective_us;
-        let melted = (waited as f64 / melts_over_us.max(1.0)).min(1.0);
+        let decay_us = MARGIN_DECAY_SHARE * self.frameworks[new.framework].latency_objective_us;
+        let margin_decay = (waited as f64 / decay_us.max(1.0)).min(1.0);
         Placement {
             task,
             framework: new.framework,
@@ -78,14 +97,15 @@
             memory: new.memory,
             mean_cores: usage.mean,
             variance: usage.variance,
-            melted,
-            requestable_cores: self.setting("familyInfo.admitCores"),
-            requestable_memory: self.setting("familyInfo.admitMemory"),
-            memory_share: MEMORY_SHARE + melted * (MEMORY_SHARE_WITHOUT_MARGIN - MEMORY_SHARE),
+            margin_decay,
+            cores_overcommit: self.setting("familyInfo.admitCores"),
+            memory_overcommit: self.setting("familyInfo.admitMemory"),
+            memory_share: MEMORY_SHARE + margin_decay * (MEMORY_SHARE_WITHOUT_MARGIN - MEMORY_SHARE),
         }
     }
 
-    /// The ready machines that may take a task, in the order of their indices.
+    /// Returns the ready machines on which a task can be placed, in the order of their indices.
+    /// There are none while the machine list is not reliable.
     pub(super) fn candidates(&self, placement: &Placement) -> Candidates {
         let mut found = Candidates::default();
         let ratio = self.variance_ratio();
@@ -99,14 +119,16 @@
                 continue;
             }
             let Some(excess) = self.excess(placement, machine, &load) else { continue };
-            let tolerated = rules.crowding_tolerance * self.machines.cores[machine];
+            let tolerated_cores = rules.congestion_tolerance * self.machines.cores[machine];
             if excess.cores <= 0.0 && excess.memory <= 0.0 {
                 let fill = excess.cores_at_confidence;
                 let suitability = self.suitability(placement, machine, fill, packed[machine]);
                 found.fitting.push(Candidate { machine, fill, suitability });
-            } else if placement.melted == 1.0 && excess.memory <= 0.0 && excess.cores <= tolerated {
-                // A task that crowding only slows goes to the least crowded machine.
-                found.crowded.push(Candidate { machine, fill: -excess.cores, suitability: 0 });
+            } else if placement.margin_decay == 1.0 && excess.memory <= 0.0 && excess.cores <= tolerated_cores
+            {
+                // Congestion slows this task but does not stop it. The negated excess ranks the
+                // least congested machine highest.
+                found.congested.push(Candidate { machine, fill: -excess.cores, suitability: 0 });
             } else if rules.priority > 0.0 && found.fitting.is_empty() {
                 self.consider_preemption(placement.framework, machine, &excess, &mut found.preemption);
             }
@@ -114,28 +136,32 @@
         found
     }
 
-    /// `None`: more would be requested of the machine than it accepts.
+    /// Returns the excess of a machine's usage with the task, or `None` if the requests of its
+    /// tasks would exceed the overcommit limits.
     fn excess(&self, placement: &Placement, machine: usize, load: &MachineLoad) -> Option<Excess> {
         let (cores, memory) = (self.machines.cores[machine], self.machines.memory[machine]);
         let margin_root = (load.variance + placement.variance).sqrt();
         let cores_at_confidence = load.cores + placement.mean_cores + CONFIDENCE_QUANTILE * margin_root;
-        let excess_cores =
-            load.cores + placement.mean_cores + (1.0 - placement.melted) * CONFIDENCE_QUANTILE * margin_root
-                - CORES_SHARE * cores;
-        // All that a machine has accepted, listed late; where no list tells, own tasks at least.
+        let excess_cores = load.cores
+            + placement.mean_cores
+            + (1.0 - placement.margin_decay) * CONFIDENCE_QUANTILE * margin_root
+            - CORES_SHARE * cores;
+        // The machine list shows the requests of all planners with a delay, so own attempts that
+        // the list cannot include yet are added. Without such a list, only own tasks are known.
         let listed = self.requested(machine);
         let requested = if self.list_shows_requests {
-            listed.0 + load.unseen.0
+            listed.0 + load.unaccounted.0
         } else {
             self.own_tasks_on(machine).map(|task| task.cores).sum()
         };
-        let requested_memory = if self.list_shows_requests { listed.1 + load.unseen.1 } else { 0.0 };
-        if requested + placement.cores > placement.requestable_cores * cores
-            || requested_memory + placement.memory > placement.requestable_memory * memory
+        let requested_memory = if self.list_shows_requests { listed.1 + load.unaccounted.1 } else { 0.0 };
+        if requested + placement.cores > placement.cores_overcommit * cores
+            || requested_memory + placement.memory > placement.memory_overcommit * memory
         {
             return None;
         }
-        // Memory must fit what nobody requested, or else a share of all by use.
+        // The requested memory must fit into the memory that no task has requested, or the memory
+        // in use must stay below the usable share.
         let mut excess_memory = load.memory + placement.memory - placement.memory_share * memory;
         if self.list_shows_requests {
             excess_memory = excess_memory.min(requested_memory + placement.memory - memory);
@@ -143,8 +169,8 @@
         Some(Excess { cores: excess_cores, memory: excess_memory, cores_at_confidence })
     }
 
-    /// Takes a machine as the one to preempt on, where enough can make way and less must than on the best so
-    /// far.
+    /// Replaces `best` with a preemption on the machine, if evicting tasks of lower priority frees
+    /// enough there and the share to be freed is smaller than with `best`.
     fn consider_preemption(
         &self,
         framework: usize,
@@ -153,15 +179,18 @@
         best: &mut Option<Preemption>,
     ) {
         let tasks = self.preemptible(machine, framework);
-        let leaving = || tasks.iter().map(|&task| &self.tasks[task]);
-        let free: f64 = leaving().map(|task| self.service_usage[task.service].mean).sum();
-        let free_memory = leaving().map(|task| task.memory).sum::<f64>() * self.memory_use_ratio.mean;
-        let cores_loss = excess.cores / self.machines.cores[machine];
-        let loss = cores_loss.max(excess.memory / self.machines.memory[machine]);
-        let best_loss = best.as_ref().map_or(f64::MAX, |preemption| preemption.loss);
-        if free >= excess.cores && free_memory >= excess.memory && loss < best_loss {
+        let victims = || tasks.iter().map(|&task| &self.tasks[task]);
+        let freeable_cores: f64 = victims().map(|task| self.service_usage[task.service].mean).sum();
+        let freeable_memory = victims().map(|task| task.memory).sum::<f64>() * self.memory_use_ratio.mean;
+        let cores_share = excess.cores / self.machines.cores[machine];
+        let freed_share = cores_share.max(excess.memory / self.machines.memory[machine]);
+        let best_freed_share = best.as_ref().map_or(f64::MAX, |preemption| preemption.freed_share);
+        if freeable_cores >= excess.cores
+            && freeable_memory >= excess.memory
+            && freed_share < best_freed_share
+        {
             let (cores, memory) = (excess.cores, excess.memory);
-            *best = Some(Preemption { loss, machine, cores, memory, tasks });
+            *best = Some(Preemption { freed_share, machine, cores, memory, tasks });
         }
     }
 }
--- a/src/placement/eligibility.rs
+++ b/src/placement/eligibility.rs
@@ -1,9 +1,11 @@
-//! Whether a task may go to a machine at all, before it is asked whether it fits.
+//! Eligibility: whether a task may run on a machine at all. Checked before the machine's capacity.
 use super::Planner;
 use crate::host::{text, Host, Location};
 
 impl<H: Host> Planner<H> {
-    /// The rules for the task and the health of the machine.
+    /// Returns whether a task may be placed on a machine, regardless of capacity. Checks the
+    /// required kind, the installation's constraints, retry safety, ejection, earlier failed
+    /// attempts, the spread limit and slow start.
     pub(super) fn is_eligible(&self, task: usize, machine: usize) -> bool {
         let candidate = &self.tasks[task];
         let rules = &self.frameworks[candidate.framework];
@@ -16,20 +18,24 @@
             return false;
         }
         let service = candidate.service;
-        let on = |other: usize| self.own_tasks_on(other).filter(|task| task.service == service).count();
+        let count_on = |other: usize| self.own_tasks_on(other).filter(|task| task.service == service).count();
         let spread = rules.spread.as_str();
         let level = |(_, zone, cell): Location| if spread == "cell" { cell } else { zone };
         let location = |machine: usize| self.machines.location[machine];
-        let is_near = |other: &usize| level(location(*other)) == level(location(machine));
-        let together = match spread {
-            "machine" => on(machine),
-            "cell" | "zone" => (0..self.machines.listed.len()).filter(is_near).map(on).sum(),
+        let shares_level = |other: &usize| level(location(*other)) == level(location(machine));
+        let running_together = match spread {
+            "machine" => count_on(machine),
+            "cell" | "zone" => (0..self.machines.listed.len()).filter(shares_level).map(count_on).sum(),
             _ => return self.slow_start_allows(machine),
         };
-        together < rules.max_together && self.slow_start_allows(machine)
+        running_together < rules.max_together && self.slow_start_allows(machine)
     }
 
-    /// Rule 2: where an attempt may have run, a further one must be harmless.
+    /// Returns whether a further attempt on the machine is safe, given that an earlier attempt may
+    /// have run. A retryable task may always run twice. A deduplicated task may run twice only on
+    /// machines that drop duplicates of the first attempt (all machines, those of its zone, or
+    /// those of its cell) and only if the new attempt connects within the deduplication window,
+    /// which begins when the first attempt was sent. Any other task may not.
     pub(super) fn retry_allowed(&self, task: usize, machine: usize) -> bool {
         let task = &self.tasks[task];
         let Some((first, sent_at)) = task.possibly_ran else { return true };
--- a/src/placement/estimates.rs
+++ b/src/placement/estimates.rs
@@ -1,24 +1,26 @@
-//! What services and machines use: mean and variance, learnt from statuses and reports, and the load that
-//! follows for each machine.
+//! Usage estimates: mean and variance of the resources that services and machines use, updated from
+//! task statuses and machine reports, and the load of each machine that follows from them.
 use super::capacity::CONFIDENCE_QUANTILE;
 use super::health::REPORT_STALE_US;
 use super::Planner;
 use crate::host::{text, Host, MachineEstimate, Resources};
 
-/// A report or an entry of the list is taken to contain a task that had run this long when it came.
+/// Delay of reports and list entries: one is taken to include a task only if the task had run for
+/// at least this long when the report or entry arrived.
 pub(super) const REPORT_LAG_US: i64 = 1_500_000;
-/// Samples over which the share of a machine in use is averaged.
-const UTILIZATION_MEMORY: f64 = 16.0;
-/// Samples over which the use of one service's tasks is averaged.
-const SERVICE_MEMORY: f64 = 32.0;
-/// Samples over which the used share of requested cores is averaged.
-const CORES_RATIO_MEMORY: f64 = 64.0;
-/// Samples over which the used share of requested memory is averaged.
-const MEMORY_RATIO_MEMORY: f64 = 128.0;
-/// Share of a machine's cores that must be requested for its report to tell of the used share.
+/// Number of samples over which the utilization of machines is averaged.
+const UTILIZATION_WINDOW: f64 = 16.0;
+/// Number of samples over which the cores in use by one service's tasks are averaged.
+const SERVICE_WINDOW: f64 = 32.0;
+/// Number of samples over which the ratio of used to requested cores is averaged.
+const CORES_RATIO_WINDOW: f64 = 64.0;
+/// Number of samples over which the ratio of used to requested memory is averaged.
+const MEMORY_RATIO_WINDOW: f64 = 128.0;
+/// Share of a machine's cores that must be requested before its report yields a sample of the ratio
+/// of used to requested cores.
 const MIN_REQUESTED_SHARE: f64 = 0.1;
 
-/// Mean and variance of a use, and the samples that they rest on.
+/// Running mean and variance of a quantity, with the number of samples taken.
 #[derive(Clone)]
 pub(super) struct UsageEstimate {
     pub(super) mean: f64,
@@ -27,32 +29,36 @@
 }
 
 impl UsageEstimate {
-    /// The prior, which counts as one sample.
-    pub(super) const START: UsageEstimate = UsageEstimate { mean: 1.0, variance: 0.25, samples: 0.0 };
+    /// The estimate before any sample; it has the weight of one sample.
+    pub(super) const PRIOR: UsageEstimate = UsageEstimate { mean: 1.0, variance: 0.25, samples: 0.0 };
 
-    /// Each sample moves mean and variance by at least one part in `memory`.
-    pub(super) fn learn(&mut self, value: f64, memory: f64) {
+    /// Adds a sample. Its weight is 1 / (samples + 1), but at least 1 / `window`, so that old
+    /// samples are forgotten exponentially.
+    pub(super) fn add_sample(&mut self, value: f64, window: f64) {
         self.samples += 1.0;
-        let weight = (1.0 / (self.samples + 1.0)).max(1.0 / memory);
+        let weight = (1.0 / (self.samples + 1.0)).max(1.0 / window);
         let deviation = value - self.mean;
         self.mean += weight * deviation;
         self.variance = (1.0 - weight) * (self.variance + weight * deviation * deviation);
     }
 }
 
-/// What is in use on a machine.
+/// The estimated load of a machine.
 #[derive(Clone, Copy)]
 pub(super) struct MachineLoad {
-    /// Mean and variance of the cores in use.
+    /// Mean of the cores in use.
     pub(super) cores: f64,
+    /// Variance of the cores in use.
     pub(super) variance: f64,
+    /// Memory units in use.
     pub(super) memory: f64,
-    /// What own attempts request that neither the report nor the list can contain.
-    pub(super) unseen: Resources,
+    /// Cores and memory requested by own attempts that are too recent for the latest report or list
+    /// entry to include.
+    pub(super) unaccounted: Resources,
 }
 
 impl<H: Host> Planner<H> {
-    /// What is believed of a machine, for operators.
+    /// Returns the current estimates for a machine, for display to operators.
     pub fn machine_estimate(&self, machine: usize) -> MachineEstimate {
         let load = self.load(machine, self.variance_ratio());
         let machines = &self.machines;
@@ -72,31 +78,36 @@
         }
     }
 
-    /// The estimate of a service's tasks; a new one starts from what its task requests.
+    /// Grows the usage estimates to contain the service. A service without samples starts from the
+    /// cores that its task requests.
     pub(super) fn ensure_service_usage(&mut self, service: usize, requested_cores: f64) {
         let known = self.service_usage.len().max(service + 1);
-        self.service_usage.resize(known, UsageEstimate::START);
+        self.service_usage.resize(known, UsageEstimate::PRIOR);
         if self.service_usage[service].samples == 0.0 {
-            // The request and a quarter of its square, until statuses of other tasks tell better.
+            // Before any sample, the ratio's prior gives the requested cores as the mean and a
+            // quarter of their square as the variance; samples of other tasks then adjust the
+            // ratio.
             let ratio = &self.cores_use_ratio;
             self.service_usage[service].mean = requested_cores * ratio.mean;
             self.service_usage[service].variance = requested_cores * requested_cores * ratio.variance;
         }
     }
 
-    /// Learns from the cores that a task uses.
-    pub(super) fn learn_cores(&mut self, task: usize, value: f64) {
+    /// Adds a sample of the cores in use by a task.
+    pub(super) fn add_cores_sample(&mut self, task: usize, value: f64) {
         let task = &self.tasks[task];
-        self.cores_use_ratio.learn(value / task.cores.max(0.001), CORES_RATIO_MEMORY);
-        self.service_usage[task.service].learn(value, SERVICE_MEMORY);
+        self.cores_use_ratio.add_sample(value / task.cores.max(0.001), CORES_RATIO_WINDOW);
+        self.service_usage[task.service].add_sample(value, SERVICE_WINDOW);
     }
 
-    /// Learns from the memory that a task uses.
-    pub(super) fn learn_memory(&mut self, task: usize, value: f64) {
-        self.memory_use_ratio.learn(value / self.tasks[task].memory.max(0.001), MEMORY_RATIO_MEMORY);
+    /// Adds a sample of the memory in use by a task.
+    pub(super) fn add_memory_sample(&mut self, task: usize, value: f64) {
+        self.memory_use_ratio.add_sample(value / self.tasks[task].memory.max(0.001), MEMORY_RATIO_WINDOW);
     }
 
-    /// A machine's report: what it has free, in the order that the settings name.
+    /// Processes a machine's report. It holds the machine's free resources in the order of the
+    /// settings `stats.fields`, where `x0` stands for cores and `x1` for memory; other fields are
+    /// ignored.
     pub(super) fn read_report(&mut self, machine: usize, report: &[f64]) {
         let requested = self.requested(machine);
         self.machines.requested_at_report[machine] = requested;
@@ -107,53 +118,60 @@
                     let used = (total - free).max(0.0);
                     (self.machines.used_cores[machine], self.machines.reported_at[machine]) =
                         (used, self.now);
-                    self.cores_utilization.learn(used / total.max(1.0), UTILIZATION_MEMORY);
+                    self.cores_utilization.add_sample(used / total.max(1.0), UTILIZATION_WINDOW);
                     if self.list_shows_requests && requested.0 > MIN_REQUESTED_SHARE * total {
-                        self.cores_use_ratio.learn(used / requested.0, CORES_RATIO_MEMORY);
+                        self.cores_use_ratio.add_sample(used / requested.0, CORES_RATIO_WINDOW);
                     }
                 }
                 "x1" => {
                     let total = self.machines.memory[machine];
                     let used = (total - free).max(0.0);
                     self.machines.used_memory[machine] = used;
-                    self.memory_utilization.learn(used / total.max(1.0), UTILIZATION_MEMORY);
+                    self.memory_utilization.add_sample(used / total.max(1.0), UTILIZATION_WINDOW);
                 }
                 _ => {}
             }
         }
     }
 
-    /// Mean and variance of the cores of a machine and the memory in use there: as reported, brought up to
-    /// date by what the list shows as requested since, and own attempts that neither can contain. Without a
-    /// report that is not stale, what the list shows as requested times the share in use, or the average
-    /// where it shows nothing. `ratio` is that of `variance_ratio`.
+    /// Returns the estimated load of a machine: the usage from `used_now`, plus own attempts that
+    /// are too recent for the latest report or list entry to include. The variance of own tasks
+    /// comes from their services; that of the remaining usage is its mean times `ratio`, the result
+    /// of `variance_ratio`.
     pub(super) fn load(&self, machine: usize, ratio: f64) -> MachineLoad {
         let machines = &self.machines;
-        let (mut seen, mut more, mut variance, mut unseen) = (0.0, 0.0, 0.0, (0.0, 0.0));
+        let (mut accounted, mut additional, mut variance, mut unaccounted) = (0.0, 0.0, 0.0, (0.0, 0.0));
         let reported_at = machines.reported_at[machine];
-        let seen_at =
+        let observed_at =
             if self.list_shows_requests { machines.listed_at[machine].max(reported_at) } else { reported_at };
         let since_start = |sent_at: i64| sent_at >= machines.started_at[machine];
         for task in self.own_tasks_on(machine).filter(|task| since_start(task.sent_at)) {
             let usage = &self.service_usage[task.service];
             variance += usage.variance;
-            if task.running_at > 0 && task.running_at + REPORT_LAG_US <= seen_at {
-                seen += usage.mean;
+            if task.running_at > 0 && task.running_at + REPORT_LAG_US <= observed_at {
+                accounted += usage.mean;
             } else {
-                more += usage.mean;
-                unseen = (unseen.0 + task.cores, unseen.1 + task.memory);
+                additional += usage.mean;
+                unaccounted = (unaccounted.0 + task.cores, unaccounted.1 + task.memory);
             }
         }
         let (used, memory) = self.used_now(machine);
         MachineLoad {
-            cores: used + more,
-            variance: variance + (used - seen).max(0.0) * ratio,
-            memory: memory + unseen.1,
-            unseen,
+            cores: used + additional,
+            variance: variance + (used - accounted).max(0.0) * ratio,
+            memory: memory + unaccounted.1,
+            unaccounted,
         }
     }
 
-    /// Cores and memory in use on a machine, own attempts that were not seen yet left out.
+    /// Returns the cores and memory in use on a machine, without own attempts that are too recent
+    /// for the latest report or list entry to include.
+    ///
+    /// If the machine list shows requests, the result is the last fresh report plus the change in
+    /// requests since then, scaled by the ratio of used to requested resources; without a fresh
+    /// report, all requests are scaled. Otherwise the result is the last report, or the average
+    /// utilization of all machines if the report is stale or missing and any report has been
+    /// received.
     fn used_now(&self, machine: usize) -> Resources {
         let machines = &self.machines;
         let reported_at = machines.reported_at[machine];
@@ -172,14 +190,15 @@
         (used, memory)
     }
 
-    /// Cores and memory requested of a machine, as the list shows it.
+    /// Returns the cores and memory requested of a machine according to the machine list.
     pub(super) fn requested(&self, machine: usize) -> Resources {
         let machines = &self.machines;
         let (cores, memory) = machines.unrequested[machine];
         (machines.cores[machine] - cores, machines.memory[machine] - memory)
     }
 
-    /// Mean variance-to-mean ratio of the known services.
+    /// Returns the average variance-to-mean ratio of the cores in use, over all services with
+    /// samples.
     pub(super) fn variance_ratio(&self) -> f64 {
         let known = || self.service_usage.iter().filter(|usage| usage.samples > 0.0 && usage.mean > 0.0);
         known().map(|usage| usage.variance / usage.mean).sum::<f64>() / known().count().max(1) as f64
--- a/src/placement/machine_list.rs
+++ b/src/placement/machine_list.rs
@@ -1,25 +1,27 @@
-//! Which machines there are: the events of the list, and when to ask for it again.
+//! The machine list: events that update it, and when to request the list again.
 use super::Planner;
 use crate::host::{Host, Location, Readiness, Resources};
 
-/// The first wait after a failed call for the list, doubled with each further failure up to so many times.
+/// Base of the exponential backoff after a failure of the machine list.
 const RETRY_BASE_US: i64 = 200_000;
+/// Maximum number of times that consecutive failures double the backoff.
 const MAX_RETRY_DOUBLINGS: u32 = 4;
-/// How long an answer to a call for the list is waited for.
+/// Time after which an unanswered request for the machine list is repeated.
 const LIST_TIMEOUT_US: i64 = 5_000_000;
 
 impl<H: Host> Planner<H> {
-    /// Entries follow, then `list_finished`. A whole list names every machine; only a fresh one counts as
-    /// heard.
+    /// Starts an update of the machine list; calls of `machine_listed` and one of `list_finished`
+    /// follow. A `whole` list contains every machine, so machines without an entry are no longer
+    /// ready. Only a `fresh` list counts as received; a list from a cache does not.
     pub fn list_started(&mut self, whole: bool, fresh: bool) {
         self.machines.listed.iter_mut().for_each(|listed| *listed &= !whole);
         if fresh {
-            (self.list_heard_at, self.list_failures, self.list_due_at) = (self.now, 0, i64::MAX);
+            (self.list_received_at, self.list_failures, self.list_request_at) = (self.now, 0, i64::MAX);
         }
     }
 
-    /// An entry: where the machine is, when it started (in microseconds), and the cores and memory that
-    /// nobody requested.
+    /// Handles an entry of the machine list: the machine's location, its start time in microseconds
+    /// (0 if unknown), and its cores and memory that no task has requested.
     pub fn machine_listed(
         &mut self,
         machine: usize,
@@ -35,7 +37,7 @@
         self.machines.location[machine] = location;
         (self.machines.unrequested[machine], self.machines.listed_at[machine]) = (unrequested, self.now);
         if started_at > self.machines.started_at[machine] {
-            // A newer start: a machine that warms up and runs nothing.
+            // The machine has restarted: it warms up, and its old report no longer applies.
             self.machines.started_at[machine] = started_at;
             (self.machines.reported_at[machine], self.machines.ejected_until[machine]) = (0, 0);
             let warm_at = started_at + self.setting("rules.coldUs") as i64;
@@ -43,35 +45,37 @@
         }
     }
 
-    /// A machine's id as a number that is the same at every planner.
+    /// Sets a machine's number, which is derived from its id and the same in every planner.
     pub fn set_machine_number(&mut self, machine: usize, number: u64) {
         self.ensure_machine(machine);
         self.machines.stable_number[machine] = number;
     }
 
-    /// All entries have come.
+    /// Ends an update of the machine list: probes machines that are due and serves waiting tasks.
     pub fn list_finished(&mut self) {
         self.probe_due_machines();
         self.serve_waiting();
     }
 
-    /// A watch or fetch failed, or the watch dropped, after which nothing more comes: it is asked anew, later
-    /// each time.
+    /// Handles a failed watch or fetch of the machine list, or the loss of a watch, after which no
+    /// updates arrive. Schedules a new request with exponential backoff and jitter.
     pub fn list_lost(&mut self) {
         self.list_failures += 1;
         let wait = RETRY_BASE_US << self.list_failures.min(MAX_RETRY_DOUBLINGS);
-        self.list_due_at = self.now + self.rng.i64(wait / 2..wait);
+        self.list_request_at = self.now + self.rng.i64(wait / 2..wait);
     }
 
+    /// Starts a watch of the machine list, and schedules another request in case no list arrives.
     pub(super) fn request_list(&mut self) {
         self.host.watch_list(true);
-        self.list_due_at = self.now + LIST_TIMEOUT_US;
+        self.list_request_at = self.now + LIST_TIMEOUT_US;
     }
 
-    /// Whether the list can be relied on for drains: while a watch stands it can, else for as long as the
-    /// settings let it go without being asked for.
+    /// Returns whether the machine list is recent enough to rely on for drains: always while no
+    /// request for it is due, otherwise for the time `rules.askEveryUs` after the list was last
+    /// received.
     pub(super) fn list_is_reliable(&self) -> bool {
-        self.list_due_at == i64::MAX
-            || self.now < self.list_heard_at + self.setting("rules.askEveryUs") as i64
+        self.list_request_at == i64::MAX
+            || self.now < self.list_received_at + self.setting("rules.askEveryUs") as i64
     }
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,22 +1,25 @@
-//! Every decision of basaltpitch. One `Planner` is one scheduler; it shares nothing with another.
-//! A caller (the planner, the node on the platform, `benchlink`) makes it with the settings, a seed and a
-//! `Host`, then calls one method for each event: list, task, attempt, status, probe, timer. The planner acts
-//! by calling the host at once. The interface is in `host.rs`, the reasons in `docs/design.md`.
+//! The placement module: every scheduling decision of basaltpitch.
 //!
-//! Each module holds one decision and the events that lead to it:
+//! One `Planner` is one scheduler; planners share no state. A caller (the planner process, the node
+//! on the platform, or the simulator's adapter `benchlink`) creates a planner with its settings, a
+//! random seed and a `Host`, and then calls one method per event: machine list, task, attempt,
+//! status, probe or timer. The planner acts by calling methods of the host before it returns.
+//! `host.rs` defines the interface; `docs/design.md` gives the reasons for the design.
 //!
-//! - `machine_list`: which machines there are, and whether the list can be relied on;
-//! - `health`: probes, and which machines are ejected for a time;
-//! - `estimates`: mean and variance of what services and machines use;
-//! - `eligibility`, `slow_start`: whether a task may go to a machine at all;
-//! - `capacity`: whether it fits there, at confidence;
-//! - `ranking`: which of the fitting machines it goes to;
-//! - `preemption`: which tasks of lower priority make way;
-//! - `attempts`: what follows from answers and outcomes, retries among it;
+//! Each submodule holds one decision and the events that lead to it:
+//!
+//! - `machine_list`: which machines exist, and whether the list is recent enough to rely on;
+//! - `health`: when machines are probed, and for how long a failing machine is ejected;
+//! - `estimates`: mean and variance of the resources that services and machines use;
+//! - `eligibility`, `slow_start`: whether a task may run on a machine, regardless of capacity;
+//! - `capacity`: whether a task fits on a machine at confidence;
+//! - `ranking`: which of the machines with enough capacity is chosen;
+//! - `preemption`: which tasks of lower priority are evicted;
+//! - `attempts`: how answers, statuses and outcomes of attempts are handled, including retries;
 //! - `queue`: tasks that wait for capacity, and timers.
 //!
-//! Random draws, the order of iteration and the order of arithmetic are part of the behaviour: recordings are
-//! replayed to the last bit.
+//! Recordings are replayed bit for bit, so the sequence of random draws, the order of iteration and
+//! the order of floating-point operations are part of the behaviour.
 mod attempts;
 mod capacity;
 mod eligibility;
@@ -33,53 +36,65 @@
 use estimates::UsageEstimate;
 use state::{FrameworkRules, Machines, Task};
 
-/// Interval of the planner's own timer, which drives probes and waiting tasks.
+/// Interval of the planner's periodic timer, which drives list requests, probes and waiting tasks.
 const TICK_US: i64 = 100_000;
 
-/// One scheduler: what it knows, and the host that it acts through.
+/// One scheduler: its state, and the host through which it acts.
 pub struct Planner<H: Host> {
-    /// What the planner acts through.
+    /// The host through which the planner acts.
     pub host: H,
     settings: Settings,
     rng: fastrand::Rng,
-    /// The clock as `set_clock` last gave it, and when this planner was started; in microseconds.
+    /// The current time, as last set by `set_clock`, in microseconds.
     now: i64,
+    /// The time at which this planner started, in microseconds.
     started_at: i64,
     probes_in_flight: usize,
-    /// Whether probes bring a report, and until when it is not tried again whether they do.
-    probes_bring_reports: bool,
-    no_report_check_until: i64,
-    /// The sequence number given to the latest task.
+    /// Whether any answer to a probe has contained a usage report.
+    probes_return_reports: bool,
+    /// The time before which no probe is sent only to see whether answers contain reports, in
+    /// microseconds.
+    next_report_check_at: i64,
+    /// The sequence number of the task that was added last.
     last_sequence: u64,
+    /// Tasks by index.
     tasks: Vec<Task>,
+    /// Indices of the tasks that wait for capacity.
     waiting: Vec<usize>,
-    /// When the list was last heard.
-    list_heard_at: i64,
-    /// When to ask for it again: never while a watch stands.
-    list_due_at: i64,
+    /// The time at which a fresh machine list was last received, in microseconds.
+    list_received_at: i64,
+    /// The time at which the machine list is requested next, in microseconds; `i64::MAX` if no
+    /// request is due, because a watch is active or the list is pushed without one.
+    list_request_at: i64,
+    /// Number of failures of the machine list since it was last received.
     list_failures: u32,
-    /// Used cores of one task of each service.
+    /// Estimated cores in use per task, by service.
     service_usage: Vec<UsageEstimate>,
+    /// Numbers of the services that are the same in every planner, by service.
     service_numbers: Vec<u64>,
-    /// Share of the requested cores and memory that all tasks use.
+    /// Estimated cores in use per requested core, over all tasks.
     cores_use_ratio: UsageEstimate,
+    /// Estimated memory in use per requested memory unit, over all tasks.
     memory_use_ratio: UsageEstimate,
-    /// Share of a machine's cores and memory in use, over all reports.
+    /// Estimated share of a machine's cores in use, over the reports of all machines.
     cores_utilization: UsageEstimate,
+    /// Estimated share of a machine's memory in use, over the reports of all machines.
     memory_utilization: UsageEstimate,
-    /// Whether the list tells what is requested of machines.
+    /// Whether the machine list contains the resources that no task has requested.
     list_shows_requests: bool,
-    /// Smoothed time until an attempt is answered, by framework.
+    /// Smoothed time from launching an attempt to its acceptance in microseconds, by framework.
     answer_us: Vec<f64>,
+    /// Settings of the frameworks, by framework.
     frameworks: Vec<FrameworkRules>,
-    /// This planner's zone, where running tasks in another has a price.
+    /// The zone of this planner; `None` if it is unknown or tasks in other zones cost no more.
     preferred_zone: Option<usize>,
+    /// State of the machines, by machine.
     machines: Machines,
 }
 
 impl<H: Host> Planner<H> {
-    /// A planner that knows no machine yet; `now` is the clock in microseconds. It asks for the list and sets
-    /// its first timer.
+    /// Creates a planner without machines at the time `now` (microseconds). It starts a watch of
+    /// the machine list if the settings require one, and sets its periodic timer.
     pub fn new(host: H, seed: u64, now: i64, settings: Settings) -> Self {
         let list_shows_requests = number(&settings, "familyInfo.view").unwrap_or(0.0) > 0.0;
         let priced = number(&settings, "tariffs.crossZone").unwrap_or(0.0) > 0.0;
@@ -96,20 +111,20 @@
             now,
             started_at: now,
             probes_in_flight: 0,
-            probes_bring_reports: false,
-            no_report_check_until: 0,
+            probes_return_reports: false,
+            next_report_check_at: 0,
             last_sequence: 0,
             tasks: Vec::new(),
             waiting: Vec::new(),
-            list_heard_at: now,
-            list_due_at: i64::MAX,
+            list_received_at: now,
+            list_request_at: i64::MAX,
             list_failures: 0,
             service_usage: Vec::new(),
             service_numbers: Vec::new(),
-            cores_use_ratio: UsageEstimate::START,
-            memory_use_ratio: UsageEstimate::START,
-            cores_utilization: UsageEstimate::START,
-            memory_utilization: UsageEstimate::START,
+            cores_use_ratio: UsageEstimate::PRIOR,
+            memory_use_ratio: UsageEstimate::PRIOR,
+            cores_utilization: UsageEstimate::PRIOR,
+            memory_utilization: UsageEstimate::PRIOR,
             list_shows_requests,
             answer_us: frameworks.iter().map(|rules| rules.latency_objective_us * 0.5).collect(),
             frameworks,
@@ -123,12 +138,12 @@
         planner
     }
 
-    /// The present time in microseconds, for all that follows.
+    /// Sets the current time in microseconds, which holds until the next call.
     pub fn set_clock(&mut self, now: i64) {
         self.now = now;
     }
 
-    /// A tenant's share of the fleet, in place of the one that the settings gave.
+    /// Sets a tenant's share of the fleet, replacing the share from the settings.
     pub fn set_tenant_share(&mut self, tenant: usize, share: f64) {
         self.settings.insert(format!("tenants.{tenant}.share"), Value::Number(share));
     }
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -1,20 +1,23 @@
-//! Preemption: tasks of lower priority make way for one that has no machine or is served badly.
+//! Preemption: tasks of lower priority are evicted for a task that finds no capacity or runs too
+//! slowly.
 use super::capacity::MEMORY_SHARE;
 use super::state::TaskPhase;
 use super::Planner;
 use crate::host::Host;
 
-/// Served below this share, own tasks of lower priority make way.
-const SERVED_FULLY: f64 = 0.9;
-/// Served below this share, a task of higher priority is better off moved.
-const SERVED_POORLY: f64 = 0.5;
-/// Share of the calm level in use from which on evicting others is taken to help.
-const CROWDED_SHARE: f64 = 0.6;
-/// Share of a machine's cores that is freed for a task that is served badly.
+/// Service level of a task below which own tasks of lower priority on its machine are evicted.
+const FULL_SERVICE_LEVEL: f64 = 0.9;
+/// Service level below which a task with a priority above 0 is itself evicted, to run elsewhere.
+const POOR_SERVICE_LEVEL: f64 = 0.5;
+/// Share of a framework's congestion threshold that must be in use for evictions to help its tasks.
+/// Below this load, the machine is slow for another reason.
+const CONGESTED_SHARE: f64 = 0.6;
+/// Share of a machine's cores that evictions free for a task that runs too slowly.
 const RELIEF_SHARE: f64 = 0.1;
 
 impl<H: Host> Planner<H> {
-    /// Own placed tasks on a machine that give way to a framework: of lower priority, and free to run again.
+    /// Returns the own placed tasks on a machine that may be evicted for a task of the framework:
+    /// those of lower priority whose framework allows them to run again.
     pub(super) fn preemptible(&self, machine: usize, framework: usize) -> Vec<usize> {
         let rules = |task: usize| &self.frameworks[self.tasks[task].framework];
         let gives_way = |task: usize| {
@@ -24,7 +27,8 @@
         self.machines.own_tasks[machine].iter().copied().filter(placed).collect()
     }
 
-    /// Evicts tasks, the largest first, until they free so many cores and memory units.
+    /// Evicts tasks, the largest request for cores first, until their estimated usage adds up to
+    /// the given cores and memory units.
     pub(super) fn evict(&mut self, mut tasks: Vec<usize>, mut cores: f64, mut memory: f64) {
         let size = |task: usize| self.tasks[task].cores;
         tasks.sort_by(|&one, &other| size(other).total_cmp(&size(one)).then(one.cmp(&other)));
@@ -39,36 +43,40 @@
         }
     }
 
-    /// A task told how well it is served. Where it is badly, from whatever cause, own tasks of lower priority
-    /// make way; where there are none, one of higher priority leaves itself for a machine that is calm for it.
-    pub(super) fn service_level_changed(&mut self, task: usize, served: f64) {
+    /// Handles the service level reported by a task, 1 for full speed. If the level is below
+    /// `FULL_SERVICE_LEVEL` on a loaded machine, own tasks of lower priority there are evicted.
+    /// Otherwise, if the level is below `POOR_SERVICE_LEVEL` for any cause and the task has a
+    /// priority above 0, the task itself is evicted, provided that another machine would stay
+    /// uncongested with it.
+    pub(super) fn service_level_changed(&mut self, task: usize, service_level: f64) {
         let (framework, machine) = (self.tasks[task].framework, self.tasks[task].machine);
-        let calm = self.frameworks[framework].calm_level;
+        let threshold = self.frameworks[framework].congestion_threshold;
         let lower = self.preemptible(machine, framework);
         let cores = self.machines.cores[machine];
-        if served < SERVED_FULLY
+        if service_level < FULL_SERVICE_LEVEL
             && !lower.is_empty()
-            && self.load(machine, 0.0).cores > CROWDED_SHARE * calm * cores
+            && self.load(machine, 0.0).cores > CONGESTED_SHARE * threshold * cores
         {
             self.evict(lower, RELIEF_SHARE * cores, 0.0);
-        } else if served < SERVED_POORLY
+        } else if service_level < POOR_SERVICE_LEVEL
             && self.frameworks[framework].priority > 0.0
             && self.tasks[task].phase == TaskPhase::Placed
-            && self.ready_machines().any(|other| other != machine && self.is_calm_for(other, task))
+            && self.ready_machines().any(|other| other != machine && self.stays_uncongested_with(other, task))
         {
             let mean = self.service_usage[self.tasks[task].service].mean;
             self.evict(vec![task], mean, 0.0);
         }
     }
 
-    /// Whether a machine that is not ejected would stay calm with a task.
-    fn is_calm_for(&self, machine: usize, task: usize) -> bool {
+    /// Returns whether a machine is not ejected and would stay below the congestion threshold of a
+    /// task and below the usable share of memory if the task ran there.
+    fn stays_uncongested_with(&self, machine: usize, task: usize) -> bool {
         let task = &self.tasks[task];
-        let calm = self.frameworks[task.framework].calm_level;
+        let threshold = self.frameworks[task.framework].congestion_threshold;
         let mean = self.service_usage[task.service].mean;
         let load = self.load(machine, 0.0);
         self.now >= self.machines.ejected_until[machine]
-            && load.cores + mean <= calm * self.machines.cores[machine]
+            && load.cores + mean <= threshold * self.machines.cores[machine]
             && load.memory + task.memory <= MEMORY_SHARE * self.machines.memory[machine]
     }
 }
--- a/src/placement/queue.rs
+++ b/src/placement/queue.rs
@@ -1,11 +1,11 @@
-//! Tasks that wait for capacity: in which order they are tried, when they are given up, and the timers.
+//! The queue of tasks that wait for capacity: arrival, order of service, deadlines and timers.
 use super::state::TaskPhase;
 use super::{Planner, TICK_US};
 use crate::host::{text, Host, Resources};
 use std::collections::BTreeMap;
 
 impl<H: Host> Planner<H> {
-    /// A task is asked for, to be answered within `time_left_us`.
+    /// Handles a request to place a task, which must be answered within `time_left_us`.
     pub fn task_requested(
         &mut self,
         task: usize,
@@ -19,12 +19,13 @@
         let new = &mut self.tasks[task];
         (new.phase, new.requested_at) = (TaskPhase::Waiting, self.now);
         new.deadline_at = self.now + time_left_us;
-        if self.probe_homes(service) || !self.place(task) {
+        if self.probe_affinity_machines(service) || !self.place(task) {
             self.wait(task);
         }
     }
 
-    /// Time is up for a task: its client does not wait any longer.
+    /// Handles the expiry of a task's deadline: the client no longer waits for an answer. Cancels
+    /// an unanswered attempt if the settings allow cancellation.
     pub fn task_expired(&mut self, task: usize) {
         let expired = &self.tasks[task];
         if expired.phase == TaskPhase::Sent && self.setting("permissions.cancelling") > 0.0 {
@@ -35,8 +36,9 @@
         self.serve_waiting();
     }
 
-    /// A task must be answered within `time_left_us` from now, if not earlier. One that waits and has no time left
-    /// is given up at once; one whose attempt is out, with the attempt's outcome.
+    /// Shortens a task's deadline to at most `time_left_us` from now. A waiting task without enough
+    /// time left is answered at once; a task with an open attempt is answered after that attempt
+    /// ends.
     pub fn deadline_shortened(&mut self, task: usize, time_left_us: i64) {
         let shortened = &mut self.tasks[task];
         shortened.deadline_at = shortened.deadline_at.min(self.now + time_left_us);
@@ -44,14 +46,16 @@
             return;
         }
         self.waiting.retain(|&other| other != task);
-        if self.is_too_late(task) {
+        if self.must_give_up(task) {
             self.give_up(task);
         } else {
             self.wait(task);
         }
     }
 
-    /// A timer that the planner set is due; its token says which.
+    /// Handles a timer that is due. Token 0 is the periodic timer; any other token is the deadline
+    /// timer of a waiting task, which is ignored if the task has left the queue or its index has
+    /// been reused.
     pub fn timer_fired(&mut self, token: u64) {
         if token != 0 {
             let task = (token & 0xffff_ffff) as usize;
@@ -62,14 +66,15 @@
             return;
         }
         self.host.set_timer(TICK_US, 0);
-        if self.now >= self.list_due_at {
+        if self.now >= self.list_request_at {
             self.request_list();
         }
         self.probe_due_machines();
         self.serve_waiting();
     }
 
-    /// Waits for capacity, with a timer of its own for the last moment at which an attempt could be answered.
+    /// Adds a task to the queue, with a timer for the latest time at which a new attempt could
+    /// still be answered before the deadline.
     pub(super) fn wait(&mut self, task: usize) {
         let waiting = &self.tasks[task];
         let left = waiting.deadline_at - self.answer_us[waiting.framework] as i64 - self.now;
@@ -79,20 +84,24 @@
         self.waiting.push(task);
     }
 
-    /// Too little time for an answer, or what may have run forbids every further attempt.
-    pub(super) fn is_too_late(&self, task: usize) -> bool {
+    /// Returns whether a task must be given up: too little time is left for an attempt to be
+    /// answered, or an attempt that may have run forbids retries, even on the machine of that
+    /// attempt.
+    pub(super) fn must_give_up(&self, task: usize) -> bool {
         let waiting = &self.tasks[task];
-        let barred = waiting.possibly_ran.is_some_and(|(machine, _)| !self.retry_allowed(task, machine));
-        barred || self.now + self.answer_us[waiting.framework] as i64 >= waiting.deadline_at
+        let retry_forbidden =
+            waiting.possibly_ran.is_some_and(|(machine, _)| !self.retry_allowed(task, machine));
+        retry_forbidden || self.now + self.answer_us[waiting.framework] as i64 >= waiting.deadline_at
     }
 
-    /// The final answer: rejected where a further try is harmless, else aborted.
+    /// Sends a task's final answer. The task is rejected if no attempt can have run or if the
+    /// client can safely submit it again; otherwise it is aborted.
     pub(super) fn give_up(&mut self, task: usize) {
         self.tasks[task].phase = TaskPhase::Over;
         let framework = self.tasks[task].framework;
-        let in_all = text(&self.settings, &format!("classes.{framework}.group")) == "all";
+        let deduplicated_everywhere = text(&self.settings, &format!("classes.{framework}.group")) == "all";
         let semantics = self.frameworks[framework].semantics.as_str();
-        let harmless = semantics == "retryable" || (semantics == "dedup" && in_all);
+        let harmless = semantics == "retryable" || (semantics == "dedup" && deduplicated_everywhere);
         if harmless || self.tasks[task].possibly_ran.is_none() {
             self.host.reject(task, 0);
         } else {
@@ -100,7 +109,8 @@
         }
     }
 
-    /// Capacity may have come: those who wait are tried by priority weight, the oldest first.
+    /// Tries to place the waiting tasks when capacity may have become available, in descending
+    /// order of priority weight and then by age.
     pub(super) fn serve_waiting(&mut self) {
         let mut queue = std::mem::take(&mut self.waiting);
         let weight = |task: usize| self.frameworks[self.tasks[task].framework].weight;
@@ -111,11 +121,12 @@
         let mut smallest_by_group = BTreeMap::new();
         for task in queue {
             let (framework, cores) = (self.tasks[task].framework, self.tasks[task].cores);
-            if self.is_too_late(task) {
+            if self.must_give_up(task) {
                 self.give_up(task);
                 continue;
             }
-            // Where one could not go, a larger one under the same constraints cannot.
+            // A task is skipped if a task of the same framework and constraints that requests no
+            // more cores has just found no machine.
             let group = (framework, self.host.constraint_group(task));
             let smallest: &mut f64 = smallest_by_group.entry(group).or_insert(f64::MAX);
             if cores >= *smallest || !self.place(task) {
@@ -125,7 +136,8 @@
         }
     }
 
-    /// The token of a task's timer: it is another one for the next task under the same index.
+    /// Returns the token of a task's timer, which differs between successive tasks with the same
+    /// index.
     fn timer_token(&self, task: usize) -> u64 {
         (self.tasks[task].sequence & 0x3fff_ffff) << 32 | task as u64
     }
--- a/src/placement/ranking.rs
+++ b/src/placement/ranking.rs
@@ -1,48 +1,59 @@
-//! Which of the machines that a task fits it goes to.
+//! Ranking: which of the candidate machines a task is placed on.
 use super::capacity::Placement;
 use super::estimates::MachineLoad;
 use super::Planner;
 use crate::host::Host;
 use std::cmp::Reverse;
 
-/// Machines whose used capacity at confidence is within this many cores of the best are drawn from at random.
+/// Machines whose `Candidate::fill` is within this many cores of the highest count as equal, and
+/// one of them is drawn at random.
 const TIE_CORES: f64 = 0.1;
-/// Own tasks yet to start that a machine may have before others go first.
+/// Number of own tasks that have not started yet at which a machine ranks below the others.
 const MAX_STARTING_TASKS: usize = 6;
-/// How full the machines may be on average that the fleet's load is kept to; the others run empty.
+/// Average share of capacity up to which the preferred machines are filled; the fleet's load is
+/// packed on them so that other machines run empty.
 const PACKED_SHARE: f64 = 0.4;
-/// Share in use, over all reports, from which on machines that warm up come first in their turn.
-const PRESSED_UTILIZATION: f64 = 0.6;
-/// Machines of a service that all planners agree on, so that its program is kept on few.
-const HOMES: usize = 2;
-/// The last marks of a suitability tell only of comfort: they are looked at among homes alone.
-const COMFORT_MARKS: u32 = 2;
+/// Average utilization of the fleet above which machines that warm up rank first in this planner's
+/// turn.
+const HIGH_UTILIZATION: f64 = 0.6;
+/// Number of candidates with the highest affinity to a service among which the choice is made. All
+/// planners compute the same affinity, so that few machines have to hold the service's program.
+const AFFINITY_MACHINES: usize = 2;
+/// Number of trailing criteria of a suitability that are only compared between the machines with
+/// the highest affinity.
+const SOFT_CRITERIA: u32 = 2;
 
-/// A machine for a task.
+/// A machine on which a task can be placed.
 pub(super) struct Candidate {
     pub(super) machine: usize,
-    /// How full it would be, in cores; the fullest is preferred.
+    /// Rank by load in cores, where the highest is preferred: the cores in use at confidence on a
+    /// machine that fits the task, or the negated excess of cores on a congested machine.
     pub(super) fill: f64,
-    /// See `Planner::suitability`.
+    /// Criteria that the machine meets, as computed by `Planner::suitability`; 0 on a congested
+    /// machine.
     pub(super) suitability: u8,
 }
 
-/// What a machine would have in use, as it is ranked for packing.
+/// The load of a machine, as ranked by `Planner::packed_machines`.
 struct Fullness {
     machine: usize,
     cores: f64,
     memory: f64,
-    /// The larger of the shares in use.
+    /// The share of the cores or of the memory in use, whichever is larger.
     share: f64,
 }
 
 impl<H: Host> Planner<H> {
-    /// Of the candidates those that suit best; of these the most preferred, the service's homes, then the
-    /// fullest, drawn at random among equals.
+    /// Returns the machine to place a task on, or `None` if there are no candidates.
+    ///
+    /// Each step keeps the best candidates of the previous one: those that meet the weightiest hard
+    /// criteria, those with the highest preference score, the `AFFINITY_MACHINES` with the highest
+    /// affinity, those with the highest suitability, and those with the highest fill. One of the
+    /// rest is drawn at random.
     pub(super) fn choose(&mut self, placement: &Placement, mut candidates: Vec<Candidate>) -> Option<usize> {
-        let needs = |candidate: &Candidate| candidate.suitability >> COMFORT_MARKS;
-        let best_needs = candidates.iter().map(needs).max().unwrap_or(0);
-        candidates.retain(|candidate| needs(candidate) == best_needs);
+        let hard_criteria = |candidate: &Candidate| candidate.suitability >> SOFT_CRITERIA;
+        let best_hard_criteria = candidates.iter().map(hard_criteria).max().unwrap_or(0);
+        candidates.retain(|candidate| hard_criteria(candidate) == best_hard_criteria);
         let scores: Vec<u64> = candidates
             .iter()
             .map(|candidate| self.host.preference_score(placement.task, candidate.machine))
@@ -52,7 +63,7 @@
         candidates.retain(|_| preferred.next() == Some(true));
         candidates
             .sort_by_cached_key(|candidate| Reverse(self.affinity(placement.service, candidate.machine)));
-        candidates.truncate(HOMES);
+        candidates.truncate(AFFINITY_MACHINES);
         let best = candidates.iter().map(|candidate| candidate.suitability).max().unwrap_or(0);
         candidates.retain(|candidate| candidate.suitability == best);
         let fullest = candidates.iter().map(|candidate| candidate.fill).fold(f64::MIN, f64::max);
@@ -63,8 +74,8 @@
         Some(candidates[self.rng.usize(0..candidates.len())].machine)
     }
 
-    /// Every planner computes the same number for a service on a machine: the machines where it is highest
-    /// are the service's homes.
+    /// Returns the affinity of a service to a machine, a rendezvous hash of their numbers. Every
+    /// planner computes the same value, so all prefer the same machines for a service.
     pub(super) fn affinity(&self, service: usize, machine: usize) -> u64 {
         let service = self.service_numbers.get(service).copied().unwrap_or(service as u64);
         let mixed = (service.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.machines.stable_number[machine])
@@ -72,49 +83,67 @@
         (mixed ^ mixed >> 31).wrapping_mul(0x94d0_49bb_1331_11eb) ^ mixed >> 29
     }
 
-    /// How well a fitting machine suits, a bit for each mark, the weightiest first: it warms up and, among
-    /// many planners, this one's turn has come, while the fleet is pressed (mass losses, deploys); it is calm,
-    /// for what crowding stops; few own tasks start there; it is one of those that the fleet's load is kept
-    /// to; it has the program, as a start takes far longer without; it is near; it stays calm for the task
-    /// and for others. `fill` is its used capacity at confidence with the task.
+    /// Returns how well a fitting machine suits a task: one bit per criterion, the weightiest
+    /// first, so that a larger number is better. `fill` is the cores in use at confidence with the
+    /// task. The criteria, in order of weight:
+    ///
+    /// 1. The machine warms up, the fleet is highly utilized (after mass failures or deployments),
+    ///    and planners take turns at machines that warm up; the machine is then only eligible in
+    ///    the turn of this planner.
+    /// 2. The machine stays below the task's congestion threshold, or congestion only slows the
+    ///    task.
+    /// 3. Fewer than `MAX_STARTING_TASKS` own tasks are starting there.
+    /// 4. The machine is one of those on which the fleet's load is packed (`packed`).
+    /// 5. An own task of the same service has been sent there since the machine started and has not
+    ///    ended, so the machine has the program; without it, a start takes far longer.
+    /// 6. The machine is in the planner's zone, or the zone does not matter.
+    /// 7. The machine stays below the task's congestion threshold.
+    /// 8. The machine stays below the congestion thresholds of this planner's tasks that run there.
     pub(super) fn suitability(&self, placement: &Placement, machine: usize, fill: f64, packed: bool) -> u8 {
         let (framework, service) = (placement.framework, placement.service);
-        let is_calm =
-            |framework: usize| self.frameworks[framework].calm_level * self.machines.cores[machine] >= fill;
+        let is_uncongested = |framework: usize| {
+            self.frameworks[framework].congestion_threshold * self.machines.cores[machine] >= fill
+        };
         let starting = self.own_tasks_on(machine).filter(|task| task.running_at == 0).count();
         let started_at = self.machines.started_at[machine];
         let has_program =
             self.own_tasks_on(machine).any(|task| task.service == service && task.sent_at >= started_at);
-        let calm_for_others = self.own_tasks_on(machine).all(|task| is_calm(task.framework));
-        let near = self.preferred_zone.is_none_or(|zone| zone == self.machines.location[machine].1);
-        let tolerant = self.frameworks[framework].crowding_tolerance >= 0.0;
-        let marks = [
-            self.slow_start_goes_first(machine),
-            tolerant || is_calm(framework),
+        let uncongested_for_others = self.own_tasks_on(machine).all(|task| is_uncongested(task.framework));
+        let in_preferred_zone =
+            self.preferred_zone.is_none_or(|zone| zone == self.machines.location[machine].1);
+        let tolerant = self.frameworks[framework].congestion_tolerance >= 0.0;
+        let criteria = [
+            self.ranks_warming_up_first(machine),
+            tolerant || is_uncongested(framework),
             starting < MAX_STARTING_TASKS,
             packed,
             has_program,
-            near,
-            is_calm(framework),
-            calm_for_others,
+            in_preferred_zone,
+            is_uncongested(framework),
+            uncongested_for_others,
         ];
-        marks.iter().fold(0, |all, &mark| 2 * all + u8::from(mark))
+        criteria.iter().fold(0, |bits, &is_met| 2 * bits + u8::from(is_met))
     }
 
-    /// Whether a machine that warms up comes first: while the fleet is pressed, where planners take turns.
-    fn slow_start_goes_first(&self, machine: usize) -> bool {
+    /// Returns whether a machine that warms up ranks first: the fleet is highly utilized, and there
+    /// are more planners than attempts in the machine's slow-start budget, so that planners take
+    /// turns.
+    fn ranks_warming_up_first(&self, machine: usize) -> bool {
         let utilization = self.cores_utilization.mean.max(self.memory_utilization.mean);
         self.now < self.machines.slow_start_until[machine]
-            && utilization > PRESSED_UTILIZATION
+            && utilization > HIGH_UTILIZATION
             && self.setting("familyInfo.coldSends") < self.setting("nInstances")
     }
 
-    /// The fullest machines that the load of all would fill to `PACKED_SHARE`: it is kept to them, as each
-    /// machine that holds a task has a price. Many planners can't keep up with a fleet and would all crowd
-    /// the same few.
+    /// Returns, by machine, whether the machine is one of the fullest that together could carry the
+    /// load of the whole fleet at `PACKED_SHARE` of their capacity. Placement prefers them, because
+    /// each machine that holds a task has a cost.
+    ///
+    /// Returns true for all machines if reports expire between probes: with so many planners on
+    /// outdated reports, all would overload the same few machines.
     pub(super) fn packed_machines(&self, loads: &[(usize, MachineLoad)]) -> Vec<bool> {
         let machines = &self.machines;
-        if self.fleet_outruns_probes() {
+        if self.reports_expire_between_probes() {
             return vec![true; machines.listed.len()];
         }
         let fullness = |&(machine, ref load): &(usize, MachineLoad)| {
@@ -122,12 +151,13 @@
             let share = cores_share.max(load.memory / machines.memory[machine].max(1.0));
             Fullness { machine, cores: load.cores, memory: load.memory, share }
         };
-        let mut all: Vec<Fullness> = loads.iter().map(fullness).collect();
-        all.sort_by(|one, other| other.share.total_cmp(&one.share).then(one.machine.cmp(&other.machine)));
-        let mut cores = all.iter().map(|one| one.cores).sum::<f64>();
-        let mut memory = all.iter().map(|one| one.memory).sum::<f64>();
+        let mut by_fullness: Vec<Fullness> = loads.iter().map(fullness).collect();
+        by_fullness
+            .sort_by(|one, other| other.share.total_cmp(&one.share).then(one.machine.cmp(&other.machine)));
+        let mut cores = by_fullness.iter().map(|one| one.cores).sum::<f64>();
+        let mut memory = by_fullness.iter().map(|one| one.memory).sum::<f64>();
         let mut packed = vec![false; machines.listed.len()];
-        for Fullness { machine, .. } in all {
+        for Fullness { machine, .. } in by_fullness {
             packed[machine] = cores > 0.0 || memory > 0.0;
             cores -= PACKED_SHARE * machines.cores[machine];
             memory -= PACKED_SHARE * machines.memory[machine];
--- a/src/placement/state.rs
+++ b/src/placement/state.rs
@@ -1,64 +1,75 @@
-//! What the planner keeps of tasks, machines, services and frameworks, under their small indices.
+//! The planner's records of tasks, machines, services and frameworks, addressed by their indices.
 use super::estimates::UsageEstimate;
 use super::Planner;
 use crate::host::{number, text, Host, Location, Resources, Settings};
 
-/// Where a task is in its life, as far as the planner is concerned.
+/// The phase of a task, as seen by the planner.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(super) enum TaskPhase {
-    /// Answered or ended; its index may be used again.
+    /// The task has its final answer or has ended; its index may be reused.
     #[default]
     Over,
-    /// Waits for capacity.
+    /// The task waits for capacity.
     Waiting,
-    /// An attempt is under way, without an answer yet.
+    /// An attempt was sent, and its machine has not answered yet.
     Sent,
-    /// A machine accepted it.
+    /// A machine accepted the task, or the task was found running.
     Placed,
 }
 
-/// What the settings say of a framework, read once: ranking a large fleet asks for it all the time.
+/// The settings of a framework. They are parsed once, because ranking the machines of a large fleet
+/// reads them for every machine.
 pub(super) struct FrameworkRules {
+    /// Whether a task may run twice: `retryable` (always), `dedup` (where machines drop duplicates)
+    /// or another value (never).
     pub(super) semantics: String,
-    /// The level at which `max_together` counts: machine, cell, zone or nothing.
+    /// The topology level to which `max_together` applies: `machine`, `cell` or `zone`; with any
+    /// other value there is no limit.
     pub(super) spread: String,
-    /// Tasks of one service that may run together at that level.
+    /// Maximum number of tasks of one service that run on one machine, or in one cell or zone.
     pub(super) max_together: usize,
-    /// The machine kind that it needs; below 0: any.
+    /// Index of the machine kind that the tasks require; negative if any kind will do.
     pub(super) required_kind: f64,
+    /// Priority for preemption; tasks of a higher priority may evict tasks of a lower one.
     pub(super) priority: f64,
-    /// Its priority weight, by which waiting tasks are served.
+    /// Priority weight; waiting tasks of a higher weight are served first.
     pub(super) weight: f64,
+    /// Latency objective of the framework's requests, in microseconds.
     pub(super) latency_objective_us: f64,
-    /// Share of a machine's cores in use up to which its tasks are not slowed.
-    pub(super) calm_level: f64,
-    /// The middle of its fade over the headroom share: below 0, crowding stops its tasks.
-    pub(super) crowding_tolerance: f64,
+    /// Share of a machine's cores in use up to which the framework's tasks run at full speed.
+    pub(super) congestion_threshold: f64,
+    /// Middle of the range of core usage over which the tasks' service level falls to 0, minus the
+    /// share of a machine's cores that is filled without congestion. If negative, the tasks are
+    /// never placed on a congested machine.
+    pub(super) congestion_tolerance: f64,
 }
 
 impl FrameworkRules {
-    /// The rules of the framework with an index, `None` past the last one.
-    pub(super) fn read(settings: &Settings, index: usize, headroom: f64) -> Option<Self> {
-        let of_class = |name: &str| number(settings, &format!("classes.{index}.{name}"));
-        let of_family = |name: &str| number(settings, &format!("familyInfo.{name}.{index}")).unwrap_or(0.0);
+    /// Reads the settings of the framework with the given index; returns `None` past the last
+    /// index. `cores_share` is the share of a machine's cores that is filled without congestion.
+    pub(super) fn read(settings: &Settings, index: usize, cores_share: f64) -> Option<Self> {
+        let class_number = |name: &str| number(settings, &format!("classes.{index}.{name}"));
+        let family_number =
+            |name: &str| number(settings, &format!("familyInfo.{name}.{index}")).unwrap_or(0.0);
         Some(FrameworkRules {
-            latency_objective_us: of_class("objectiveUs")?,
+            latency_objective_us: class_number("objectiveUs")?,
             semantics: text(settings, &format!("classes.{index}.semantics")).to_owned(),
             spread: text(settings, &format!("familyInfo.classSpread.{index}")).to_owned(),
-            max_together: of_family("mostTogether") as usize,
-            required_kind: of_family("classKind"),
-            priority: of_family("priorityByClass"),
-            weight: of_class("worth").unwrap_or(0.0),
-            calm_level: of_family("calmLevel"),
-            crowding_tolerance: of_family("calmLevel") + 0.5 * of_family("fadeSpan") - headroom,
+            max_together: family_number("mostTogether") as usize,
+            required_kind: family_number("classKind"),
+            priority: family_number("priorityByClass"),
+            weight: class_number("worth").unwrap_or(0.0),
+            congestion_threshold: family_number("calmLevel"),
+            congestion_tolerance: family_number("calmLevel") + 0.5 * family_number("fadeSpan") - cores_share,
         })
     }
 }
 
-/// A task, from its request or from when it was found running until its answer or end.
+/// A task, from its request or its discovery on a machine until its final answer or its end. Times
+/// are in microseconds.
 #[derive(Default)]
 pub(super) struct Task {
-    /// Distinguishes the tasks that use one index after each other, and orders them by arrival.
+    /// Order of arrival; also distinguishes successive tasks that use the same index.
     pub(super) sequence: u64,
     pub(super) phase: TaskPhase,
     pub(super) framework: usize,
@@ -67,24 +78,29 @@
     pub(super) memory: f64,
     pub(super) requested_at: i64,
     pub(super) deadline_at: i64,
-    /// The machine of the latest attempt.
+    /// Machine of the latest attempt.
     pub(super) machine: usize,
+    /// Number of attempts so far, including the running one of a task that was found.
     pub(super) attempts: u32,
+    /// Time at which the latest attempt was sent.
     pub(super) sent_at: i64,
-    /// When it is known to have run; 0: not known.
+    /// Time from which the latest attempt is known to run; 0 if it is not known to run.
     pub(super) running_at: i64,
-    /// The first attempt that may have run: its machine and when it was sent.
+    /// Machine and send time of the first failed attempt that may have run; `None` if no attempt
+    /// can have run.
     pub(super) possibly_ran: Option<(usize, i64)>,
-    /// The machine that answered it with an error.
+    /// Machine that last answered an attempt with an error; `None` if no machine did.
     pub(super) errored_on: Option<usize>,
-    /// Machines that are not tried again before it has waited.
+    /// Machines whose attempt failed since the task last entered the queue; they are not chosen
+    /// again until it re-enters the queue.
     pub(super) tried: Vec<usize>,
 }
 
-/// What is known of machines, in parallel arrays under the machine's index. Times are in microseconds, 0
-/// where there was none.
+/// The state of all machines, in parallel arrays indexed by machine. Times are in microseconds, 0
+/// if the event has not happened.
 #[derive(Default)]
 pub(super) struct Machines {
+    /// Whether the machine list shows the machine as ready.
     pub(super) listed: Vec<bool>,
     pub(super) location: Vec<Location>,
     pub(super) started_at: Vec<i64>,
@@ -93,26 +109,29 @@
     pub(super) used_cores: Vec<f64>,
     pub(super) used_memory: Vec<f64>,
     pub(super) reported_at: Vec<i64>,
-    /// The id's number, which is the same at every planner.
+    /// Number derived from the machine's id, the same in every planner.
     pub(super) stable_number: Vec<u64>,
-    /// What was requested of it when its last report came.
+    /// Cores and memory that tasks had requested of the machine when its last report arrived,
+    /// according to the machine list.
     pub(super) requested_at_report: Vec<Resources>,
-    /// Cores and memory that nobody had requested, as listed.
+    /// Cores and memory that no task has requested, according to the machine list.
     pub(super) unrequested: Vec<Resources>,
+    /// Time at which the latest entry of the machine list for the machine arrived.
     pub(super) listed_at: Vec<i64>,
-    /// Own tasks with an attempt on it that has no outcome yet.
+    /// This planner's tasks with an attempt on the machine that has not ended.
     pub(super) own_tasks: Vec<Vec<usize>>,
-    /// When the latest attempts were sent to it, the latest first.
-    pub(super) sent_times: Vec<Vec<i64>>,
+    /// Times at which the latest attempts were sent to the machine, the most recent first.
+    pub(super) launch_times: Vec<Vec<i64>>,
     pub(super) slow_start_until: Vec<i64>,
     pub(super) ejected_until: Vec<i64>,
     pub(super) probed_at: Vec<i64>,
-    /// When the machine last said anything: an answer, a status, an end.
-    pub(super) heard_at: Vec<i64>,
+    /// Time of the last message from the machine: an answer to an attempt or probe, a status of a
+    /// task, or the end of a task.
+    pub(super) last_contact_at: Vec<i64>,
 }
 
 impl Machines {
-    /// Makes place for an index, with nothing known of it.
+    /// Grows the arrays to contain the index, with default values for new machines.
     fn ensure(&mut self, machine: usize) {
         let count = machine + 1;
         if count <= self.listed.len() {
@@ -125,51 +144,58 @@
             resources.resize(count, (0.0, 0.0));
         }
         self.own_tasks.resize(count, Vec::new());
-        self.sent_times.resize(count, Vec::new());
-        let of_reports = [&mut self.started_at, &mut self.reported_at, &mut self.listed_at];
-        let of_health =
-            [&mut self.slow_start_until, &mut self.ejected_until, &mut self.probed_at, &mut self.heard_at];
-        of_reports.into_iter().chain(of_health).for_each(|times| times.resize(count, 0));
+        self.launch_times.resize(count, Vec::new());
+        let report_times = [&mut self.started_at, &mut self.reported_at, &mut self.listed_at];
+        let health_times = [
+            &mut self.slow_start_until,
+            &mut self.ejected_until,
+            &mut self.probed_at,
+            &mut self.last_contact_at,
+        ];
+        report_times.into_iter().chain(health_times).for_each(|times| times.resize(count, 0));
         for amounts in [&mut self.cores, &mut self.memory, &mut self.used_cores, &mut self.used_memory] {
             amounts.resize(count, 0.0);
         }
     }
 
-    /// Forgets a machine that is gone.
+    /// Resets the state of a machine that no longer exists.
     fn clear(&mut self, machine: usize) {
         self.listed[machine] = false;
         self.location[machine] = (0, 0, 0);
         self.own_tasks[machine] = Vec::new();
-        self.sent_times[machine] = Vec::new();
+        self.launch_times[machine] = Vec::new();
         (self.unrequested[machine], self.requested_at_report[machine]) = ((0.0, 0.0), (0.0, 0.0));
         for times in
             [&mut self.started_at, &mut self.reported_at, &mut self.listed_at, &mut self.slow_start_until]
         {
             times[machine] = 0;
         }
-        (self.ejected_until[machine], self.probed_at[machine], self.heard_at[machine]) = (0, 0, 0);
+        (self.ejected_until[machine], self.probed_at[machine], self.last_contact_at[machine]) = (0, 0, 0);
         (self.used_cores[machine], self.used_memory[machine]) = (0.0, 0.0);
     }
 
-    /// Bars a machine until then, or longer where it was barred for longer.
+    /// Ejects a machine until the given time, unless it is already ejected for longer.
     pub(super) fn eject_until(&mut self, machine: usize, until: i64) {
         self.ejected_until[machine] = self.ejected_until[machine].max(until);
     }
 }
 
 impl<H: Host> Planner<H> {
-    /// A service's id as a number that is the same at every planner.
+    /// Sets a service's number, which is derived from its id and the same in every planner. Has no
+    /// effect if the index already has a number.
     pub fn set_service_number(&mut self, service: usize, number: u64) {
         let known = self.service_numbers.len().max(service + 1);
         self.service_numbers.resize(known, number);
     }
 
-    /// Nothing runs of a service any more and its index goes to another: what was learnt of it is forgotten.
+    /// Resets the usage estimate of a service without tasks, because its index is about to be
+    /// reused.
     pub fn service_removed(&mut self, service: usize) {
-        self.service_usage[service] = UsageEstimate::START;
+        self.service_usage[service] = UsageEstimate::PRIOR;
     }
 
-    /// A machine that is gone and holds no attempt gives up its index.
+    /// Resets the state of a machine that no longer exists and has no open attempt, so that its
+    /// index can be reused.
     pub fn machine_removed(&mut self, machine: usize) {
         self.machines.clear(machine);
     }
@@ -178,32 +204,32 @@
         self.machines.ensure(machine);
     }
 
-    /// Puts a new task under an index, in the phase `Over`.
+    /// Stores a new task under the index, in the phase `Over` until the caller sets another one.
     pub(super) fn insert_task(&mut self, task: usize, framework: usize, service: usize, demand: Resources) {
         self.ensure_service_usage(service, demand.0);
-        let slots = self.tasks.len().max(task + 1);
-        self.tasks.resize_with(slots, Task::default);
+        let count = self.tasks.len().max(task + 1);
+        self.tasks.resize_with(count, Task::default);
         self.last_sequence += 1;
         let (sequence, (cores, memory)) = (self.last_sequence, demand);
         self.tasks[task] = Task { sequence, framework, service, cores, memory, ..Task::default() };
     }
 
-    /// Machines that the list shows as ready.
+    /// Returns the machines that the list shows as ready, in the order of their indices.
     pub(super) fn ready_machines(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.machines.listed.len()).filter(|&machine| self.machines.listed[machine])
     }
 
-    /// Own tasks with an attempt on a machine that has no outcome yet.
+    /// Returns this planner's tasks with an attempt on the machine that has not ended.
     pub(super) fn own_tasks_on(&self, machine: usize) -> impl Iterator<Item = &Task> {
         self.machines.own_tasks[machine].iter().map(|&task| &self.tasks[task])
     }
 
-    /// A number of the settings, 0 where it is absent.
+    /// Returns a numeric setting, or 0 if it is absent.
     pub(super) fn setting(&self, name: &str) -> f64 {
         number(&self.settings, name).unwrap_or(0.0)
     }
 
-    /// Whether a machine accepts a task only once it runs.
+    /// Returns whether machines accept an attempt only after the task has started.
     pub(super) fn accepted_means_running(&self) -> bool {
         text(&self.settings, "familyInfo.yesAt") == "running"
     }
