--- a/src/placement/ranking.rs
+++ b/src/placement/ranking.rs
@@ -101,9 +101,8 @@
     /// 8. The machine stays below the congestion thresholds of this planner's tasks that run there.
     pub(super) fn suitability(&self, placement: &Placement, machine: usize, fill: f64, packed: bool) -> u8 {
         let (framework, service) = (placement.framework, placement.service);
-        let is_uncongested = |framework: usize| {
-            self.frameworks[framework].congestion_threshold * self.machines.cores[machine] >= fill
-        };
+        let is_uncongested =
+            |index: usize| self.frameworks[index].congestion_threshold * self.machines.cores[machine] >= fill;
         let starting = self.own_tasks_on(machine).filter(|task| task.running_at == 0).count();
         let started_at = self.machines.started_at[machine];
         let has_program =
