--- a/src/placement/health.rs
+++ b/src/placement/health.rs
@@ -63,10 +63,10 @@
         }
     }
 
-    /// Probes the ready machines without a probe or contact for the probe interval. While answers
-    /// contain no reports, only machines with own tasks are probed, plus one sample machine at the
-    /// times set by `update_probes_return_reports`. Sends no probes if reports expire between
-    /// probes.
+    /// Probes the ready machines whose last probe and last contact are at least one probe interval
+    /// ago. Once answers contain reports, only a report counts as contact. Until then, only
+    /// machines with own tasks are probed, plus one sample machine at the times set by
+    /// `update_probes_return_reports`. Sends no probes if reports expire between probes.
     pub(super) fn probe_due_machines(&mut self) {
         let interval = self.probe_interval_us();
         if interval >= REPORT_STALE_US || self.setting("permissions.probes") == 0.0 {
@@ -79,8 +79,8 @@
         let mut due: Vec<usize> =
             self.ready_machines().filter(|&machine| silence(machine) >= interval).collect();
         if !self.probes_return_reports {
-            let turn = self.setting("myNumber") as usize % due.len().max(1);
-            let sample = due.get(turn).copied();
+            let sample_index = self.setting("myNumber") as usize % due.len().max(1);
+            let sample = due.get(sample_index).copied();
             due.retain(|&machine| !self.machines.own_tasks[machine].is_empty());
             due.extend(sample.filter(|machine| {
                 self.probes_in_flight == 0 && self.now >= self.next_report_check_at && !due.contains(machine)
--- a/src/placement/state.rs
+++ b/src/placement/state.rs
@@ -111,8 +111,8 @@
     pub(super) reported_at: Vec<i64>,
     /// Number derived from the machine's id, the same in every planner.
     pub(super) stable_number: Vec<u64>,
-    /// Cores and memory that tasks had requested of the machine when its last report arrived,
-    /// according to the machine list.
+    /// Cores and memory that tasks had requested of the machine, according to the machine list, at
+    /// the last call of `read_report`, even if that report was empty.
     pub(super) requested_at_report: Vec<Resources>,
     /// Cores and memory that no task has requested, according to the machine list.
     pub(super) unrequested: Vec<Resources>,
