--- a/benchlink/src/error.rs
+++ b/benchlink/src/error.rs
@@ -1,53 +1,54 @@
-//! What can be wrong with a line of the wire. Each ends the adapter, with the number of the line.
+//! Errors in the lines that the simulator sends. Any of them ends the adapter, which prints the
+//! error with the line number.
 use basaltpitch_json_fields::FieldError;
 
-/// A line that cannot be handled.
+/// An input line that cannot be handled.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// It could not be read.
+    /// Reading the line failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// It is no JSON.
-    #[error("not JSON: {0}")]
-    NotJson(#[from] serde_json::Error),
-    /// Its `type` is missing or no text.
+    /// The line is not valid JSON.
+    #[error("invalid JSON: {0}")]
+    InvalidJson(#[from] serde_json::Error),
+    /// The field `type` is missing or not a string.
     #[error("{0}")]
     MessageType(MessageError),
-    /// A message of a kind has a field that is wrong, or comes where it cannot.
+    /// A message of a known or unknown type cannot be handled.
     #[error("message '{kind}': {error}")]
     Message {
-        /// The message's `type`.
+        /// The value of the message's field `type`.
         kind: String,
-        /// What is wrong.
+        /// The reason for which the message cannot be handled.
         error: MessageError,
     },
 }
 
-/// A message that cannot be handled.
+/// The reason for which a message cannot be handled.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// A field is missing, of the wrong type, or names nothing in the settings.
+    /// A field is missing, has the wrong type, or contains a name that the settings do not list.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// An outcome's number is not one that the bench knows.
-    #[error("field 'verdict' is none of the known outcomes")]
+    /// The code of an outcome is unknown.
+    #[error("field 'verdict' is not a known outcome code")]
     UnknownOutcome,
-    /// A list's number was not sent before.
-    #[error("field 'sheet' names no list")]
+    /// A message refers to a machine list whose number no earlier line has defined.
+    #[error("field 'sheet' refers to a machine list that was not sent before")]
     UnknownList,
-    /// A list comes in an unknown way; expected whole, in part, stale or lost.
-    #[error("field 'how' is none of the known kinds")]
+    /// The kind of a machine list update is unknown.
+    #[error("field 'how' is not a known list update; expected total, incr, warm_copy or lost")]
     UnknownListKind,
-    /// A machine's state is unknown; expected ready, draining or gone.
-    #[error("field 'readiness' is none of the known states")]
+    /// The readiness of a machine is unknown.
+    #[error("field 'readiness' is not a known state; expected ready, draining or gone")]
     UnknownReadiness,
-    /// An event is of a task that is not open.
-    #[error("field 'opId' names no open task")]
+    /// An event refers to a task that is not open.
+    #[error("field 'opId' refers to no open task")]
     UnknownTask,
-    /// An event is for an instance that was never configured.
-    #[error("instance was never configured")]
+    /// An event is addressed to an instance that was not configured or has crashed since.
+    #[error("instance is not configured")]
     UnknownInstance,
-    /// The `type` is none that this adapter knows.
+    /// The adapter does not know the message's `type`.
     #[error("unknown message type")]
     UnknownType,
 }
--- a/benchlink/src/events.rs
+++ b/benchlink/src/events.rs
@@ -1,4 +1,4 @@
-//! Calls a planner's method for one event, with the decoded fields.
+//! Decodes the simulator's events and calls the planner's method for each.
 use crate::error::MessageError;
 use crate::instance_host::InstanceHost;
 use basaltpitch::host::{AttemptOutcome, Readiness};
@@ -8,10 +8,13 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// Entries of machine lists, by the list's number.
+/// Entries of the machine lists, by list number.
 pub type MachineLists = HashMap<i64, Vec<Value>>;
 
-/// Hands one event to the planner that it is for.
+/// Decodes one event and calls the planner's method for it. `kind` is the message's `type`.
+///
+/// # Errors
+/// When the type is unknown, or a field is missing, mistyped or refers to something unknown.
 pub fn dispatch(
     planner: &mut Planner<InstanceHost>,
     lists: &MachineLists,
@@ -47,6 +50,7 @@
     Ok(())
 }
 
+/// Handles an update of the machine list, or its loss.
 fn machine_list(
     planner: &mut Planner<InstanceHost>,
     lists: &MachineLists,
@@ -71,6 +75,7 @@
     Ok(())
 }
 
+/// Handles one entry of a machine list. Absent optional fields count as 0.
 fn list_entry(planner: &mut Planner<InstanceHost>, entry: &Fields) -> Result<(), MessageError> {
     let readiness = match entry.string("readiness")?.as_str() {
         "ready" => Readiness::Ready,
@@ -90,7 +95,7 @@
     Ok(())
 }
 
-/// A task that is asked for, or found running.
+/// Handles the request of a task (`wanted`), or a task that was found running (`found`).
 fn task(planner: &mut Planner<InstanceHost>, kind: &str, fields: &Fields) -> Result<(), MessageError> {
     let framework = fields.name_index("priority", "classes", &planner.host.names)?;
     let tenant = fields.optional_name_index("account", "tenants", &planner.host.names)?;
@@ -111,27 +116,30 @@
     Ok(())
 }
 
+/// Handles the end of a task's attempt, and closes the task if it has its final answer.
 fn attempt_ended(
     planner: &mut Planner<InstanceHost>,
     task: usize,
     fields: &Fields,
 ) -> Result<(), MessageError> {
-    let over = fields.flag("noMore")?;
+    let is_final = fields.flag("noMore")?;
     let reason = fields.optional("info", Value::as_i64)?.unwrap_or(0);
     let (outcome, report) = (outcome(fields)?, report(fields)?);
     planner.host.close_attempt(task);
-    planner.attempt_ended(task, outcome, reason, over, &report);
-    if over || planner.host.is_answered(task) {
+    planner.attempt_ended(task, outcome, reason, is_final, &report);
+    if is_final || planner.host.is_answered(task) {
         planner.host.close_task(task);
     }
     Ok(())
 }
 
+/// Returns a machine's usage report, empty if the message has none.
 fn report(fields: &Fields) -> Result<Vec<f64>, MessageError> {
     let values = fields.optional("gauge", |value| value.as_array()?.iter().map(Value::as_f64).collect())?;
     Ok(values.unwrap_or_default())
 }
 
+/// Returns the outcome of an attempt or probe from its code.
 fn outcome(fields: &Fields) -> Result<AttemptOutcome, MessageError> {
     Ok(match fields.integer("verdict")? {
         0 => AttemptOutcome::Ended,
--- a/benchlink/src/instance_host.rs
+++ b/benchlink/src/instance_host.rs
@@ -1,58 +1,63 @@
-//! What a planner acts through on the bench: each of its calls becomes a line of the wire.
+//! The host of a planner in the simulator: each action of the planner becomes a line of output.
 use basaltpitch::host::Host;
 use basaltpitch_interner::IdAllocator;
 use basaltpitch_json_fields::NameLists;
 use serde_json::Value;
 use std::fmt::Write as _;
 
-/// One instance's side of the wire: its ids, and the lines that its planner wants written.
+/// The host of one planner instance: the mapping of its ids to indices, and its pending output
+/// lines.
 #[derive(Default)]
 pub struct InstanceHost {
-    /// The instance's number on the wire.
+    /// Number of the instance in the simulator.
     instance: u64,
-    /// Lines to be written.
+    /// Output lines that have not been added to the reply yet.
     pub lines: String,
-    /// Open tasks, by the bench's id.
+    /// Indices of the open tasks, by the simulator's id.
     pub tasks: IdAllocator<String>,
-    /// Machines, by name.
+    /// Indices of the machines, by name.
     pub machines: IdAllocator<String>,
-    /// Services, by number.
+    /// Indices of the services, by number.
     pub services: IdAllocator<u64>,
-    /// Names that the settings list.
+    /// Names of frameworks, zones, machine kinds and tenants, as listed in the settings.
     pub names: NameLists,
-    /// Attempts of each task without an outcome.
+    /// Number of attempts without an outcome, by task.
     open_attempts: Vec<u32>,
-    /// Whether each task has had its final answer.
+    /// Whether the task has its final answer, by task.
     answered: Vec<bool>,
 }
 
 impl InstanceHost {
-    /// An instance by its number on the wire, with the names that its settings list.
+    /// Creates the host of the instance with a number, with the names listed in its settings.
     pub fn new(instance: u64, names: NameLists) -> Self {
         InstanceHost { instance, names, ..InstanceHost::default() }
     }
 
+    /// Writes the beginning of a line for an action, up to the instance's number.
     fn start_line(&mut self, action: &str) {
         let _ = write!(self.lines, "{{\"type\":\"{action}\",\"who\":{}", self.instance);
     }
 
+    /// Writes the beginning of a line for an action on a task, up to the task's id.
     fn start_task_line(&mut self, action: &str, task: usize) {
         self.start_line(action);
         let _ = write!(self.lines, ",\"opId\":\"{}\"", self.tasks.id(task));
     }
 
+    /// Writes the field with a machine's name.
     fn write_machine(&mut self, machine: usize) {
         let name = Value::from(self.machines.id(machine).as_str());
         let _ = write!(self.lines, ",\"machine\":{name}");
     }
 
-    /// Writes a line with a text.
+    /// Writes a line with an action and its text.
     pub fn write_text(&mut self, action: &str, text: &str) {
         self.start_line(action);
         let _ = writeln!(self.lines, ",\"bodyText\":{}}}", Value::from(text));
     }
 
-    /// The index of a task that is asked for or found, with the attempts that are open.
+    /// Opens a task that was requested or found running, with its number of open attempts, and
+    /// returns its index.
     pub fn open_task(&mut self, id: String, open_attempts: u32) -> usize {
         let task = self.tasks.intern(id);
         if task >= self.open_attempts.len() {
@@ -64,17 +69,17 @@
         task
     }
 
-    /// Counts an attempt as ended.
+    /// Counts one open attempt of a task as ended.
     pub fn close_attempt(&mut self, task: usize) {
         self.open_attempts[task] = self.open_attempts[task].saturating_sub(1);
     }
 
-    /// Whether a task has had its final answer.
+    /// Returns whether a task has its final answer.
     pub fn is_answered(&self, task: usize) -> bool {
         self.answered[task]
     }
 
-    /// Marks the final answer, and frees the index where no attempt is open any more.
+    /// Marks a task as having its final answer, and frees its index if it has no open attempt.
     pub fn close_task(&mut self, task: usize) {
         self.answered[task] = true;
         if self.open_attempts[task] == 0 {
--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -1,5 +1,6 @@
-//! Speaks the bench's wire for any number of planners: decodes each line, maps ids to small indices,
-//! calls the planner's method for that event, and writes its calls back. It decides nothing.
+//! Adapter between the simulator and any number of planners. Reads JSON lines from stdin, maps ids
+//! to indices, calls the planner's method for each event, and writes the planner's actions to
+//! stdout. All decisions are made by the placement module.
 mod error;
 mod events;
 mod instance_host;
@@ -10,11 +11,11 @@
 use wire::Wire;
 
 fn main() {
-    // The text of a panic goes onto the wire.
+    // The message of a panic is sent to the simulator, so the default hook must not print it.
     std::panic::set_hook(Box::new(|_| {}));
     let mut wire = Wire::default();
     let mut out = std::io::stdout().lock();
-    for (count, line) in std::io::stdin().lock().lines().enumerate() {
+    for (index, line) in std::io::stdin().lock().lines().enumerate() {
         let complete = line.map_err(LineError::from).and_then(|text| {
             if text.trim().is_empty() {
                 return Ok(false);
@@ -31,7 +32,7 @@
                 wire.reply.clear();
             }
             Err(error) => {
-                eprintln!("line {}: {error}", count + 1);
+                eprintln!("line {}: {error}", index + 1);
                 std::process::exit(2);
             }
         }
--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -1,5 +1,5 @@
-//! The bench's wire: a batch of lines is read, each handed to the instance that it is for, and their lines are
-//! the reply.
+//! The simulator's line protocol: reads a batch of lines, passes each event to the planner instance
+//! that it is addressed to, and collects the instances' output lines as the reply.
 use crate::error::{LineError, MessageError};
 use crate::events::{dispatch, MachineLists};
 use crate::instance_host::InstanceHost;
@@ -10,19 +10,24 @@
 use std::collections::HashMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// All instances, and what is shared between them.
+/// The state of the connection to the simulator: all planner instances, and what they share.
 #[derive(Default)]
 pub struct Wire {
-    /// The bench's clock, in microseconds.
+    /// The simulator's clock, in microseconds.
     now: i64,
+    /// Planner instances, by number.
     planners: HashMap<u64, Planner<InstanceHost>>,
     lists: MachineLists,
-    /// The lines of the batch's reply so far.
+    /// Output lines of the current batch.
     pub reply: String,
 }
 
 impl Wire {
-    /// Handles one line; true once the batch is complete and the reply is ready.
+    /// Handles one input line. Returns true if the line completes a batch, so that the reply is
+    /// ready.
+    ///
+    /// # Errors When the line is not valid JSON, has no `type`, or contains a message that cannot
+    /// be handled.
     pub fn read(&mut self, line: &str) -> Result<bool, LineError> {
         let message: Value = serde_json::from_str(line)?;
         let fields = Fields(&message);
@@ -36,6 +41,7 @@
         }
     }
 
+    /// Handles a message of any type other than `flush`.
     fn handle(&mut self, kind: &str, fields: &Fields) -> Result<(), MessageError> {
         match kind {
             "sync" => self.now = fields.integer("wallUs")?,
@@ -57,7 +63,7 @@
         Ok(())
     }
 
-    /// An instance starts.
+    /// Starts a planner instance, replacing one with the same number.
     fn configure(&mut self, instance: u64, fields: &Fields) -> Result<(), MessageError> {
         let config = fields.get("config", |value| value.is_object().then(|| value.clone()))?;
         let settings = flatten(&config);
@@ -70,6 +76,8 @@
         Ok(())
     }
 
+    /// Passes an event to its planner instance. A panic of the planner is reported to the
+    /// simulator.
     fn event(&mut self, kind: &str, instance: u64, fields: &Fields) -> Result<(), MessageError> {
         let planner = self.planners.get_mut(&instance).ok_or(MessageError::UnknownInstance)?;
         let (now, lists) = (self.now, &self.lists);
@@ -86,6 +94,7 @@
     }
 }
 
+/// Returns the message of a panic.
 fn panic_text(cause: &(dyn Any + Send)) -> String {
     let owned = cause.downcast_ref::<String>().cloned();
     let text = owned.or_else(|| cause.downcast_ref::<&str>().map(|text| (*text).to_owned()));
--- a/benchlink/tests/conversation.rs
+++ b/benchlink/tests/conversation.rs
@@ -1,26 +1,34 @@
-//! Runs the built adapter on short conversations over its pipe.
+//! Runs the adapter's binary on short inputs and checks its output.
 use expect_test::expect;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-fn talk(input: &str) -> String {
+/// Runs the adapter on the input; returns its stdout, its stderr and its exit status.
+fn run_adapter(input: &str) -> String {
     let mut child = Command::new(env!("CARGO_BIN_EXE_basaltpitch-benchlink"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    child.stdin.take().expect("a pipe").write_all(input.as_bytes()).expect("the adapter reads");
-    let out = child.wait_with_output().expect("the adapter ends");
-    let (said, wrong) = (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
-    format!("{said}{wrong}exit {:?}\n", out.status.code())
+        .expect("the adapter should start");
+    child
+        .stdin
+        .take()
+        .expect("stdin is piped")
+        .write_all(input.as_bytes())
+        .expect("the adapter should read its input");
+    let output = child.wait_with_output().expect("the adapter should exit");
+    let (stdout, stderr) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
+    format!("{stdout}{stderr}exit {:?}\n", output.status.code())
 }
 
 const CONFIG: &str = r#"{"classes":[{"name":"small","semantics":"retryable","objectiveUs":600000,"deadlineUs":6000000,"worth":1}],"machineTypes":["std"],"localities":["hall"],"familyInfo":{"admitCores":2,"admitMemory":2,"calmLevel":[1],"classKind":[-1],"cpuOfKind":[16],"sizeMemory":[32],"yesAt":"accepted"},"permissions":{"attemptsCap":3,"probes":false},"nInstances":2,"stats":{"fields":["x0","x1"]},"unknown":{"key":[null,true]}}"#;
 
-/// Two instances, a list number used anew within a batch, unknown fields, a kill, and a clean end.
+/// Two instances receive different contents of a machine list whose number is reused within a
+/// batch, and act only on their own events. Unknown fields are ignored, a crashed instance sends no
+/// more lines, and the adapter exits cleanly at the end of its input.
 #[test]
-fn two_instances_share_nothing_but_the_lists() {
+fn keeps_instances_separate_and_exits_cleanly() {
     let lines = format!(
         r#"{{"type":"sync","wallUs":1000000}}
 {{"type":"configure","who":0,"salt":5,"config":{CONFIG}}}
@@ -52,12 +60,13 @@
         {"type":"finished"}
         exit Some(0)
     "#]]
-    .assert_eq(&talk(&lines));
+    .assert_eq(&run_adapter(&lines));
 }
 
-/// Bad input ends it with one line that names the line, the message and the field.
+/// Invalid input must end the adapter with status 2 and one line on stderr that names the line, the
+/// message and the field.
 #[test]
-fn bad_input_is_named() {
+fn reports_line_message_and_field_of_invalid_input() {
     let cases = [
         "{\"type\":\"sync\"}\n",
         "nothing\n",
@@ -65,18 +74,18 @@
         "{\"type\":\"sync\",\"wallUs\":1}\n{\"type\":\"surprise\",\"who\":4}\n",
         "{\"type\":\"configure\",\"who\":0,\"salt\":\"x\",\"config\":{}}\n",
     ];
-    let said: String = cases.iter().map(|lines| talk(lines)).collect();
+    let output: String = cases.iter().map(|lines| run_adapter(lines)).collect();
     expect![[r#"
         line 1: message 'sync': field 'wallUs' is missing
         exit Some(2)
-        line 1: not JSON: expected ident at line 1 column 2
+        line 1: invalid JSON: expected ident at line 1 column 2
         exit Some(2)
-        line 2: message 'expired': instance was never configured
+        line 2: message 'expired': instance is not configured
         exit Some(2)
-        line 2: message 'surprise': instance was never configured
+        line 2: message 'surprise': instance is not configured
         exit Some(2)
         line 1: message 'configure': field 'salt' is of the wrong type
         exit Some(2)
     "#]]
-    .assert_eq(&said);
+    .assert_eq(&output);
 }
