--- a/interner/src/lib.rs
+++ b/interner/src/lib.rs
@@ -1,14 +1,18 @@
-//! Small dense indices for ids; freed ones are handed out again. `IdAllocator` maps ids to indices;
-//! `RefCountedIds` adds when an index is freed: once nothing has held it for a stated time.
+//! Maps ids to small dense indices, and reuses freed indices.
+//!
+//! `IdAllocator` maps ids to indices until an index is released. `RefCountedIds` also counts the
+//! references to each index, and releases an index that has had no reference for a given time.
 use fnv::{FnvHashMap, FnvHasher};
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
-/// Ids of one sort and the small indices that they were given.
+/// A mapping of ids of one type to small dense indices.
 #[derive(Clone, Debug)]
 pub struct IdAllocator<K> {
     index_by_id: FnvHashMap<K, usize>,
+    /// Ids by index; a freed index keeps its last id.
     ids: Vec<K>,
+    /// Freed indices, the most recently freed last.
     free: Vec<usize>,
 }
 
@@ -19,7 +23,8 @@
 }
 
 impl<K: Clone + Eq + Hash> IdAllocator<K> {
-    /// The index of an id; an id without one is given the index that was freed last, or the next new one.
+    /// Returns the index of an id. An id without an index gets the most recently freed index, or
+    /// the next new index if none is free.
     pub fn intern(&mut self, id: K) -> usize {
         if let Some(&index) = self.index_by_id.get(&id) {
             return index;
@@ -34,7 +39,7 @@
         index
     }
 
-    /// Frees an index; a second call for the same one does nothing.
+    /// Frees an index. Has no effect if the index is already free.
     pub fn release(&mut self, index: usize) {
         if self.index_by_id.get(&self.ids[index]) == Some(&index) {
             self.index_by_id.remove(&self.ids[index]);
@@ -42,48 +47,53 @@
         }
     }
 
-    /// The index that an id has now.
+    /// Returns the index of an id, or `None` if the id has no index now.
     pub fn index_of(&self, id: &K) -> Option<usize> {
         self.index_by_id.get(id).copied()
     }
 
-    /// The id that an index was last given to.
+    /// Returns the id to which an index was last assigned, even if the index has been freed since.
     pub fn id(&self, index: usize) -> &K {
         &self.ids[index]
     }
 
-    /// Ids that have an index now.
+    /// Returns the number of ids that have an index now.
     pub fn len(&self) -> usize {
         self.index_by_id.len()
     }
 
-    /// Whether no id has an index now.
+    /// Returns whether no id has an index now.
     pub fn is_empty(&self) -> bool {
         self.index_by_id.is_empty()
     }
 
-    /// Indices ever in use at one time: the length of arrays under them.
+    /// Returns an exclusive upper bound of all indices assigned so far, which is the length
+    /// required of an array that is addressed by them.
     pub fn index_bound(&self) -> usize {
         self.ids.len()
     }
 }
 
-/// A number for an id that is a word (FNV-1a, 64 bits), the same in every process.
+/// Returns the 64-bit FNV-1a hash of an id, which is the same in every process.
 pub fn fnv1a_64(id: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(id.as_bytes());
     hasher.finish()
 }
 
-/// Ids that keep their indices while something refers to them, and for some time after, in case they come back.
+/// A mapping of ids to indices with reference counts. An id keeps its index while it is referenced
+/// and for some time after the last reference is released, in case the id returns.
 #[derive(Clone, Debug)]
 pub struct RefCountedIds<K> {
-    /// Which id has which index.
+    /// The mapping of ids to indices.
     pub ids: IdAllocator<K>,
+    /// Number of references, by index.
     reference_counts: Vec<u32>,
-    /// By index: when its count last came to 0, as in its newest entry in `idle`.
+    /// Time of the newest entry in `idle` for the index, in microseconds; `i64::MIN` if the index
+    /// has none. Older entries in `idle` are outdated.
     idle_since_us: Vec<i64>,
-    /// Indices whose count came to 0, with the time, the oldest first.
+    /// Unreferenced indices with the time at which they were last interned or released, in
+    /// microseconds, the oldest first.
     idle: VecDeque<(i64, usize)>,
 }
 
@@ -99,8 +109,8 @@
 }
 
 impl<K: Clone + Eq + Hash> RefCountedIds<K> {
-    /// The index of an id, without a reference to it: it is freed after the idle time unless it is referred to or
-    /// interned again.
+    /// Returns the index of an id without adding a reference. `pop_expired` frees an unreferenced
+    /// index after the idle time, unless the id is referenced or interned again.
     pub fn intern(&mut self, id: K, now_us: i64) -> usize {
         let index = self.ids.intern(id);
         if index >= self.reference_counts.len() {
@@ -114,19 +124,19 @@
         index
     }
 
-    /// The index of an id, with one more reference to it.
+    /// Returns the index of an id, and adds a reference to the index.
     pub fn acquire(&mut self, id: K, now_us: i64) -> usize {
         let index = self.intern(id, now_us);
         self.acquire_index(index);
         index
     }
 
-    /// One more reference to an index.
+    /// Adds a reference to an index.
     pub fn acquire_index(&mut self, index: usize) {
         self.reference_counts[index] += 1;
     }
 
-    /// One reference less; at 0 the idle time begins.
+    /// Releases a reference to an index. The idle time begins when no reference is left.
     pub fn release(&mut self, index: usize, now_us: i64) {
         self.reference_counts[index] = self.reference_counts[index].saturating_sub(1);
         if self.reference_counts[index] == 0 {
@@ -135,7 +145,8 @@
         }
     }
 
-    /// The next index that nothing has referred to since `now_us - keep_us`; it is free from here on.
+    /// Frees and returns an index that has been unreferenced for at least `keep_us`, the longest
+    /// idle first, or returns `None` if there is none.
     pub fn pop_expired(&mut self, now_us: i64, keep_us: i64) -> Option<usize> {
         while let Some(&(since, index)) = self.idle.front() {
             if since + keep_us > now_us {
