--- a/timers/src/lib.rs
+++ b/timers/src/lib.rs
@@ -1,104 +1,117 @@
-//! The timers of a planner: many, short, never withdrawn, and due in an order that does not depend on chance.
-//! A wheel of wheels: six levels of 64 slots, the finest 1.024 ms wide. Setting a timer costs the same
-//! whatever waits; a timer moves down a level at most five times. Those of one slot are handed out by the
-//! time they are due, then in the order in which they were set, so that a recording replays to the last byte.
-//! Times are whole microseconds.
+//! A hierarchical timer wheel for a planner, which sets many short timers and never cancels one.
+//!
+//! The wheel has six levels of 64 slots; a slot of the finest level is 1.024 ms wide. Setting a
+//! timer takes constant time, however many timers are pending, unless the timer lies in the current
+//! slot or beyond the last level. A timer moves to a finer level at most five times. Timers expire
+//! in the order of their due times, and those with equal due times in the order in which they were
+//! set, so that a recording can be replayed byte for byte. Times are in whole microseconds.
 use std::collections::BTreeMap;
 
-/// Slots of a level, as a power of two.
+/// Binary logarithm of the number of slots in a level.
 const SLOT_BITS: u32 = 6;
 const SLOTS: usize = 1 << SLOT_BITS;
 const LEVELS: usize = 6;
-/// Microseconds in a slot of the finest level, as a power of two.
+/// Binary logarithm of the width of a tick, that is a slot of the finest level, in microseconds.
 const TICK_SHIFT: u32 = 10;
-/// Ticks in a turn of the coarsest level, as a power of two: more than two years.
-const TURN_SHIFT: u32 = SLOT_BITS * LEVELS as u32;
+/// Binary logarithm of the ticks in a span, the aligned range of ticks that the coarsest level
+/// covers. A span lasts more than two years.
+const SPAN_SHIFT: u32 = SLOT_BITS * LEVELS as u32;
 
+/// A pending timer.
 #[derive(Clone, Debug)]
 struct Timer<T> {
+    /// Time at which the timer is due, in microseconds.
     at: i64,
-    seq: u64,
-    what: T,
+    /// Order in which the timers were set.
+    sequence: u64,
+    /// The value returned when the timer expires.
+    value: T,
 }
 
-/// Timers on wheels. Times before the present count as due at once.
+/// A hierarchical timer wheel. A timer that is set for a past time is due immediately.
 #[derive(Clone, Debug)]
 pub struct Wheel<T> {
+    /// Timers by level and slot: the slots of the finest level come first.
     slots: Vec<Vec<Timer<T>>>,
-    /// Per level a bit for each slot that holds a timer.
-    full: [u64; LEVELS],
-    /// The slot of the finest level that is handed out now, as a count since time 0.
+    /// For each level, a bit mask of the slots that contain timers.
+    occupied: [u64; LEVELS],
+    /// The current tick, counted from time 0.
     tick: i64,
-    /// Timers of that slot and of earlier ones, the last due first.
+    /// Timers of the current tick and of earlier ones, in descending order of due time.
     due: Vec<Timer<T>>,
-    /// Timers of a later turn of the coarsest level.
-    far: BTreeMap<(i64, u64), T>,
-    seq: u64,
+    /// Timers in spans after the current one, by due time and sequence number.
+    overflow: BTreeMap<(i64, u64), T>,
+    /// Sequence number of the timer that was set last.
+    sequence: u64,
+    /// Number of pending timers.
     len: usize,
 }
 
 impl<T> Wheel<T> {
-    /// A wheel without timers, at a time in microseconds.
+    /// Creates a wheel without timers at the time `now`, in microseconds.
     pub fn new(now: i64) -> Self {
         Wheel {
             slots: (0..SLOTS * LEVELS).map(|_| Vec::new()).collect(),
-            full: [0; LEVELS],
+            occupied: [0; LEVELS],
             tick: now >> TICK_SHIFT,
             due: Vec::new(),
-            far: BTreeMap::new(),
-            seq: 0,
+            overflow: BTreeMap::new(),
+            sequence: 0,
             len: 0,
         }
     }
 
-    /// Timers that wait.
+    /// Returns the number of pending timers.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether no timer waits.
+    /// Returns whether no timer is pending.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Sets a timer for a time in microseconds; `what` is handed out when it is due.
-    pub fn set(&mut self, at: i64, what: T) {
-        self.seq += 1;
+    /// Sets a timer that is due at the time `at`, in microseconds, and then returns `value`.
+    pub fn set(&mut self, at: i64, value: T) {
+        self.sequence += 1;
         self.len += 1;
-        self.put(Timer { at, seq: self.seq, what });
+        self.insert(Timer { at, sequence: self.sequence, value });
     }
 
-    /// Files a timer by how far it is from the present tick.
-    fn put(&mut self, timer: Timer<T>) {
+    /// Inserts a timer into the list of due timers, a slot, or the overflow map, depending on the
+    /// distance of its due time from the current tick.
+    fn insert(&mut self, timer: Timer<T>) {
         let tick = timer.at >> TICK_SHIFT;
         if tick <= self.tick {
-            let key = (timer.at, timer.seq);
-            let place = self.due.partition_point(|other| (other.at, other.seq) > key);
-            return self.due.insert(place, timer);
+            let key = (timer.at, timer.sequence);
+            let position = self.due.partition_point(|other| (other.at, other.sequence) > key);
+            return self.due.insert(position, timer);
         }
-        // The level is that of the highest digit in which the slot differs from the present one.
-        let differs = (tick ^ self.tick) as u64;
-        let level = ((63 - differs.leading_zeros()) / SLOT_BITS) as usize;
+        // A level corresponds to a digit of the tick in base `SLOTS`. The timer belongs to the
+        // level of the highest digit in which its tick differs from the current one.
+        let difference = (tick ^ self.tick) as u64;
+        let level = ((63 - difference.leading_zeros()) / SLOT_BITS) as usize;
         if level >= LEVELS {
-            self.far.insert((timer.at, timer.seq), timer.what);
+            self.overflow.insert((timer.at, timer.sequence), timer.value);
             return;
         }
         let slot = tick >> (SLOT_BITS * level as u32) & (SLOTS as i64 - 1);
-        let at = level * SLOTS + slot as usize;
-        self.slots[at].push(timer);
-        self.full[level] |= 1 << slot;
+        let index = level * SLOTS + slot as usize;
+        self.slots[index].push(timer);
+        self.occupied[level] |= 1 << slot;
     }
 
-    /// The next timer that is due at `now`, with the time that it was set for.
+    /// Removes the next timer that is due at `now`, and returns its due time and its value. Returns
+    /// `None` if no timer is due.
     pub fn next_due(&mut self, now: i64) -> Option<(i64, T)> {
         loop {
             if let Some(first) = self.due.last() {
                 if first.at > now {
                     return None;
                 }
-                let timer = self.due.pop().expect("it has a last");
+                let timer = self.due.pop().expect("the list of due timers is not empty");
                 self.len -= 1;
-                return Some((timer.at, timer.what));
+                return Some((timer.at, timer.value));
             }
             let tick = self.next_slot()?;
             if tick > now >> TICK_SHIFT {
@@ -108,8 +121,9 @@
         }
     }
 
-    /// The earliest time at which `next_due` may have something: exact for what is near, early for what is
-    /// far.
+    /// Returns the earliest time at which `next_due` may return a timer, or `None` if no timer is
+    /// pending. The time is exact for timers of the current tick; for later ones, it is the start
+    /// of their slot, which may lie before the due time.
     pub fn next_at(&self) -> Option<i64> {
         match self.due.last() {
             Some(first) => Some(first.at),
@@ -117,27 +131,32 @@
         }
     }
 
-    /// The first tick after the present one at which a slot of any level begins that holds a timer.
+    /// Returns the first tick after the current one at which a slot with timers, of any level,
+    /// begins. If all slots are empty, returns the start of the span that contains the first
+    /// timer in the overflow map, or `None` if that map is empty too.
     fn next_slot(&self) -> Option<i64> {
-        let near = (0..LEVELS).find_map(|level| {
+        let in_slot = (0..LEVELS).find_map(|level| {
             let shift = SLOT_BITS * level as u32;
-            let here = self.tick >> shift;
-            let digit = (here & (SLOTS as i64 - 1)) as u32;
-            let ahead = self.full[level] & (u64::MAX << digit << 1);
+            let current = self.tick >> shift;
+            let digit = (current & (SLOTS as i64 - 1)) as u32;
+            let ahead = self.occupied[level] & (u64::MAX << digit << 1);
             let slot = i64::from(ahead.trailing_zeros());
-            (ahead != 0).then_some(((here & !(SLOTS as i64 - 1)) | slot) << shift)
+            (ahead != 0).then_some(((current & !(SLOTS as i64 - 1)) | slot) << shift)
         });
-        near.or_else(|| Some(self.far.keys().next()?.0 >> TICK_SHIFT >> TURN_SHIFT << TURN_SHIFT))
+        in_slot.or_else(|| Some(self.overflow.keys().next()?.0 >> TICK_SHIFT >> SPAN_SHIFT << SPAN_SHIFT))
     }
 
-    /// Goes to a tick, which `next_slot` gave: the slots that begin there are emptied into lower ones.
+    /// Moves the wheel forward to a tick that `next_slot` returned. Timers in the slots that begin
+    /// at that tick move to finer levels or to the list of due timers.
     fn advance(&mut self, tick: i64) {
-        let turn = tick >> TURN_SHIFT;
-        let turned = turn != self.tick >> TURN_SHIFT;
+        let span = tick >> SPAN_SHIFT;
+        let is_new_span = span != self.tick >> SPAN_SHIFT;
         self.tick = tick;
-        while turned && self.far.keys().next().is_some_and(|far| far.0 >> TICK_SHIFT >> TURN_SHIFT == turn) {
-            let ((at, seq), what) = self.far.pop_first().expect("it has a first");
-            self.put(Timer { at, seq, what });
+        while is_new_span
+            && self.overflow.keys().next().is_some_and(|key| key.0 >> TICK_SHIFT >> SPAN_SHIFT == span)
+        {
+            let ((at, sequence), value) = self.overflow.pop_first().expect("the overflow map is not empty");
+            self.insert(Timer { at, sequence, value });
         }
         for level in (0..LEVELS).rev() {
             let shift = SLOT_BITS * level as u32;
@@ -145,19 +164,20 @@
                 continue;
             }
             let slot = (tick >> shift & (SLOTS as i64 - 1)) as usize;
-            if self.full[level] >> slot & 1 == 1 {
-                self.full[level] &= !(1 << slot);
+            if self.occupied[level] >> slot & 1 == 1 {
+                self.occupied[level] &= !(1 << slot);
                 let mut timers = std::mem::take(&mut self.slots[level * SLOTS + slot]);
                 if level == 0 {
-                    timers.sort_unstable_by_key(|timer| std::cmp::Reverse((timer.at, timer.seq)));
-                    // Timers that a higher level just gave are among `due` already.
-                    let mut given = std::mem::replace(&mut self.due, timers);
-                    if !given.is_empty() {
-                        self.due.append(&mut given);
-                        self.due.sort_unstable_by_key(|timer| std::cmp::Reverse((timer.at, timer.seq)));
+                    timers.sort_unstable_by_key(|timer| std::cmp::Reverse((timer.at, timer.sequence)));
+                    // Timers that were just moved down from a coarser level may be in `due`
+                    // already.
+                    let mut moved_down = std::mem::replace(&mut self.due, timers);
+                    if !moved_down.is_empty() {
+                        self.due.append(&mut moved_down);
+                        self.due.sort_unstable_by_key(|timer| std::cmp::Reverse((timer.at, timer.sequence)));
                     }
                 } else {
-                    timers.drain(..).for_each(|timer| self.put(timer));
+                    timers.drain(..).for_each(|timer| self.insert(timer));
                     self.slots[level * SLOTS + slot] = timers;
                 }
             }
