--- a/timers/src/lib.rs
+++ b/timers/src/lib.rs
@@ -24,8 +24,8 @@
     at: i64,
     /// Order in which the timers were set.
     sequence: u64,
-    /// The value returned when the timer expires.
-    value: T,
+    /// The payload returned when the timer expires.
+    payload: T,
 }
 
 /// A hierarchical timer wheel. A timer that is set for a past time is due immediately.
@@ -71,11 +71,11 @@
         self.len == 0
     }
 
-    /// Sets a timer that is due at the time `at`, in microseconds, and then returns `value`.
-    pub fn set(&mut self, at: i64, value: T) {
+    /// Sets a timer that is due at the time `at`, in microseconds, and then returns `payload`.
+    pub fn set(&mut self, at: i64, payload: T) {
         self.sequence += 1;
         self.len += 1;
-        self.insert(Timer { at, sequence: self.sequence, value });
+        self.insert(Timer { at, sequence: self.sequence, payload });
     }
 
     /// Inserts a timer into the list of due timers, a slot, or the overflow map, depending on the
@@ -92,7 +92,7 @@
         let difference = (tick ^ self.tick) as u64;
         let level = ((63 - difference.leading_zeros()) / SLOT_BITS) as usize;
         if level >= LEVELS {
-            self.overflow.insert((timer.at, timer.sequence), timer.value);
+            self.overflow.insert((timer.at, timer.sequence), timer.payload);
             return;
         }
         let slot = tick >> (SLOT_BITS * level as u32) & (SLOTS as i64 - 1);
@@ -101,7 +101,7 @@
         self.occupied[level] |= 1 << slot;
     }
 
-    /// Removes the next timer that is due at `now`, and returns its due time and its value. Returns
+    /// Removes the next timer that is due at `now`, and returns its due time and its payload. Returns
     /// `None` if no timer is due.
     pub fn next_due(&mut self, now: i64) -> Option<(i64, T)> {
         loop {
@@ -111,7 +111,7 @@
                 }
                 let timer = self.due.pop().expect("the list of due timers is not empty");
                 self.len -= 1;
-                return Some((timer.at, timer.value));
+                return Some((timer.at, timer.payload));
             }
             let tick = self.next_slot()?;
             if tick > now >> TICK_SHIFT {
@@ -155,8 +155,8 @@
         while is_new_span
             && self.overflow.keys().next().is_some_and(|key| key.0 >> TICK_SHIFT >> SPAN_SHIFT == span)
         {
-            let ((at, sequence), value) = self.overflow.pop_first().expect("the overflow map is not empty");
-            self.insert(Timer { at, sequence, value });
+            let ((at, sequence), payload) = self.overflow.pop_first().expect("the overflow map is not empty");
+            self.insert(Timer { at, sequence, payload });
         }
         for level in (0..LEVELS).rev() {
             let shift = SLOT_BITS * level as u32;
