--- a/timers/tests/against_heap.rs
+++ b/timers/tests/against_heap.rs
@@ -33,7 +33,7 @@
             }
             prop_assert_eq!(wheel.len(), heap.len());
             if let (Some(at), Some(first)) = (wheel.next_at(), heap.peek()) {
-                prop_assert!(at <= first.0.0.max(now), "next_at() returned {}, which is after the first due time {}", at, first.0.0);
+                prop_assert!(at <= first.0.0.max(now), "next_at() is {}, after the first due time {}", at, first.0.0);
             }
         }
         while let Some(Reverse(expected)) = heap.pop() {
