--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -1,39 +1,43 @@
-//! What the trace tests share: a host that prints each call, and a planner on a small made-up cluster.
+//! Helpers of the trace tests: a host that writes each action of the planner as a line of text, and
+//! a planner on a small simulated cluster.
 #![allow(dead_code)]
 use basaltpitch::host::{AttemptOutcome, Host, Readiness, Settings, Value};
 use basaltpitch::placement::Planner;
 
+/// A host that records the planner's actions instead of carrying them out.
 #[derive(Default)]
-pub struct Trace {
+pub struct TraceHost {
+    /// The recorded actions, one line each, with the time in milliseconds.
     pub text: String,
-    /// Timers that the planner asked for: when they are due, and their token.
+    /// Pending timers of the planner: due time in microseconds, and token.
     pub timers: Vec<(i64, u64)>,
-    /// Machines that were probed and have not been answered for.
+    /// Machines with a probe that has not been answered.
     pub probes: Vec<usize>,
+    /// The current time, in microseconds.
     pub now: i64,
 }
 
-impl Trace {
+impl TraceHost {
     fn line(&mut self, text: String) {
         self.text += &format!("{} ms  {text}\n", self.now / 1000);
     }
 }
 
-impl Host for Trace {
+impl Host for TraceHost {
     fn launch(&mut self, task: usize, machine: usize, timeout_us: i64) {
         self.line(format!("launch task {task} on machine {machine} for {} ms", timeout_us / 1000));
     }
-    fn cancel(&mut self, task: usize, launch: u32) {
-        self.line(format!("cancel launch {launch} of task {task}"));
+    fn cancel(&mut self, task: usize, attempt: u32) {
+        self.line(format!("cancel attempt {attempt} of task {task}"));
     }
     fn reject(&mut self, task: usize, _retry_after_us: i64) {
-        self.line(format!("decline task {task}"));
+        self.line(format!("reject task {task}"));
     }
     fn abort(&mut self, task: usize) {
         self.line(format!("abort task {task}"));
     }
     fn evict(&mut self, task: usize) {
-        self.line(format!("move task {task}"));
+        self.line(format!("evict task {task}"));
     }
     fn probe(&mut self, machine: usize) {
         self.probes.push(machine);
@@ -52,8 +56,9 @@
     }
 }
 
-/// Settings of two frameworks: 0 small and repeatable, 1 large and keyed; `more` is laid over them.
-pub fn given(more: &[(&str, &str)]) -> Settings {
+/// Returns settings with two frameworks: 0 is small and repeatable, 1 is large and keyed. The
+/// settings in `overrides` replace the defaults.
+pub fn settings(overrides: &[(&str, &str)]) -> Settings {
     let base = "classes.0.name=small classes.0.semantics=retryable classes.0.objectiveUs=600000 \
         classes.0.deadlineUs=6000000 classes.0.worth=1 classes.1.name=large classes.1.semantics=dedup \
         classes.1.group=all classes.1.objectiveUs=5000000 classes.1.deadlineUs=9000000 classes.1.worth=5 \
@@ -66,71 +71,92 @@
         rules.fallUs=1000000 stats.fields.0=x0 stats.fields.1=x1";
     let pairs = base.split_whitespace().filter_map(|pair| pair.split_once('='));
     let value = |text: &str| text.parse().map_or_else(|_| Value::Text(text.into()), Value::Number);
-    pairs.chain(more.iter().copied()).map(|(name, text)| (name.to_owned(), value(text))).collect()
+    pairs.chain(overrides.iter().copied()).map(|(name, text)| (name.to_owned(), value(text))).collect()
 }
 
-/// A planner at ten seconds with `machines` of 16 cores listed, each reporting so many in use, and as much
-/// memory.
-pub fn planner(more: &[(&str, &str)], machines: &[f64]) -> Planner<Trace> {
-    let host = Trace { now: 10_000_000, ..Trace::default() };
-    let mut p = Planner::new(host, 7, 10_000_000, given(more));
-    list(&mut p, true, &(0..machines.len()).map(|m| (m, Readiness::Ready, 0)).collect::<Vec<_>>());
-    for (m, used) in machines.iter().enumerate() {
-        p.probe_finished(m, AttemptOutcome::Ended, &[16.0 - used, 32.0 - used]);
+/// Creates a planner at the time of 10 s, with one machine of 16 cores and 32 memory units for each
+/// element of `used`. Each machine has reported that number of cores, and of memory units, as used.
+pub fn new_planner(overrides: &[(&str, &str)], used: &[f64]) -> Planner<TraceHost> {
+    let host = TraceHost { now: 10_000_000, ..TraceHost::default() };
+    let mut planner = Planner::new(host, 7, 10_000_000, settings(overrides));
+    send_list(
+        &mut planner,
+        true,
+        &(0..used.len()).map(|machine| (machine, Readiness::Ready, 0)).collect::<Vec<_>>(),
+    );
+    for (machine, used) in used.iter().enumerate() {
+        planner.probe_finished(machine, AttemptOutcome::Ended, &[16.0 - used, 32.0 - used]);
     }
-    p
+    planner
 }
 
-pub fn list(p: &mut Planner<Trace>, whole: bool, machines: &[(usize, Readiness, i64)]) {
-    p.list_started(whole, true);
-    for &(m, readiness, started) in machines {
-        p.machine_listed(m, (0, m % 2, m / 2), readiness, started, (0.0, 0.0));
+/// Sends a fresh machine list with the given machines, their readiness and their start times in
+/// microseconds. Machine m is in zone m mod 2 and in cell m / 2.
+pub fn send_list(planner: &mut Planner<TraceHost>, whole: bool, machines: &[(usize, Readiness, i64)]) {
+    planner.list_started(whole, true);
+    for &(machine, readiness, started_at) in machines {
+        planner.machine_listed(machine, (0, machine % 2, machine / 2), readiness, started_at, (0.0, 0.0));
     }
-    p.list_finished();
+    planner.list_finished();
 }
 
-pub fn small(p: &mut Planner<Trace>, task: usize, service: usize) {
-    p.task_requested(task, 0, None, service, (1.0, 2.0), 6_000_000);
+/// Requests a task of the small, repeatable framework, with a deadline of 6 s.
+pub fn request_small(planner: &mut Planner<TraceHost>, task: usize, service: usize) {
+    planner.task_requested(task, 0, None, service, (1.0, 2.0), 6_000_000);
 }
 
-pub fn large(p: &mut Planner<Trace>, task: usize, service: usize) {
-    p.task_requested(task, 1, None, service, (4.0, 8.0), 9_000_000);
+/// Requests a task of the large, keyed framework, with a deadline of 9 s.
+pub fn request_large(planner: &mut Planner<TraceHost>, task: usize, service: usize) {
+    planner.task_requested(task, 1, None, service, (4.0, 8.0), 9_000_000);
 }
 
-pub fn end(p: &mut Planner<Trace>, task: usize, outcome: AttemptOutcome, why: i64, over: bool) {
-    p.attempt_ended(task, outcome, why, over, &[]);
+/// Ends a task's latest attempt, without a report.
+pub fn end_attempt(
+    planner: &mut Planner<TraceHost>,
+    task: usize,
+    outcome: AttemptOutcome,
+    reason: i64,
+    is_final: bool,
+) {
+    planner.attempt_ended(task, outcome, reason, is_final, &[]);
 }
 
-pub fn at_time(p: &mut Planner<Trace>, now: i64) {
-    p.host.now = now;
-    p.set_clock(now);
+/// Sets the clock without firing timers.
+pub fn set_time(planner: &mut Planner<TraceHost>, now: i64) {
+    planner.host.now = now;
+    planner.set_clock(now);
 }
 
-/// Lets time pass; timers that come due on the way are handed in, in order.
-pub fn pass(p: &mut Planner<Trace>, until: i64) {
-    while let Some(i) = (0..p.host.timers.len()).min_by_key(|&i| p.host.timers[i].0) {
-        let (at, token) = p.host.timers[i];
-        if at > until {
+/// Advances the clock to `until`, and fires the timers that become due on the way in the order of
+/// their due times.
+pub fn advance_to(planner: &mut Planner<TraceHost>, until: i64) {
+    while let Some(index) = (0..planner.host.timers.len()).min_by_key(|&i| planner.host.timers[i].0) {
+        let (due_at, token) = planner.host.timers[index];
+        if due_at > until {
             break;
         }
-        p.host.timers.remove(i);
-        at_time(p, at);
-        p.timer_fired(token);
+        planner.host.timers.remove(index);
+        set_time(planner, due_at);
+        planner.timer_fired(token);
     }
-    at_time(p, until);
+    set_time(planner, until);
 }
 
-/// Lets time pass and answers each probe 10 ms or less after it was sent; returns when each was sent, and to
-/// which machine.
-pub fn answered(p: &mut Planner<Trace>, until: i64, report: &[f64]) -> Vec<(i64, usize)> {
-    let mut all = Vec::new();
-    while p.host.now < until {
-        let now = (p.host.now + 10_000).min(until);
-        pass(p, now);
-        while let Some(m) = p.host.probes.pop() {
-            all.push((now, m));
-            p.probe_finished(m, AttemptOutcome::Ended, report);
+/// Advances the clock to `until`, and answers each probe with the report at most 10 ms after it was
+/// sent. Returns the time of each answer and the machine.
+pub fn advance_answering_probes(
+    planner: &mut Planner<TraceHost>,
+    until: i64,
+    report: &[f64],
+) -> Vec<(i64, usize)> {
+    let mut answered = Vec::new();
+    while planner.host.now < until {
+        let now = (planner.host.now + 10_000).min(until);
+        advance_to(planner, now);
+        while let Some(machine) = planner.host.probes.pop() {
+            answered.push((now, machine));
+            planner.probe_finished(machine, AttemptOutcome::Ended, report);
         }
     }
-    all
+    answered
 }
