--- a/benchlink/src/events.rs
+++ b/benchlink/src/events.rs
@@ -144,12 +144,12 @@
     Ok(match fields.integer("verdict")? {
         0 => AttemptOutcome::Ended,
         5 => AttemptOutcome::Error,
-        11 => AttemptOutcome::Full,
+        11 => AttemptOutcome::Refused,
         110 => AttemptOutcome::TimedOut,
         111 => AttemptOutcome::ConnectFailed,
         104 => AttemptOutcome::Reset,
         125 => AttemptOutcome::Cancelled,
-        114 => AttemptOutcome::Moot,
+        114 => AttemptOutcome::NotSent,
         _ => return Err(MessageError::UnknownOutcome),
     })
 }
--- a/ledger/src/attempts.rs
+++ b/ledger/src/attempts.rs
@@ -57,7 +57,7 @@
         let key = self.tasks.key(task).expect("the module starts tasks it was told of").clone();
         let record = self.records.get_mut(&key).expect("an indexed task has a record");
         if record.task != Some(task) || record.phase != RequestPhase::Waiting {
-            let outcome = AttemptOutcome::Moot;
+            let outcome = AttemptOutcome::NotSent;
             actions.push(LedgerAction::Resolved { task, outcome, reason_code: 0, over: true });
             return self.tasks.task_over(task);
         }
@@ -196,7 +196,7 @@
 
     /// A machine refused an attempt: it never ran and never will.
     pub fn refused(&mut self, id: AttemptId, reason_code: i64, actions: &mut Actions<K>) {
-        let removal = Removal { evidence: Evidence::Refused, outcome: AttemptOutcome::Full, reason_code };
+        let removal = Removal { evidence: Evidence::Refused, outcome: AttemptOutcome::Refused, reason_code };
         self.remove(id, removal, actions);
     }
 
--- a/ledger/tests/every_state.rs
+++ b/ledger/tests/every_state.rs
@@ -126,7 +126,9 @@
                         Module::Out { on, unsure } if !over => {
                             let ran = !matches!(
                                 outcome,
-                                AttemptOutcome::Full | AttemptOutcome::ConnectFailed | AttemptOutcome::Moot
+                                AttemptOutcome::Refused
+                                    | AttemptOutcome::ConnectFailed
+                                    | AttemptOutcome::NotSent
                             );
                             Module::Waiting { unsure: unsure.or(ran.then_some(on)) }
                         }
--- a/planner/src/placement_event.rs
+++ b/planner/src/placement_event.rs
@@ -160,11 +160,11 @@
 const OUTCOMES: [(u8, AttemptOutcome); 8] = [
     (0, AttemptOutcome::Ended),
     (5, AttemptOutcome::Error),
-    (11, AttemptOutcome::Full),
+    (11, AttemptOutcome::Refused),
     (104, AttemptOutcome::Reset),
     (110, AttemptOutcome::TimedOut),
     (111, AttemptOutcome::ConnectFailed),
-    (114, AttemptOutcome::Moot),
+    (114, AttemptOutcome::NotSent),
     (125, AttemptOutcome::Cancelled),
 ];
 
--- a/planner/src/state/machines.rs
+++ b/planner/src/state/machines.rs
@@ -150,7 +150,7 @@
     fn probe_answered(&mut self, frame: wire::Probed) {
         if let Some(machine) = self.probes.remove(&frame.number) {
             let report = frame.report.map(|report| report.values).unwrap_or_default();
-            let outcome = if frame.why == 0 { AttemptOutcome::Ended } else { AttemptOutcome::Full };
+            let outcome = if frame.why == 0 { AttemptOutcome::Ended } else { AttemptOutcome::Refused };
             let outcome = outcome_code(outcome);
             self.notify_placement(PlacementEvent::Probed { machine, outcome, report });
         }
--- a/planner/src/state/subset.rs
+++ b/planner/src/state/subset.rs
@@ -277,7 +277,7 @@
 
     /// An attempt has an outcome: the task is over, or it waits again.
     pub(super) fn task_resolved(&mut self, task: usize, outcome: AttemptOutcome, over: bool) {
-        if outcome == AttemptOutcome::Full {
+        if outcome == AttemptOutcome::Refused {
             self.short_of_room();
         }
         let waiting = self.subset.as_mut().and_then(|x| x.waiting.remove(&task));
--- a/src/host.rs
+++ b/src/host.rs
@@ -48,7 +48,7 @@
     /// The machine answered with an error.
     Error,
     /// The machine refused the attempt; the task did not run there.
-    Full,
+    Refused,
     /// The machine did not answer within the timeout; the task may have run.
     TimedOut,
     /// The machine could not be reached; the task did not run there.
@@ -58,7 +58,7 @@
     /// The planner cancelled the attempt; the task may have run.
     Cancelled,
     /// The attempt ended before it was sent to the machine; the task did not run there.
-    Moot,
+    NotSent,
 }
 
 /// Whether a machine accepts work, as stated by the machine list.
--- a/src/placement/attempts.rs
+++ b/src/placement/attempts.rs
@@ -171,8 +171,10 @@
             return;
         }
         ended.tried.push(machine);
-        let never_ran =
-            matches!(outcome, AttemptOutcome::Full | AttemptOutcome::ConnectFailed | AttemptOutcome::Moot);
+        let never_ran = matches!(
+            outcome,
+            AttemptOutcome::Refused | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
+        );
         if !never_ran {
             ended.possibly_ran = ended.possibly_ran.or(Some((machine, sent_at)));
         }
@@ -197,8 +199,8 @@
 fn ejection_us(outcome: AttemptOutcome, reason: i64, phase: TaskPhase) -> i64 {
     let machine_gone = reason == REASON_NONE || reason == REASON_SENT_AWAY;
     match outcome {
-        AttemptOutcome::Full if reason != REASON_NOT_HERE => REFUSAL_EJECTION_US,
-        AttemptOutcome::ConnectFailed | AttemptOutcome::TimedOut | AttemptOutcome::Full => EJECTION_US,
+        AttemptOutcome::Refused if reason != REASON_NOT_HERE => REFUSAL_EJECTION_US,
+        AttemptOutcome::ConnectFailed | AttemptOutcome::TimedOut | AttemptOutcome::Refused => EJECTION_US,
         AttemptOutcome::Reset if phase == TaskPhase::Sent || machine_gone => EJECTION_US,
         _ => 0,
     }
--- a/src/placement/health.rs
+++ b/src/placement/health.rs
@@ -30,7 +30,7 @@
         if outcome == AttemptOutcome::Ended {
             self.read_report(machine, report);
             self.update_probes_return_reports(!report.is_empty());
-        } else if outcome != AttemptOutcome::Full {
+        } else if outcome != AttemptOutcome::Refused {
             self.machines.ejected_until[machine] = self.now + EJECTION_US;
         }
         self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
@@ -58,7 +58,7 @@
     /// Records the time of contact with a machine, if only the machine itself can have caused the
     /// outcome.
     pub(super) fn record_contact(&mut self, machine: usize, outcome: AttemptOutcome) {
-        if matches!(outcome, AttemptOutcome::Ended | AttemptOutcome::Error | AttemptOutcome::Full) {
+        if matches!(outcome, AttemptOutcome::Ended | AttemptOutcome::Error | AttemptOutcome::Refused) {
             self.machines.last_contact_at[machine] = self.now;
         }
     }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -65,7 +65,7 @@
     let mut planner = new_planner(&[("permissions.attemptsCap", "9")], &[2.0]);
     request_small(&mut planner, 0, 0);
     set_time(&mut planner, 15_650_000);
-    end_attempt(&mut planner, 0, Full, 2, false);
+    end_attempt(&mut planner, 0, Refused, 2, false);
     advance_to(&mut planner, 17_000_000);
     expect![[r#"
          10000 ms  launch task 0 on machine 0 for 3000 ms
@@ -126,7 +126,7 @@
 fn aborts_once_only_task_that_may_have_run() {
     let mut planner = new_planner(&[("classes.1.semantics", "fragile")], &[2.0, 3.0]);
     request_large(&mut planner, 0, 0);
-    end_attempt(&mut planner, 0, Full, 3, false);
+    end_attempt(&mut planner, 0, Refused, 3, false);
     end_attempt(&mut planner, 0, Reset, 0, false);
     expect![[r#"
         10000 ms  launch task 0 on machine 1 for 4500 ms
