--- a/src/placement/attempts.rs
+++ b/src/placement/attempts.rs
@@ -73,6 +73,8 @@
         true
     }
 
+    /// Sends an attempt of a task to a machine, with a timeout that ends at the task's deadline at
+    /// the latest.
     fn launch(&mut self, task: usize, machine: usize) {
         // If acceptance means that the task runs, an attempt may use the whole deadline, because a
         // timeout during the start would waste the work of the start.
@@ -114,8 +116,9 @@
     }
 
     /// Cancels the unanswered attempts on a machine that were sent more than `OVERTAKEN_US` before
-    /// the attempt that it has just accepted. A machine handles attempts one at a time, in order,
-    /// so the answers to the earlier attempts must have been lost.
+    /// the attempt that it has just accepted, if the settings allow cancellation. A machine handles
+    /// attempts one at a time, in order, so the answers to the earlier attempts must have been
+    /// lost.
     fn cancel_overtaken(&mut self, machine: usize, sent_at: i64) {
         let is_lost = |&other: &usize| {
             let other = &self.tasks[other];
--- a/src/placement/capacity.rs
+++ b/src/placement/capacity.rs
@@ -52,7 +52,7 @@
     /// framework tolerates congestion.
     pub(super) congested: Vec<Candidate>,
     /// The preemption that frees the smallest share of a machine; `None` if no preemption is
-    /// possible. Only meaningful if no machine fits.
+    /// possible. Only used if there are no fitting and no congested machines.
     pub(super) preemption: Option<Preemption>,
 }
 
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -49,6 +49,7 @@
     now: i64,
     /// The time at which this planner started, in microseconds.
     started_at: i64,
+    /// Number of probes without an outcome.
     probes_in_flight: usize,
     /// Whether any answer to a probe has contained a usage report.
     probes_return_reports: bool,
