--- a/ledger/src/attempts.rs
+++ b/ledger/src/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts: made by the placement module, accepted, given up and ended, and what their end means for the
-//! request.
+//! Attempts: how the placement module launches them, how machines accept and end them, and what the
+//! end of an attempt means for the request.
 use crate::{
     Actions, Attempt, AttemptEnd, AttemptId, AttemptState, Evidence, Idempotency, Ledger, LedgerAction,
     LifecycleEvent, Proof, RejectReason, RequestOutcome, RequestPhase,
@@ -7,18 +7,18 @@
 use basaltpitch::host::AttemptOutcome;
 use std::hash::Hash;
 
-/// The outcome of an attempt, as the module is told.
+/// Outcome of an attempt, as reported to the placement module.
 #[derive(Clone, Copy)]
 pub(crate) struct Resolution {
     outcome: AttemptOutcome,
-    /// The machine's code for the reason; 0 for none.
+    /// The machine's reason code; 0 for none.
     reason_code: i64,
-    /// Whether the task is over.
+    /// Whether the task is over; if false, it waits to be placed again.
     over: bool,
 }
 
 impl Resolution {
-    /// The task waits again.
+    /// The task waits to be placed again.
     fn retry(outcome: AttemptOutcome) -> Self {
         Resolution { outcome, reason_code: 0, over: false }
     }
@@ -29,12 +29,12 @@
     }
 }
 
-/// Why an attempt is on no machine any more.
+/// Why an attempt is no longer on a machine.
 #[derive(Clone, Copy)]
 pub(crate) struct Removal {
     pub evidence: Evidence,
     pub outcome: AttemptOutcome,
-    /// The machine's code for the reason; 0 for none.
+    /// The machine's reason code; 0 for none.
     pub reason_code: i64,
 }
 
@@ -49,12 +49,13 @@
     }
 }
 
-/// The placement module's calls.
+/// Calls of the placement module.
 impl<K: Clone + Ord + Hash, J: Clone> Ledger<K, J> {
-    /// The module starts a task on a machine. A task that ended in the same moment, of which the module was not
-    /// told yet, is not started: it is told that instead.
+    /// Starts a task on a machine. If the task ended before the placement module was notified, it
+    /// is not started, and the module receives the outcome `Moot` instead.
     pub fn launch(&mut self, task: usize, machine: usize, timeout_us: i64, actions: &mut Actions<K>) {
-        let key = self.tasks.key(task).expect("the module starts tasks it was told of").clone();
+        let key =
+            self.tasks.key(task).expect("the placement module launches only tasks that it was given").clone();
         let record = self.records.get_mut(&key).expect("an indexed task has a record");
         if record.task != Some(task) || record.phase != RequestPhase::Waiting {
             let outcome = AttemptOutcome::Moot;
@@ -63,7 +64,7 @@
         }
         debug_assert!(
             record.attempts.iter().all(|attempt| attempt.state != AttemptState::InFlight),
-            "one attempt in flight at a time"
+            "a task has at most one attempt in flight"
         );
         self.tasks.await_outcome(task);
         self.last_attempt += 1;
@@ -77,12 +78,12 @@
             task: Some(task),
             since_us: self.now_us,
         });
-        self.count_attempt(id, machine, &key, actions);
+        self.index_attempt(id, machine, &key, actions);
         actions.push(LedgerAction::Launch { key, attempt: id, machine, timeout_us });
     }
 
-    /// From now on an attempt is known under its identity and on its machine.
-    pub(crate) fn count_attempt(
+    /// Indexes an attempt by its identity and by its machine.
+    pub(crate) fn index_attempt(
         &mut self,
         attempt: AttemptId,
         machine: usize,
@@ -94,13 +95,13 @@
         self.attempts_by_machine.insert((machine, attempt));
     }
 
-    /// The module's final answer without a place.
+    /// Declines a task's request because the placement module found no machine for it.
     pub fn decline(&mut self, task: usize, retry_after_us: i64, actions: &mut Actions<K>) {
         let reason = RejectReason::NoRoom;
         self.answer(task, RequestOutcome::Declined { retry_after_us, reason }, actions);
     }
 
-    /// The module's final answer where an attempt may have run.
+    /// Aborts a task's request because an attempt may have run.
     pub fn abort(&mut self, task: usize, actions: &mut Actions<K>) {
         self.answer(task, RequestOutcome::Aborted { reason: RejectReason::MayHaveRun }, actions);
     }
@@ -119,7 +120,7 @@
         self.tasks.task_over(task);
     }
 
-    /// The module stops a placed task, so that its client asks again.
+    /// Stops a placed task so that its client requests it again and it can be placed elsewhere.
     pub fn move_away(&mut self, task: usize, actions: &mut Actions<K>) {
         let Some(key) = self.key_of(task).cloned() else { return };
         let now_us = self.now_us;
@@ -135,10 +136,11 @@
     }
 }
 
-/// What machines and links say of attempts.
+/// Events of attempts, as reported by machines and links.
 impl<K: Clone + Ord + Hash, J: Clone> Ledger<K, J> {
-    /// A machine accepted an attempt. An acceptance that comes after the attempt was given up is decided by the
-    /// task's idempotency: a repeatable attempt is stopped, any other has come to stay and is adopted.
+    /// Records that a machine accepted an attempt. If the attempt was given up before, a repeatable
+    /// task's attempt is stopped, as is any attempt of a task that is placed elsewhere; any other
+    /// attempt is adopted as the task's placement.
     pub fn accepted(&mut self, id: AttemptId, actions: &mut Actions<K>) {
         let Some(key) = self.keys_by_attempt.get(&id).cloned() else { return };
         let record = self.records.get_mut(&key).expect("an attempt has a record");
@@ -149,7 +151,7 @@
             AttemptState::InFlight => {
                 attempt.state = AttemptState::Active;
                 let (task, machine) = (attempt.task, attempt.machine);
-                self.placed(&key, machine, actions);
+                self.answer_placed(&key, machine, actions);
                 actions.extend(task.map(|task| LedgerAction::Accepted { task }));
             }
             AttemptState::InDoubt
@@ -162,8 +164,8 @@
         }
     }
 
-    /// The request's one attempt is placed.
-    fn placed(&mut self, key: &K, machine: usize, actions: &mut Actions<K>) {
+    /// Answers an open request as placed on a machine.
+    fn answer_placed(&mut self, key: &K, machine: usize, actions: &mut Actions<K>) {
         let record = self.records.get_mut(key).expect("a placed task has a record");
         let outcome = RequestOutcome::Placed { machine };
         (record.phase, record.outcome) = (RequestPhase::Placed, Some(outcome));
@@ -172,45 +174,47 @@
         self.open_count -= 1;
     }
 
-    /// An attempt that runs though nobody waited for it is the task's from now on: an open request is answered
-    /// with it, and an attempt that is in flight for that request is called back.
+    /// Adopts an attempt that runs although the planner no longer waited for it: it becomes the
+    /// task's placement, an open request is answered with its machine, and another attempt in
+    /// flight for that request is cancelled.
     pub(crate) fn adopt(&mut self, key: &K, id: AttemptId, actions: &mut Actions<K>) {
         let record = &self.records[key];
         if record.phase.is_open() {
             let (request_id, client) = (record.request_id, record.client);
-            let machine = record.attempt(id).expect("the attempt is the record's").machine;
-            self.drop_open(key, RequestPhase::Placed, actions);
+            let machine = record.attempt(id).expect("an adopted attempt is in its record").machine;
+            self.close_unanswered(key, RequestPhase::Placed, actions);
             let outcome = RequestOutcome::Placed { machine };
-            self.records.get_mut(key).expect("it was there").outcome = Some(outcome);
+            self.records.get_mut(key).expect("the record was found above").outcome = Some(outcome);
             actions.push(LedgerAction::Reply { key: key.clone(), request_id, client, outcome });
         }
         let task = self.tasks.allocate(key.clone());
         self.tasks.await_outcome(task);
-        let record = self.records.get_mut(key).expect("it was there");
+        let record = self.records.get_mut(key).expect("the record was found above");
         record.phase = RequestPhase::Placed;
         record.task = Some(task);
-        let attempt = record.attempt_mut(id).expect("the attempt is the record's");
+        let attempt = record.attempt_mut(id).expect("an adopted attempt is in its record");
         (attempt.state, attempt.task) = (AttemptState::Active, Some(task));
         actions.push(LedgerAction::Adopted { task, machine: attempt.machine });
     }
 
-    /// A machine refused an attempt: it never ran and never will.
+    /// Records that a machine refused an attempt, which proves that it never ran and never will.
     pub fn refused(&mut self, id: AttemptId, reason_code: i64, actions: &mut Actions<K>) {
         let removal = Removal { evidence: Evidence::Refused, outcome: AttemptOutcome::Full, reason_code };
         self.remove(id, removal, actions);
     }
 
-    /// A machine tried to start an attempt and failed.
+    /// Records that a machine tried to start an attempt and failed.
     pub fn failed(&mut self, id: AttemptId, machine: usize, actions: &mut Actions<K>) {
         self.remove(id, Removal::FAILED, actions);
         actions.push(LedgerAction::Acknowledge { attempt: id, machine });
     }
 
-    /// An attempt ended on its machine, which keeps saying so until it is acknowledged.
+    /// Records that an attempt ended on its machine. The machine repeats this report until it is
+    /// acknowledged.
     pub fn ended(&mut self, id: AttemptId, machine: usize, how: AttemptEnd, actions: &mut Actions<K>) {
         if let Some(key) = self.keys_by_attempt.get(&id).cloned() {
             if self.records[&key].attempt(id).is_some_and(|attempt| attempt.state == AttemptState::InFlight) {
-                // Its acceptance was lost with a link: the task was placed, and has ended since.
+                // The acceptance was lost with a link: the task was placed and has ended since.
                 self.accepted(id, actions);
             }
             let (outcome, reason_code, event) = match how {
@@ -220,13 +224,13 @@
                 AttemptEnd::PushedOut => (AttemptOutcome::Reset, 6, LifecycleEvent::Evicted),
                 AttemptEnd::SentAway => (AttemptOutcome::Reset, 7, LifecycleEvent::Lost),
             };
-            self.active_over(&key, id, event, actions);
+            self.close_active(&key, id, event, actions);
             self.remove(id, Removal { evidence: Evidence::Ended, outcome, reason_code }, actions);
         }
         actions.push(LedgerAction::Acknowledge { attempt: id, machine });
     }
 
-    /// The timeout of an attempt passed without an answer.
+    /// Gives up an attempt whose timeout passed without an answer.
     pub fn timed_out(&mut self, id: AttemptId, actions: &mut Actions<K>) {
         let attempt = self.attempt(id).filter(|attempt| attempt.state == AttemptState::InFlight);
         let Some(attempt) = attempt else { return };
@@ -234,15 +238,15 @@
         self.give_up(id, AttemptOutcome::TimedOut, actions);
     }
 
-    /// One attempt was not even handed to the link.
+    /// Records that an attempt was never handed to the link.
     pub fn unsent(&mut self, id: AttemptId, actions: &mut Actions<K>) {
         self.remove(id, Removal::UNSENT, actions);
     }
 }
 
-/// Parts of the above.
+/// Steps shared by the calls above.
 impl<K: Clone + Ord + Hash, J: Clone> Ledger<K, J> {
-    /// An attempt in flight is given up, though it may run.
+    /// Gives up an attempt in flight although it may run.
     pub(crate) fn give_up(&mut self, id: AttemptId, outcome: AttemptOutcome, actions: &mut Actions<K>) {
         let now_us = self.now_us;
         let Some(key) = self.keys_by_attempt.get(&id).cloned() else { return };
@@ -250,11 +254,12 @@
         let attempt = record.attempt_mut(id).expect("a known attempt is in its record");
         let task = attempt.task.take();
         (attempt.state, attempt.since_us) = (AttemptState::InDoubt, now_us);
-        record.back_to_waiting();
+        record.return_to_waiting();
         self.resolve(task, Resolution::retry(outcome), actions);
     }
 
-    /// An attempt is no more. What that proves is in `evidence`.
+    /// Removes an attempt that is on no machine any more; `removal.evidence` says whether it may
+    /// have run.
     pub(crate) fn remove(&mut self, id: AttemptId, removal: Removal, actions: &mut Actions<K>) {
         let Some(key) = self.keys_by_attempt.remove(&id) else { return };
         actions.push(LedgerAction::AttemptEnded { attempt: id });
@@ -267,14 +272,14 @@
             record.may_have_run_at_us = Some(self.now_us);
         }
         if attempt.state == AttemptState::InFlight {
-            record.back_to_waiting();
+            record.return_to_waiting();
         }
         let (outcome, reason_code) = (removal.outcome, removal.reason_code);
         self.resolve(attempt.task, Resolution { outcome, reason_code, over: !unanswered }, actions);
     }
 
-    /// The active attempt of a record ends: the client is told how, once.
-    pub(crate) fn active_over(
+    /// Closes a placed task whose active attempt ended, and reports the event to the client once.
+    pub(crate) fn close_active(
         &mut self,
         key: &K,
         id: AttemptId,
@@ -304,11 +309,11 @@
         }
     }
 
-    /// Tells the module of an outcome that it waits for.
+    /// Reports to the placement module the outcome that it awaits.
     pub(crate) fn resolve(&mut self, task: Option<usize>, resolution: Resolution, actions: &mut Actions<K>) {
         let Some(task) = task else { return };
         let Resolution { outcome, reason_code, over } = resolution;
         actions.push(LedgerAction::Resolved { task, outcome, reason_code, over });
-        self.tasks.outcome_came(task, over);
+        self.tasks.record_outcome(task, over);
     }
 }
--- a/ledger/src/evidence.rs
+++ b/ledger/src/evidence.rs
@@ -1,41 +1,43 @@
-//! What each end of an attempt proves. The table is in `docs/design/agent-path.md`, and here it is decided.
+//! What the end of an attempt proves about whether it ran, as tabulated in
+//! `docs/design/agent-path.md`.
 
-/// What was observed of an attempt.
+/// Observation about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Evidence {
-    /// No byte of it was handed to the stream.
+    /// No byte of the attempt's launch was handed to the stream.
     Unsent,
-    /// The machine said that it will not run it.
+    /// The machine refused the attempt.
     Refused,
-    /// It is not in the inventory of a machine that has put the link it was sent on out of use.
+    /// The attempt is missing from the inventory of a machine that ignores the link on which it was
+    /// sent.
     Absent,
-    /// The machine tried to start it and failed.
+    /// The machine tried to start the attempt and failed.
     Failed,
-    /// No answer came within the attempt's timeout.
+    /// The machine did not answer within the attempt's timeout.
     TimedOut,
-    /// The link ended after a byte of it was handed over.
+    /// The link ended after a byte of the launch was handed over.
     LinkCut,
-    /// The machine that it was sent to restarted, or is gone.
+    /// The machine to which the attempt was sent restarted or is gone.
     MachineLost,
-    /// The machine accepted it.
+    /// The machine accepted the attempt.
     Accepted,
-    /// The machine said that it ended.
+    /// The machine reported the end of the attempt.
     Ended,
 }
 
-/// Whether an attempt ran.
+/// What is known about whether an attempt ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Proof {
-    /// It did not: any task may be started again.
+    /// The attempt did not run: the task may be started again, whatever its idempotency.
     NeverRan,
-    /// Unknown: whether there may be a further attempt depends on the task's idempotency.
+    /// Unknown: the task's idempotency decides whether it may be started again.
     MayHaveRun,
-    /// It did.
+    /// The attempt ran.
     Ran,
 }
 
 impl Evidence {
-    /// What this proves.
+    /// Returns what the observation proves.
     pub fn proof(self) -> Proof {
         match self {
             Evidence::Unsent | Evidence::Refused | Evidence::Absent => Proof::NeverRan,
--- a/ledger/src/expiry.rs
+++ b/ledger/src/expiry.rs
@@ -1,16 +1,17 @@
-//! What leaves the ledger: indices that the module needs no more, and answered records.
+//! Removal of task indices that the placement module no longer needs, and of old answered records.
 use crate::{Ledger, RequestPhase};
 use std::hash::Hash;
 
 impl<K: Clone + Ord + Hash, J: Clone> Ledger<K, J> {
-    /// To be called when the module was told every action so far: indices that it needs no more are freed and
-    /// named. Until then a call of the module for one of them still finds it, so that it can be turned off.
+    /// Frees and returns the task indices that the placement module no longer needs. Must be called
+    /// only after the module received every action so far: until then, a call of the module for
+    /// such a task still finds the index, so that the ledger can ignore it.
     pub fn free_task_indices(&mut self) -> Vec<usize> {
         self.tasks.free_unneeded()
     }
 
-    /// Forgets answered records by age and by count. A record with an attempt anywhere stays. Returns how many
-    /// were forgotten.
+    /// Removes answered records that are too old or too many, and returns how many were removed. A
+    /// record with an attempt that may still be on a machine stays.
     pub fn expire_records(&mut self) -> usize {
         let mut expired = 0;
         for _ in 0..self.closed.len() {
@@ -29,7 +30,7 @@
                 self.records.remove(&key);
                 expired += 1;
             } else {
-                // Still in doubt: looked at again later.
+                // An attempt may still be on a machine: check again after the retention time.
                 record.closed_at_us = self.now_us;
                 self.closed.push_back((self.now_us, key));
             }
--- a/ledger/src/inventory.rs
+++ b/ledger/src/inventory.rs
@@ -1,5 +1,5 @@
-//! What a machine as a whole says or loses: links that end, restarts, and inventories that settle what is
-//! uncertain.
+//! Events that concern all attempts on a machine: ended links, lost machines, and inventories,
+//! which settle attempts that are in doubt.
 use crate::attempts::Removal;
 use crate::{
     Actions, Attempt, AttemptId, AttemptState, Idempotency, InventoryEntry, Ledger, LedgerAction,
@@ -10,9 +10,10 @@
 use std::hash::Hash;
 
 impl<K: Clone + Ord + Hash, J: Clone> Ledger<K, J> {
-    /// The link to a machine ended. `unsent` are attempts of which no byte was handed over: they never ran. Any
-    /// other may have run. A repeatable one is given up at once; for the others the machine's next inventory is
-    /// waited for, as long as the attempt's timeout lasts.
+    /// Records that the link to a machine ended. The attempts numbered in `unsent` were never
+    /// handed to the link, so they never ran; any other attempt in flight may have run. A
+    /// repeatable task's attempt is given up at once. For other tasks the machine's next inventory
+    /// decides, unless the attempt times out first.
     pub fn link_cut(&mut self, machine: usize, unsent: &[u64], actions: &mut Actions<K>) {
         for id in self.attempts_on(machine) {
             let Some(attempt) = self.attempt(id) else { continue };
@@ -28,7 +29,8 @@
         }
     }
 
-    /// A machine is gone for good, or has restarted: what it held runs no more.
+    /// Records that a machine is gone for good or has restarted: none of its attempts runs any
+    /// more.
     pub fn machine_lost(&mut self, machine: usize, actions: &mut Actions<K>) {
         for id in self.attempts_on(machine) {
             self.attempt_lost(id, actions);
@@ -37,13 +39,14 @@
 
     fn attempt_lost(&mut self, id: AttemptId, actions: &mut Actions<K>) {
         if let Some(key) = self.keys_by_attempt.get(&id).cloned() {
-            self.active_over(&key, id, LifecycleEvent::Lost, actions);
+            self.close_active(&key, id, LifecycleEvent::Lost, actions);
         }
         self.remove(id, Removal::MACHINE_LOST, actions);
     }
 
-    /// All that a machine holds of this planner's, after it put older links out of use. What it does not hold
-    /// has never run and never will, unless it was accepted once.
+    /// Records a machine's inventory: all attempts of this planner that the machine holds, listed
+    /// after it began to ignore the planner's older links. An attempt that is missing from the list
+    /// never ran and never will, unless it was accepted before.
     pub fn inventory(
         &mut self,
         machine: usize,
@@ -70,7 +73,8 @@
             let key = self.record_unknown_attempt(machine, entry, actions);
             let record = &self.records[&key];
             if accepted && record.phase != RequestPhase::Placed && record.launch_count == 0 {
-                // Nobody of this incarnation has started it: whatever its idempotency, it is the task's attempt.
+                // This epoch of the planner launched no attempt of the task, so that the listed
+                // attempt becomes its placement, whatever the task's idempotency.
                 return self.adopt(&key, id, actions);
             }
         }
@@ -82,7 +86,7 @@
         }
     }
 
-    /// An attempt of an earlier incarnation of this planner, or of a record that was forgotten.
+    /// Records an attempt of an earlier epoch of this planner, or one whose record has expired.
     fn record_unknown_attempt(
         &mut self,
         machine: usize,
@@ -99,7 +103,7 @@
         }
         let (id, state) = (entry.attempt, AttemptState::InDoubt);
         record.attempts.push(Attempt { id, machine, state, task: None, since_us: now_us });
-        self.count_attempt(id, machine, &key, actions);
+        self.index_attempt(id, machine, &key, actions);
         key
     }
 }
--- a/ledger/src/lib.rs
+++ b/ledger/src/lib.rs
@@ -1,8 +1,12 @@
-//! The one record of each task, by the client's key. No I/O and no clock of its own: what happened comes in as
-//! calls, what must be done goes out as [`LedgerAction`]s, in order. The ledger says which attempt is in
-//! flight, what a late answer means, what a broken link proves, and that each request gets exactly one final
-//! answer. Where a task goes is the placement module's; the ledger tells it of outcomes and carries out its
-//! calls. Times are whole microseconds; tasks and machines are the module's small indices.
+//! The ledger of one planner's tasks: one record for each task, by the client's key.
+//!
+//! The ledger decides which attempt is in flight, what a late answer means, what a broken link
+//! proves, and that each request gets exactly one final answer. The placement module decides where
+//! a task runs; the ledger carries out its calls and reports the outcomes to it.
+//!
+//! The ledger does no I/O and has no clock of its own: events come in as calls, and effects go out
+//! as [`LedgerAction`]s in the order in which they must be carried out. Times are whole
+//! microseconds; tasks and machines are the placement module's small indices.
 mod attempts;
 mod evidence;
 mod expiry;
@@ -23,10 +27,11 @@
 use std::hash::Hash;
 use task_indices::TaskIndices;
 
-/// Where a call puts what must be done.
+/// List to which a call appends its effects.
 type Actions<K> = Vec<LedgerAction<K>>;
 
-/// All records of one planner. `J` is what a task needs; the ledger only keeps it.
+/// All task records of one planner. `J` is the description of a task, which the ledger stores
+/// without reading it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger<K, J> {
     epoch: u64,
@@ -37,13 +42,13 @@
     keys_by_attempt: BTreeMap<AttemptId, K>,
     attempts_by_machine: BTreeSet<(usize, AttemptId)>,
     tasks: TaskIndices<K>,
-    /// Records that were answered or are over, with the time, the oldest first.
+    /// Keys of records whose request was answered or is over, with the closing time, oldest first.
     closed: VecDeque<(i64, K)>,
     open_count: usize,
 }
 
 impl<K: Clone + Ord + Hash, J: Clone> Ledger<K, J> {
-    /// An empty ledger of a planner's epoch.
+    /// Creates an empty ledger for an epoch of the planner.
     pub fn new(epoch: u64, now_us: i64, config: LedgerConfig) -> Self {
         Ledger {
             epoch,
@@ -59,47 +64,50 @@
         }
     }
 
-    /// Sets the time of the calls that follow; it never goes back.
+    /// Sets the time of the calls that follow; a time before the current one is ignored.
     pub fn set_clock(&mut self, now_us: i64) {
         self.now_us = self.now_us.max(now_us);
     }
 
-    /// The record of a task.
+    /// Returns the record of a task.
     pub fn record(&self, key: &K) -> Option<&TaskRecord<J>> {
         self.records.get(key)
     }
 
-    /// All records, by key.
+    /// Returns all records, ordered by key.
     pub fn records(&self) -> impl Iterator<Item = (&K, &TaskRecord<J>)> {
         self.records.iter()
     }
 
-    /// What each task needs, to be changed where it does not matter to the ledger.
+    /// Returns the descriptions of all tasks, so that the caller can change them; the ledger does
+    /// not depend on them.
     pub fn jobs_mut(&mut self) -> impl Iterator<Item = (&K, &mut J)> {
         self.records.iter_mut().map(|(key, record)| (key, &mut record.job))
     }
 
-    /// The key of a task that the module knows by this index.
+    /// Returns the key of the task that the placement module knows by this index.
     pub fn key_of(&self, task: usize) -> Option<&K> {
         self.tasks.key(task)
     }
 
-    /// The key of the record that an attempt belongs to.
+    /// Returns the key of the task that an attempt belongs to.
     pub fn key_of_attempt(&self, id: AttemptId) -> Option<&K> {
         self.keys_by_attempt.get(&id)
     }
 
-    /// The module's index for the task that runs under this attempt, for notes about it.
+    /// Returns the placement module's index of the task whose accepted attempt this is, to pass on
+    /// the machine's notes about the task.
     pub fn task_of_attempt(&self, id: AttemptId) -> Option<usize> {
         self.attempt(id).filter(|attempt| attempt.state == AttemptState::Active)?.task
     }
 
-    /// Open requests: waiting or with an attempt in flight.
+    /// Returns the number of open requests: those that wait or have an attempt in flight.
     pub fn open_count(&self) -> usize {
         self.open_count
     }
 
-    /// Whether no attempt is known on a machine, so that its index may be freed.
+    /// Returns whether the ledger knows no attempt on a machine, so that the machine's index may be
+    /// reused.
     pub fn is_machine_free(&self, machine: usize) -> bool {
         let first = self.attempts_by_machine.range((machine, AttemptId::FIRST)..).next();
         first.is_none_or(|entry| entry.0 != machine)
--- a/ledger/src/record.rs
+++ b/ledger/src/record.rs
@@ -1,84 +1,86 @@
-//! What the ledger keeps of one task: its request, its attempts, what may have run.
+//! The record of one task: its newest request, its attempts, and whether an attempt may have run.
 use crate::{AttemptId, Idempotency, LifecycleEvent, Request, RequestOutcome};
 
-/// How far a task's newest request is.
+/// Phase of a task's newest request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestPhase {
-    /// No attempt is in flight; the module looks for a place.
+    /// No attempt is in flight; the placement module looks for a machine.
     Waiting,
-    /// One attempt is in flight.
+    /// One attempt was sent to a machine and awaits its answer.
     InFlight,
     /// The task runs on a machine.
     Placed,
-    /// Declined or aborted.
+    /// The request was declined or aborted.
     Answered,
-    /// It was placed, or given up by its client, and is no more.
+    /// The task was placed and has ended since, or the client cancelled the request.
     Over(LifecycleEvent),
 }
 
 impl RequestPhase {
-    /// Whether the request has no answer yet.
+    /// Returns whether the request still awaits its final answer.
     pub fn is_open(self) -> bool {
         matches!(self, RequestPhase::Waiting | RequestPhase::InFlight)
     }
 }
 
-/// How far an attempt is.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptState {
-    /// Sent; the module waits for the outcome.
+    /// The attempt was sent and the placement module awaits its outcome.
     InFlight,
-    /// Given up without proof that it did not run.
+    /// The planner gave the attempt up without proof that it did not run.
     InDoubt,
-    /// Accepted by its machine, and the task's attempt.
+    /// The machine accepted the attempt, which is the task's placement.
     Active,
-    /// Told to stop; its end is not known yet.
+    /// The machine was asked to stop the attempt and has not reported its end.
     Stopping,
 }
 
 /// An attempt that may be on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt {
-    /// Its identity.
+    /// Identity of the attempt.
     pub id: AttemptId,
-    /// The machine's index.
+    /// Index of the machine.
     pub machine: usize,
-    /// How far it is.
+    /// State of the attempt.
     pub state: AttemptState,
-    /// The module's index of the task, while it waits for this attempt's outcome.
+    /// The placement module's index of the task while the module awaits this attempt's outcome.
     pub task: Option<usize>,
-    /// When it was made, or came to be in doubt, in microseconds.
+    /// Time at which the attempt was launched or became `InDoubt`, in microseconds.
     pub since_us: i64,
 }
 
-/// What the ledger keeps of one task.
+/// The record of one task.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TaskRecord<J> {
-    /// How often the task may run.
+    /// How many times the task may safely run.
     pub idempotency: Idempotency,
-    /// What the task needs.
+    /// Description of the task.
     pub job: J,
-    /// The newest request.
+    /// The client's number for the newest request.
     pub request_id: u64,
-    /// The connection that is told of it; 0 for none.
+    /// Connection that receives answers and events; 0 for none.
     pub client: u64,
-    /// How far the request is.
+    /// Phase of the newest request.
     pub phase: RequestPhase,
-    /// The request's answer, once it has one.
+    /// Final answer to the newest request; `None` while it is open.
     pub outcome: Option<RequestOutcome>,
-    /// The module's index of the task, while it knows it.
+    /// The placement module's index of the task; `None` when the module does not know the task.
     pub task: Option<usize>,
-    /// Attempts that may be on a machine.
+    /// Attempts that may still be on a machine.
     pub attempts: Vec<Attempt>,
-    /// Attempts ever made for it in this incarnation of the planner.
+    /// Number of attempts launched for the task in this epoch of the planner.
     pub launch_count: u32,
-    /// When an attempt ended of which it was never learnt whether it ran.
+    /// Time at which the last attempt ended of which it is unknown whether it ran, in microseconds;
+    /// `None` if there was none.
     pub may_have_run_at_us: Option<i64>,
-    /// When its placed attempt was lost with a machine.
+    /// Time at which the placed attempt was lost with its machine, in microseconds; `None` if none
+    /// was.
     pub lost_at_us: Option<i64>,
-    /// When the newest request was opened.
+    /// Time at which the newest request was opened, in microseconds.
     pub opened_at_us: i64,
-    /// When the newest request was closed.
+    /// Time at which the newest request was closed, in microseconds.
     pub closed_at_us: i64,
 }
 
@@ -101,7 +103,7 @@
         }
     }
 
-    /// A new request is open under the module's index `task`.
+    /// Opens a new request under the placement module's index `task`.
     pub(crate) fn reopen<K>(&mut self, request: Request<K, J>, task: usize, now_us: i64) {
         (self.idempotency, self.job) = (request.idempotency, request.job);
         (self.request_id, self.client) = (request.request_id, request.client);
@@ -113,7 +115,7 @@
         (self.phase, self.outcome, self.task, self.closed_at_us) = (phase, outcome, None, now_us);
     }
 
-    /// The attempt with this identity, where it may be on a machine.
+    /// Returns the attempt with this identity if it may still be on a machine.
     pub fn attempt(&self, id: AttemptId) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.id == id)
     }
@@ -122,26 +124,28 @@
         self.attempts.iter_mut().find(|attempt| attempt.id == id)
     }
 
-    /// The task's attempt, where it runs.
+    /// Returns the accepted attempt that is the task's placement.
     pub fn active_attempt(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.state == AttemptState::Active)
     }
 
-    pub(crate) fn back_to_waiting(&mut self) {
+    pub(crate) fn return_to_waiting(&mut self) {
         if self.phase == RequestPhase::InFlight {
             self.phase = RequestPhase::Waiting;
         }
     }
 
-    /// Until when a new request waits for what earlier attempts did: one in doubt or stopping may still turn
-    /// up, and one that failed or was lost may have left something behind.
+    /// Returns the time until which a new request must wait for earlier attempts to settle: an
+    /// attempt that is in doubt or stopping may still be reported, and one that failed or was lost
+    /// may have had effects.
     pub fn unsettled_until_us(&self, settle_us: i64) -> i64 {
         let attempts = self.attempts.iter().map(|attempt| attempt.since_us);
         let last = attempts.chain(self.may_have_run_at_us).chain(self.lost_at_us).max();
         last.map_or(i64::MIN / 2, |at_us| at_us + settle_us)
     }
 
-    /// Whether an attempt was given up, or lost, of which it is not known whether it ran.
+    /// Returns whether the task has an attempt, ended or not yet ended, of which it is unknown
+    /// whether it ran.
     pub fn may_have_run(&self) -> bool {
         let unproven = |attempt: &Attempt| attempt.state != AttemptState::Active;
         self.may_have_run_at_us.is_some() || self.attempts.iter().any(unproven)
--- a/ledger/src/requests.rs
+++ b/ledger/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: opened, joined by repeats, superseded, cancelled.
+//! Client requests: how they are opened, repeated, superseded and cancelled.
 use crate::{
     Actions, AttemptState, Idempotency, Ledger, LedgerAction, LifecycleEvent, RejectReason, Rejection,
     Request, RequestOutcome, RequestPhase, TaskRecord,
@@ -6,19 +6,23 @@
 use basaltpitch::host::AttemptOutcome;
 use std::hash::Hash;
 
-/// When a client may repeat a request that was declined because too many tasks are open.
+/// Delay before a client may repeat a request that was declined because too many tasks are open.
 const CROWDED_RETRY_US: i64 = 1_000_000;
 
 impl<K: Clone + Ord + Hash, J: Clone> Ledger<K, J> {
-    /// A client requests a task. The same request again joins the record it has; a new one of a task that runs
-    /// is told where; one that could run a second time beside an attempt in doubt is held off.
+    /// Handles a client's request. A repeat of a known request joins its record. A new request for
+    /// a placed task is answered with that task's machine. A new request that could run the task a
+    /// second time beside an earlier attempt is declined until that attempt has settled, or
+    /// aborted.
     pub fn submit(&mut self, request: Request<K, J>, time_left_us: i64, actions: &mut Actions<K>) {
         let time_left_us = time_left_us - self.config.reply_travel_us;
         self.handle_request(request, Ok(time_left_us), actions);
     }
 
-    /// The same for a request that was rejected on arrival. A repeat of a request that is open or answered goes
-    /// on, a task that runs is answered as placed, and what may have run is not declined.
+    /// Handles a request that was rejected on arrival. The rejection applies only to a request that
+    /// would otherwise be opened: a repeat of an open or answered request still joins its record, a
+    /// placed task is still answered as placed, and a request whose earlier attempt may have run is
+    /// not declined as if nothing had run.
     pub fn submit_rejected(
         &mut self,
         request: Request<K, J>,
@@ -44,7 +48,7 @@
             }
             record.client = client;
             if request_id == record.request_id {
-                // A repeat: what is open goes on, what was answered is answered alike.
+                // A repeat: an open request goes on, an answered one gets the same answer again.
                 return actions.extend(record.outcome.map(reply));
             }
             if let (RequestPhase::Placed, Some(attempt)) = (record.phase, record.active_attempt()) {
@@ -53,7 +57,11 @@
                 return actions.push(reply(outcome));
             }
             if record.phase.is_open() {
-                self.close_open(&key, RequestOutcome::Aborted { reason: RejectReason::Superseded }, actions);
+                self.close_with_answer(
+                    &key,
+                    RequestOutcome::Aborted { reason: RejectReason::Superseded },
+                    actions,
+                );
             }
         }
         match self.admit(&request, admission) {
@@ -68,14 +76,14 @@
         }
     }
 
-    /// The time left for a new request, or its answer if it is not to be opened.
+    /// Returns the time left for a new request, or the final answer if it must not be opened.
     fn admit(
         &self,
         request: &Request<K, J>,
         admission: Result<i64, Rejection>,
     ) -> Result<i64, RequestOutcome> {
         let declined = |reason, retry_after_us| RequestOutcome::Declined { retry_after_us, reason };
-        if let Some(outcome) = self.held_off(&request.key, request.idempotency) {
+        if let Some(outcome) = self.unsettled_outcome(&request.key, request.idempotency) {
             return Err(outcome);
         }
         let time_left_us =
@@ -99,8 +107,9 @@
         actions.push(LedgerAction::Pending { task, time_left_us });
     }
 
-    /// Whether a new request must wait or end because an earlier attempt may run or have run.
-    fn held_off(&self, key: &K, idempotency: Idempotency) -> Option<RequestOutcome> {
+    /// Returns the final answer to a new request that cannot be opened because an earlier attempt
+    /// may run or may have run.
+    fn unsettled_outcome(&self, key: &K, idempotency: Idempotency) -> Option<RequestOutcome> {
         let record = self.records.get(key)?;
         let wait_us = record.unsettled_until_us(self.config.settle_us) - self.now_us;
         match idempotency {
@@ -115,14 +124,14 @@
         }
     }
 
-    /// The client gives this request up, or wants its task no longer.
+    /// Cancels a client's open request, or stops its placed task.
     pub fn cancel(&mut self, key: &K, request_id: u64, actions: &mut Actions<K>) {
         let now_us = self.now_us;
         let record = self.records.get_mut(key).filter(|record| record.request_id == request_id);
         let Some(record) = record else { return };
         let over = RequestPhase::Over(LifecycleEvent::Stopped);
         match record.phase {
-            RequestPhase::Waiting | RequestPhase::InFlight => self.drop_open(key, over, actions),
+            RequestPhase::Waiting | RequestPhase::InFlight => self.close_unanswered(key, over, actions),
             RequestPhase::Placed => {
                 record.close(over, record.outcome, now_us);
                 self.closed.push_back((now_us, key.clone()));
@@ -132,23 +141,25 @@
         }
     }
 
-    /// A client's connection ended: nobody is told until it asks again.
+    /// Records that a client's connection ended: answers and events go to no connection until the
+    /// client repeats its request.
     pub fn client_disconnected(&mut self, client: u64) {
         let records = self.records.values_mut().filter(|record| record.client == client);
         records.for_each(|record| record.client = 0);
     }
 
-    /// An open request ends with an answer that is not the module's.
-    fn close_open(&mut self, key: &K, outcome: RequestOutcome, actions: &mut Actions<K>) {
+    /// Closes an open request with an answer that the placement module did not give.
+    fn close_with_answer(&mut self, key: &K, outcome: RequestOutcome, actions: &mut Actions<K>) {
         let record = &self.records[key];
         let (request_id, client) = (record.request_id, record.client);
         actions.push(LedgerAction::Reply { key: key.clone(), request_id, client, outcome });
-        self.drop_open(key, RequestPhase::Answered, actions);
-        self.records.get_mut(key).expect("it was there").outcome = Some(outcome);
+        self.close_unanswered(key, RequestPhase::Answered, actions);
+        self.records.get_mut(key).expect("the record was found above").outcome = Some(outcome);
     }
 
-    /// An open request ends without an answer; the module is told, and an attempt in flight is called back.
-    pub(crate) fn drop_open(&mut self, key: &K, phase: RequestPhase, actions: &mut Actions<K>) {
+    /// Closes an open request without an answer, informs the placement module and cancels an
+    /// attempt in flight.
+    pub(crate) fn close_unanswered(&mut self, key: &K, phase: RequestPhase, actions: &mut Actions<K>) {
         let now_us = self.now_us;
         let record = self.records.get_mut(key).expect("an open request has a record");
         let task = record.task;
--- a/ledger/src/task_indices.rs
+++ b/ledger/src/task_indices.rs
@@ -1,12 +1,12 @@
-//! The small indices by which the placement module knows tasks: handed out with a request, and freed when the
-//! module needs them no more.
+//! The small indices by which the placement module knows tasks: allocated when a request is opened
+//! or an attempt is adopted, and freed once the module no longer needs them.
 use std::collections::BTreeSet;
 
-/// A task that the module knows.
+/// A task that the placement module knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct IndexedTask<K> {
     key: K,
-    /// An attempt of it has no outcome yet.
+    /// Whether the placement module still awaits the outcome of an attempt of the task.
     awaits_outcome: bool,
     over: bool,
 }
@@ -17,12 +17,12 @@
     }
 }
 
-/// The indices in use and the free ones.
+/// The indices in use and the free indices.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct TaskIndices<K> {
     entries: Vec<Option<IndexedTask<K>>>,
     free: BTreeSet<usize>,
-    /// Indices that the module needs no more once it was told all actions so far.
+    /// Indices that the placement module no longer needs once it has received all actions so far.
     unneeded: Vec<usize>,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl<K> TaskIndices<K> {
-    /// The lowest free index, given to a task.
+    /// Allocates the lowest free index to a task.
     pub(crate) fn allocate(&mut self, key: K) -> usize {
         let task = self.free.pop_first().unwrap_or(self.entries.len());
         if task == self.entries.len() {
@@ -47,15 +47,15 @@
         self.entries.get(task)?.as_ref().map(|entry| &entry.key)
     }
 
-    /// An attempt of the task is to have an outcome.
+    /// Marks a task as awaiting the outcome of an attempt.
     pub(crate) fn await_outcome(&mut self, task: usize) {
         if let Some(entry) = &mut self.entries[task] {
             entry.awaits_outcome = true;
         }
     }
 
-    /// The outcome of the task's attempt came.
-    pub(crate) fn outcome_came(&mut self, task: usize, over: bool) {
+    /// Records that the outcome of the task's attempt was reported.
+    pub(crate) fn record_outcome(&mut self, task: usize, over: bool) {
         if let Some(entry) = &mut self.entries[task] {
             entry.awaits_outcome = false;
             entry.over |= over;
@@ -63,7 +63,7 @@
         self.note_unneeded(task);
     }
 
-    /// The task is over for the module.
+    /// Marks a task as over for the placement module.
     pub(crate) fn task_over(&mut self, task: usize) {
         if let Some(entry) = &mut self.entries[task] {
             entry.over = true;
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Frees the indices that the module needs no more, in their order.
+    /// Frees the indices that the placement module no longer needs and returns them in ascending
+    /// order.
     pub(crate) fn free_unneeded(&mut self) -> Vec<usize> {
         let mut freed = std::mem::take(&mut self.unneeded);
         freed.retain(|&task| self.entries[task].as_ref().is_some_and(IndexedTask::is_unneeded));
--- a/ledger/src/types.rs
+++ b/ledger/src/types.rs
@@ -1,56 +1,57 @@
-//! What goes into the ledger and what comes out of it.
+//! Requests, attempts, outcomes and actions: the types of the ledger's inputs and outputs.
 use basaltpitch::host::AttemptOutcome;
 
-/// How often a task may run.
+/// How many times a task may safely run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Idempotency {
-    /// Any number of times: a further attempt does no harm.
+    /// May run any number of times; duplicates are harmless.
     Repeatable,
-    /// More than once only where its key removes duplicates.
+    /// May run more than once only where machines remove duplicates by the task's key.
     Keyed,
-    /// At most once.
+    /// Must run at most once.
     OnceOnly,
 }
 
-/// An attempt: the planner's epoch and a number that it uses once in that epoch.
+/// Identity of an attempt: the planner's epoch and a number that is used once in that epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The epoch of the planner that made it.
+    /// Epoch of the planner that launched the attempt.
     pub epoch: u64,
-    /// The attempt's number in that epoch, from 1.
+    /// Number of the attempt in that epoch, counted from 1.
     pub number: u64,
 }
 
 impl AttemptId {
-    /// Orders before every attempt, as a bound of ranges.
+    /// Sorts before every attempt; the lower bound of range queries.
     pub(crate) const FIRST: AttemptId = AttemptId { epoch: 0, number: 0 };
 }
 
-/// Why a request ended without a place.
+/// Why a request was declined or aborted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RejectReason {
-    /// The placement module found nothing in time.
+    /// The placement module found no machine before the deadline.
     NoRoom,
-    /// An attempt may have run, and a further one could do harm.
+    /// An attempt may have run, and a second one could run the task twice.
     MayHaveRun,
-    /// An attempt may still run: the request may be repeated after the time that it takes to make sure.
+    /// An earlier attempt may still run. The client may repeat the request once the settling time
+    /// has passed.
     MakingSure,
-    /// A newer request for the same task came.
+    /// A newer request for the same task replaced this one.
     Superseded,
-    /// The planner takes no more open tasks.
+    /// The planner has reached its limit of open tasks.
     Crowded,
-    /// Too little time is left for any attempt to be answered.
+    /// Too little time is left before the deadline for an attempt to be answered.
     TooLate,
-    /// The client is not authorized; the text says why.
+    /// The client is not authorized; the text gives the reason.
     NotAllowed(&'static str),
-    /// No known machine could ever meet the task's constraints.
+    /// No known machine satisfies the task's constraints, whatever its load.
     NoMachine,
-    /// Its time would be over before its turn.
+    /// The admission controller expects the deadline to pass before the task is placed.
     NoSlack,
 }
 
 impl RejectReason {
-    /// The reason as clients read it.
+    /// Returns the reason as it is sent to clients.
     pub fn message(self) -> &'static str {
         match self {
             RejectReason::NoRoom => "no machine had room in time",
@@ -66,69 +67,69 @@
     }
 }
 
-/// A request of a client: which task, under which number, from whom, and what it needs.
+/// A client's request to run a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request<K, J> {
-    /// The client's key of the task.
+    /// The client's key for the task.
     pub key: K,
-    /// The client's number of this request; newer requests for a task have higher ones.
+    /// The client's number for this request; a newer request for the same task has a higher one.
     pub request_id: u64,
-    /// The connection that asked; 0 for none.
+    /// Connection that sent the request; 0 for none.
     pub client: u64,
-    /// How often the task may run.
+    /// How many times the task may safely run.
     pub idempotency: Idempotency,
-    /// What the task needs; the ledger only keeps it.
+    /// Description of the task; the ledger stores it without reading it.
     pub job: J,
 }
 
-/// A refusal that was decided before the request reached the ledger.
+/// A rejection by admission control, decided before the request reached the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Rejection {
-    /// Why.
+    /// Why the request was rejected.
     pub reason: RejectReason,
-    /// The time after which to repeat the request.
+    /// Time after which the client may repeat the request, in microseconds.
     pub retry_after_us: i64,
 }
 
-/// The final answer to a request.
+/// Final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestOutcome {
-    /// The task runs on a machine.
+    /// A machine accepted the task.
     Placed {
-        /// The machine's index.
+        /// Index of the machine.
         machine: usize,
     },
-    /// Nothing ran; repeating the request does no harm once the time has passed.
+    /// No attempt is known to have run; the client may safely repeat the request after the delay.
     Declined {
-        /// The time after which to repeat it.
+        /// Time after which the client may repeat the request, in microseconds.
         retry_after_us: i64,
-        /// Why.
+        /// Why the request ended without a placement.
         reason: RejectReason,
     },
-    /// Nothing is promised: an attempt may have run.
+    /// The request ended without a promise about its attempts: one of them may have run.
     Aborted {
-        /// Why.
+        /// Why the request ended without a placement.
         reason: RejectReason,
     },
 }
 
-/// How a placed task went on.
+/// Event in the life of a task after it was placed, or when its client cancelled it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LifecycleEvent {
-    /// It ended by itself.
+    /// The task ended by itself.
     Ended,
-    /// It was lost with its machine.
+    /// The task was lost with its machine.
     Lost,
-    /// Its machine evicted it.
+    /// The machine evicted the task.
     Evicted,
-    /// The planner stopped it so that it is placed elsewhere.
+    /// The planner stopped the task so that it can be placed on another machine.
     Moved,
-    /// Its client no longer wanted it.
+    /// The client cancelled the task.
     Stopped,
 }
 
 impl LifecycleEvent {
-    /// The event as operators read it.
+    /// Returns the event's name as operators see it.
     pub fn as_str(self) -> &'static str {
         match self {
             LifecycleEvent::Ended => "ended",
@@ -140,164 +141,168 @@
     }
 }
 
-/// How a machine says that an attempt ended.
+/// How an attempt ended, as reported by its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptEnd {
-    /// By itself.
+    /// The task ended by itself.
     Done,
-    /// The machine needed its resources.
+    /// The machine evicted the attempt to reclaim its resources.
     Evicted,
-    /// A task of higher priority took its place.
+    /// The attempt was preempted by a task of higher priority.
     PushedOut,
-    /// The machine drains.
+    /// The machine is draining and removed the attempt.
     SentAway,
-    /// As the planner asked.
+    /// The planner requested the stop.
     Stopped,
 }
 
-/// What must be done, in order. `Pending` to `Expired` go to the placement module, `AttemptStarted` and
-/// `AttemptEnded` to whoever counts attempts, the rest to peers.
+/// Effects of a call, to be carried out in order. `Pending` to `Expired` go to the placement
+/// module, `AttemptStarted` and `AttemptEnded` to the accounting of attempts per machine, and all
+/// others to clients and machines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerAction<K> {
-    /// A task waits for a place.
+    /// A task waits to be placed.
     Pending {
-        /// The module's index of the task.
+        /// The placement module's index of the task.
         task: usize,
-        /// The time left for an answer.
+        /// Time left to answer the request, in microseconds.
         time_left_us: i64,
     },
-    /// A task was found running on a machine.
+    /// A task without a known placement was found on a machine and is placed there from now on.
     Adopted {
-        /// The module's index of the task.
+        /// The placement module's index of the task.
         task: usize,
-        /// The machine's index.
+        /// Index of the machine.
         machine: usize,
     },
     /// The machine accepted the task's attempt.
     Accepted {
-        /// The module's index of the task.
+        /// The placement module's index of the task.
         task: usize,
     },
-    /// The attempt that the module waits for has an outcome.
+    /// The attempt whose outcome the placement module awaits has ended.
     Resolved {
-        /// The module's index of the task.
+        /// The placement module's index of the task.
         task: usize,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
-        /// The machine's code for the reason; 0 for none.
+        /// The machine's reason code; 0 for none.
         reason_code: i64,
-        /// Whether the task is over, or waits again.
+        /// Whether the task is over; if false, it waits to be placed again.
         over: bool,
     },
-    /// The request ended; the task no longer waits.
+    /// The request ended and the task no longer waits to be placed.
     Expired {
-        /// The module's index of the task.
+        /// The placement module's index of the task.
         task: usize,
     },
-    /// A task is to be started on a machine.
+    /// Start a task on a machine.
     Launch {
-        /// The task's key.
+        /// The client's key for the task.
         key: K,
-        /// The new attempt.
+        /// Identity of the new attempt.
         attempt: AttemptId,
-        /// The machine's index.
+        /// Index of the machine.
         machine: usize,
-        /// How long its answer is waited for.
+        /// Time to wait for the machine's answer, in microseconds.
         timeout_us: i64,
     },
-    /// An attempt that was not accepted yet is to be dropped by its machine.
+    /// Ask a machine to drop an attempt that it has not accepted.
     Cancel {
-        /// Which one.
+        /// Identity of the attempt.
         attempt: AttemptId,
-        /// The machine's index.
+        /// Index of the machine.
         machine: usize,
     },
-    /// An accepted attempt is to be stopped.
+    /// Ask a machine to stop an accepted attempt.
     Stop {
-        /// Which one.
+        /// Identity of the attempt.
         attempt: AttemptId,
-        /// The machine's index.
+        /// Index of the machine.
         machine: usize,
     },
-    /// The end of an attempt was recorded: the machine may forget it.
+    /// Tell a machine that the end of an attempt was recorded, so that it may forget the attempt.
     Acknowledge {
-        /// Which one.
+        /// Identity of the attempt.
         attempt: AttemptId,
-        /// The machine's index.
+        /// Index of the machine.
         machine: usize,
     },
-    /// The final answer to a request.
+    /// Send the final answer to a request.
     Reply {
-        /// The task's key.
+        /// The client's key for the task.
         key: K,
-        /// The request that is answered.
+        /// The client's number for the request that is answered.
         request_id: u64,
-        /// The connection to tell; 0 for none.
+        /// Connection of the client; 0 for none.
         client: u64,
-        /// The answer.
+        /// The final answer.
         outcome: RequestOutcome,
     },
-    /// How a placed task went on.
+    /// Report to the client how a placed task went on.
     Lifecycle {
-        /// The task's key.
+        /// The client's key for the task.
         key: K,
-        /// The request that it was placed for.
+        /// The client's number for the request that the task was placed for.
         request_id: u64,
-        /// The connection to tell; 0 for none.
+        /// Connection of the client; 0 for none.
         client: u64,
-        /// What happened.
+        /// The event.
         event: LifecycleEvent,
     },
-    /// From now on an attempt counts on the machine: it may run there.
+    /// Count an attempt on a machine from now on: it may run there.
     AttemptStarted {
-        /// Which one.
+        /// Identity of the attempt.
         attempt: AttemptId,
-        /// The machine's index.
+        /// Index of the machine.
         machine: usize,
-        /// The task's key.
+        /// The client's key for the task.
         key: K,
     },
-    /// That attempt counts no more.
+    /// Stop counting an attempt on its machine.
     AttemptEnded {
-        /// Which one.
+        /// Identity of the attempt.
         attempt: AttemptId,
     },
 }
 
-/// An attempt of this planner that a machine says it holds.
+/// An attempt of this planner in a machine's inventory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InventoryEntry<K, J> {
-    /// Which one.
+    /// Identity of the attempt.
     pub attempt: AttemptId,
-    /// The task's key.
+    /// The client's key for the task.
     pub key: K,
-    /// The request that it was made for.
+    /// The client's number for the request that the attempt was made for.
     pub request_id: u64,
-    /// How often the task may run.
+    /// How many times the task may safely run.
     pub idempotency: Idempotency,
-    /// Whether the machine accepted it, or has yet to look at it.
+    /// Whether the machine has accepted the attempt; if false, it has yet to examine it.
     pub accepted: bool,
-    /// What the task needs.
+    /// Description of the task.
     pub job: J,
 }
 
-/// What clients and the ledger may rely on.
+/// Limits and durations of a ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LedgerConfig {
-    /// How long an unproven attempt of a keyed or once-only task holds back a new request.
+    /// Time for which an attempt whose fate is unknown holds back new requests for a keyed or
+    /// once-only task, in microseconds.
     pub settle_us: i64,
-    /// How long answered records are kept, so that a repeat gets the same answer.
+    /// Time for which answered records are kept so that a repeated request gets the same answer, in
+    /// microseconds.
     pub retention_us: i64,
-    /// How many answered records are kept.
+    /// Maximum number of answered records.
     pub max_retained: usize,
-    /// Open tasks at one time; more are declined at once.
+    /// Maximum number of open requests; further ones are declined at once.
     pub max_open: usize,
-    /// Taken off the client's time limit: the answer's way back.
+    /// Travel time of the answer to the client in microseconds, subtracted from the client's time
+    /// limit.
     pub reply_travel_us: i64,
 }
 
 impl LedgerConfig {
-    /// Ten minutes and a hundred thousand answers.
+    /// Default limits: 3 s to settle, answers kept for 10 minutes, at most 100,000 of them.
     pub const DEFAULT: LedgerConfig = LedgerConfig {
         settle_us: 3_000_000,
         retention_us: 600_000_000,
--- a/ledger/tests/every_state.rs
+++ b/ledger/tests/every_state.rs
@@ -1,7 +1,8 @@
-//! Every state that the ledger, the machines' ends and a hostile network can reach within bounds, for two
-//! machines and one task: no state breaks a rule. The placing module is replaced by one that may make any
-//! call that the module's rules allow; links may be cut at any point, with frames in the air lost, or late by
-//! a whole link.
+//! Explores every state that the ledger, the machines' attempt tables and a faulty network can reach
+//! within bounds, for two machines and one task, and checks the invariants of each state. The placement
+//! module is replaced by one that may make any call its contract allows. A link may be cut at any point:
+//! frames to the planner are then lost, and frames to the machine are lost or read late, until the
+//! machine reads the hello of the next link.
 #![allow(clippy::too_many_lines, reason = "one case for each action, and one step for each event")]
 use basaltpitch::host::AttemptOutcome;
 use basaltpitch_agent::attempt_table::{AttemptReply, AttemptState, AttemptTable};
@@ -13,419 +14,440 @@
 use std::collections::{BTreeSet, VecDeque};
 
 const MACHINES: usize = 2;
-/// The bounds within which every state is visited: links cut, launches made, askings.
-const CUTS: u8 = 1;
-const LAUNCHES: u8 = 2;
-const ASKS: u64 = 2;
+/// Bounds of the exploration: link cuts, attempts launched, requests submitted.
+const MAX_CUTS: u8 = 1;
+const MAX_ATTEMPTS: u8 = 2;
+const MAX_REQUESTS: u64 = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Down {
+enum ToMachine {
     Hello(u64),
     Launch(AttemptId),
     Cancel(AttemptId),
     Stop(AttemptId),
-    Noted(AttemptId),
+    Acknowledge(AttemptId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Up {
-    Said(AttemptId, AttemptReply),
+enum ToPlanner {
+    Reply(AttemptId, AttemptReply),
     Inventory(Vec<(AttemptId, bool)>),
 }
 
-/// One machine and what is in the air to and from it. An old link may still deliver what it had.
+/// One machine and the frames in transit to and from it. A link that was cut may still deliver its
+/// frames.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Far {
-    holder: AttemptTable<u8, ()>,
-    down: VecDeque<Down>,
-    old: VecDeque<Down>,
-    up: VecDeque<Up>,
+struct MachineEnd {
+    table: AttemptTable<u8, ()>,
+    to_machine: VecDeque<ToMachine>,
+    previous: VecDeque<ToMachine>,
+    to_planner: VecDeque<ToPlanner>,
     link: u64,
-    stands: bool,
-    /// The inventory of the standing link has come.
-    met: bool,
+    connected: bool,
+    /// Whether the planner has received the inventory on the current link.
+    inventory_received: bool,
 }
 
-/// What the module knows of the task.
+/// What the placement module knows of the task. `in_doubt` is the machine of an attempt that may have
+/// run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Module {
     None,
-    Waiting { unsure: Option<usize> },
-    Out { on: usize, unsure: Option<usize> },
+    Waiting { in_doubt: Option<usize> },
+    InFlight { machine: usize, in_doubt: Option<usize> },
     Placed,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     ledger: Ledger<u8, ()>,
-    far: [Far; MACHINES],
+    machines: [MachineEnd; MACHINES],
     module: Module,
-    /// Copies that count, by the ledger's word.
+    /// Attempts that the ledger counts on machines.
     counted: BTreeSet<AttemptId>,
-    /// Copies that ran to their end, or run, by what the machines did.
+    /// Number of times that a machine started the task.
     starts: u8,
     answers: u8,
-    asks: u64,
+    requests: u64,
     cuts: u8,
-    launches: u8,
-    wrong: Option<&'static str>,
+    attempts: u8,
+    violation: Option<&'static str>,
 }
 
-fn id(l: AttemptId) -> (u64, u64) {
-    (l.epoch, l.number)
+fn table_id(attempt: AttemptId) -> (u64, u64) {
+    (attempt.epoch, attempt.number)
 }
 
 impl World {
     fn new(kind: Idempotency) -> Self {
         let mut world = World {
             ledger: Ledger::new(1, 0, LedgerConfig::DEFAULT),
-            far: Default::default(),
+            machines: Default::default(),
             module: Module::None,
             counted: BTreeSet::new(),
             starts: 0,
             answers: 0,
-            asks: 0,
+            requests: 0,
             cuts: 0,
-            launches: 0,
-            wrong: None,
+            attempts: 0,
+            violation: None,
         };
         for m in 0..MACHINES {
             world.connect(m);
-            world.far_reads(m, false);
-            world.near_reads(m, kind);
+            world.machine_reads(m, false);
+            world.planner_reads(m, kind);
         }
         world.submit(kind);
         world
     }
 
     fn submit(&mut self, kind: Idempotency) {
-        self.asks += 1;
+        self.requests += 1;
         self.answers = 0;
-        let mut acts = Vec::new();
-        let asking = Request { key: 0, request_id: self.asks, client: 1, idempotency: kind, job: () };
-        self.ledger.submit(asking, 9_000_000, &mut acts);
-        self.carry(acts);
+        let mut actions = Vec::new();
+        let request = Request { key: 0, request_id: self.requests, client: 1, idempotency: kind, job: () };
+        self.ledger.submit(request, 9_000_000, &mut actions);
+        self.carry_out(actions);
     }
 
     fn connect(&mut self, m: usize) {
-        let far = &mut self.far[m];
-        far.link += 1;
-        (far.stands, far.met) = (true, false);
-        far.down.push_back(Down::Hello(far.link));
+        let machine = &mut self.machines[m];
+        machine.link += 1;
+        (machine.connected, machine.inventory_received) = (true, false);
+        machine.to_machine.push_back(ToMachine::Hello(machine.link));
     }
 
-    /// Carries out acts; the module's part is to know of what it is told.
-    fn carry(&mut self, acts: Vec<LedgerAction<u8>>) {
-        for act in acts {
-            match act {
-                LedgerAction::Pending { .. } => self.module = Module::Waiting { unsure: None },
+    /// Carries out the ledger's actions, and updates what the placement module knows.
+    fn carry_out(&mut self, actions: Vec<LedgerAction<u8>>) {
+        for action in actions {
+            match action {
+                LedgerAction::Pending { .. } => self.module = Module::Waiting { in_doubt: None },
                 LedgerAction::Adopted { .. } | LedgerAction::Accepted { .. } => self.module = Module::Placed,
                 LedgerAction::Expired { .. } => self.module = Module::None,
                 LedgerAction::Resolved { outcome, over, .. } => {
                     self.module = match self.module {
-                        Module::Out { on, unsure } if !over => {
-                            let ran = !matches!(
+                        Module::InFlight { machine, in_doubt } if !over => {
+                            let may_have_run = !matches!(
                                 outcome,
                                 AttemptOutcome::Full | AttemptOutcome::ConnectFailed | AttemptOutcome::Moot
                             );
-                            Module::Waiting { unsure: unsure.or(ran.then_some(on)) }
+                            Module::Waiting { in_doubt: in_doubt.or(may_have_run.then_some(machine)) }
                         }
-                        Module::Waiting { unsure } if !over => Module::Waiting { unsure },
+                        Module::Waiting { in_doubt } if !over => Module::Waiting { in_doubt },
                         _ => Module::None,
                     }
                 }
-                LedgerAction::Launch { attempt: launch, machine, .. } => {
-                    if self.far[machine].stands && self.far[machine].met {
-                        self.far[machine].down.push_back(Down::Launch(launch));
+                LedgerAction::Launch { attempt: id, machine, .. } => {
+                    if self.machines[machine].connected && self.machines[machine].inventory_received {
+                        self.machines[machine].to_machine.push_back(ToMachine::Launch(id));
                     } else {
-                        let mut more = Vec::new();
-                        self.ledger.unsent(launch, &mut more);
-                        self.carry(more);
+                        let mut further = Vec::new();
+                        self.ledger.unsent(id, &mut further);
+                        self.carry_out(further);
                     }
                 }
-                LedgerAction::Cancel { attempt: launch, machine } => self.send(machine, Down::Cancel(launch)),
-                LedgerAction::Stop { attempt: launch, machine } => self.send(machine, Down::Stop(launch)),
-                LedgerAction::Acknowledge { attempt: launch, machine } => {
-                    self.send(machine, Down::Noted(launch))
+                LedgerAction::Cancel { attempt: id, machine } => self.send(machine, ToMachine::Cancel(id)),
+                LedgerAction::Stop { attempt: id, machine } => self.send(machine, ToMachine::Stop(id)),
+                LedgerAction::Acknowledge { attempt: id, machine } => {
+                    self.send(machine, ToMachine::Acknowledge(id))
                 }
-                LedgerAction::Reply { request_id: ask, outcome: answer, .. } => {
-                    self.answers += u8::from(ask == self.asks);
+                LedgerAction::Reply { request_id: id, outcome: reply, .. } => {
+                    self.answers += u8::from(id == self.requests);
                     if self.answers > 1 {
-                        self.wrong = Some("two answers to one asking");
+                        self.violation = Some("a request received two final answers");
                     }
-                    let doubt = self.ledger.record(&0).is_some_and(|r| {
+                    let in_flight = self.ledger.record(&0).is_some_and(|r| {
                         r.idempotency != Idempotency::Repeatable
                             && r.attempts
                                 .iter()
-                                .any(|c| c.state == basaltpitch_ledger::AttemptState::InFlight)
+                                .any(|attempt| attempt.state == basaltpitch_ledger::AttemptState::InFlight)
                     });
-                    if matches!(answer, RequestOutcome::Declined { .. }) && doubt {
-                        self.wrong = Some("declined with a launch out");
+                    if matches!(reply, RequestOutcome::Declined { .. }) && in_flight {
+                        self.violation = Some("a request was declined with an attempt in flight");
                     }
                 }
                 LedgerAction::Lifecycle { .. } => {}
-                LedgerAction::AttemptStarted { attempt: launch, .. } => {
-                    if !self.counted.insert(launch) {
-                        self.wrong = Some("a copy that began twice");
+                LedgerAction::AttemptStarted { attempt: id, .. } => {
+                    if !self.counted.insert(id) {
+                        self.violation = Some("an attempt was counted twice");
                     }
                 }
-                LedgerAction::AttemptEnded { attempt: launch } => {
-                    if !self.counted.remove(&launch) {
-                        self.wrong = Some("a copy that was over and had not begun");
+                LedgerAction::AttemptEnded { attempt: id } => {
+                    if !self.counted.remove(&id) {
+                        self.violation = Some("the end of an uncounted attempt was reported");
                     }
                 }
             }
         }
         self.ledger.free_task_indices();
-        let copies: BTreeSet<AttemptId> =
-            self.ledger.record(&0).into_iter().flat_map(|r| &r.attempts).map(|c| c.id).collect();
-        if copies != self.counted {
-            self.wrong = Some("copies that count are others than those of the record");
+        let recorded: BTreeSet<AttemptId> =
+            self.ledger.record(&0).into_iter().flat_map(|r| &r.attempts).map(|attempt| attempt.id).collect();
+        if recorded != self.counted {
+            self.violation = Some("the counted attempts differ from the record's attempts");
         }
     }
 
-    fn send(&mut self, m: usize, frame: Down) {
-        if self.far[m].stands {
-            self.far[m].down.push_back(frame);
+    fn send(&mut self, m: usize, frame: ToMachine) {
+        if self.machines[m].connected {
+            self.machines[m].to_machine.push_back(frame);
         }
     }
 
-    /// The machine reads the next frame of its newest link, or of the one before.
-    fn far_reads(&mut self, m: usize, old: bool) {
-        let far = &mut self.far[m];
-        let Some(frame) = (if old { far.old.pop_front() } else { far.down.pop_front() }) else { return };
-        let mut say = |launch, say| {
-            if say != AttemptReply::Nothing && far.stands && !old {
-                far.up.push_back(Up::Said(launch, say));
+    /// The machine reads the next frame of its newest link, or of the link before.
+    fn machine_reads(&mut self, m: usize, previous_link: bool) {
+        let machine = &mut self.machines[m];
+        let Some(frame) =
+            (if previous_link { machine.previous.pop_front() } else { machine.to_machine.pop_front() })
+        else {
+            return;
+        };
+        let mut send_reply = |attempt, reply| {
+            if reply != AttemptReply::Nothing && machine.connected && !previous_link {
+                machine.to_planner.push_back(ToPlanner::Reply(attempt, reply));
             }
         };
         match frame {
-            Down::Hello(link) => {
-                if far.holder.admit_link(&0, 1, link) {
-                    // Every older link is out of use.
-                    far.old.clear();
-                    let (endings, held) = far.holder.inventory(&0);
-                    let launch = |id: (u64, u64)| AttemptId { epoch: id.0, number: id.1 };
-                    far.up.extend(endings.into_iter().map(|(i, s)| Up::Said(launch(i), s)));
-                    let held = held.into_iter().map(|(i, s, ())| (launch(i), s != AttemptState::Queued));
-                    far.up.push_back(Up::Inventory(held.collect()));
+            ToMachine::Hello(link) => {
+                if machine.table.admit_link(&0, 1, link) {
+                    // The machine ignores every older link from now on.
+                    machine.previous.clear();
+                    let (endings, held) = machine.table.inventory(&0);
+                    let from_table_id = |id: (u64, u64)| AttemptId { epoch: id.0, number: id.1 };
+                    machine
+                        .to_planner
+                        .extend(endings.into_iter().map(|(i, s)| ToPlanner::Reply(from_table_id(i), s)));
+                    let held =
+                        held.into_iter().map(|(i, s, ())| (from_table_id(i), s != AttemptState::Queued));
+                    machine.to_planner.push_back(ToPlanner::Inventory(held.collect()));
                 }
             }
-            Down::Launch(l) => {
-                let answer = far.holder.launch(&0, id(l), ()).0;
-                say(l, answer);
+            ToMachine::Launch(attempt) => {
+                let answer = machine.table.launch(&0, table_id(attempt), ()).0;
+                send_reply(attempt, answer);
             }
-            Down::Cancel(l) => {
-                let answer = far.holder.cancel(&0, id(l));
-                say(l, answer);
+            ToMachine::Cancel(attempt) => {
+                let answer = machine.table.cancel(&0, table_id(attempt));
+                send_reply(attempt, answer);
             }
-            Down::Stop(l) => match far.holder.state(&0, id(l)) {
+            ToMachine::Stop(attempt) => match machine.table.state(&0, table_id(attempt)) {
                 Some(AttemptState::Accepted | AttemptState::Running) => {
-                    far.holder.set_state(&0, id(l), AttemptState::Ended(4));
-                    say(l, AttemptReply::Ended(4));
+                    machine.table.set_state(&0, table_id(attempt), AttemptState::Ended(4));
+                    send_reply(attempt, AttemptReply::Ended(4));
                 }
                 _ => {
-                    let answer = far.holder.cancel(&0, id(l));
-                    say(l, answer);
+                    let answer = machine.table.cancel(&0, table_id(attempt));
+                    send_reply(attempt, answer);
                 }
             },
-            Down::Noted(l) => far.holder.acknowledge(&0, id(l)),
+            ToMachine::Acknowledge(attempt) => machine.table.acknowledge(&0, table_id(attempt)),
         }
     }
 
-    fn near_reads(&mut self, m: usize, kind: Idempotency) {
-        let Some(frame) = self.far[m].up.pop_front() else { return };
-        let mut acts = Vec::new();
+    fn planner_reads(&mut self, m: usize, kind: Idempotency) {
+        let Some(frame) = self.machines[m].to_planner.pop_front() else { return };
+        let mut actions = Vec::new();
         match frame {
-            Up::Said(l, AttemptReply::Accepted) => self.ledger.accepted(l, &mut acts),
-            Up::Said(l, AttemptReply::NotHere) => self.ledger.refused(l, 4, &mut acts),
-            Up::Said(l, AttemptReply::Ended(4)) => self.ledger.ended(l, m, AttemptEnd::Stopped, &mut acts),
-            Up::Said(l, AttemptReply::Ended(_)) => self.ledger.ended(l, m, AttemptEnd::Done, &mut acts),
-            Up::Said(l, _) => self.ledger.failed(l, m, &mut acts),
-            Up::Inventory(held) => {
-                let held = held.into_iter().map(|(launch, accepted)| InventoryEntry {
-                    attempt: launch,
+            ToPlanner::Reply(attempt, AttemptReply::Accepted) => self.ledger.accepted(attempt, &mut actions),
+            ToPlanner::Reply(attempt, AttemptReply::NotHere) => self.ledger.refused(attempt, 4, &mut actions),
+            ToPlanner::Reply(attempt, AttemptReply::Ended(4)) => {
+                self.ledger.ended(attempt, m, AttemptEnd::Stopped, &mut actions)
+            }
+            ToPlanner::Reply(attempt, AttemptReply::Ended(_)) => {
+                self.ledger.ended(attempt, m, AttemptEnd::Done, &mut actions)
+            }
+            ToPlanner::Reply(attempt, _) => self.ledger.failed(attempt, m, &mut actions),
+            ToPlanner::Inventory(held) => {
+                let held = held.into_iter().map(|(id, accepted)| InventoryEntry {
+                    attempt: id,
                     key: 0,
                     request_id: 1,
                     idempotency: kind,
                     accepted,
                     job: (),
                 });
-                self.ledger.inventory(m, held.collect(), &mut acts);
-                self.far[m].met = true;
+                self.ledger.inventory(m, held.collect(), &mut actions);
+                self.machines[m].inventory_received = true;
             }
         }
-        self.carry(acts);
+        self.carry_out(actions);
     }
 
-    /// What was handed to the stream is in the air; the machine may still read it, until a newer link greets
-    /// it.
+    /// Cuts the link. Frames already handed to the stream may still reach the machine, until it reads the
+    /// hello of a newer link.
     fn cut(&mut self, m: usize) {
         self.cuts += 1;
-        let far = &mut self.far[m];
-        far.stands = false;
-        far.up.clear();
-        far.old = std::mem::take(&mut far.down);
-        far.old.retain(|f| !matches!(f, Down::Hello(_)));
-        let mut acts = Vec::new();
-        self.ledger.link_cut(m, &[], &mut acts);
-        self.carry(acts);
+        let machine = &mut self.machines[m];
+        machine.connected = false;
+        machine.to_planner.clear();
+        machine.previous = std::mem::take(&mut machine.to_machine);
+        machine.previous.retain(|f| !matches!(f, ToMachine::Hello(_)));
+        let mut actions = Vec::new();
+        self.ledger.link_cut(m, &[], &mut actions);
+        self.carry_out(actions);
     }
 
-    fn next(&self, kind: Idempotency) -> Vec<World> {
-        let mut all = Vec::new();
-        let mut with = |change: &dyn Fn(&mut World)| {
+    fn successors(&self, kind: Idempotency) -> Vec<World> {
+        let mut successors = Vec::new();
+        let mut add_successor = |change: &dyn Fn(&mut World)| {
             let mut next = self.clone();
             change(&mut next);
             if next != *self {
-                all.push(next);
+                successors.push(next);
             }
         };
         for m in 0..MACHINES {
-            with(&|w| w.far_reads(m, false));
-            with(&|w| w.far_reads(m, true));
-            with(&|w| w.near_reads(m, kind));
-            if self.far[m].stands && self.cuts < CUTS {
-                with(&|w| w.cut(m));
+            add_successor(&|w| w.machine_reads(m, false));
+            add_successor(&|w| w.machine_reads(m, true));
+            add_successor(&|w| w.planner_reads(m, kind));
+            if self.machines[m].connected && self.cuts < MAX_CUTS {
+                add_successor(&|w| w.cut(m));
             }
-            if !self.far[m].stands {
-                with(&|w| w.connect(m));
+            if !self.machines[m].connected {
+                add_successor(&|w| w.connect(m));
             }
-            // The machine looks at an offer: it takes it, or turns it off; a copy that runs ends.
-            for (launch, state, ()) in self.far[m].holder.inventory(&0).1 {
-                let l = AttemptId { epoch: launch.0, number: launch.1 };
-                let say = |w: &mut World, say| {
-                    if w.far[m].stands && w.far[m].holder.is_current(&0, 1, w.far[m].link) {
-                        w.far[m].up.push_back(Up::Said(l, say));
+            // The machine accepts or refuses a queued attempt; a running attempt ends.
+            for (table_id, state, ()) in self.machines[m].table.inventory(&0).1 {
+                let attempt = AttemptId { epoch: table_id.0, number: table_id.1 };
+                let send_reply = |w: &mut World, reply| {
+                    if w.machines[m].connected && w.machines[m].table.is_current(&0, 1, w.machines[m].link) {
+                        w.machines[m].to_planner.push_back(ToPlanner::Reply(attempt, reply));
                     }
                 };
                 match state {
                     AttemptState::Queued => {
-                        with(&|w| {
-                            w.far[m].holder.set_state(&0, launch, AttemptState::Running);
+                        add_successor(&|w| {
+                            w.machines[m].table.set_state(&0, table_id, AttemptState::Running);
                             w.starts += 1;
-                            say(w, AttemptReply::Accepted);
+                            send_reply(w, AttemptReply::Accepted);
                         });
-                        with(&|w| {
-                            w.far[m].holder.forget(&0, launch);
-                            say(w, AttemptReply::NotHere);
+                        add_successor(&|w| {
+                            w.machines[m].table.forget(&0, table_id);
+                            send_reply(w, AttemptReply::NotHere);
                         });
                     }
-                    _ => with(&|w| {
-                        w.far[m].holder.set_state(&0, launch, AttemptState::Ended(0));
-                        say(w, AttemptReply::Ended(0));
+                    _ => add_successor(&|w| {
+                        w.machines[m].table.set_state(&0, table_id, AttemptState::Ended(0));
+                        send_reply(w, AttemptReply::Ended(0));
                     }),
                 }
             }
-            // The module may launch where its rules let it: keyed, only on the first machine's group, which
-            // is the machine itself here; once-only, only if nothing is unsure.
-            if let Module::Waiting { unsure } = self.module {
+            // The module may launch where the task's idempotency allows: a keyed task only in the
+            // deduplication group of the machine whose attempt is in doubt (here the machine itself), a
+            // once-only task only while no attempt is in doubt.
+            if let Module::Waiting { in_doubt } = self.module {
                 let allowed = match kind {
                     Idempotency::Repeatable => true,
-                    Idempotency::Keyed => unsure.is_none_or(|first| first == m),
-                    Idempotency::OnceOnly => unsure.is_none(),
+                    Idempotency::Keyed => in_doubt.is_none_or(|first| first == m),
+                    Idempotency::OnceOnly => in_doubt.is_none(),
                 };
-                if allowed && self.launches < LAUNCHES {
-                    with(&|w| {
-                        w.launches += 1;
-                        w.module = Module::Out { on: m, unsure };
-                        let mut acts = Vec::new();
-                        w.ledger.launch(0, m, 3_000_000, &mut acts);
-                        w.carry(acts);
+                if allowed && self.attempts < MAX_ATTEMPTS {
+                    add_successor(&|w| {
+                        w.attempts += 1;
+                        w.module = Module::InFlight { machine: m, in_doubt };
+                        let mut actions = Vec::new();
+                        w.ledger.launch(0, m, 3_000_000, &mut actions);
+                        w.carry_out(actions);
                     });
                 }
             }
         }
-        if let Module::Waiting { unsure } = self.module {
-            with(&|w| {
-                let mut acts = Vec::new();
-                if unsure.is_none() || kind == Idempotency::Repeatable {
-                    w.ledger.decline(0, 0, &mut acts);
+        if let Module::Waiting { in_doubt } = self.module {
+            add_successor(&|w| {
+                let mut actions = Vec::new();
+                if in_doubt.is_none() || kind == Idempotency::Repeatable {
+                    w.ledger.decline(0, 0, &mut actions);
                 } else {
-                    w.ledger.abort(0, &mut acts);
+                    w.ledger.abort(0, &mut actions);
                 }
                 w.module = Module::None;
-                w.carry(acts);
+                w.carry_out(actions);
             });
         }
-        let out = self.ledger.record(&0).and_then(|r| {
-            r.attempts.iter().find(|c| c.state == basaltpitch_ledger::AttemptState::InFlight).copied()
+        let in_flight = self.ledger.record(&0).and_then(|r| {
+            r.attempts
+                .iter()
+                .find(|attempt| attempt.state == basaltpitch_ledger::AttemptState::InFlight)
+                .copied()
         });
-        if let Some(copy) = out {
-            with(&|w| {
-                let mut acts = Vec::new();
-                w.ledger.timed_out(copy.id, &mut acts);
-                w.carry(acts);
+        if let Some(attempt) = in_flight {
+            add_successor(&|w| {
+                let mut actions = Vec::new();
+                w.ledger.timed_out(attempt.id, &mut actions);
+                w.carry_out(actions);
             });
         }
         let closed = self.ledger.record(&0).is_some_and(|r| !r.phase.is_open());
-        if closed && self.asks < ASKS {
-            with(&|w| w.submit(kind));
+        if closed && self.requests < MAX_REQUESTS {
+            add_successor(&|w| w.submit(kind));
         }
-        all
+        successors
     }
 
-    /// What no state may show.
-    fn judge(&self, kind: Idempotency) -> Result<(), &'static str> {
-        if let Some(wrong) = self.wrong {
-            return Err(wrong);
+    /// Checks the invariants of a state.
+    fn check_invariants(&self, kind: Idempotency) -> Result<(), &'static str> {
+        if let Some(violation) = self.violation {
+            return Err(violation);
         }
         let record = self.ledger.record(&0);
-        let copies = || record.iter().flat_map(|r| &r.attempts);
-        if copies().filter(|c| c.state == basaltpitch_ledger::AttemptState::InFlight).count() > 1 {
-            return Err("two launches out");
+        let attempts = || record.iter().flat_map(|r| &r.attempts);
+        if attempts().filter(|attempt| attempt.state == basaltpitch_ledger::AttemptState::InFlight).count()
+            > 1
+        {
+            return Err("two attempts of a task are in flight");
         }
-        if copies().filter(|c| c.state == basaltpitch_ledger::AttemptState::Active).count() > 1 {
-            return Err("two copies held");
+        if attempts().filter(|attempt| attempt.state == basaltpitch_ledger::AttemptState::Active).count() > 1
+        {
+            return Err("two attempts of a task are active");
         }
         let open = record.is_some_and(|r| r.phase.is_open());
         if open != (self.ledger.open_count() == 1) {
-            return Err("the count of open askings is wrong");
+            return Err("the count of open requests is wrong");
         }
         if open == (self.module == Module::None || self.module == Module::Placed) {
-            return Err("module and ledger differ on what is open");
+            return Err("the placement module and the ledger disagree on whether the request is open");
         }
         if record.is_some_and(|r| r.phase == RequestPhase::Placed)
-            && copies().all(|c| c.state != basaltpitch_ledger::AttemptState::Active)
+            && attempts().all(|attempt| attempt.state != basaltpitch_ledger::AttemptState::Active)
         {
-            return Err("placed without a copy");
+            return Err("a task is placed without an active attempt");
         }
-        let runs =
-            |far: &Far| far.holder.inventory(&0).1.iter().filter(|h| h.1 == AttemptState::Running).count();
-        let running: usize = self.far.iter().map(runs).sum();
+        let runs = |machine: &MachineEnd| {
+            machine.table.inventory(&0).1.iter().filter(|h| h.1 == AttemptState::Running).count()
+        };
+        let running: usize = self.machines.iter().map(runs).sum();
         if kind == Idempotency::OnceOnly && running > 1 {
-            return Err("a once-only task runs twice");
+            return Err("two attempts of a once-only task run at once");
         }
-        if kind == Idempotency::OnceOnly && self.asks == 1 && self.starts > 1 {
-            return Err("a once-only asking was started twice");
+        if kind == Idempotency::OnceOnly && self.requests == 1 && self.starts > 1 {
+            return Err("a once-only request was started twice");
         }
         Ok(())
     }
 }
 
-fn visit(kind: Idempotency, at_least: usize) {
+fn explore(kind: Idempotency, min_states: usize) {
     let mut seen = 0;
-    for world in bfs_reach(World::new(kind), |w| w.next(kind)) {
+    for world in bfs_reach(World::new(kind), |w| w.successors(kind)) {
         seen += 1;
-        if let Err(what) = world.judge(kind) {
-            panic!("{kind:?}, state {seen}: {what}\n{world:#?}");
+        if let Err(violation) = world.check_invariants(kind) {
+            panic!("{kind:?}, state {seen}: {violation}\n{world:#?}");
         }
     }
     println!("{kind:?}: {seen} states");
-    assert!(seen >= at_least, "{kind:?}: only {seen} states were reached");
+    assert!(seen >= min_states, "{kind:?}: only {seen} states were reached");
 }
 
 #[test]
-fn a_repeatable_task() {
-    visit(Idempotency::Repeatable, 10_000);
+fn invariants_hold_in_every_state_of_a_repeatable_task() {
+    explore(Idempotency::Repeatable, 10_000);
 }
 
 #[test]
-fn a_keyed_task() {
-    visit(Idempotency::Keyed, 10_000);
+fn invariants_hold_in_every_state_of_a_keyed_task() {
+    explore(Idempotency::Keyed, 10_000);
 }
 
 #[test]
-fn a_once_only_task() {
-    visit(Idempotency::OnceOnly, 10_000);
+fn invariants_hold_in_every_state_of_a_once_only_task() {
+    explore(Idempotency::OnceOnly, 10_000);
 }
