--- a/subsetting/src/assignment.rs
+++ b/subsetting/src/assignment.rs
@@ -1,18 +1,20 @@
-//! The assignment of the machines of one stratum (a zone and a kind) to slots: rendezvous hashing (highest
-//! random weight) with bounded loads. Machines choose in the order of their hashes; each takes the slots of its
-//! highest weights that have capacity left. The result depends on names alone, so that all planners that know
-//! the same names and the same live slots compute the same.
+//! Assignment of the machines of one stratum (a zone and a kind) to slots: rendezvous hashing
+//! (highest random weight) with bounded loads. Machines choose in the order of their hashes; each
+//! takes the slots with the highest weights that have capacity left. The result depends on names
+//! alone, so that all planners that know the same names and the same live slots compute the same
+//! assignment.
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Capacity of a slot over the even share, so that a change moves little (docs/design/aperture.md compares).
+/// Capacity of a slot above the even share, as a fraction of that share. It limits how many
+/// machines move at a change; docs/design/aperture.md compares alternatives.
 const HEADROOM: f64 = 0.25;
 
-/// A hash of a name that is the same in every process and build.
+/// Returns a hash of a name that is the same in every process and build.
 pub fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// The rendezvous weight of one name for another.
+/// Returns the rendezvous weight of one name hash for another.
 pub fn rendezvous_weight(first: u64, second: u64) -> u64 {
     let mixed = (first ^ second.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ mixed >> 32).wrapping_add(second).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -20,12 +22,14 @@
     mixed ^ mixed >> 32
 }
 
-/// How many machines of a stratum each slot takes at the most. The share is a fraction; which slots round it up
-/// depends on their order by weight, so that a machine more or less changes the bound of few.
+/// Returns the maximum number of machines of a stratum for each slot. The share of a slot is
+/// fractional; the slots' order by weight decides which of them round it up, so that one machine
+/// more or less changes the capacity of few slots.
 pub fn slot_capacities(slots: &[u64], machines: usize, replicas: usize, stratum: u64) -> Vec<usize> {
     let (slot_count, replicas) = (slots.len() as f64, replicas as f64);
     let even = replicas * machines as f64 / slot_count * (1.0 + HEADROOM);
-    // The last machine finds this many slots with capacity even where the first ones are full.
+    // The last machine must find `replicas` slots with capacity even where the first slots are
+    // full.
     let share = even + (replicas - 1.0) * (even + 1.0) / slot_count;
     let mut order: Vec<usize> = (0..slots.len()).collect();
     order.sort_unstable_by_key(|&slot| rendezvous_weight(slots[slot], stratum));
@@ -36,8 +40,9 @@
     capacities
 }
 
-/// For each machine, by its position in `machines`, the positions in `slots` of those that take it: `replicas`
-/// of them, or all slots if there are no more. `machines` are hashes in rising order.
+/// Returns, for each machine by its position in `machines`, the positions in `slots` of the slots
+/// that it is assigned to: `replicas` of them, or all slots if there are no more. `machines` must
+/// be hashes in ascending order.
 pub fn assign(slots: &[u64], machines: &[u64], replicas: usize, stratum: u64) -> Vec<Vec<u16>> {
     if slots.len() <= replicas {
         return vec![(0..slots.len() as u16).collect(); machines.len()];
@@ -52,7 +57,8 @@
             let best = (0..slots.len())
                 .filter(|slot| capacity[*slot] > 0 && free(slot))
                 .max_by_key(|&slot| weights[slot]);
-            // Rounding may leave the last machine short: it goes one over the bound.
+            // Rounding may leave too little capacity for the last machine, which then exceeds a
+            // slot's capacity by one.
             let best = best.or_else(|| (0..slots.len()).filter(free).max_by_key(|&slot| weights[slot]));
             let Some(slot) = best else { break };
             capacity[slot] = capacity[slot].saturating_sub(1);
--- a/subsetting/src/growth.rs
+++ b/subsetting/src/growth.rs
@@ -1,34 +1,36 @@
-//! When a subset is too small. A task that waits too long for its deadline, or that no linked machine could ever
-//! take, becomes a query to the registry: which machines have capacity for this? Those get extra links. Where
-//! that goes on while machines outside have capacity, the subset widens; it narrows again slowly. No I/O; times
-//! are whole microseconds.
+//! Detects when a subset is too small. A task that has waited too long for its deadline, or that
+//! fits no linked machine, becomes a query to the registry for machines with capacity for it; those
+//! get extra links. The subset widens when such shortage persists while machines outside it have
+//! capacity, and narrows again slowly. No I/O; times are whole microseconds.
 use std::collections::BTreeMap;
 
-/// A task may wait for one part in so many of its time before the registry is queried.
+/// Divisor of a task's time left: a task that waits longer than the quotient becomes a query.
 const WAIT_DIVISOR: i64 = 8;
-/// Between two queries.
+/// Minimum interval between two queries.
 const QUERY_INTERVAL_US: i64 = 200_000;
-/// After this time an unanswered query counts as lost.
+/// Time after which an unanswered query counts as lost.
 const QUERY_TIMEOUT_US: i64 = 1_000_000;
-/// A task that still waits is queried for again after this time.
+/// Delay before a task that still waits becomes a query again.
 const REQUERY_DELAY_US: i64 = 1_000_000;
-/// Machines that one query asks for at the most.
+/// Maximum number of machines that one query requests.
 pub const MAX_MACHINES_PER_QUERY: u32 = 4;
-/// Names that one query to the registry holds at the most.
+/// Maximum number of machine names in one query to the registry.
 pub const MAX_NAMES_PER_QUERY: usize = 32;
-/// Shortage is judged over this time: it takes this many cases, and this part of all requests.
+/// Length of the window over which shortage is measured.
 const WINDOW_US: i64 = 5_000_000;
+/// Minimum number of shortages in a window that counts as a window of shortage.
 const MIN_SHORTAGES: u64 = 5;
+/// Share of a window's requests that its shortages must exceed to count as a window of shortage.
 const MIN_SHORTAGE_SHARE: f64 = 0.05;
-/// Without shortage for so long, the subset narrows by a step.
+/// Time without shortage after which the subset narrows by a step.
 const NARROW_AFTER_US: i64 = 60_000_000;
-/// A step up and a step down, in percent of the width before.
+/// New width after a step up or down, in percent of the width before.
 const WIDEN_PERCENT: u32 = 150;
 const NARROW_PERCENT: u32 = 80;
-/// The widest that a subset becomes, in percent of the even share.
+/// Maximum width of a subset, in percent of the even share.
 pub const MAX_WIDTH_PERCENT: u32 = 300;
 
-/// What a machine must have to take a task.
+/// Resources and properties that a machine must have to run a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TaskRequirement {
     /// Free cores.
@@ -42,7 +44,7 @@
 }
 
 impl TaskRequirement {
-    /// Whether every machine that fulfils `other` fulfils this.
+    /// Returns whether every machine that fulfils `other` also fulfils this requirement.
     fn is_covered_by(&self, other: &TaskRequirement) -> bool {
         let same_place = self.kind == other.kind && self.zone == other.zone;
         same_place && self.cores <= other.cores && self.memory <= other.memory
@@ -52,20 +54,20 @@
 /// A query to the registry for machines with capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityQuery {
-    /// Rises from query to query; the answer repeats it.
+    /// Number of the query, which increases from query to query and is repeated by the answer.
     pub number: u64,
-    /// The task that waits longest.
+    /// The task that has been due for a query the longest.
     pub task: usize,
-    /// What the machines must have.
+    /// Requirement that the machines must fulfil.
     pub requirement: TaskRequirement,
-    /// Machines asked for at the most.
+    /// Maximum number of machines requested.
     pub max_machines: u32,
 }
 
 #[derive(Clone, Debug)]
 struct PendingTask {
     requirement: TaskRequirement,
-    /// When the registry is queried for it, if it still waits then.
+    /// Time at which the registry is queried for the task if it still waits, in microseconds.
     query_at: i64,
 }
 
@@ -75,7 +77,7 @@
     sent_at: i64,
 }
 
-/// The window over which shortage is judged.
+/// Requests and shortages counted in the current window.
 #[derive(Clone, Copy, Debug)]
 struct ShortageWindow {
     began_at: i64,
@@ -83,14 +85,14 @@
     shortages: u64,
 }
 
-/// Decides when to query the registry, and how wide the subset is to be.
+/// Decides when to query the registry and how wide the subset should be.
 #[derive(Clone, Debug)]
 pub struct SubsetGrowth {
     pending: BTreeMap<usize, PendingTask>,
     last_number: u64,
     outstanding: Option<OutstandingQuery>,
     last_query_at: i64,
-    /// The last answer named machines.
+    /// Whether the last answer named machines outside the subset.
     capacity_outside: bool,
     window: ShortageWindow,
     last_shortage_at: i64,
@@ -101,7 +103,7 @@
 }
 
 impl SubsetGrowth {
-    /// Nothing waits, and the subset is the even share.
+    /// Creates a state without pending tasks, with the subset at the even share.
     pub fn new(now: i64) -> SubsetGrowth {
         SubsetGrowth {
             pending: BTreeMap::new(),
@@ -118,7 +120,8 @@
         }
     }
 
-    /// A task waits from now on, with so much time left. `fits_linked`: some linked machine is large enough.
+    /// Records that a task waits from now on, with `time_left_us` to its deadline. `fits_linked`
+    /// tells whether some linked machine is large enough for it.
     pub fn task_pending(
         &mut self,
         now: i64,
@@ -132,18 +135,18 @@
         self.window.requests += 1;
     }
 
-    /// A task was placed, or is over.
+    /// Records that a task was placed or is over.
     pub fn task_settled(&mut self, task: usize) {
         self.pending.remove(&task);
     }
 
-    /// A machine refused a task for lack of capacity, or a request was rejected for it.
+    /// Records that a machine refused a task, or a request was rejected, for lack of capacity.
     pub fn capacity_refused(&mut self) {
         self.window.shortages += 1;
     }
 
-    /// The registry answered; false if that query is not outstanding. `machines`: how many of those named are
-    /// outside the subset.
+    /// Records the registry's answer to a query; `machines` is the number of named machines outside
+    /// the subset. Returns false if the query is not outstanding.
     pub fn query_answered(&mut self, number: u64, machines: usize) -> bool {
         if self.outstanding.take_if(|query| query.number == number).is_none() {
             return false;
@@ -153,27 +156,29 @@
         true
     }
 
-    /// How wide the subset is to be, in percent of the even share.
+    /// Returns the wanted width of the subset in percent of the even share.
     pub fn width_percent(&self) -> u32 {
         self.width_percent
     }
 
-    /// Why it was last widened.
+    /// Returns the reason for the last widening; `None` if there was none.
     pub fn widened_because(&self) -> Option<&str> {
         self.widened_because.as_deref()
     }
 
-    /// Queries since the start.
+    /// Returns the number of queries since the start.
     pub fn queries(&self) -> u64 {
         self.queries
     }
 
-    /// Queries since the start whose answers named machines.
+    /// Returns the number of queries since the start whose answers named machines outside the
+    /// subset.
     pub fn queries_with_capacity(&self) -> u64 {
         self.queries_with_capacity
     }
 
-    /// When `poll` has something to do, if nothing else happens.
+    /// Returns the time at which `poll` must be called next if no other event occurs, in
+    /// microseconds.
     pub fn next_at(&self) -> i64 {
         let next = self.pending.values().map(|task| task.query_at).min().unwrap_or(i64::MAX);
         let free = self
@@ -182,7 +187,8 @@
         next.max(free).min(self.window.began_at + WINDOW_US)
     }
 
-    /// Time passes: the next query, if there is one.
+    /// Closes the window and drops a lost query where their time is over, and returns the next
+    /// query if one is due.
     pub fn poll(&mut self, now: i64) -> Option<CapacityQuery> {
         if now >= self.window.began_at + WINDOW_US {
             self.close_window(now);
@@ -213,7 +219,7 @@
         let ShortageWindow { requests, shortages, .. } = std::mem::replace(&mut self.window, next);
         if shortages >= MIN_SHORTAGES && shortages as f64 > MIN_SHORTAGE_SHARE * requests as f64 {
             self.last_shortage_at = now;
-            // Where no machine outside has capacity, more links bring nothing.
+            // If no machine outside the subset has capacity, more links do not help.
             if self.capacity_outside && self.width_percent < MAX_WIDTH_PERCENT {
                 self.width_percent = (self.width_percent * WIDEN_PERCENT / 100).min(MAX_WIDTH_PERCENT);
                 self.widened_because =
--- a/subsetting/src/subset.rs
+++ b/subsetting/src/subset.rs
@@ -1,50 +1,55 @@
-//! One planner's subset as the machine list, slots and tasks change. No I/O; times are whole microseconds.
+//! One planner's subset of the fleet, updated as the machine list, the slots and the tasks change.
+//! No I/O; times are whole microseconds.
 //!
-//! A machine is added as soon as this planner's own view assigns it here. It is released only once the view has
-//! assigned it elsewhere for `release_delay_us`, so that views may differ for that long: whoever had the machine
-//! when the views last agreed still has it. A slot that is reported vacant without a break for a time has its
-//! machines taken over. Only time in which this planner itself ran counts: one that was stopped and wakes does
-//! not take its own absence for that of others.
+//! A machine joins the subset as soon as this planner's own view assigns it here. It is released
+//! only after the view has assigned it elsewhere for `release_delay_us`. Planners' views may differ
+//! for that long: until then, the planner that had the machine when the views last agreed still
+//! offers it work. When a slot has been reported vacant without interruption for `vacant_after_us`,
+//! the other slots take over its machines. Only time in which this planner ran counts, so that a
+//! planner that was suspended does not mistake its own absence for that of the others.
 use crate::assignment::{assign, rendezvous_weight};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How often a planner lets time pass for its subset.
+/// Interval at which a planner advances its subset.
 pub const TICK_US: i64 = 100_000;
-/// Ends of tasks follow an inventory at once; so long after it a link that is wanted for nothing else may go.
+/// Time for which a link that serves no other purpose is kept after its inventory: reports of ended
+/// tasks follow the inventory at once.
 pub const INVENTORY_SETTLE_US: i64 = 1_000_000;
-/// A machine that was added so long ago is linked, if it answers at all.
+/// Time after which a newly added machine is linked, unless it does not answer.
 pub const LINK_SETUP_US: i64 = 5_000_000;
-/// Clocks of two hosts may differ by so much.
+/// Maximum difference between the clocks of two hosts.
 pub const MAX_CLOCK_SKEW_US: i64 = 5_000_000;
 
-/// Beyond four lease durations, a machine list that is late is waited for so long.
+/// Part of the release delay that covers a late machine list.
 const LATE_LIST_US: i64 = 4_000_000;
-/// Extra links at one time, at most, unless configured otherwise.
+/// Default of `SubsetConfig::max_extra_links`.
 const DEFAULT_EXTRA_LINKS: usize = 32;
 
-/// The settings of subsets.
+/// Settings of a subset.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SubsetConfig {
-    /// In how many subsets each machine is.
+    /// Number of subsets that contain each machine.
     pub replicas: usize,
-    /// Hashes of all slots' names, in the installation's order.
+    /// Hashes of all slots' names, in the order of the installation's configuration.
     pub slots: Vec<u64>,
-    /// Which of them is this planner's.
+    /// Index in `slots` of this planner's slot.
     pub own_slot: usize,
-    /// A slot that nobody holds for so long has its machines taken over, in microseconds.
+    /// Time for which a slot must be vacant before its machines are taken over, in microseconds.
     pub vacant_after_us: i64,
-    /// A machine that is assigned elsewhere is released after this time, in microseconds; views may differ for
-    /// as long.
+    /// Time after which a machine that is assigned elsewhere is released, in microseconds;
+    /// planners' views may differ for as long.
     pub release_delay_us: i64,
-    /// An extra link over which no task ran for so long goes, in microseconds.
+    /// Time after which an extra link to a machine without tasks of this planner is dropped, in
+    /// microseconds.
     pub extra_link_idle_us: i64,
-    /// Extra links at one time, at most.
+    /// Maximum number of extra links at one time.
     pub max_extra_links: usize,
 }
 
 impl SubsetConfig {
-    /// By the lease duration: a slot is vacant once all voters in turn report so for three of them. Four cover
-    /// that planners learn of it at different times and in any order.
+    /// Derives the delays from the lease duration. A slot counts as vacant once the voters, queried
+    /// in turn, have reported it vacant for three lease durations. A machine is released after
+    /// four, because planners learn of a vacancy at different times and in any order.
     pub fn from_lease_duration(
         replicas: usize,
         slots: Vec<u64>,
@@ -62,35 +67,36 @@
         }
     }
 
-    /// How often a planner lets time pass here, at the least: a longer break is one in which it did not run.
+    /// Returns the longest interval between two calls of `advance` while the planner runs, in
+    /// microseconds; a longer one means that the planner was suspended.
     pub fn max_step_us(&self) -> i64 {
         (self.vacant_after_us / 8).max(1)
     }
 }
 
-/// Machines that are alike for the assignment: those of one zone and kind.
+/// Class of machines that the assignment treats alike: those of one zone and kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Stratum {
     zone: usize,
     kind: usize,
 }
 
-/// Why a planner links to a machine.
+/// Reason for which a planner links to a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum LinkRole {
-    /// No link is wanted, except for its first inventory.
+    /// No link is needed, except to receive the machine's first inventory.
     #[default]
     Outside,
-    /// In the subset, or in it until a while ago.
+    /// The machine is in the subset, or left it less than the release delay ago.
     InSubset,
-    /// Linked for its capacity.
+    /// The machine is outside the subset and is linked for its capacity.
     Extra,
-    /// Linked only for the tasks on it.
+    /// The machine is linked only because tasks of this planner run on it.
     TasksOnly,
 }
 
 impl LinkRole {
-    /// As operators see it.
+    /// Returns the role's name as operators see it.
     pub fn as_str(self) -> &'static str {
         match self {
             LinkRole::Outside => "outside",
@@ -105,39 +111,40 @@
 struct Machine {
     name_hash: u64,
     stratum: Stratum,
-    /// This planner's view assigns it here.
+    /// Whether this planner's view assigns the machine to its own slot.
     assigned: bool,
     role: LinkRole,
-    /// When it was last assigned here (in the subset), or last ran a task (extra link); in run time.
+    /// Run time at which the machine was last assigned here (`InSubset`) or last ran a task of this
+    /// planner (`Extra`), in microseconds.
     last_needed: i64,
 }
 
-/// The subset of one planner. Machines are small indices of the caller's.
+/// The subset of one planner. Machines are identified by the caller's small indices.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Subset {
     config: SubsetConfig,
-    /// The caller's clock when time last passed.
+    /// The caller's clock at the last call of `advance`, in microseconds.
     now: i64,
-    /// Time in which this planner ran.
+    /// Accumulated time in which this planner ran, in microseconds.
     run_time: i64,
     machines: BTreeMap<usize, Machine>,
-    /// Machines whose inventory came once in this incarnation of the planner, or that have none.
+    /// Machines whose inventory was received in this epoch of the planner, or that need none.
     inventoried: BTreeSet<usize>,
-    /// Of each stratum, name hash and index of its machines.
+    /// Name hash and index of the machines of each stratum.
     strata: BTreeMap<Stratum, BTreeSet<(u64, usize)>>,
-    /// Strata whose assignment is to be computed anew.
+    /// Strata whose assignment must be recomputed.
     dirty: BTreeSet<Stratum>,
-    /// Since when each slot is vacant, in run time.
+    /// Run time at which each slot was first reported vacant; `None` for a held slot.
     vacant_since: Vec<Option<i64>>,
-    /// Slots whose machines are not taken over.
+    /// Whether each slot keeps its machines; false for a slot whose machines are taken over.
     live_slots: Vec<bool>,
-    /// The size of this subset in percent of the even share.
+    /// Size of the subset in percent of the even share.
     width_percent: u32,
     changed: VecDeque<usize>,
 }
 
 impl Subset {
-    /// All slots count as held at first: which of them are not shows in time.
+    /// Creates an empty subset in which all slots count as held until the voters report otherwise.
     pub fn new(now: i64, config: SubsetConfig) -> Subset {
         let slots = config.slots.len();
         Subset {
@@ -155,8 +162,8 @@
         }
     }
 
-    /// The machine list has a machine, ready or draining, with the hash of its name. True: it was not on the list
-    /// before.
+    /// Records that a machine is on the machine list, ready or draining; `name` is the hash of its
+    /// name. Returns true if the machine was not on the list before.
     pub fn machine_listed(&mut self, machine: usize, name: u64, zone: usize, kind: usize) -> bool {
         let (stratum, new) = (Stratum { zone, kind }, !self.machines.contains_key(&machine));
         match self.machines.get_mut(&machine) {
@@ -178,7 +185,7 @@
         new
     }
 
-    /// The machine list has a machine no longer.
+    /// Records that a machine is no longer on the machine list.
     pub fn machine_unlisted(&mut self, machine: usize) {
         if let Some(known) = self.machines.remove(&machine) {
             self.remove_from_stratum(known.stratum, known.name_hash, machine);
@@ -193,35 +200,37 @@
         self.dirty.insert(stratum);
     }
 
-    /// The voters report whether a slot is held.
+    /// Records whether the voters report a slot as held.
     pub fn set_slot_held(&mut self, slot: usize, held: bool) {
         if let Some(since) = self.vacant_since.get_mut(slot) {
             *since = (!held).then(|| since.unwrap_or(self.run_time));
         }
     }
 
-    /// How wide the subset is to be, in percent of the even share.
+    /// Sets the size of the subset in percent of the even share, at least 100.
     pub fn set_width_percent(&mut self, width_percent: u32) {
         if std::mem::replace(&mut self.width_percent, width_percent.max(100)) != self.width_percent {
             self.dirty.extend(self.strata.keys());
         }
     }
 
-    /// A machine's inventory came, or it started later than this planner did: what an earlier incarnation
-    /// launched there is known.
+    /// Records that the attempts which an earlier epoch of this planner left on a machine are
+    /// known: its inventory was received, or the machine started later than this planner.
     pub fn inventory_known(&mut self, machine: usize) {
         if self.inventoried.insert(machine) {
             self.changed.push_back(machine);
         }
     }
 
-    /// A machine's index may go to another.
+    /// Removes a machine whose index may be reused for another machine.
     pub fn forget_machine(&mut self, machine: usize) {
         self.machine_unlisted(machine);
         self.inventoried.remove(&machine);
     }
 
-    /// A machine has capacity for what fits nowhere in the subset. False: there are as many extra links as may be.
+    /// Adds an extra link to a machine that has capacity for a task which fits nowhere in the
+    /// subset. Returns whether the machine is offered work; false if it is not listed or the limit
+    /// of extra links is reached.
     pub fn add_extra_link(&mut self, machine: usize) -> bool {
         let extra_links = self.count(LinkRole::Extra);
         let Some(known) = self.machines.get_mut(&machine) else { return false };
@@ -234,47 +243,47 @@
         matches!(known.role, LinkRole::InSubset | LinkRole::Extra)
     }
 
-    /// Whether a link is wanted to a machine that is listed.
+    /// Returns whether the planner needs a link to a machine; false if the machine is not listed.
     pub fn wants_link(&self, machine: usize) -> bool {
         self.machines
             .get(&machine)
             .is_some_and(|x| x.role != LinkRole::Outside || !self.inventoried.contains(&machine))
     }
 
-    /// Whether a machine is offered work.
+    /// Returns whether the planner offers work to a machine.
     pub fn is_offered_work(&self, machine: usize) -> bool {
         matches!(self.role(machine), LinkRole::InSubset | LinkRole::Extra)
     }
 
-    /// Why this planner links to a machine.
+    /// Returns the reason for which this planner links to a machine.
     pub fn role(&self, machine: usize) -> LinkRole {
         self.machines.get(&machine).map_or(LinkRole::Outside, |x| x.role)
     }
 
-    /// How many machines have a role.
+    /// Returns the number of machines with a role.
     pub fn count(&self, role: LinkRole) -> usize {
         self.machines.values().filter(|machine| machine.role == role).count()
     }
 
-    /// Listed machines whose inventory is still to come.
+    /// Returns the number of listed machines whose inventory has not been received.
     pub fn missing_inventories(&self) -> usize {
         self.machines.keys().filter(|m| !self.inventoried.contains(m)).count()
     }
 
-    /// Whether this planner is one of those that report a machine which the list has no longer: the slots of its
-    /// highest weights.
+    /// Returns whether this planner reports a machine that left the machine list: the slots with
+    /// the highest rendezvous weights for the machine do, as many as there are replicas.
     pub fn reports_unlisted(&self, name: u64) -> bool {
         let own = rendezvous_weight(name, self.config.slots[self.config.own_slot]);
         let higher = self.live_slot_hashes().filter(|slot| rendezvous_weight(name, *slot) > own);
         higher.count() < self.config.replicas
     }
 
-    /// How many machines the list has.
+    /// Returns the number of machines on the machine list.
     pub fn listed_count(&self) -> usize {
         self.machines.len()
     }
 
-    /// Machines that are offered work.
+    /// Returns the machines that the planner offers work to.
     pub fn offered_machines(&self) -> impl Iterator<Item = usize> + '_ {
         self.machines
             .iter()
@@ -282,12 +291,12 @@
             .map(|x| *x.0)
     }
 
-    /// How many machines this planner's view assigns here.
+    /// Returns the number of machines that this planner's view assigns to its own slot.
     pub fn assigned_count(&self) -> usize {
         self.machines.values().filter(|machine| machine.assigned).count()
     }
 
-    /// How many slots do not have their machines taken over.
+    /// Returns the number of slots whose machines are not taken over.
     pub fn live_slot_count(&self) -> usize {
         self.live_slot_hashes().count()
     }
@@ -296,28 +305,29 @@
         self.config.slots.iter().zip(&self.live_slots).filter(|(_, live)| **live).map(|(slot, _)| *slot)
     }
 
-    /// How many slots the installation has.
+    /// Returns the number of slots of the installation.
     pub fn slot_count(&self) -> usize {
         self.live_slots.len()
     }
 
-    /// The size of the subset in percent of the even share.
+    /// Returns the size of the subset in percent of the even share.
     pub fn width_percent(&self) -> u32 {
         self.width_percent
     }
 
-    /// When time must pass next.
+    /// Returns the time at which `advance` must be called next, in microseconds.
     pub fn next_at(&self) -> i64 {
         self.now + self.config.max_step_us()
     }
 
-    /// A machine of which it may have changed whether it is linked or offered work.
+    /// Returns the next machine for which the need of a link, or the offer of work, may have
+    /// changed.
     pub fn next_changed(&mut self) -> Option<usize> {
         self.changed.pop_front()
     }
 
-    /// Time passes, and what was reported takes effect. `busy`: whether tasks of this planner are known on a
-    /// machine.
+    /// Advances the clock and applies all reports since the last call. `busy` tells whether a
+    /// machine is known to run tasks of this planner.
     pub fn advance(&mut self, now: i64, busy: impl Fn(usize) -> bool) {
         self.run_time += (now - self.now).clamp(0, 2 * self.config.max_step_us());
         self.now = self.now.max(now);
@@ -358,7 +368,7 @@
         }
     }
 
-    /// Which machines of a stratum are this planner's, by what it knows now.
+    /// Recomputes which machines of a stratum belong to this planner, from its current view.
     fn assign_stratum(&mut self, stratum: Stratum) {
         let Some(names) = self.strata.get(&stratum).filter(|names| !names.is_empty()) else {
             self.strata.remove(&stratum);
@@ -370,21 +380,22 @@
         let hashes: Vec<u64> = names.iter().map(|entry| entry.0).collect();
         let salt = rendezvous_weight(stratum.zone as u64, stratum.kind as u64);
         let assignment = assign(&slots, &hashes, self.config.replicas, salt);
-        let mut others = Vec::new();
+        let mut unassigned = Vec::new();
         for (&(name, m), chosen) in names.iter().zip(&assignment) {
             let assigned = chosen.contains(&own_slot);
             if !assigned && self.width_percent > 100 {
-                others.push((rendezvous_weight(name, own_hash), m));
+                unassigned.push((rendezvous_weight(name, own_hash), m));
             }
             if let Some(machine) = self.machines.get_mut(&m) {
                 machine.assigned = assigned;
             }
         }
-        // Wider by the same share in each stratum, so that it holds its share of every zone and kind.
-        others.sort_unstable_by(|a, b| b.cmp(a));
-        let even = (self.config.replicas * names.len()) as f64 / slots.len() as f64;
-        let more = (even * f64::from(self.width_percent - 100) / 100.0).ceil() as usize;
-        for (_, m) in others.into_iter().take(more) {
+        // The subset is widened by the same share in each stratum, so that it keeps its share of
+        // every zone and kind.
+        unassigned.sort_unstable_by(|a, b| b.cmp(a));
+        let even_share = (self.config.replicas * names.len()) as f64 / slots.len() as f64;
+        let added = (even_share * f64::from(self.width_percent - 100) / 100.0).ceil() as usize;
+        for (_, m) in unassigned.into_iter().take(added) {
             if let Some(machine) = self.machines.get_mut(&m) {
                 machine.assigned = true;
             }
