--- a/ledger/tests/every_state.rs
+++ b/ledger/tests/every_state.rs
@@ -1,8 +1,8 @@
-//! Explores every state that the ledger, the machines' attempt tables and a faulty network can reach
-//! within bounds, for two machines and one task, and checks the invariants of each state. The placement
-//! module is replaced by one that may make any call its contract allows. A link may be cut at any point:
-//! frames to the planner are then lost, and frames to the machine are lost or read late, until the
-//! machine reads the hello of the next link.
+//! Explores every state that the ledger, the machines' attempt tables and a faulty network can
+//! reach within bounds, for two machines and one task, and checks the invariants of each state. The
+//! placement module is replaced by one that may make any call its contract allows. A link may be
+//! cut at any point: frames to the planner are then lost, and frames to the machine are lost or
+//! read late, until the machine reads the hello of the next link.
 #![allow(clippy::too_many_lines, reason = "one case for each action, and one step for each event")]
 use basaltpitch::host::AttemptOutcome;
 use basaltpitch_agent::attempt_table::{AttemptReply, AttemptState, AttemptTable};
@@ -48,8 +48,8 @@
     inventory_received: bool,
 }
 
-/// What the placement module knows of the task. `in_doubt` is the machine of an attempt that may have
-/// run.
+/// What the placement module knows of the task. `in_doubt` is the machine of an attempt that may
+/// have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Module {
     None,
@@ -272,8 +272,8 @@
         self.carry_out(actions);
     }
 
-    /// Cuts the link. Frames already handed to the stream may still reach the machine, until it reads the
-    /// hello of a newer link.
+    /// Cuts the link. Frames already handed to the stream may still reach the machine, until it
+    /// reads the hello of a newer link.
     fn cut(&mut self, m: usize) {
         self.cuts += 1;
         let machine = &mut self.machines[m];
@@ -332,8 +332,8 @@
                 }
             }
             // The module may launch where the task's idempotency allows: a keyed task only in the
-            // deduplication group of the machine whose attempt is in doubt (here the machine itself), a
-            // once-only task only while no attempt is in doubt.
+            // deduplication group of the machine whose attempt is in doubt (here the machine
+            // itself), a once-only task only while no attempt is in doubt.
             if let Module::Waiting { in_doubt } = self.module {
                 let allowed = match kind {
                     Idempotency::Repeatable => true,
--- a/subsetting/tests/views.rs
+++ b/subsetting/tests/views.rs
@@ -1,22 +1,24 @@
-//! Every state of two or three planners whose views of list and slots are max_delay, that stop and wake: each
-//! machine that all were told of for long enough is worked by somebody who runs.
+//! Explores every state of two or three planners whose views of the machine list and of the slots
+//! are late, and which may be suspended and resumed: every machine that has been listed for longer
+//! than the maximum delay is in the subset of a running planner.
 use basaltpitch_subsetting::{name_hash, LinkRole, Subset, SubsetConfig};
 use pathfinding::directed::bfs::bfs_reach;
 use std::collections::VecDeque;
 
-/// How a search is set up.
+/// Bounds and settings of an exploration. Times are in ticks of the simulation.
 #[derive(Clone, Copy)]
 struct Case {
     planners: usize,
     machines: usize,
     replicas: usize,
-    /// What is told arrives within so many ticks, in order of its kind.
+    /// Maximum delay of a report; reports of one kind arrive in order.
     max_delay: i64,
     vacant_after: i64,
     release_delay: i64,
-    /// Changes of the list, and planners that are stopped.
+    /// Maximum number of changes of the machine list.
     changes: u32,
-    stops: u32,
+    /// Maximum number of suspensions of a planner.
+    suspensions: u32,
     ticks: i64,
 }
 
@@ -29,22 +31,24 @@
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct Planner {
     subset: Subset,
-    /// What is under way to it about machines and about slots, with the tick by which it arrives.
+    /// Reports in transit about machines and about slots, with the latest tick of arrival.
     inboxes: [VecDeque<(i64, Report)>; 2],
     slot_held: Vec<bool>,
-    stopped: Option<i64>,
-    /// When it woke; what it missed arrives within the usual time from then on.
-    woke: Option<i64>,
+    /// Tick at which the planner was suspended; `None` while it runs.
+    suspended_at: Option<i64>,
+    /// Tick at which the planner last resumed; reports that it missed arrive within `max_delay` of
+    /// it.
+    resumed_at: Option<i64>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct World {
     now: i64,
     planners: Vec<Planner>,
-    /// Since when each machine is listed.
+    /// Tick since which each machine is listed; `None` for one that is not.
     listed: Vec<Option<i64>>,
     changes: u32,
-    stops: u32,
+    suspensions: u32,
     max_delay: i64,
 }
 
@@ -55,11 +59,11 @@
 impl World {
     fn new(case: &Case) -> World {
         let slots: Vec<u64> = (0..case.planners).map(|s| name_hash(&format!("planner-{s}"))).collect();
-        let planner = |me| {
+        let planner = |slot| {
             let config = SubsetConfig {
                 replicas: case.replicas,
                 slots: slots.clone(),
-                own_slot: me,
+                own_slot: slot,
                 vacant_after_us: case.vacant_after,
                 release_delay_us: case.release_delay,
                 extra_link_idle_us: 1,
@@ -73,14 +77,14 @@
             subset.advance(0, |_| false);
             while subset.next_changed().is_some() {}
             let slot_held = vec![true; case.planners];
-            Planner { subset, inboxes: Default::default(), slot_held, stopped: None, woke: None }
+            Planner { subset, inboxes: Default::default(), slot_held, suspended_at: None, resumed_at: None }
         };
         World {
             now: 0,
             planners: (0..case.planners).map(planner).collect(),
             listed: vec![Some(-case.max_delay - 1); case.machines],
             changes: case.changes,
-            stops: case.stops,
+            suspensions: case.suspensions,
             max_delay: case.max_delay,
         }
     }
@@ -103,13 +107,14 @@
                 p.subset.machine_listed(m, name(m), 0, 0);
             }
             Some((_, Report::MachineListed(m, false))) => p.subset.machine_unlisted(m),
-            Some((_, Report::SlotHeld(s, lives))) => p.slot_held[s] = lives,
+            Some((_, Report::SlotHeld(s, held))) => p.slot_held[s] = held,
             None => {}
         }
         self.advance(i);
     }
 
-    /// A planner handles what came, and time.
+    /// Applies the slot reports that a planner received, and advances its subset to the current
+    /// tick.
     fn advance(&mut self, i: usize) {
         let (now, p) = (self.now, &mut self.planners[i]);
         (0..p.slot_held.len()).for_each(|s| p.subset.set_slot_held(s, p.slot_held[s]));
@@ -118,80 +123,87 @@
     }
 
     fn successors(&self, case: &Case) -> Vec<World> {
-        let mut all = Vec::new();
+        let mut successors = Vec::new();
         let overdue = |p: &Planner| {
-            p.stopped.is_none() && p.inboxes.iter().any(|x| x.front().is_some_and(|w| w.0 <= self.now))
+            p.suspended_at.is_none() && p.inboxes.iter().any(|x| x.front().is_some_and(|w| w.0 <= self.now))
         };
         if self.now < case.ticks && !self.planners.iter().any(overdue) {
             let mut next = self.clone();
             next.now += 1;
-            (0..case.planners).filter(|i| self.planners[*i].stopped.is_none()).for_each(|i| next.advance(i));
-            all.push(next);
+            (0..case.planners)
+                .filter(|i| self.planners[*i].suspended_at.is_none())
+                .for_each(|i| next.advance(i));
+            successors.push(next);
         }
         for (i, p) in self.planners.iter().enumerate() {
-            for kind in (0..2).filter(|k| p.stopped.is_none() && !p.inboxes[*k].is_empty()) {
+            for kind in (0..2).filter(|k| p.suspended_at.is_none() && !p.inboxes[*k].is_empty()) {
                 let mut next = self.clone();
                 next.receive(i, kind);
-                all.push(next);
+                successors.push(next);
             }
-            if p.stopped.is_some() {
+            if p.suspended_at.is_some() {
                 let mut next = self.clone();
-                let (now, woken) = (self.now, &mut next.planners[i]);
-                (woken.stopped, woken.woke) = (None, Some(now));
-                woken.inboxes.iter_mut().flatten().for_each(|w| w.0 = now + case.max_delay);
+                let (now, resumed) = (self.now, &mut next.planners[i]);
+                (resumed.suspended_at, resumed.resumed_at) = (None, Some(now));
+                resumed.inboxes.iter_mut().flatten().for_each(|w| w.0 = now + case.max_delay);
                 next.send(Report::SlotHeld(i, true));
                 next.advance(i);
-                all.push(next);
-            } else if self.stops > 0 && self.planners.iter().all(|p| p.stopped.is_none()) {
+                successors.push(next);
+            } else if self.suspensions > 0 && self.planners.iter().all(|p| p.suspended_at.is_none()) {
                 let mut next = self.clone();
-                next.stops -= 1;
-                next.planners[i].stopped = Some(self.now);
+                next.suspensions -= 1;
+                next.planners[i].suspended_at = Some(self.now);
                 next.send(Report::SlotHeld(i, false));
-                all.push(next);
+                successors.push(next);
             }
         }
         for m in (0..case.machines).filter(|_| self.changes > 0) {
             let mut next = self.clone();
             next.changes -= 1;
-            let comes = self.listed[m].is_none();
-            next.listed[m] = comes.then_some(self.now);
-            next.send(Report::MachineListed(m, comes));
-            all.push(next);
+            let is_added = self.listed[m].is_none();
+            next.listed[m] = is_added.then_some(self.now);
+            next.send(Report::MachineListed(m, is_added));
+            successors.push(next);
         }
-        all
+        successors
     }
 
-    /// A machine that nobody works though all were told of it long ago.
-    fn unworked(&self, case: &Case) -> Option<usize> {
-        // What only a stopped planner had is taken over once its seat is known everywhere to be vacant_after; one that
-        // wakes before that slot_held first what it missed.
-        let gap = |p: &Planner| {
-            p.stopped.is_some_and(|at| self.now <= at + case.vacant_after + case.max_delay)
-                || p.woke.is_some_and(|at| self.now <= at + case.max_delay)
+    /// Returns a machine that is in no running planner's subset although it has been listed for
+    /// longer than the maximum delay.
+    fn find_uncovered_machine(&self, case: &Case) -> Option<usize> {
+        // With one replica, the machines of a suspended planner have no other. They are taken over
+        // once every planner knows that the slot has been vacant for `vacant_after`, and a resumed
+        // planner must first receive the reports that it missed.
+        let in_takeover = |p: &Planner| {
+            p.suspended_at.is_some_and(|at| self.now <= at + case.vacant_after + case.max_delay)
+                || p.resumed_at.is_some_and(|at| self.now <= at + case.max_delay)
         };
-        if case.replicas == 1 && self.planners.iter().any(gap) {
+        if case.replicas == 1 && self.planners.iter().any(in_takeover) {
             return None;
         }
-        let told = |m: &usize| self.listed[*m].is_some_and(|at| self.now > at + case.max_delay);
-        let runs = || self.planners.iter().filter(|p| p.stopped.is_none());
-        (0..case.machines).filter(told).find(|m| !runs().any(|p| p.subset.role(*m) == LinkRole::InSubset))
+        let is_known_to_all = |m: &usize| self.listed[*m].is_some_and(|at| self.now > at + case.max_delay);
+        let running = || self.planners.iter().filter(|p| p.suspended_at.is_none());
+        (0..case.machines)
+            .filter(is_known_to_all)
+            .find(|m| !running().any(|p| p.subset.role(*m) == LinkRole::InSubset))
     }
 }
 
-/// All states, and the first that violates the invariant.
-fn search(case: Case) -> (usize, Option<(i64, usize)>) {
+/// Explores all states. Returns their number and, if a state violates the invariant, its tick and
+/// the uncovered machine.
+fn explore(case: Case) -> (usize, Option<(i64, usize)>) {
     let mut count = 0;
     for world in bfs_reach(World::new(&case), |world| world.successors(&case)) {
         count += 1;
-        if let Some(m) = world.unworked(&case) {
+        if let Some(m) = world.find_uncovered_machine(&case) {
             return (count, Some((world.now, m)));
         }
     }
     (count, None)
 }
 
-/// The list alone changes, twice, and comes max_delay.
-const LISTS: Case = Case {
+/// Only the machine list changes, twice, and its reports are late.
+const LIST_CHANGES: Case = Case {
     planners: 2,
     machines: 3,
     replicas: 1,
@@ -199,35 +211,36 @@
     vacant_after: 3,
     release_delay: 4,
     changes: 2,
-    stops: 0,
+    suspensions: 0,
     ticks: 9,
 };
-/// One of three is stopped and wakes beside a change of the list.
-const STOPS: Case = Case {
+/// One of three planners is suspended and resumes while the machine list changes once.
+const SUSPENSION: Case = Case {
     planners: 3,
     machines: 2,
     max_delay: 1,
     vacant_after: 2,
     release_delay: 3,
     changes: 1,
-    stops: 1,
+    suspensions: 1,
     ticks: 9,
-    ..LISTS
+    ..LIST_CHANGES
 };
 
 #[test]
-fn each_machine_is_worked_while_views_are_late_and_planners_stop_and_wake() {
-    for case in [LISTS, STOPS, Case { replicas: 2, ..STOPS }] {
-        let (states, broken) = search(case);
+fn every_machine_is_covered_while_views_are_late_and_planners_are_suspended() {
+    for case in [LIST_CHANGES, SUSPENSION, Case { replicas: 2, ..SUSPENSION }] {
+        let (states, violation) = explore(case);
         println!("{states} states");
-        assert!(broken.is_none() && states > 1000, "{states} states, {broken:?}");
+        assert!(violation.is_none() && states > 1000, "{states} states, {violation:?}");
     }
 }
 
-/// The searches can fail: let go at once, a machine is nobody's while views differ.
+/// The exploration can detect a violation: without a release delay, a machine is in no subset while
+/// the planners' views differ.
 #[test]
-fn let_go_at_once_a_machine_is_nobodys() {
-    for case in [LISTS, STOPS] {
-        assert!(search(Case { release_delay: 0, ..case }).1.is_some());
+fn detects_uncovered_machine_without_release_delay() {
+    for case in [LIST_CHANGES, SUSPENSION] {
+        assert!(explore(Case { release_delay: 0, ..case }).1.is_some());
     }
 }
