--- a/subsetting/tests/assignment.rs
+++ b/subsetting/tests/assignment.rs
@@ -83,8 +83,8 @@
             );
             let members = fleet.values_mut().next().unwrap();
             members.pop();
-            let less = changed(&base, &links(&names[..slots], &fleet, replicas));
-            assert!(less <= 12 * replicas, "{slots} slots, seed {seed}: {less} links changed");
+            let moved = changed(&base, &links(&names[..slots], &fleet, replicas));
+            assert!(moved <= 12 * replicas, "{slots} slots, seed {seed}: {moved} links changed");
         }
     }
 }
--- a/subsetting/tests/random_changes.rs
+++ b/subsetting/tests/random_changes.rs
@@ -46,9 +46,7 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut listed: Vec<Option<i64>> = vec![Some(-100 * SECOND_US); MACHINES];
     let mut planners: Vec<Option<Planner>> = (0..SLOTS)
-        .map(|own_slot| {
-            Some(planner(0, own_slot, replicas, &listed, if own_slot % 2 == 0 { 3 * SECOND_US } else { 0 }))
-        })
+        .map(|s| Some(planner(0, s, replicas, &listed, if s % 2 == 0 { 3 * SECOND_US } else { 0 })))
         .collect();
     let (mut failed, mut changes) = (BTreeMap::new(), 0);
     let mut previous_state: Vec<Vec<bool>> = Vec::new();
