--- a/admission/benches/decide.rs
+++ b/admission/benches/decide.rs
@@ -1,4 +1,4 @@
-//! What an admission decision costs, and what merging the threshold costs by the number of peers.
+//! Benchmarks of an admission decision, and of merging the threshold by the number of peers.
 use basaltpitch_admission::{LocalDemand, PeerSummary, RequestDemand};
 use divan::{black_box, Bencher};
 
@@ -12,7 +12,7 @@
     RequestDemand { priority_weight: 1.0, cores: 2.0, latency_objective_us: SECOND_US, time_left_us }
 }
 
-/// A planner with a thousand requests that wait.
+/// Returns the demand of a planner with a thousand waiting requests.
 fn local_demand() -> LocalDemand<u64> {
     let mut demand = LocalDemand::new(0, 1);
     demand.set_machines((0..400).map(|i| (36.0, f64::from(i % 40))));
@@ -22,7 +22,7 @@
     demand
 }
 
-/// A request arrives and is placed.
+/// Measures a request that arrives and is placed.
 #[divan::bench]
 fn arrive_and_place(bencher: Bencher) {
     let (mut demand, mut key) = (local_demand(), 1000);
--- a/admission/src/demand_summary.rs
+++ b/admission/src/demand_summary.rs
@@ -1,44 +1,45 @@
-//! What one planner tells the others of its demand and of the fleet, as plain numbers.
+//! The summary of demand and estimated capacity that one planner publishes to the others, as plain
+//! numbers.
 use crate::{FREE_CORE_CLASSES, LATENCY_BUCKETS, PRIORITY_BANDS};
 
-/// Demand and estimated capacity as one planner sees them. It holds no more than the admission threshold
-/// needs: each number that changes is sent to every planner.
+/// Demand and estimated capacity as one planner sees them. It holds only what the admission
+/// threshold needs, because each number that changes is sent to every planner.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DemandSummary {
-    /// By priority band: cores requested per second.
+    /// Cores requested per second, by priority band.
     pub offered: [f64; PRIORITY_BANDS],
-    /// By priority band: cores of requests that wait to be placed.
+    /// Cores of requests that wait to be placed, by priority band.
     pub waiting: [f64; PRIORITY_BANDS],
-    /// By priority band: cores placed per second.
+    /// Cores placed per second, by priority band.
     pub placed: [f64; PRIORITY_BANDS],
-    /// Histogram of times to placed, with counts that decay.
+    /// Histogram of placement latencies, with decaying counts.
     pub latency_counts: [f64; LATENCY_BUCKETS],
-    /// Free cores on machines with at least so many free, by `FREE_CORE_CLASSES`.
+    /// Free cores by the classes of `FREE_CORE_CLASSES`.
     pub free_cores: [f64; FREE_CORE_CLASSES.len()],
-    /// Cores of all machines that are offered work.
+    /// Total cores of all machines that the planner offers work to.
     pub total_cores: f64,
 }
 
-/// Sums over all bands of a summary.
+/// Sums over all priority bands of a summary.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct DemandTotals {
     /// Cores requested per second.
     pub offered: f64,
-    /// Cores of requests that wait.
+    /// Cores of waiting requests.
     pub waiting: f64,
     /// Cores placed per second.
     pub placed: f64,
 }
 
 impl DemandSummary {
-    /// How many numbers a summary is.
+    /// Number of values of a summary.
     pub const LEN: usize = Self::SUMMED_LEN + FREE_CORE_CLASSES.len() + 1;
-    /// The first so many numbers describe the demand of this planner's own clients and are summed over planners;
-    /// the others estimate the fleet that all planners see and are merged by the median. The last number is
-    /// above 0 where any machine is seen.
+    /// Number of leading values that describe the demand of the planner's own clients; they are
+    /// summed over planners. The remaining values estimate the fleet that all planners see and are
+    /// merged by the median. The last value is above 0 if the planner sees any machine.
     pub const SUMMED_LEN: usize = PRIORITY_BANDS * 3 + LATENCY_BUCKETS;
 
-    /// The numbers in the order in which they are sent.
+    /// Returns the values in the order in which they are sent.
     pub fn to_values(&self) -> Vec<f64> {
         let mut values = Vec::with_capacity(Self::LEN);
         values.extend(self.offered);
@@ -50,7 +51,8 @@
         values
     }
 
-    /// Reads the numbers of another planner; none where some are missing, negative or not finite.
+    /// Reads the values of another planner's summary; `None` if values are missing, negative or not
+    /// finite.
     pub fn from_values(values: &[f64]) -> Option<DemandSummary> {
         if values.len() < Self::LEN || values.iter().any(|x| !x.is_finite() || *x < 0.0) {
             return None;
--- a/admission/src/local_demand.rs
+++ b/admission/src/local_demand.rs
@@ -1,5 +1,5 @@
-//! What one planner sees itself: the demand of its clients, what waits, what was placed and how soon; and the
-//! decision on each request that arrives.
+//! One planner's own demand: the requests of its clients, which of them wait, and which were placed
+//! how soon. Also decides on each request that arrives.
 use crate::threshold::{extrapolate, AdmissionDecision, AdmissionThreshold, PeerSummary};
 use crate::{
     latency_bucket, DemandSummary, RequestDemand, FREE_CORE_CLASSES, LATENCY_BUCKETS, PRIORITY_BANDS,
@@ -8,9 +8,10 @@
 
 /// Time constant of the decaying sums, in microseconds.
 const DECAY_US: f64 = 3_000_000.0;
-/// Finer steps of the decay change nothing that is decided, and cost as much each.
+/// Minimum interval between two decay steps; finer steps cost as much each and change no decision.
 const DECAY_STEP_US: i64 = 10_000;
-/// How long the planner's own summaries are kept, to extrapolate those of peers that were made meanwhile.
+/// Time for which the planner keeps its own summaries, to extrapolate peers' summaries of the same
+/// age.
 const HISTORY_US: i64 = 6_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,24 +32,25 @@
 #[derive(Clone, Debug)]
 pub struct LocalDemand<K> {
     now: i64,
-    /// Decaying sums: cores requested, cores placed, and counts of times to placed.
+    /// Decaying sums of requested cores, placed cores, and counts of placement latencies.
     offered: [f64; PRIORITY_BANDS],
     placed: [f64; PRIORITY_BANDS],
     latency_counts: [f64; LATENCY_BUCKETS],
-    /// Ordered, since sums of floats depend on the order of their terms.
+    /// Waiting requests, in the order of their keys because a sum of floats depends on the order of
+    /// its terms.
     waiting: BTreeMap<K, WaitingRequest>,
     free_cores: [f64; FREE_CORE_CLASSES.len()],
     total_cores: f64,
-    /// The newest at the end.
+    /// The planner's own recent summaries, newest last.
     history: VecDeque<HistoryEntry>,
     threshold: AdmissionThreshold,
     seed: u64,
-    /// Random numbers drawn so far, each from a generator of its own.
+    /// Number of random numbers drawn so far; each draw uses a generator of its own.
     draws: u64,
 }
 
 impl<K: Ord + Clone> LocalDemand<K> {
-    /// Nothing seen yet; `seed` determines the jitter of the times after which to ask again.
+    /// Creates a state without requests; `seed` determines the jitter of retry delays.
     pub fn new(now: i64, seed: u64) -> Self {
         LocalDemand {
             now,
@@ -69,21 +71,22 @@
         if now < self.now + DECAY_STEP_US {
             return;
         }
-        // By products alone, which are the same on every machine: nearly e to the minus x.
+        // Approximates e^-x, with products only, because these give the same result on every
+        // machine.
         let factor = (1.0 - (now - self.now) as f64 / DECAY_US / 64.0).max(0.0).powi(64);
         self.now = now;
         let sums = self.offered.iter_mut().chain(&mut self.placed).chain(&mut self.latency_counts);
         sums.for_each(|x| *x *= factor);
     }
 
-    /// A request arrives: is it worth starting? If so, it counts as waiting from now on.
+    /// Decides on a request that arrives. An admitted request counts as waiting from now on.
     pub fn request_arrived(&mut self, now: i64, key: K, demand: &RequestDemand) -> AdmissionDecision {
         self.decay(now);
         let band = demand.band();
         self.offered[band] += demand.cores;
         let mut decision = self.threshold.decide(demand);
         if let AdmissionDecision::Reject { retry_after_us, .. } = &mut decision {
-            // Clients that are rejected in one moment must not come back in one.
+            // Jitter keeps clients that are rejected together from retrying together.
             self.draws += 1;
             let mut random = fastrand::Rng::with_seed(self.seed.wrapping_add(self.draws << 20));
             *retry_after_us += random.i64(0..=*retry_after_us);
@@ -96,7 +99,7 @@
         decision
     }
 
-    /// A waiting request was placed.
+    /// Records that a waiting request was placed.
     pub fn request_placed(&mut self, now: i64, key: &K) {
         self.decay(now);
         if let Some(request) = self.remove(key) {
@@ -105,7 +108,7 @@
         }
     }
 
-    /// A waiting request found no capacity before its deadline.
+    /// Records that a waiting request found no capacity before its deadline.
     pub fn request_expired(&mut self, now: i64, key: &K) {
         self.decay(now);
         if self.remove(key).is_some() {
@@ -113,7 +116,7 @@
         }
     }
 
-    /// A waiting request ended for another reason, such as that it was withdrawn.
+    /// Records that a waiting request ended for another reason, for example that it was withdrawn.
     pub fn request_withdrawn(&mut self, key: &K) {
         self.remove(key);
     }
@@ -124,7 +127,8 @@
         Some(request)
     }
 
-    /// What this planner estimates of the machines that are offered work: total and free cores of each.
+    /// Sets this planner's estimate of the machines that it offers work to, each as total cores and
+    /// free cores.
     pub fn set_machines(&mut self, machines: impl Iterator<Item = (f64, f64)>) {
         (self.free_cores, self.total_cores) = ([0.0; FREE_CORE_CLASSES.len()], 0.0);
         for (cores, free) in machines {
@@ -135,9 +139,9 @@
         }
     }
 
-    /// Recomputes the threshold from the peers' summaries that are fresh.
+    /// Recomputes the threshold from the planner's own summary and its peers' fresh ones.
     pub fn set_peer_summaries(&mut self, now: i64, mut peers: Vec<PeerSummary>) {
-        // A request that ended without notice is not waited for.
+        // A request whose end was not reported stops counting `HISTORY_US` after its deadline.
         let threshold = &mut self.threshold;
         self.waiting.retain(|_, request| {
             let keep = now < request.deadline.saturating_add(HISTORY_US);
@@ -160,7 +164,7 @@
         self.history.push_back(HistoryEntry { at: now, summary: own });
     }
 
-    /// What this planner tells its peers.
+    /// Returns the summary that this planner publishes to its peers.
     pub fn summary(&mut self, now: i64) -> DemandSummary {
         self.decay(now);
         let per_second = |sum: f64| sum / DECAY_US * 1e6;
@@ -178,12 +182,12 @@
         }
     }
 
-    /// The threshold that is applied now.
+    /// Returns the threshold that is currently applied.
     pub fn threshold(&self) -> &AdmissionThreshold {
         &self.threshold
     }
 
-    /// How many requests wait here.
+    /// Returns the number of waiting requests.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
--- a/admission/tests/properties.rs
+++ b/admission/tests/properties.rs
@@ -5,25 +5,25 @@
 };
 use fastrand::Rng;
 
-const S: i64 = 1_000_000;
+const SECOND_US: i64 = 1_000_000;
 
 fn random_summary(random: &mut Rng, with_waiting: bool) -> DemandSummary {
     let mut summary = DemandSummary::default();
-    let mut some = |most: f64| if random.f64() < 0.5 { random.f64() * most } else { 0.0 };
-    summary.offered = [(); PRIORITY_BANDS].map(|()| some(200.0));
-    summary.placed = [(); PRIORITY_BANDS].map(|()| some(60.0));
-    summary.latency_counts = [(); 8].map(|()| some(20.0 * PRIORITY_BANDS as f64));
+    let mut sometimes = |max: f64| if random.f64() < 0.5 { random.f64() * max } else { 0.0 };
+    summary.offered = [(); PRIORITY_BANDS].map(|()| sometimes(200.0));
+    summary.placed = [(); PRIORITY_BANDS].map(|()| sometimes(60.0));
+    summary.latency_counts = [(); 8].map(|()| sometimes(20.0 * PRIORITY_BANDS as f64));
     if with_waiting {
-        summary.waiting = [(); PRIORITY_BANDS].map(|()| some(200.0));
+        summary.waiting = [(); PRIORITY_BANDS].map(|()| sometimes(200.0));
     }
-    summary.free_cores = [some(400.0), some(200.0), some(100.0)];
+    summary.free_cores = [sometimes(400.0), sometimes(200.0), sometimes(100.0)];
     summary.total_cores = 400.0;
     summary
 }
 
-/// What one planner told a second ago.
-fn from_one(summary: DemandSummary) -> PeerSummary {
-    PeerSummary { age_us: S, planners: 1, summary }
+/// Returns the summary of one planner, one second old.
+fn from_one_planner(summary: DemandSummary) -> PeerSummary {
+    PeerSummary { age_us: SECOND_US, planners: 1, summary }
 }
 
 fn check_cases(property: impl Fn(&mut Rng) + std::panic::RefUnwindSafe) {
@@ -41,82 +41,98 @@
     matches!(decision, AdmissionDecision::Reject { .. })
 }
 
-/// With the same threshold: whoever rejects a request rejects all of lower priority or with less time left.
+/// With the same threshold, a planner that rejects a request also rejects any request of lower
+/// priority or with less time left. Guards against a low priority that is admitted on one planner
+/// while another rejects a higher one.
 #[test]
-fn nobody_starts_a_lower_priority_where_another_rejects_a_higher_one() {
+fn rejects_every_request_of_lower_priority_or_less_time_than_a_rejected_one() {
     check_cases(|random| {
-        let peers: Vec<PeerSummary> = (0..4).map(|_| from_one(random_summary(random, true))).collect();
+        let peers: Vec<PeerSummary> =
+            (0..4).map(|_| from_one_planner(random_summary(random, true))).collect();
         let threshold = AdmissionThreshold::merge(&random_summary(random, true), &peers);
         let (weight, cores) = (random.f64() * 8.0, random.f64() * 20.0);
-        let (objective, left) = (random.i64(0..3 * S), random.i64(0..9 * S));
+        let (objective, left) = (random.i64(0..3 * SECOND_US), random.i64(0..9 * SECOND_US));
         if rejects(&threshold.decide(&request(weight, cores, objective, left))) {
-            let less = weight * random.f64();
+            let lower = weight * random.f64();
             assert!(
-                rejects(&threshold.decide(&request(less, cores, objective, left))),
-                "worth {less} for {weight}"
+                rejects(&threshold.decide(&request(lower, cores, objective, left))),
+                "priority weight {lower} admitted, {weight} rejected"
             );
             let sooner = random.i64(0..=left);
             assert!(
                 rejects(&threshold.decide(&request(weight, cores, objective.min(sooner), sooner))),
-                "{sooner} us for {left}"
+                "{sooner} us left admitted, {left} us rejected"
             );
         }
     });
 }
 
 #[test]
-fn with_everything_idle_nothing_is_rejected() {
+fn admits_all_requests_on_an_idle_fleet() {
     check_cases(|random| {
-        let quiet = |random: &mut Rng| DemandSummary {
+        let idle_summary = |random: &mut Rng| DemandSummary {
             free_cores: [400.0; 3],
             latency_counts: Default::default(),
             ..random_summary(random, false)
         };
-        let peers: Vec<PeerSummary> = (0..4).map(|_| from_one(quiet(random))).collect();
-        let threshold = AdmissionThreshold::merge(&quiet(random), &peers);
-        let request = request(random.f64(), random.f64() * 20.0, 0, random.i64(0..9 * S));
+        let peers: Vec<PeerSummary> = (0..4).map(|_| from_one_planner(idle_summary(random))).collect();
+        let threshold = AdmissionThreshold::merge(&idle_summary(random), &peers);
+        let request = request(random.f64(), random.f64() * 20.0, 0, random.i64(0..9 * SECOND_US));
         assert_eq!(threshold.decide(&request), AdmissionDecision::Start);
     });
-    // One that has seen nothing at all, and has no peers.
+    // A planner without any observation and without peers admits every request.
     let mut demand = LocalDemand::new(0, 1);
     demand.set_peer_summaries(0, Vec::new());
     assert!(!rejects(&demand.request_arrived(1, "books", &request(0.1, 50.0, 1, 1))));
 }
 
-/// One planner's summary, whatever it holds, at most doubles the sums, and moves the median of the estimates
-/// by one place.
+/// One planner's summary, whatever its values, at most doubles the sums of demand and moves the
+/// median of the estimates by one position. Guards against a faulty planner that makes all others
+/// reject or admit everything.
 #[test]
-fn one_wild_summary_moves_the_threshold_by_a_bounded_amount() {
+fn one_faulty_summary_moves_the_threshold_by_a_bounded_amount() {
     check_cases(|random| {
         let own = random_summary(random, true);
-        let peers: Vec<PeerSummary> = (0..5).map(|_| from_one(random_summary(random, true))).collect();
-        let mut wild = random_summary(random, true);
-        let times = 10f64.powi(random.i32(-3..9));
-        wild.waiting.iter_mut().chain(&mut wild.free_cores).for_each(|x| *x *= times);
-        wild.offered.iter_mut().for_each(|x| *x *= times);
+        let peers: Vec<PeerSummary> =
+            (0..5).map(|_| from_one_planner(random_summary(random, true))).collect();
+        let mut faulty = random_summary(random, true);
+        let factor = 10f64.powi(random.i32(-3..9));
+        faulty.waiting.iter_mut().chain(&mut faulty.free_cores).for_each(|x| *x *= factor);
+        faulty.offered.iter_mut().for_each(|x| *x *= factor);
         let before = AdmissionThreshold::merge(&own, &peers);
-        let after = AdmissionThreshold::merge(&own, &[&peers[..], &[from_one(wild.clone())]].concat());
+        let after =
+            AdmissionThreshold::merge(&own, &[&peers[..], &[from_one_planner(faulty.clone())]].concat());
         let sum = |x: &[f64]| x.iter().sum::<f64>();
-        let part = 400.0 / 7.0;
+        let even_share = 400.0 / 7.0;
         for (before, after) in [(before.waiting(), after.waiting()), (before.offered(), after.offered())] {
-            // Without it, the even part that each may say differs a little, and so may what the others count.
-            let most = 2.0 * sum(before).max(part) + 7.0 * part;
-            assert!(sum(after) <= most, "{} of {} with {times} times", sum(after), sum(before));
+            // The additional planner also lowers the even share, so that the limits of the other
+            // peers' demand differ slightly.
+            let max_sum = 2.0 * sum(before).max(even_share) + 7.0 * even_share;
+            assert!(
+                sum(after) <= max_sum,
+                "sum {} after, {} before, values scaled by {factor}",
+                sum(after),
+                sum(before)
+            );
         }
-        for fit in 0..3 {
-            let mut all: Vec<f64> =
-                peers.iter().map(|o| o.summary.free_cores[fit]).chain([own.free_cores[fit]]).collect();
+        for class in 0..3 {
+            let mut all: Vec<f64> = peers
+                .iter()
+                .map(|peer| peer.summary.free_cores[class])
+                .chain([own.free_cores[class]])
+                .collect();
             all.sort_by(f64::total_cmp);
-            let free = after.free_cores()[fit];
-            assert!((all[2]..=all[3]).contains(&free), "{free} of {all:?}");
+            let free = after.free_cores()[class];
+            assert!((all[2]..=all[3]).contains(&free), "{free} free cores, estimates {all:?}");
         }
     });
 }
 
-/// A zone's summary, in which its planners' demand is summed and their estimates are merged, moves the threshold
-/// as theirs would one by one. Summing estimates would make many fleets of one, merging demand one queue of many.
+/// A zone's summary, in which the demands of its planners are summed and their estimates merged,
+/// moves the threshold like the planners' own summaries. Guards against sums of estimates, which
+/// count one fleet many times, and merged demands, which count many queues as one.
 #[test]
-fn a_zone_counts_as_all_of_its_planners() {
+fn zone_summary_has_the_same_effect_as_its_planners_summaries() {
     check_cases(|random| {
         let (own, planners) = (random_summary(random, true), random.usize(2..9));
         let summaries: Vec<DemandSummary> = (0..planners).map(|_| random_summary(random, true)).collect();
@@ -125,92 +141,105 @@
             total_cores: own.total_cores,
             ..DemandSummary::default()
         };
-        let summed = |into: &mut [f64], from: &[f64]| into.iter_mut().zip(from).for_each(|(a, b)| *a += b);
+        let add_to = |into: &mut [f64], from: &[f64]| into.iter_mut().zip(from).for_each(|(a, b)| *a += b);
         for summary in &summaries {
-            summed(&mut zone.offered, &summary.offered);
-            summed(&mut zone.waiting, &summary.waiting);
-            summed(&mut zone.placed, &summary.placed);
-            summed(&mut zone.latency_counts, &summary.latency_counts);
+            add_to(&mut zone.offered, &summary.offered);
+            add_to(&mut zone.waiting, &summary.waiting);
+            add_to(&mut zone.placed, &summary.placed);
+            add_to(&mut zone.latency_counts, &summary.latency_counts);
         }
-        // All estimate the same of machines, and nobody is asked for more than all the others together.
+        // All planners have the same estimate of the machines, and no peer exceeds the demand of
+        // all other planners together, which would limit it.
         let same_fleet = |s| DemandSummary { free_cores: own.free_cores, total_cores: own.total_cores, ..s };
         let mut all: Vec<PeerSummary> =
-            summaries.into_iter().map(|summary| from_one(same_fleet(summary))).collect();
-        all.push(from_one(DemandSummary {
+            summaries.into_iter().map(|summary| from_one_planner(same_fleet(summary))).collect();
+        all.push(from_one_planner(DemandSummary {
             offered: [9e3; PRIORITY_BANDS],
             waiting: [9e3; PRIORITY_BANDS],
             placed: [9e3; PRIORITY_BANDS],
             ..own.clone()
         }));
-        let apart = AdmissionThreshold::merge(&own, &all);
-        let rest = all[planners].clone();
-        let whole =
-            AdmissionThreshold::merge(&own, &[PeerSummary { age_us: S, planners, summary: zone }, rest]);
-        assert_eq!((apart.free_cores(), apart.peer_count), (whole.free_cores(), whole.peer_count));
-        let near = |a: f64, b: f64| (a - b).abs() <= 1e-9 * a.abs().max(1.0);
-        for (apart, whole) in [(apart.offered(), whole.offered()), (apart.waiting(), whole.waiting())] {
-            assert!(apart.iter().zip(whole).all(|(a, b)| near(*a, *b)), "{apart:?} and {whole:?}");
+        let split = AdmissionThreshold::merge(&own, &all);
+        let last_peer = all[planners].clone();
+        let merged = AdmissionThreshold::merge(
+            &own,
+            &[PeerSummary { age_us: SECOND_US, planners, summary: zone }, last_peer],
+        );
+        assert_eq!((split.free_cores(), split.peer_count), (merged.free_cores(), merged.peer_count));
+        let is_close = |a: f64, b: f64| (a - b).abs() <= 1e-9 * a.abs().max(1.0);
+        for (split, merged) in [(split.offered(), merged.offered()), (split.waiting(), merged.waiting())] {
+            assert!(
+                split.iter().zip(merged).all(|(a, b)| is_close(*a, *b)),
+                "{split:?} split, {merged:?} merged"
+            );
         }
-        assert!(near(apart.placed(), whole.placed()));
+        assert!(is_close(split.placed(), merged.placed()));
     });
 }
 
 #[test]
-fn values_are_read_as_they_were_written() {
+fn decodes_encoded_values_and_rejects_invalid_ones() {
     check_cases(|random| {
         let summary = random_summary(random, true);
         let values = summary.to_values();
         assert_eq!(values.len(), DemandSummary::LEN);
         assert_eq!(DemandSummary::from_values(&values).as_ref(), Some(&summary));
-        let mut wrong = values.clone();
-        let at = random.usize(0..wrong.len());
-        wrong[at] = [f64::NAN, f64::INFINITY, -1.0][random.usize(0..3)];
-        assert_eq!(DemandSummary::from_values(&wrong), None);
+        let mut invalid = values.clone();
+        let at = random.usize(0..invalid.len());
+        invalid[at] = [f64::NAN, f64::INFINITY, -1.0][random.usize(0..3)];
+        assert_eq!(DemandSummary::from_values(&invalid), None);
         assert_eq!(DemandSummary::from_values(&values[1..]), None);
     });
 }
 
-/// A client may send any time left, and it affects no request but its own.
+/// A client may send any time left, which must affect no request but its own. Guards against
+/// overflow and against waiting cores that never expire.
 #[test]
-fn absurd_times_affect_nothing_else() {
+fn extreme_time_left_affects_no_other_request() {
     let mut demand = LocalDemand::new(0, 1);
     demand.set_machines([(100.0, 0.0)].into_iter());
     for (n, left) in [i64::MAX, i64::MIN, -1, 0].into_iter().enumerate() {
-        demand.request_arrived(S, n, &request(1.0, 1.0, S, left));
-        demand.request_placed(S, &n);
-        demand.request_arrived(S, n, &request(1.0, 1.0, S, left));
-        demand.set_peer_summaries(2 * S, Vec::new());
+        demand.request_arrived(SECOND_US, n, &request(1.0, 1.0, SECOND_US, left));
+        demand.request_placed(SECOND_US, &n);
+        demand.request_arrived(SECOND_US, n, &request(1.0, 1.0, SECOND_US, left));
+        demand.set_peer_summaries(2 * SECOND_US, Vec::new());
     }
-    let waiting: f64 = demand.summary(3 * S).waiting.iter().sum();
+    let waiting: f64 = demand.summary(3 * SECOND_US).waiting.iter().sum();
     assert!(waiting.is_finite());
-    demand.set_peer_summaries(100 * S, Vec::new());
-    assert_eq!(demand.waiting_count(), 1, "only the one without a deadline still waits");
+    demand.set_peer_summaries(100 * SECOND_US, Vec::new());
+    assert_eq!(demand.waiting_count(), 1, "only the request without a deadline still waits");
 }
 
-/// Clients that are rejected in one moment are not told to come back in one.
+/// Requests that are rejected together get different retry delays. Guards against a burst of
+/// retries.
 #[test]
-fn rejected_requests_may_be_retried_at_spread_times() {
+fn rejected_requests_get_distinct_retry_delays() {
     let mut demand = LocalDemand::new(0, 7);
     demand.set_machines([(100.0, 0.0)].into_iter());
     for n in 0..40u64 {
-        demand.request_arrived(n as i64, n, &request(1.0, 1.0, S, 60 * S));
+        demand.request_arrived(n as i64, n, &request(1.0, 1.0, SECOND_US, 60 * SECOND_US));
         demand.request_placed(n as i64, &n);
     }
     for n in 100..200u64 {
-        demand.request_arrived(50, n, &request(1.0, 1.0, S, 60 * S));
+        demand.request_arrived(50, n, &request(1.0, 1.0, SECOND_US, 60 * SECOND_US));
     }
-    demand.set_peer_summaries(S, Vec::new());
-    let mut times: Vec<i64> = Vec::new();
+    demand.set_peer_summaries(SECOND_US, Vec::new());
+    let mut delays: Vec<i64> = Vec::new();
     for n in 200..300u64 {
         if let AdmissionDecision::Reject { retry_after_us, expected_us, cores_ahead, .. } =
-            demand.request_arrived(S, n, &request(1.0, 1.0, S, S))
+            demand.request_arrived(SECOND_US, n, &request(1.0, 1.0, SECOND_US, SECOND_US))
         {
-            assert!(cores_ahead >= 100.0 && expected_us.is_none_or(|x| x > S));
-            times.push(retry_after_us);
+            assert!(cores_ahead >= 100.0 && expected_us.is_none_or(|x| x > SECOND_US));
+            delays.push(retry_after_us);
         }
     }
-    times.sort_unstable();
-    times.dedup();
-    assert!(times.len() > 90, "{} different times", times.len());
-    assert!(times[times.len() - 1] > times[0] * 3 / 2, "{} to {}", times[0], times[times.len() - 1]);
+    delays.sort_unstable();
+    delays.dedup();
+    assert!(delays.len() > 90, "{} distinct retry delays", delays.len());
+    assert!(
+        delays[delays.len() - 1] > delays[0] * 3 / 2,
+        "delays from {} to {} us",
+        delays[0],
+        delays[delays.len() - 1]
+    );
 }
