--- a/rolling_restart/src/coordinator.rs
+++ b/rolling_restart/src/coordinator.rs
@@ -1,62 +1,68 @@
-//! The coordinator: what it is told, and what it has to do.
+//! The coordinator of a rolling restart: its inputs, and the actions that it requests.
 use crate::{ListedMachine, RestartPlan, RestartProgress, RestartStage};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What the caller has to do. `M` is the type of machine names.
+/// Action that the caller must carry out. `M` is the type of machine names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RestartAction<M: Ord> {
-    /// Have this stored by a majority of voters, then call `on_progress_recorded`.
+    /// Store this progress with a majority of voters, then call `on_progress_recorded`.
     RecordProgress(RestartProgress<M>),
-    /// Tell a machine that it takes nothing new, if it is of this start; or that it does again, whatever its start.
+    /// Ask a machine to drain, if it has the given start time, or to accept tasks again, whatever
+    /// its start time.
     SetDraining {
-        /// The machine's name.
+        /// Name of the machine.
         machine: M,
-        /// The start that it is for, by the machine's clock in microseconds; 0: any.
+        /// Start time of the machine that the request applies to, in microseconds of the machine's
+        /// clock; 0 for any.
         started_us: i64,
-        /// Whether it is to drain.
+        /// Whether the machine must drain; false cancels the drain.
         draining: bool,
-        /// Rises from one request of a coordinator to the next.
+        /// Number of the request, which increases with each request of a coordinator.
         number: u64,
     },
 }
 
-/// Delays of a coordinator that no plan names.
+/// Delays of a coordinator that are not part of a plan.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartConfig {
-    /// A machine counts as empty once the list has had it so, drained, for so long, in microseconds: attempts may have
-    /// been on their way.
+    /// Time for which a drained machine must be listed as empty before it counts as empty, in
+    /// microseconds: attempts may still have been on their way to it.
     pub empty_settle_us: i64,
-    /// What the list does not show yet is requested again after this time, in microseconds.
+    /// Time after which a request is repeated if the machine list does not show its effect, in
+    /// microseconds.
     pub resend_after_us: i64,
 }
 
-/// One coordinator, from when it acquired the lease until it lost it. `M` is the type of machine names.
+/// The coordinator of a rolling restart, from acquiring the lease until losing it. `M` is the type
+/// of machine names.
 #[derive(Clone, Debug)]
 pub struct RestartCoordinator<M: Ord> {
     pub(crate) config: RestartConfig,
     pub(crate) wanted: Option<RestartPlan>,
-    /// What a majority stores under this coordinator's token.
+    /// Progress that a majority of voters has stored under this coordinator's token.
     pub(crate) recorded: Option<RestartProgress<M>>,
-    /// What is being written.
+    /// Progress that is being stored; `None` when no write is in progress.
     writing: Option<RestartProgress<M>>,
-    /// Machines and their zones, as the list has them.
+    /// Machines with their zones, as on the machine list.
     pub(crate) fleet: BTreeMap<M, (String, ListedMachine)>,
-    /// Whether the list was received whole since the registry was last lost.
+    /// Whether the complete machine list was received since the registry was last lost.
     has_list: bool,
-    /// When each machine came to its stage, as far as this coordinator knows: a successor counts anew.
+    /// Stage of each machine and the time at which this coordinator first saw it, in microseconds;
+    /// a new coordinator starts counting anew.
     stage_since: BTreeMap<M, (RestartStage, i64)>,
-    /// Since when each machine has been drained and empty.
+    /// Time since which each machine has been drained and empty, in microseconds.
     pub(crate) empty_since: BTreeMap<M, i64>,
-    /// What was last requested of each machine, and when.
+    /// The last drain request to each machine (true to drain) and its time in microseconds.
     pub(crate) sent: BTreeMap<M, (bool, i64)>,
     last_number: u64,
-    /// Since when nothing could be begun though machines wait.
+    /// Time since which no restart could begin although machines wait, in microseconds.
     pub(crate) stuck_since: Option<i64>,
     actions: VecDeque<RestartAction<M>>,
 }
 
 impl<M: Ord + Clone> RestartCoordinator<M> {
-    /// The lease is acquired, with the progress that the last coordinator left.
+    /// Creates a coordinator that has acquired the lease, with the progress that the previous
+    /// coordinator stored.
     pub fn new(now: i64, config: RestartConfig, left: Option<RestartProgress<M>>) -> Self {
         let mut coordinator = RestartCoordinator {
             config,
@@ -72,7 +78,8 @@
             stuck_since: None,
             actions: VecDeque::new(),
         };
-        // It may be with a minority only: it must not be acted on before a majority stores it.
+        // Only a minority of voters may have stored this progress: the coordinator must not act on
+        // it before a majority has.
         if let Some(left) = left {
             coordinator.write(left);
         }
@@ -80,12 +87,12 @@
         coordinator
     }
 
-    /// The next thing to do, in order.
+    /// Returns the next action, in order.
     pub fn next_action(&mut self) -> Option<RestartAction<M>> {
         self.actions.pop_front()
     }
 
-    /// What is known of the rolling restart under way, or the last one.
+    /// Returns the progress of the current rolling restart or, if there is none, of the last one.
     pub fn progress(&self) -> Option<&RestartProgress<M>> {
         self.writing.as_ref().or(self.recorded.as_ref())
     }
@@ -95,7 +102,8 @@
         self.actions.push_back(RestartAction::RecordProgress(next));
     }
 
-    /// A majority stores what was last to be recorded.
+    /// Records that a majority of voters has stored the progress of the last `RecordProgress`
+    /// action.
     pub fn on_progress_recorded(&mut self, now: i64) {
         if let Some(written) = self.writing.take() {
             self.recorded = Some(written);
@@ -103,7 +111,7 @@
         self.advance(now);
     }
 
-    /// What operators want, as a majority stores it.
+    /// Records the operator's plan, as stored by a majority of voters.
     pub fn on_plan(&mut self, now: i64, plan: RestartPlan) {
         if self.wanted.as_ref() != Some(&plan) {
             self.wanted = Some(plan);
@@ -111,7 +119,7 @@
         }
     }
 
-    /// A machine of a zone, as the list has it now.
+    /// Records the current entry of a machine in the machine list.
     pub fn on_machine(&mut self, now: i64, machine: M, zone: &str, listed: ListedMachine) {
         if listed.is_draining && listed.is_empty && !listed.is_gone {
             self.empty_since.entry(machine.clone()).or_insert(now);
@@ -121,20 +129,22 @@
         self.fleet.insert(machine, (zone.to_owned(), listed));
     }
 
-    /// A list was received whole: machines that are not in it are gone.
+    /// Records that the complete machine list was received: machines that are not on it are gone.
     pub fn on_whole_list(&mut self, contains: impl Fn(&M) -> bool) {
         self.has_list = true;
         self.fleet.retain(|machine, _| contains(machine));
         self.empty_since.retain(|machine, _| contains(machine));
     }
 
-    /// The list is not received any more. Requests may not have come through: they are sent again once it is.
+    /// Records that the machine list is no longer received. Requests may have been lost, so that
+    /// they are sent again once the list is back.
     pub fn on_list_lost(&mut self) {
         self.has_list = false;
         self.sent.clear();
     }
 
-    /// Time passes, or something was received: what is recorded is acted on, and what comes next is written.
+    /// Sends the requests of the recorded progress, computes the next progress and starts to store
+    /// it. Must be called when time passes or an input was received.
     pub fn advance(&mut self, now: i64) {
         if !self.has_list {
             return;
@@ -152,7 +162,7 @@
         }
     }
 
-    /// A plan that is wanted and newer than the last.
+    /// Returns the initial progress of an operator's plan that is newer than the last one.
     fn first_progress(&self, last_id: u64) -> Option<RestartProgress<M>> {
         let plan = self.wanted.clone().filter(|wanted| wanted.id > last_id && !wanted.stopped)?;
         let of_zone = self.fleet.iter().filter(|(_, (zone, listed))| *zone == plan.zone && !listed.is_gone);
@@ -162,7 +172,7 @@
         Some(RestartProgress { plan, machines })
     }
 
-    /// Since when a machine has been in this stage.
+    /// Returns the time since which a machine has been in this stage, in microseconds.
     pub(crate) fn stage_since(&mut self, now: i64, machine: &M, stage: RestartStage) -> i64 {
         let known = self.stage_since.entry(machine.clone()).or_insert((stage, now));
         if known.0 != stage {
@@ -171,7 +181,8 @@
         known.1
     }
 
-    /// Requests of machines what is recorded, once, and again where the list shows otherwise after a while.
+    /// Sends the drain requests of the recorded progress, and repeats one if the machine list does
+    /// not show its effect after `resend_after_us`.
     fn send_recorded(&mut self, now: i64) {
         let Some(recorded) = &self.recorded else { return };
         for (machine, restart) in &recorded.machines {
@@ -181,7 +192,8 @@
                 RestartStage::Waiting | RestartStage::Done(_) => continue,
             };
             let listed = self.fleet.get(machine).map(|(_, listed)| listed);
-            // A machine that started anew is not drained again; its drain is taken back whatever its start.
+            // A machine that has restarted is not drained again. A cancellation applies whatever
+            // the machine's start time.
             let started_us = if draining { restart.started_us } else { 0 };
             if draining && listed.is_some_and(|listed| listed.started_us != started_us) {
                 continue;
--- a/rolling_restart/src/lib.rs
+++ b/rolling_restart/src/lib.rs
@@ -1,12 +1,15 @@
-//! A rolling restart: the machines of a zone restart a few at a time. One planner coordinates it; its progress is
-//! metadata of a lease, so that a successor goes on from there. No I/O, no clock of its own: times are whole
-//! microseconds of the caller's clock.
+//! Rolling restart: restarts the machines of a zone a few at a time. One planner coordinates it;
+//! the progress is stored as the metadata of a lease, so that the next lease holder continues from
+//! it. No I/O and no clock: times are whole microseconds of the caller's clock.
 //!
-//! Why no more than so many are drained at once, whoever died when: a machine is told to drain only once a majority of
-//! voters stores that its restart is under way, and counts until a majority stores that its drain was taken back. A
-//! successor writes what it found under its own token before it acts on it. Why none is drained twice: a drain names
-//! the machine's start that it is for, so it is nothing to a machine that has started since; and it carries the
-//! coordinator's token and a number that rises, so that what was under way before a newer request is refused.
+//! At most `max_draining` machines are drained at once, whenever a coordinator fails. A machine is
+//! drained only after a majority of voters has stored that its restart is under way, and it counts
+//! until a majority has stored that its drain was cancelled. A new coordinator stores the progress
+//! that it found under its own fencing token before it acts on it.
+//!
+//! No machine is drained twice. A drain request names the machine's start time, so that it does not
+//! apply to a machine that has restarted since. It also carries the coordinator's token and an
+//! increasing number, so that an older request that arrives late is refused.
 mod coordinator;
 mod steps;
 
@@ -14,77 +17,80 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What operators want.
+/// The plan of a rolling restart, as requested by an operator.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RestartPlan {
-    /// Rises from one rolling restart to the next.
+    /// Number of the rolling restart, which increases from one to the next.
     pub id: u64,
-    /// The zone whose machines restart.
+    /// Zone whose machines restart.
     pub zone: String,
-    /// So many machines are drained at once, at the most.
+    /// Maximum number of machines that are drained at once.
     #[serde(rename = "at_once")]
     pub max_draining: usize,
-    /// How long a machine is given to become empty, in microseconds.
+    /// Time given to a draining machine to become empty, in microseconds; afterwards its restart is
+    /// awaited even if tasks still run on it.
     #[serde(rename = "empty_us")]
     pub drain_timeout_us: i64,
-    /// How long it is then given to restart, in microseconds.
+    /// Time to wait for a drained machine to restart, in microseconds.
     #[serde(rename = "restart_us")]
     pub restart_timeout_us: i64,
-    /// No further machine is drained.
+    /// Whether the rolling restart is paused: no further machine is drained.
     #[serde(default)]
     pub paused: bool,
-    /// It ends: what is under way is released.
+    /// Whether the rolling restart is stopped: drains that are under way are cancelled.
     #[serde(default)]
     pub stopped: bool,
 }
 
-/// How a machine's restart ended.
+/// Outcome of a machine's restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RestartOutcome {
-    /// It started anew.
+    /// The machine restarted.
     Restarted,
-    /// It did not restart in its time.
+    /// The machine did not restart within the restart timeout.
     NotRestarted,
-    /// It was gone, or drained by others, when all else was done.
+    /// The machine was gone, or drained by someone else, until all other machines were done.
     Absent,
-    /// The rolling restart was stopped before the machine's was over.
+    /// The rolling restart was stopped before the machine restarted.
     Stopped,
 }
 
-/// How far a machine's restart is. The names in the stored progress are older than these.
+/// Stage of a machine's restart. The stored names differ from these for compatibility with older
+/// progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RestartStage {
-    /// Not begun.
+    /// The restart has not begun.
     #[serde(rename = "waits")]
     Waiting,
-    /// Told to take nothing new, and not empty yet.
+    /// The machine drains: it accepts no new tasks and is not empty yet.
     #[serde(rename = "drains")]
     Draining,
-    /// Empty, or its time for that is up: its restart is waited for.
+    /// The machine is empty or the drain timeout has passed; its restart is awaited.
     #[serde(rename = "restarts")]
     Restarting,
-    /// Its drain is taken back.
+    /// The drain is being cancelled.
     Released(RestartOutcome),
-    /// Over.
+    /// The restart is over.
     Done(RestartOutcome),
 }
 
 impl RestartStage {
-    /// Whether the machine may be drained by the rolling restart.
+    /// Returns whether the rolling restart may have drained the machine.
     pub fn is_under_way(self) -> bool {
         matches!(self, RestartStage::Draining | RestartStage::Restarting | RestartStage::Released(_))
     }
 }
 
-/// A machine's part in a rolling restart; stored as a pair.
+/// State of a machine in a rolling restart; stored as a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(i64, RestartStage)", into = "(i64, RestartStage)")]
 pub struct MachineRestart {
-    /// The machine's start at which it joined, by its own clock in microseconds.
+    /// Start time of the machine when the rolling restart began, in microseconds of the machine's
+    /// clock.
     pub started_us: i64,
-    /// How far it is.
+    /// Stage of the machine's restart.
     pub stage: RestartStage,
 }
 
@@ -100,17 +106,18 @@
     }
 }
 
-/// What a majority of voters stores: the plan, and each machine's part. `M` is the type of machine names.
+/// Progress of a rolling restart, as stored by a majority of voters. `M` is the type of machine
+/// names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RestartProgress<M: Ord> {
-    /// What operators want, as the coordinator last knew it.
+    /// The plan, as the coordinator last read it.
     pub plan: RestartPlan,
-    /// All machines of the zone, as they were listed when it began.
+    /// All machines of the zone that were listed when the rolling restart began.
     pub machines: BTreeMap<M, MachineRestart>,
 }
 
 impl<M: Ord> RestartProgress<M> {
-    /// Whether all machines are done.
+    /// Returns whether the restarts of all machines are over.
     pub fn is_over(&self) -> bool {
         self.machines.values().all(|machine| matches!(machine.stage, RestartStage::Done(_)))
     }
@@ -120,15 +127,15 @@
     }
 }
 
-/// A machine as the machine list has it.
+/// A machine's entry in the machine list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ListedMachine {
-    /// When it last started, by its own clock in microseconds.
+    /// Time of the machine's last start, in microseconds of the machine's clock.
     pub started_us: i64,
-    /// It takes nothing new.
+    /// Whether the machine drains: it accepts no new tasks.
     pub is_draining: bool,
-    /// It does not answer.
+    /// Whether the machine does not answer.
     pub is_gone: bool,
-    /// Nothing runs on it.
+    /// Whether no task runs on the machine.
     pub is_empty: bool,
 }
--- a/rolling_restart/src/steps.rs
+++ b/rolling_restart/src/steps.rs
@@ -1,9 +1,11 @@
-//! How a rolling restart moves on: each machine by a step, then further machines as far as the plan allows.
+//! Progress of a rolling restart: the next stage of each machine, and the start of further restarts
+//! within the plan's limit.
 use crate::coordinator::RestartCoordinator;
 use crate::{MachineRestart, RestartOutcome, RestartPlan, RestartProgress, RestartStage};
 
 impl<M: Ord + Clone> RestartCoordinator<M> {
-    /// Each machine's restart by a step, if it is time for it; then further ones, as many as may be under way.
+    /// Returns the next progress: advances each machine's stage where due, then begins further
+    /// restarts within the limit.
     pub(crate) fn next_progress(&mut self, now: i64, mut progress: RestartProgress<M>) -> RestartProgress<M> {
         if let Some(wanted) = self.wanted.clone().filter(|wanted| wanted.id == progress.plan.id) {
             progress.plan = wanted;
@@ -15,7 +17,7 @@
         progress
     }
 
-    /// The stage of a machine after this moment.
+    /// Returns the next stage of a machine, which is the current one if no change is due.
     fn next_stage(
         &mut self,
         now: i64,
@@ -48,7 +50,7 @@
                 RestartStage::Released(RestartOutcome::NotRestarted)
             }
             RestartStage::Released(outcome) => {
-                // The list must have had the time to show that the drain is gone.
+                // The list must have had time to show that the drain was cancelled.
                 let is_old = |&(draining, sent_us): &(bool, i64)| {
                     !draining && now >= sent_us + self.config.resend_after_us
                 };
@@ -63,7 +65,9 @@
         }
     }
 
-    /// Machines that wait begin to drain, as many as may be under way; those that never could are absent in the end.
+    /// Begins to drain waiting machines, as many as the plan allows. If none of the waiting
+    /// machines can be drained for the restart timeout while no other restart is under way, they
+    /// are recorded as absent.
     fn begin_restarts(&mut self, now: i64, progress: &mut RestartProgress<M>) {
         let (plan, under_way) = (&progress.plan, progress.under_way());
         let may_begin =
--- a/rolling_restart/tests/drawn.rs
+++ b/rolling_restart/tests/drawn.rs
@@ -1,14 +1,15 @@
-//! Drawn rolling restarts: coordinators die or stall at any step, their requests come late, writes reach some voters
-//! only,
-//! the list is late, machines restart by themselves, late, or not at all. No more than so many machines are
-//! drained at any moment, none twice, none is forgotten. A failing case names its seed.
+//! Simulates random rolling restarts. Coordinators fail or stall at any step, their requests arrive
+//! late, writes reach only some of the voters, the machine list is late, and machines restart by
+//! themselves, late, or not at all. At no time may more than `max_draining` machines be drained; no
+//! machine may be drained twice, and every machine must end in the right stage. A failing case
+//! prints its seed.
 use basaltpitch_rolling_restart::{
     ListedMachine, RestartAction, RestartConfig, RestartCoordinator, RestartOutcome, RestartPlan,
     RestartProgress, RestartStage,
 };
 use std::collections::VecDeque;
 
-const TICK: i64 = 100_000;
+const TICK_US: i64 = 100_000;
 const CONFIG: RestartConfig = RestartConfig { empty_settle_us: 300_000, resend_after_us: 600_000 };
 const PLAN: RestartPlan = RestartPlan {
     id: 1,
@@ -25,27 +26,30 @@
     started_us: i64,
     is_draining: bool,
     times_drained: u32,
-    /// Ticks until it is empty once drained, and whether its updater restarts it then.
-    empties_in: u32,
+    /// Ticks from the start of a drain until the machine is empty.
+    empty_in_ticks: u32,
+    /// Whether the machine restarts once it is drained and empty.
     restarts: bool,
     is_gone: bool,
 }
 
 type StoredProgress = (u64, u64, RestartProgress<usize>);
-/// A drain on its way: when it comes, token and number, machine, start, on.
+/// A drain request in transit: time of arrival, token and number, machine, start time, whether to
+/// drain.
 type DrainRequest = (i64, (u64, u64), usize, i64, bool);
 
-/// Which guard is removed: the check must notice it.
+/// Safety measure that a simulation leaves out; the check must notice its absence.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum RemovedGuard {
-    Nothing,
-    /// The registry refuses no older token.
-    Fence,
-    /// Nor an older request of the same coordinator.
-    Numbers,
-    /// A drain is taken whatever the machine's start.
+    None,
+    /// Requests with an older fencing token are not refused.
+    FencingToken,
+    /// Older requests of the same coordinator are not refused.
+    RequestNumber,
+    /// Drain requests apply whatever the start time of the machine.
     MachineStart,
-    /// What a predecessor left is acted on before a majority keeps it.
+    /// A new coordinator acts on its predecessor's progress before a majority of voters has stored
+    /// it.
     Adoption,
 }
 
@@ -54,16 +58,19 @@
     rng: fastrand::Rng,
     now: i64,
     machines: Vec<Machine>,
-    /// How the machines were, the newest last: the list is late.
-    past: VecDeque<Vec<Machine>>,
-    fence: u64,
-    /// By machine: token and number of the last word that was taken.
-    last: [(u64, u64); 7],
-    /// By voter: the token that it last voted for, and the progress that it stores.
+    /// Recent states of the machines, newest last; the machine list shows any of them.
+    history: VecDeque<Vec<Machine>>,
+    /// Highest fencing token that the registry has seen.
+    highest_token: u64,
+    /// Token and number of the last request that was accepted for each machine.
+    last_version: [(u64, u64); 7],
+    /// Token that each voter last voted for, and the progress that it stores.
     voters: [(u64, Option<StoredProgress>); 3],
+    /// Fencing token of the last lease.
     token: u64,
     coordinator: Option<RestartCoordinator<usize>>,
-    number: u64,
+    /// Number of the current coordinator's last write.
+    write_number: u64,
     writing: Option<StoredProgress>,
     in_flight: Vec<DrainRequest>,
 }
@@ -75,56 +82,57 @@
             started_us: 1000 + n,
             is_draining: false,
             times_drained: 0,
-            empties_in: rng.u32(0..20),
+            empty_in_ticks: rng.u32(0..20),
             restarts: rng.u8(0..10) > 0,
             is_gone: rng.u8(0..12) == 0,
         };
         let machines: Vec<Machine> = (0..7).map(machine).collect();
-        let past = VecDeque::from([machines.clone()]);
+        let history = VecDeque::from([machines.clone()]);
         let (voters, token) = ([const { (0, None) }; 3], 0);
-        let (coordinator, number, writing, in_flight) = (None, 0, None, Vec::new());
+        let (coordinator, write_number, writing, in_flight) = (None, 0, None, Vec::new());
         World {
             removed,
             rng,
             now: 0,
             machines,
-            past,
-            fence: 0,
-            last: [(0, 0); 7],
+            history,
+            highest_token: 0,
+            last_version: [(0, 0); 7],
             voters,
             token,
             coordinator,
-            number,
+            write_number,
             writing,
             in_flight,
         }
     }
 
-    /// Another acquires the lease, by two of three voters, with the newest progress that these store.
-    fn elect_another(&mut self) {
+    /// A new coordinator acquires the lease by the votes of two of three voters, with the newest
+    /// progress that these store.
+    fn elect_coordinator(&mut self) {
         self.token += 1;
-        let out = self.rng.usize(0..3);
-        let mut best: Option<StoredProgress> = None;
-        for (_, voter) in self.voters.iter_mut().enumerate().filter(|(index, _)| *index != out) {
+        let absent_voter = self.rng.usize(0..3);
+        let mut newest: Option<StoredProgress> = None;
+        for (_, voter) in self.voters.iter_mut().enumerate().filter(|(index, _)| *index != absent_voter) {
             voter.0 = self.token;
-            let newer = |n: &&StoredProgress| best.as_ref().is_none_or(|b| (n.0, n.1) > (b.0, b.1));
-            best = voter.1.as_ref().filter(newer).cloned().or(best);
+            let is_newer = |n: &&StoredProgress| newest.as_ref().is_none_or(|b| (n.0, n.1) > (b.0, b.1));
+            newest = voter.1.as_ref().filter(is_newer).cloned().or(newest);
         }
-        let left = best.map(|b| b.2);
+        let left = newest.map(|b| b.2);
         let mut coordinator = RestartCoordinator::new(self.now, CONFIG, left);
         if self.removed == RemovedGuard::Adoption {
             coordinator.on_progress_recorded(self.now);
         }
         coordinator.on_plan(self.now, PLAN);
-        (self.coordinator, self.number, self.writing) = (Some(coordinator), 0, None);
+        (self.coordinator, self.write_number, self.writing) = (Some(coordinator), 0, None);
     }
 
     fn tick(&mut self) {
-        self.now += TICK;
+        self.now += TICK_US;
         match self.rng.u32(0..100) {
-            0..20 if self.coordinator.is_none() => self.elect_another(),
+            0..20 if self.coordinator.is_none() => self.elect_coordinator(),
             _ if self.coordinator.is_none() => {}
-            // It dies; what it had sent still comes.
+            // The coordinator fails; the requests that it sent still arrive.
             0..4 => self.coordinator = None,
             // The link to the registry ends.
             4..6 => {
@@ -138,14 +146,15 @@
         self.receive_list();
         self.run_actions();
         self.deliver();
-        self.machines_go_on();
-        self.past.push_back(self.machines.clone());
-        while self.past.len() > 3 {
-            self.past.pop_front();
+        self.advance_machines();
+        self.history.push_back(self.machines.clone());
+        while self.history.len() > 3 {
+            self.history.pop_front();
         }
     }
 
-    /// What is to be kept reaches a voter or not, each tick; a majority that has it is told.
+    /// In each tick, the progress that is being stored reaches each voter with a probability of one
+    /// third. The coordinator is notified once a majority stores it.
     fn write(&mut self) {
         let Some(progress) = self.writing.clone() else { return };
         for voter in &mut self.voters {
@@ -153,10 +162,10 @@
                 *voter = (progress.0, Some(progress.clone()));
             }
         }
-        let keeps = |v: &&(u64, Option<StoredProgress>)| {
+        let stores = |v: &&(u64, Option<StoredProgress>)| {
             v.1.as_ref().is_some_and(|n| (n.0, n.1) == (progress.0, progress.1))
         };
-        if self.voters.iter().filter(keeps).count() >= 2 {
+        if self.voters.iter().filter(stores).count() >= 2 {
             if let Some(coordinator) = self.coordinator.as_mut().filter(|_| progress.0 == self.token) {
                 self.writing = None;
                 coordinator.on_progress_recorded(self.now);
@@ -165,11 +174,11 @@
     }
 
     fn receive_list(&mut self) {
-        let late = self.rng.usize(0..self.past.len());
+        let age = self.rng.usize(0..self.history.len());
         let Some(coordinator) = &mut self.coordinator else { return };
         if self.rng.u8(0..2) == 0 {
-            for (m, x) in self.past[late].iter().enumerate() {
-                let is_empty = x.empties_in == 0;
+            for (m, x) in self.history[age].iter().enumerate() {
+                let is_empty = x.empty_in_ticks == 0;
                 let listed = ListedMachine {
                     started_us: x.started_us,
                     is_draining: x.is_draining,
@@ -185,17 +194,23 @@
 
     fn run_actions(&mut self) {
         let Some(coordinator) = &mut self.coordinator else { return };
-        while let Some(call) = coordinator.next_action() {
-            match call {
+        while let Some(action) = coordinator.next_action() {
+            match action {
                 RestartAction::RecordProgress(progress) => {
-                    self.number += 1;
-                    self.writing = Some((self.token, self.number, progress));
+                    self.write_number += 1;
+                    self.writing = Some((self.token, self.write_number, progress));
                 }
                 RestartAction::SetDraining { machine, started_us, draining, number } => {
-                    // Mostly soon; one of a process that stalled comes much later.
-                    let late = if self.rng.u8(0..10) == 0 { self.rng.i64(0..40) } else { 0 };
+                    // Most requests arrive soon; those of a stalled process arrive much later.
+                    let delay_ticks = if self.rng.u8(0..10) == 0 { self.rng.i64(0..40) } else { 0 };
                     let version = (self.token, number);
-                    self.in_flight.push((self.now + late * TICK, version, machine, started_us, draining));
+                    self.in_flight.push((
+                        self.now + delay_ticks * TICK_US,
+                        version,
+                        machine,
+                        started_us,
+                        draining,
+                    ));
                 }
             }
         }
@@ -205,15 +220,15 @@
         let now = self.now;
         let due: Vec<_> = self.in_flight.extract_if(.., |request| request.0 <= now).collect();
         for (_, version, m, started_us, draining) in due {
-            if version.0 < self.fence && self.removed != RemovedGuard::Fence {
+            if version.0 < self.highest_token && self.removed != RemovedGuard::FencingToken {
                 continue;
             }
-            let same = version.0 == self.last[m].0;
-            if same && version < self.last[m] && self.removed != RemovedGuard::Numbers {
+            let same_token = version.0 == self.last_version[m].0;
+            if same_token && version < self.last_version[m] && self.removed != RemovedGuard::RequestNumber {
                 continue;
             }
-            self.fence = self.fence.max(version.0);
-            self.last[m] = version;
+            self.highest_token = self.highest_token.max(version.0);
+            self.last_version[m] = version;
             let machine = &mut self.machines[m];
             if draining && started_us != machine.started_us && self.removed != RemovedGuard::MachineStart {
                 continue;
@@ -223,10 +238,10 @@
         }
     }
 
-    fn machines_go_on(&mut self) {
+    fn advance_machines(&mut self) {
         for machine in &mut self.machines {
-            if machine.is_draining && machine.empties_in > 0 {
-                machine.empties_in -= 1;
+            if machine.is_draining && machine.empty_in_ticks > 0 {
+                machine.empty_in_ticks -= 1;
             } else if machine.is_draining && machine.restarts && self.rng.u8(0..8) == 0 {
                 (machine.started_us, machine.is_draining) = (machine.started_us + 1000, false);
             }
@@ -238,61 +253,69 @@
     }
 }
 
-/// What went wrong in a drawn roll, if anything.
-fn play(seed: u64, removed: RemovedGuard) -> Result<(), String> {
-    let mut w = World::new(seed, removed);
+/// Runs a random rolling restart and returns the first violation.
+fn simulate(seed: u64, removed: RemovedGuard) -> Result<(), String> {
+    let mut world = World::new(seed, removed);
     for _ in 0..6000 {
-        w.tick();
-        let drained = w.machines.iter().filter(|machine| machine.is_draining).count();
-        if drained > PLAN.max_draining {
-            return Err(format!("seed {seed}: {drained} drained at once at {}", w.now));
+        world.tick();
+        let draining = world.machines.iter().filter(|machine| machine.is_draining).count();
+        if draining > PLAN.max_draining {
+            return Err(format!("seed {seed}: {draining} machines drained at once at {} us", world.now));
         }
-        if let Some(m) = w.machines.iter().position(|machine| machine.times_drained > 1) {
-            return Err(format!("seed {seed}: machine {m} drained twice at {}", w.now));
+        if let Some(m) = world.machines.iter().position(|machine| machine.times_drained > 1) {
+            return Err(format!("seed {seed}: machine {m} drained twice at {} us", world.now));
         }
-        if w.progress().is_some_and(|p| p.is_over() && p.plan.id == 1) && w.in_flight.is_empty() {
-            return ended(seed, &w);
+        if world.progress().is_some_and(|progress| progress.is_over() && progress.plan.id == 1)
+            && world.in_flight.is_empty()
+        {
+            return check_final_state(seed, &world);
         }
     }
-    Err(format!("seed {seed}: not over: {:?}", w.progress()))
+    Err(format!("seed {seed}: rolling restart not over: {:?}", world.progress()))
 }
 
-fn ended(seed: u64, w: &World) -> Result<(), String> {
-    let p = w.progress().expect("it is over");
-    for (m, machine) in w.machines.iter().enumerate() {
-        let stage = p.machines.get(&m).map(|restart| restart.stage);
-        let right = match stage {
+fn check_final_state(seed: u64, world: &World) -> Result<(), String> {
+    let progress = world.progress().expect("the rolling restart is over");
+    for (m, machine) in world.machines.iter().enumerate() {
+        let stage = progress.machines.get(&m).map(|restart| restart.stage);
+        let is_expected = match stage {
             Some(RestartStage::Done(RestartOutcome::Restarted)) => machine.started_us > 1500,
             Some(RestartStage::Done(RestartOutcome::NotRestarted)) => machine.times_drained == 1,
             Some(RestartStage::Done(RestartOutcome::Absent)) | None => machine.is_gone,
             _ => false,
         };
-        if !right || machine.is_draining {
+        if !is_expected || machine.is_draining {
             let (started, drains) = (machine.started_us, machine.is_draining);
-            return Err(format!("seed {seed}: machine {m} at {stage:?}, start {started}, drains {drains}"));
+            return Err(format!(
+                "seed {seed}: machine {m} in stage {stage:?}, started at {started}, draining: {drains}"
+            ));
         }
     }
     Ok(())
 }
 
 #[test]
-fn whoever_dies_when_no_machine_is_forgotten_or_drained_twice_or_beyond_the_limit() {
-    let wrong: Vec<String> = (0..1000).filter_map(|seed| play(seed, RemovedGuard::Nothing).err()).collect();
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+fn coordinator_failures_cause_no_missed_or_repeated_drain_and_keep_the_limit() {
+    let violations: Vec<String> =
+        (0..1000).filter_map(|seed| simulate(seed, RemovedGuard::None).err()).collect();
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 #[test]
-fn what_keeps_it_safe_is_missed_where_it_is_left_out() {
-    for removed in
-        [RemovedGuard::Fence, RemovedGuard::Numbers, RemovedGuard::MachineStart, RemovedGuard::Adoption]
-    {
-        let found = (0..20_000).find(|&seed| play(seed, removed).is_err());
+fn detects_violation_without_any_one_safety_measure() {
+    for removed in [
+        RemovedGuard::FencingToken,
+        RemovedGuard::RequestNumber,
+        RemovedGuard::MachineStart,
+        RemovedGuard::Adoption,
+    ] {
+        let found = (0..20_000).find(|&seed| simulate(seed, removed).is_err());
         println!("{removed:?}: {found:?}");
-        assert!(found.is_some(), "nothing was found: {removed:?}");
+        assert!(found.is_some(), "no violation found without {removed:?}");
     }
 }
 
-fn whole(coordinator: &mut RestartCoordinator<usize>, now: i64, machines: &[ListedMachine]) {
+fn receive_list(coordinator: &mut RestartCoordinator<usize>, now: i64, machines: &[ListedMachine]) {
     machines
         .iter()
         .enumerate()
@@ -301,43 +324,50 @@
     coordinator.advance(now);
 }
 
-fn calls(coordinator: &mut RestartCoordinator<usize>, now: i64) -> Vec<(usize, bool)> {
-    let mut drains = Vec::new();
-    while let Some(call) = coordinator.next_action() {
-        match call {
+fn drain_requests(coordinator: &mut RestartCoordinator<usize>, now: i64) -> Vec<(usize, bool)> {
+    let mut requests = Vec::new();
+    while let Some(action) = coordinator.next_action() {
+        match action {
             RestartAction::RecordProgress(_) => coordinator.on_progress_recorded(now),
-            RestartAction::SetDraining { machine, draining, .. } => drains.push((machine, draining)),
+            RestartAction::SetDraining { machine, draining, .. } => requests.push((machine, draining)),
         }
     }
-    drains
+    requests
 }
 
 #[test]
-fn paused_it_begins_no_further_turn_and_stopped_it_lets_go_of_what_is_under_way() {
+fn paused_plan_begins_no_restart_and_stopped_plan_cancels_drains() {
     let ready = ListedMachine { started_us: 5, is_draining: false, is_gone: false, is_empty: true };
     let mut machines = [ready; 4];
     let mut coordinator = RestartCoordinator::new(0, CONFIG, None);
     coordinator.on_plan(0, PLAN);
-    assert_eq!(calls(&mut coordinator, 0), [], "nothing before the list is heard");
-    whole(&mut coordinator, 1, &machines);
-    assert_eq!(calls(&mut coordinator, 1), [(0, true), (1, true)]);
+    assert_eq!(drain_requests(&mut coordinator, 0), [], "no request before the machine list is received");
+    receive_list(&mut coordinator, 1, &machines);
+    assert_eq!(drain_requests(&mut coordinator, 1), [(0, true), (1, true)]);
     coordinator.on_plan(2, RestartPlan { paused: true, ..PLAN });
     machines[0] = ListedMachine { started_us: 6, ..ready };
     machines[1].is_draining = true;
-    whole(&mut coordinator, 3, &machines);
-    assert_eq!(calls(&mut coordinator, 3), [(0, false)], "the one that restarted; no other in its place");
+    receive_list(&mut coordinator, 3, &machines);
+    assert_eq!(
+        drain_requests(&mut coordinator, 3),
+        [(0, false)],
+        "the restarted machine is released and no other machine is drained"
+    );
     let mut now = 3;
     for _ in 0..2 {
         now += CONFIG.resend_after_us;
-        whole(&mut coordinator, now, &machines);
-        assert!(!calls(&mut coordinator, now).iter().any(|x| x.1), "paused");
+        receive_list(&mut coordinator, now, &machines);
+        assert!(
+            !drain_requests(&mut coordinator, now).iter().any(|request| request.1),
+            "no drain request while paused"
+        );
     }
     coordinator.on_plan(now, RestartPlan { stopped: true, ..PLAN });
-    assert_eq!(calls(&mut coordinator, now), [(1, false)]);
+    assert_eq!(drain_requests(&mut coordinator, now), [(1, false)]);
     machines[1].is_draining = false;
     now += CONFIG.resend_after_us;
-    whole(&mut coordinator, now, &machines);
-    assert_eq!(calls(&mut coordinator, now), []);
+    receive_list(&mut coordinator, now, &machines);
+    assert_eq!(drain_requests(&mut coordinator, now), []);
     let stages: Vec<RestartStage> =
         coordinator.progress().unwrap().machines.values().map(|restart| restart.stage).collect();
     let stopped = RestartStage::Done(RestartOutcome::Stopped);
