--- a/ledger/src/requests.rs
+++ b/ledger/src/requests.rs
@@ -7,7 +7,7 @@
 use std::hash::Hash;
 
 /// Delay before a client may repeat a request that was declined because too many tasks are open.
-const CROWDED_RETRY_US: i64 = 1_000_000;
+const TOO_MANY_OPEN_RETRY_US: i64 = 1_000_000;
 
 impl<K: Clone + Ord + Hash, J: Clone> Ledger<K, J> {
     /// Handles a client's request. A repeat of a known request joins its record. A new request for
@@ -89,7 +89,7 @@
         let time_left_us =
             admission.map_err(|rejection| declined(rejection.reason, rejection.retry_after_us))?;
         if self.open_count >= self.config.max_open {
-            return Err(declined(RejectReason::Crowded, CROWDED_RETRY_US));
+            return Err(declined(RejectReason::Crowded, TOO_MANY_OPEN_RETRY_US));
         }
         if time_left_us <= 0 {
             return Err(declined(RejectReason::TooLate, 0));
