--- a/ledger/src/attempts.rs
+++ b/ledger/src/attempts.rs
@@ -97,7 +97,7 @@
 
     /// Declines a task's request because the placement module found no machine for it.
     pub fn decline(&mut self, task: usize, retry_after_us: i64, actions: &mut Actions<K>) {
-        let reason = RejectReason::NoRoom;
+        let reason = RejectReason::NoCapacity;
         self.answer(task, RequestOutcome::Declined { retry_after_us, reason }, actions);
     }
 
@@ -221,8 +221,8 @@
                 AttemptEnd::Done => (AttemptOutcome::Ended, 0, LifecycleEvent::Ended),
                 AttemptEnd::Stopped => (AttemptOutcome::Cancelled, 0, LifecycleEvent::Stopped),
                 AttemptEnd::Evicted => (AttemptOutcome::Reset, 5, LifecycleEvent::Evicted),
-                AttemptEnd::PushedOut => (AttemptOutcome::Reset, 6, LifecycleEvent::Evicted),
-                AttemptEnd::SentAway => (AttemptOutcome::Reset, 7, LifecycleEvent::Lost),
+                AttemptEnd::Preempted => (AttemptOutcome::Reset, 6, LifecycleEvent::Evicted),
+                AttemptEnd::Drained => (AttemptOutcome::Reset, 7, LifecycleEvent::Lost),
             };
             self.close_active(&key, id, event, actions);
             self.remove(id, Removal { evidence: Evidence::Ended, outcome, reason_code }, actions);
--- a/ledger/src/lib.rs
+++ b/ledger/src/lib.rs
@@ -108,7 +108,7 @@
 
     /// Returns whether the ledger knows no attempt on a machine, so that the machine's index may be
     /// reused.
-    pub fn is_machine_free(&self, machine: usize) -> bool {
+    pub fn has_no_attempts_on(&self, machine: usize) -> bool {
         let first = self.attempts_by_machine.range((machine, AttemptId::FIRST)..).next();
         first.is_none_or(|entry| entry.0 != machine)
     }
--- a/ledger/src/requests.rs
+++ b/ledger/src/requests.rs
@@ -89,10 +89,10 @@
         let time_left_us =
             admission.map_err(|rejection| declined(rejection.reason, rejection.retry_after_us))?;
         if self.open_count >= self.config.max_open {
-            return Err(declined(RejectReason::Crowded, TOO_MANY_OPEN_RETRY_US));
+            return Err(declined(RejectReason::TooManyOpenTasks, TOO_MANY_OPEN_RETRY_US));
         }
         if time_left_us <= 0 {
-            return Err(declined(RejectReason::TooLate, 0));
+            return Err(declined(RejectReason::TooLittleTime, 0));
         }
         Ok(time_left_us)
     }
@@ -115,7 +115,7 @@
         match idempotency {
             Idempotency::Repeatable => None,
             _ if wait_us > 0 => {
-                Some(RequestOutcome::Declined { retry_after_us: wait_us, reason: RejectReason::MakingSure })
+                Some(RequestOutcome::Declined { retry_after_us: wait_us, reason: RejectReason::Unsettled })
             }
             Idempotency::OnceOnly if record.may_have_run() => {
                 Some(RequestOutcome::Aborted { reason: RejectReason::MayHaveRun })
--- a/ledger/src/types.rs
+++ b/ledger/src/types.rs
@@ -30,22 +30,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RejectReason {
     /// The placement module found no machine before the deadline.
-    NoRoom,
+    NoCapacity,
     /// An attempt may have run, and a second one could run the task twice.
     MayHaveRun,
     /// An earlier attempt may still run. The client may repeat the request once the settling time
     /// has passed.
-    MakingSure,
+    Unsettled,
     /// A newer request for the same task replaced this one.
     Superseded,
     /// The planner has reached its limit of open tasks.
-    Crowded,
+    TooManyOpenTasks,
     /// Too little time is left before the deadline for an attempt to be answered.
-    TooLate,
+    TooLittleTime,
     /// The client is not authorized; the text gives the reason.
     NotAllowed(&'static str),
     /// No known machine satisfies the task's constraints, whatever its load.
-    NoMachine,
+    NoMatchingMachine,
     /// The admission controller expects the deadline to pass before the task is placed.
     NoSlack,
 }
@@ -54,14 +54,14 @@
     /// Returns the reason as it is sent to clients.
     pub fn message(self) -> &'static str {
         match self {
-            RejectReason::NoRoom => "no machine had room in time",
+            RejectReason::NoCapacity => "no machine had room in time",
             RejectReason::MayHaveRun => "a launch may have run",
-            RejectReason::MakingSure => "a launch may still run; ask again later",
+            RejectReason::Unsettled => "a launch may still run; ask again later",
             RejectReason::Superseded => "a newer asking of this task came",
-            RejectReason::Crowded => "too many open tasks here",
-            RejectReason::TooLate => "too little time is left",
+            RejectReason::TooManyOpenTasks => "too many open tasks here",
+            RejectReason::TooLittleTime => "too little time is left",
             RejectReason::NotAllowed(message) => message,
-            RejectReason::NoMachine => "no machine could ever meet its clauses",
+            RejectReason::NoMatchingMachine => "no machine could ever meet its clauses",
             RejectReason::NoSlack => "its time would be over before its turn",
         }
     }
@@ -149,9 +149,9 @@
     /// The machine evicted the attempt to reclaim its resources.
     Evicted,
     /// The attempt was preempted by a task of higher priority.
-    PushedOut,
+    Preempted,
     /// The machine is draining and removed the attempt.
-    SentAway,
+    Drained,
     /// The planner requested the stop.
     Stopped,
 }
--- a/planner/src/state/actions.rs
+++ b/planner/src/state/actions.rs
@@ -190,7 +190,7 @@
         let (now, request) = (self.placement.host.now, (key.clone(), request_id));
         match outcome {
             RequestOutcome::Placed { .. } => admission.request_placed(now, &request),
-            RequestOutcome::Declined { reason: RejectReason::NoRoom, .. } => {
+            RequestOutcome::Declined { reason: RejectReason::NoCapacity, .. } => {
                 admission.request_expired(now, &request);
             }
             _ => admission.request_withdrawn(&request),
@@ -202,7 +202,7 @@
         let pending = self.pending_rejection.as_mut().filter(|pending| pending.request_id == answer.ask);
         match (reason, pending) {
             (
-                RejectReason::NotAllowed(_) | RejectReason::NoMachine | RejectReason::NoSlack,
+                RejectReason::NotAllowed(_) | RejectReason::NoMatchingMachine | RejectReason::NoSlack,
                 Some(pending),
             ) => {
                 answer.stale_us = pending.stale_us;
@@ -210,7 +210,7 @@
                     answer.reason = explanation;
                 }
             }
-            (RejectReason::NoRoom, _) => {
+            (RejectReason::NoCapacity, _) => {
                 self.short_of_room();
                 let record = self.placement.host.ledger.record(key);
                 let facts = record.and_then(|record| record.job.facts.clone());
--- a/planner/src/state/clients.rs
+++ b/planner/src/state/clients.rs
@@ -174,7 +174,7 @@
         facts: Option<&Rc<TaskAttributes>>,
     ) -> Option<(Rejection, Option<String>)> {
         if let Some(explanation) = self.never(facts) {
-            let rejection = Rejection { reason: RejectReason::NoMachine, retry_after_us: 0 };
+            let rejection = Rejection { reason: RejectReason::NoMatchingMachine, retry_after_us: 0 };
             return Some((rejection, Some(explanation)));
         }
         let rejected = self.reject_by_admission(submit, framework)?;
--- a/planner/src/state/machines.rs
+++ b/planner/src/state/machines.rs
@@ -227,8 +227,8 @@
     match wire::EndedHow::try_from(how) {
         Ok(wire::EndedHow::EndedDone) => Ok(AttemptEnd::Done),
         Ok(wire::EndedHow::EndedEvicted) => Ok(AttemptEnd::Evicted),
-        Ok(wire::EndedHow::EndedPushedOut) => Ok(AttemptEnd::PushedOut),
-        Ok(wire::EndedHow::EndedSentAway) => Ok(AttemptEnd::SentAway),
+        Ok(wire::EndedHow::EndedPushedOut) => Ok(AttemptEnd::Preempted),
+        Ok(wire::EndedHow::EndedSentAway) => Ok(AttemptEnd::Drained),
         Ok(wire::EndedHow::EndedStopped) => Ok(AttemptEnd::Stopped),
         Err(_) => Err(MachineFrameError::UnknownEnd(how)),
     }
--- a/planner/src/state/subset.rs
+++ b/planner/src/state/subset.rs
@@ -104,7 +104,7 @@
         let Some(state) = &mut self.subset else { return };
         state.subset.set_width_percent(state.growth.width_percent());
         let ledger = &self.placement.host.ledger;
-        state.subset.advance(now, |m| !ledger.is_machine_free(m));
+        state.subset.advance(now, |m| !ledger.has_no_attempts_on(m));
         while let Some(m) = self.subset.as_mut().and_then(|x| x.subset.next_changed()) {
             self.subset_changed(m);
         }
