--- a/ledger/src/attempts.rs
+++ b/ledger/src/attempts.rs
@@ -52,7 +52,7 @@
 /// Calls of the placement module.
 impl<K: Clone + Ord + Hash, J: Clone> Ledger<K, J> {
     /// Starts a task on a machine. If the task ended before the placement module was notified, it
-    /// is not started, and the module receives the outcome `Moot` instead.
+    /// is not started, and the module is informed that no attempt was sent.
     pub fn launch(&mut self, task: usize, machine: usize, timeout_us: i64, actions: &mut Actions<K>) {
         let key =
             self.tasks.key(task).expect("the placement module launches only tasks that it was given").clone();
