--- a/admission/src/demand_summary.rs
+++ b/admission/src/demand_summary.rs
@@ -2,8 +2,8 @@
 //! numbers.
 use crate::{FREE_CORE_CLASSES, LATENCY_BUCKETS, PRIORITY_BANDS};
 
-/// Demand and estimated capacity as one planner sees them. It holds only what the admission
-/// threshold needs, because each number that changes is sent to every planner.
+/// Demand and estimated capacity as one planner sees them. The summary holds only what the
+/// admission threshold needs, because each number that changes is sent to every planner.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DemandSummary {
     /// Cores requested per second, by priority band.
--- a/admission/src/threshold.rs
+++ b/admission/src/threshold.rs
@@ -31,9 +31,9 @@
 /// median of their estimates of the machines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerSummary {
-    /// Age of the oldest summary that it combines, in microseconds.
+    /// Age of the oldest of the combined summaries, in microseconds.
     pub age_us: i64,
-    /// Number of planners that it combines.
+    /// Number of planners whose summaries are combined.
     pub planners: usize,
     /// Combined demand and estimates of these planners.
     pub summary: DemandSummary,
--- a/ledger/src/attempts.rs
+++ b/ledger/src/attempts.rs
@@ -13,17 +13,17 @@
     outcome: AttemptOutcome,
     /// The machine's reason code; 0 for none.
     reason_code: i64,
-    /// Whether the task is over; if false, it waits to be placed again.
+    /// Whether the task is over; if false, the task waits to be placed again.
     over: bool,
 }
 
 impl Resolution {
-    /// The task waits to be placed again.
+    /// Resolves the attempt of a task that waits to be placed again.
     fn retry(outcome: AttemptOutcome) -> Self {
         Resolution { outcome, reason_code: 0, over: false }
     }
 
-    /// The task is over.
+    /// Resolves the attempt of a task that is over.
     pub(crate) fn over(outcome: AttemptOutcome) -> Self {
         Resolution { outcome, reason_code: 0, over: true }
     }
--- a/ledger/src/evidence.rs
+++ b/ledger/src/evidence.rs
@@ -30,7 +30,7 @@
 pub enum Proof {
     /// The attempt did not run: the task may be started again, whatever its idempotency.
     NeverRan,
-    /// Unknown: the task's idempotency decides whether it may be started again.
+    /// Unknown: the task's idempotency decides whether the task may be started again.
     MayHaveRun,
     /// The attempt ran.
     Ran,
--- a/ledger/src/types.rs
+++ b/ledger/src/types.rs
@@ -188,7 +188,7 @@
         outcome: AttemptOutcome,
         /// The machine's reason code; 0 for none.
         reason_code: i64,
-        /// Whether the task is over; if false, it waits to be placed again.
+        /// Whether the task is over; if false, the task waits to be placed again.
         over: bool,
     },
     /// The request ended and the task no longer waits to be placed.
--- a/subsetting/src/growth.rs
+++ b/subsetting/src/growth.rs
@@ -33,13 +33,13 @@
 /// Resources and properties that a machine must have to run a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TaskRequirement {
-    /// Free cores.
+    /// Free cores that the machine must have.
     pub cores: f64,
-    /// Free memory, in the unit of the machines' sizes.
+    /// Free memory that the machine must have, in the unit of the machines' sizes.
     pub memory: f64,
-    /// Index of the machine kind, where the task is bound to one.
+    /// Index of the required machine kind; `None` for any.
     pub kind: Option<usize>,
-    /// Index of the zone, where the task is bound to one.
+    /// Index of the required zone; `None` for any.
     pub zone: Option<usize>,
 }
 
@@ -187,8 +187,8 @@
         next.max(free).min(self.window.began_at + WINDOW_US)
     }
 
-    /// Closes the window and drops a lost query where their time is over, and returns the next
-    /// query if one is due.
+    /// Closes the shortage window and drops a lost query once their time is over, and returns the
+    /// next query if one is due.
     pub fn poll(&mut self, now: i64) -> Option<CapacityQuery> {
         if now >= self.window.began_at + WINDOW_US {
             self.close_window(now);
--- a/subsetting/tests/assignment.rs
+++ b/subsetting/tests/assignment.rs
@@ -72,7 +72,7 @@
                     );
                 }
             }
-            // When a slot leaves, at least its own links go and as many move to other slots; the
+            // When a slot leaves, its own links go and at least as many move to other slots; the
             // bound is three times that.
             let leaves = changed(&base, &links(&names[1..slots], &fleet, replicas));
             let joins = changed(&base, &links(&names, &fleet, replicas));
@@ -126,7 +126,8 @@
 }
 
 /// A planner that was suspended while a slot was vacant counts only the time in which it ran.
-/// Guards against taking over all slots at once on waking, when every other slot looks long vacant.
+/// Guards against a planner that resumes and at once takes over the machines of a slot whose
+/// vacancy it could not observe.
 #[test]
 fn does_not_count_time_in_which_the_planner_was_suspended() {
     let mut subset = subset(0, 20);
