--- a/cli/tests/wire/mod.rs
+++ b/cli/tests/wire/mod.rs
@@ -100,7 +100,7 @@
         }
     });
     let node = Node { child, listen: all["listen"].as_str().unwrap().to_owned(), file, log };
-    node.logged("planner serves");
+    node.logged("planner is serving clients");
     node
 }
 
@@ -130,7 +130,7 @@
     /// Told to stop, and having read so: its time to serve on begins now.
     pub fn told_to_stop(&self) -> Instant {
         self.signal("-TERM");
-        self.logged("told to stop");
+        self.logged("received an order to stop");
         Instant::now()
     }
 
