--- a/lease/src/client.rs
+++ b/lease/src/client.rs
@@ -1,32 +1,35 @@
-//! A client: the leases that one process requests, renews and holds.
+//! The client's side: the leases that one process requests, renews and holds.
 use crate::{LeaseConfig, LeaseMetadata, VoteReply};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A holder renews after this part of the time for which it may act.
+/// A holder renews its leases after this fraction (1/3) of the time for which it may act.
 const RENEWAL_DIVISOR: i64 = 3;
-/// Requests spread over this part of a lease duration, so that the votes don't split among many clients.
+/// Requests are spread over up to this fraction (1/8) of a lease duration, so that concurrent
+/// clients do not split the votes.
 const JITTER_DIVISOR: i64 = 8;
-/// Attempt numbers from which on the delays are drawn that are no retries.
+/// Delays that are not retries use random draws numbered from these constants on; the delay of a
+/// retry is drawn by its number of failed rounds.
 const FIRST_REQUEST_DRAW: u32 = 1 << 17;
 const VOTE_FREED_DRAW: u32 = 1 << 16;
 
-/// What the caller has to do. `L` is the type of lease names.
+/// What the caller must do. `L` is the type of lease names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseAction<L> {
     /// Request the votes of all voters.
     RequestVotes {
         /// The lease's name.
         lease: L,
-        /// The token under which it is requested or renewed.
+        /// The token under which the lease is requested or renewed.
         token: u64,
-        /// Replies name this round.
+        /// The round, which each reply names.
         round: u64,
-        /// What the voters are to store.
+        /// The metadata for the voters to store, if there is any.
         metadata: Option<LeaseMetadata>,
-        /// The lease is held and renewed: what the voters have stored is not needed.
+        /// Whether the lease is held and this renews it: replies then need not contain the stored
+        /// metadata.
         renews: bool,
     },
-    /// Tell all voters that their votes are free.
+    /// Release the votes of all voters.
     ReleaseVotes {
         /// The lease's name.
         lease: L,
@@ -37,19 +40,20 @@
     Acquired {
         /// The lease's name.
         lease: L,
-        /// Its fencing token.
+        /// The fencing token.
         token: u64,
-        /// The last that a holder is sure to have recorded, or one that was on its way after that.
+        /// The newest metadata that a majority is known to have stored, or a later one that was
+        /// still being written.
         metadata: LeaseMetadata,
     },
-    /// The lease is held no more.
+    /// The lease is no longer held.
     Lost {
         /// The lease's name.
         lease: L,
-        /// The token under which it was held.
+        /// The token under which the lease was held.
         token: u64,
     },
-    /// A majority stores the metadata with this number.
+    /// A majority of voters stores the metadata with this number.
     MetadataRecorded {
         /// The lease's name.
         lease: L,
@@ -61,24 +65,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct LeaseState {
     is_wanted: bool,
-    /// The token under which it is requested or held; 0: neither.
+    /// The token under which the lease is requested or held; 0 if it is neither.
     token: u64,
-    /// The highest token that was seen anywhere.
+    /// The highest token observed for this lease, whoever used it.
     highest_token: u64,
     round: u64,
-    /// When the round began; meaningless while none is open.
+    /// When the round began, in microseconds; meaningless while no round is open.
     round_started_us: i64,
     round_open: bool,
-    /// Bit sets, by voter.
+    /// Bit sets of the voters that granted and refused their votes in the open round.
     granted: u32,
     refused: u32,
-    /// By voter: until when its vote is not free, counted from when it replied.
+    /// By voter that refused: when its vote becomes free, counted from when its reply arrived.
     free_at_us: BTreeMap<usize, i64>,
     is_held: bool,
     expires_at_us: i64,
     /// The newest metadata that a voter reported in this round.
     newest_metadata: LeaseMetadata,
-    /// What is to be recorded, the number of what went with the open round, and of the last that is recorded.
+    /// Metadata: what is still to be stored, the number sent with the open round, and the last
+    /// number that a majority stored.
     metadata: Option<LeaseMetadata>,
     sent_number: u64,
     recorded_number: u64,
@@ -86,7 +91,7 @@
     failed_rounds: u32,
 }
 
-/// The leases that one process wants. `L` is the type of lease names.
+/// The leases that one process requests or holds. `L` is the type of lease names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseClient<L> {
     config: LeaseConfig,
@@ -98,8 +103,9 @@
 }
 
 impl<L: Ord + Clone> LeaseClient<L> {
-    /// A client of so many voters, at most 32. Its tokens are at least `lowest_token`: as tokens are epochs, and an
-    /// epoch without voters is the time of a start, that is the time of its own.
+    /// Creates a client of `voters` voters, at most 32. Its tokens are at least `lowest_token`, for
+    /// which a process passes its start time: tokens serve as epochs, and a process without voters
+    /// takes its start time as its epoch.
     pub fn new(config: LeaseConfig, voters: usize, seed: u64, lowest_token: u64) -> Self {
         let (leases, actions) = (BTreeMap::new(), VecDeque::new());
         LeaseClient { config, voters, seed, lowest_token, leases, actions }
@@ -109,12 +115,12 @@
         self.voters as u32 / 2 + 1
     }
 
-    /// The next thing to do, in order.
+    /// Returns the next action for the caller, in order.
     pub fn next_action(&mut self) -> Option<LeaseAction<L>> {
         self.actions.pop_front()
     }
 
-    /// When `advance` has something to do, in microseconds.
+    /// Returns the time at which `advance` next has work, in microseconds.
     pub fn next_wakeup_us(&self) -> Option<i64> {
         let wanted = self.leases.values().filter(|state| state.is_wanted);
         let due = |state: &LeaseState| match (state.is_held, state.round_open) {
@@ -129,9 +135,10 @@
         fastrand::Rng::with_seed(self.seed.wrapping_add(u64::from(draw) << 32)).i64(0..=longest.max(0))
     }
 
-    /// The lease is wanted from now on.
+    /// Requests the lease from now on.
     pub fn acquire(&mut self, now: i64, lease: L) {
-        // A hundred spares learn in one moment that a slot is free: they must not request it in one moment.
+        // A hundred spares may learn at the same time that a slot is free; a random delay spreads
+        // their requests.
         let delay_us = self.jitter_us(self.config.duration_us / JITTER_DIVISOR, FIRST_REQUEST_DRAW);
         let state = self.leases.entry(lease).or_default();
         if !std::mem::replace(&mut state.is_wanted, true) {
@@ -139,11 +146,13 @@
         }
     }
 
-    /// The lease is wanted no more; what acts on it has stopped. Its votes are released.
+    /// Stops requesting or holding the lease and releases its votes. The caller must have stopped
+    /// whatever acts under the lease.
     pub fn release(&mut self, lease: &L) {
         let Some(state) = self.leases.get_mut(lease).filter(|state| state.is_wanted) else { return };
         let (token, was_held) = (state.token, state.is_held);
-        // No token is used twice, also not after the lease is wanted again.
+        // Tokens and rounds continue, so that no token is used twice if the lease is requested
+        // again.
         let (highest_token, round) = (state.highest_token, state.round);
         *state = LeaseState { highest_token, round, ..LeaseState::default() };
         if was_held {
@@ -154,20 +163,22 @@
         }
     }
 
-    /// The token under which the lease may be acted on at this moment. To be asked before each act, which carries the
-    /// token, as this process may be stopped in between.
+    /// Returns the token under which the caller may act on the lease at this moment. The caller
+    /// must check before each action and attach the token to it, because the process may be
+    /// suspended in between.
     pub fn held_token(&self, now: i64, lease: &L) -> Option<u64> {
         let held = self.leases.get(lease).filter(|state| state.is_held && now < state.expires_at_us);
         held.map(|state| state.token)
     }
 
-    /// How long a held lease is still valid, in microseconds; 0 where it is not held.
+    /// Returns how long a held lease is still valid, in microseconds; 0 if the lease is not held.
     pub fn remaining_us(&self, now: i64, lease: &L) -> i64 {
         let held = self.leases.get(lease).filter(|state| state.is_held);
         held.map_or(0, |state| (state.expires_at_us - now).max(0))
     }
 
-    /// A holder's metadata, to be recorded by a majority; `MetadataRecorded` names its number once it is.
+    /// Queues a holder's metadata to be stored by a majority and returns its number, which
+    /// `MetadataRecorded` repeats once that is done. Returns `None` if the lease is not held.
     pub fn write_metadata(&mut self, now: i64, lease: &L, bytes: Vec<u8>) -> Option<u64> {
         let held = |state: &&mut LeaseState| state.is_held && now < state.expires_at_us;
         let state = self.leases.get_mut(lease).filter(held)?;
@@ -178,17 +189,17 @@
         Some(number)
     }
 
-    /// Somebody was refused, or saw somebody act, under this token.
+    /// Records a token seen elsewhere, in a refusal or in another process's action.
     pub fn observe_token(&mut self, lease: &L, token: u64) {
         if let Some(state) = self.leases.get_mut(lease) {
             state.highest_token = state.highest_token.max(token);
         }
     }
 
-    /// A voter reports that its vote became free.
+    /// Records that a voter reported its vote as free, and requests the lease again soon.
     pub fn vote_freed(&mut self, now: i64, lease: &L) {
-        let waits = |state: &&LeaseState| state.is_wanted && !state.is_held && !state.round_open;
-        let Some(state) = self.leases.get(lease).filter(waits) else { return };
+        let is_waiting = |state: &&LeaseState| state.is_wanted && !state.is_held && !state.round_open;
+        let Some(state) = self.leases.get(lease).filter(is_waiting) else { return };
         let draw = state.failed_rounds.wrapping_add(VOTE_FREED_DRAW);
         let request_us = now + self.jitter_us(self.config.round_timeout_us(), draw);
         if let Some(state) = self.leases.get_mut(lease) {
@@ -196,11 +207,11 @@
         }
     }
 
-    /// Time passes: leases expire, rounds end and begin.
+    /// Advances the time: leases expire, and rounds end and begin.
     pub fn advance(&mut self, now: i64) {
         let wanted = self.leases.iter().filter(|(_, state)| state.is_wanted);
         let wanted: Vec<L> = wanted.map(|(lease, _)| lease.clone()).collect();
-        // What is held is renewed together, so that it goes in one frame.
+        // All held leases are renewed together, so that their requests share one frame.
         let renews = self.leases.values().any(|state| state.is_held && now >= state.next_request_us);
         for lease in wanted {
             let Some(mut state) = self.leases.remove(&lease) else { continue };
@@ -245,8 +256,8 @@
         });
     }
 
-    /// A voter's reply to the request of a round; replies to earlier rounds say nothing of how long this one's votes are
-    /// valid.
+    /// Handles a voter's reply to a request. A reply to an earlier round is ignored, because it
+    /// does not tell how long the votes of this round are valid.
     pub fn on_vote_reply(&mut self, now: i64, voter: usize, lease: &L, round: u64, reply: VoteReply) {
         let Some(mut state) = self.leases.remove(lease) else { return };
         if state.is_held && now >= state.expires_at_us {
@@ -276,7 +287,7 @@
         self.leases.insert(lease.clone(), state);
     }
 
-    /// A majority voted for the round that is open.
+    /// Acquires or renews the lease after a majority granted its votes in the open round.
     fn complete_round(&mut self, lease: &L, state: &mut LeaseState, now: i64) {
         let expires_at_us = state.round_started_us + self.config.holder_duration_us();
         if !state.is_held && now >= expires_at_us {
@@ -296,13 +307,13 @@
         }
     }
 
-    /// The round brought no majority: votes that it did bring are released, and requested again once enough of the
-    /// others are free.
+    /// Ends a round without a majority: releases the votes that were granted and schedules the next
+    /// request for when a majority of votes can be free.
     fn fail_round(&mut self, lease: &L, state: &mut LeaseState, now: i64) {
         self.actions.push_back(LeaseAction::ReleaseVotes { lease: lease.clone(), token: state.token });
         let mut free_at_us: Vec<i64> = state.free_at_us.values().copied().collect();
         free_at_us.sort_unstable();
-        // With so many votes free, a majority could be had.
+        // The round can succeed once this many of the refusing voters are free.
         let missing = self.majority() as usize + state.refused.count_ones() as usize;
         let last_missing = missing.checked_sub(self.voters + 1).and_then(|index| free_at_us.get(index));
         let majority_free_us = last_missing.copied().unwrap_or(now);
--- a/lease/src/record.rs
+++ b/lease/src/record.rs
@@ -1,35 +1,38 @@
-//! What a voter stores, reported as deltas. A voter numbers the changes of its record by a revision of its own
-//! incarnation; a request names the incarnation and revision that the client has, and the reply brings the leases that
-//! changed since, or all of them where that incarnation is not known. Revisions of two voters have nothing to do with
-//! each other, so a client tracks one for each.
+//! Deltas of a voter's record, which holds its stored votes. A voter numbers the changes of its
+//! record by a revision that counts within one incarnation of the voter. A request names the
+//! incarnation and revision that the client has; the reply contains the leases that changed since,
+//! or all leases if the voter does not know that incarnation. Revisions of different voters are
+//! unrelated, so a client tracks one for each voter.
 //!
-//! Why nothing is missed: a delta names the revision from which on it reports, and the one that it brings the client
-//! up to; it is accepted only where the client has the first, and the second counts only once all of it was applied. A
-//! doubled or late delta brings nothing new, or is one of an incarnation that is over, with which the voter is asked
-//! for everything again. Why nothing older is reported: of each lease the newest version reported is remembered, and
-//! only what is above it is newer, whichever voter reports it.
+//! No change is missed: a delta names the revision that it starts from and the revision that it
+//! brings the client up to. A client accepts a delta only if it has the first, and records the
+//! second only once it has applied the whole delta. A duplicated or late delta either contains
+//! nothing new or belongs to an earlier incarnation, after which the client requests the whole
+//! record again. No older version is reported after a newer one: the client remembers the newest
+//! version of each lease and passes on only higher ones, whichever voter reports them.
 use crate::voter::StoredVote;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The incarnation of a voter, by the time of its start, and the revision of its record there. 0: none.
+/// A state of one voter's record: an incarnation of the voter and a revision within it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RevisionState {
-    /// The time of the voter's start; 0: none.
+    /// The time at which the voter started; 0 if the client has no state.
     pub incarnation: u64,
-    /// How many changes of its record the state includes.
+    /// The number of changes of the record that the state includes.
     pub revision: u64,
 }
 
-/// What a delta covers.
+/// The range of revisions that a delta covers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RecordDelta {
-    /// It holds what changed after this revision; 0: everything.
+    /// The delta contains the changes after this revision; 0 if it contains the whole record.
     pub since: u64,
-    /// What a client has once it applied the delta.
+    /// The state that a client has once it has applied the delta.
     pub up_to: RevisionState,
 }
 
-/// What counts as a change: that a vote expired, not that a holder renewed it.
+/// The fields whose change starts a new revision. The expiry of a vote is a change; a later expiry
+/// time is not.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct RecordFingerprint {
     token: u64,
@@ -38,10 +41,11 @@
     metadata: LeaseVersion,
 }
 
-/// A lease's token, and the number of the metadata written under it: versions of a lease are ordered by both.
+/// The version of a lease, by which reports are ordered: its token, then the number of the metadata
+/// written under that token.
 pub type LeaseVersion = (u64, u64);
 
-/// A voter's side: at which revision each lease changed last. `L` is the type of lease names.
+/// The voter's side: the revision at which each lease last changed. `L` is the type of lease names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RevisionLog<L> {
     current: RevisionState,
@@ -49,12 +53,13 @@
 }
 
 impl<L: Ord + Clone> RevisionLog<L> {
-    /// `incarnation` is over 0, and another at each start of the voter.
+    /// Creates an empty log. `incarnation` must be above 0 and differ at each start of the voter.
     pub fn new(incarnation: u64) -> Self {
         RevisionLog { current: RevisionState { incarnation, revision: 1 }, changed: BTreeMap::new() }
     }
 
-    /// The delta for a client that has this state, of the votes as they are stored now.
+    /// Compares the votes as they are stored now with the logged ones and returns the delta for a
+    /// client that has `client_state`.
     pub fn delta_for<'a, C: 'a>(
         &mut self,
         now: i64,
@@ -82,14 +87,14 @@
         RecordDelta { since: if is_known { client_state.revision } else { 0 }, up_to: self.current }
     }
 
-    /// Whether a delta has to name this lease. One that was not looked at is named.
+    /// Returns whether a delta must contain this lease. A lease that was never logged is included.
     pub fn includes(&self, delta: &RecordDelta, lease: &L) -> bool {
         self.changed.get(lease).is_none_or(|(_, changed_at)| *changed_at > delta.since)
     }
 }
 
-/// A client's side: what it has of each voter's record, by a part of it (`P`), and the newest version reported of each
-/// lease (`L`).
+/// The client's side: the state that it has of each voter's record, separately for each range of
+/// lease names (`R`), and the newest version reported of each lease (`L`).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RevisionTracker<P, L> {
     states: BTreeMap<(usize, P), RevisionState>,
@@ -103,14 +108,15 @@
 }
 
 impl<P: Ord + Clone, L: Ord + Clone> RevisionTracker<P, L> {
-    /// The state to name in a request to this voter.
-    pub fn state(&self, voter: usize, part: &P) -> RevisionState {
-        self.states.get(&(voter, part.clone())).copied().unwrap_or_default()
+    /// Returns the state to name in a request to this voter.
+    pub fn state(&self, voter: usize, prefix: &P) -> RevisionState {
+        self.states.get(&(voter, prefix.clone())).copied().unwrap_or_default()
     }
 
-    /// Whether a delta may be applied. One of an older build (incarnation 0) reports everything each time.
-    pub fn accepts(&self, voter: usize, part: &P, delta: &RecordDelta) -> bool {
-        let state = self.state(voter, part);
+    /// Returns whether a delta may be applied. A delta with incarnation 0 comes from an older
+    /// build, which reports the whole record each time.
+    pub fn accepts(&self, voter: usize, prefix: &P, delta: &RecordDelta) -> bool {
+        let state = self.state(voter, prefix);
         if delta.up_to.incarnation == state.incarnation && state.incarnation != 0 {
             delta.since <= state.revision
         } else {
@@ -118,27 +124,27 @@
         }
     }
 
-    /// Whether a version is above the newest one reported of a lease.
+    /// Returns whether a version is above the newest one that was reported of the lease.
     pub fn is_newer(&self, lease: &L, version: LeaseVersion) -> bool {
         self.newest.get(lease).is_none_or(|newest| version > *newest)
     }
 
-    /// All newer versions of an accepted delta were applied.
+    /// Records the state of an accepted delta, once all of its newer versions were applied.
     pub fn applied(
         &mut self,
         voter: usize,
-        part: &P,
+        prefix: &P,
         delta: &RecordDelta,
         newer: impl IntoIterator<Item = (L, LeaseVersion)>,
     ) {
         if delta.up_to.incarnation != 0 {
-            self.states.insert((voter, part.clone()), delta.up_to);
+            self.states.insert((voter, prefix.clone()), delta.up_to);
         }
         self.newest.extend(newer);
     }
 }
 
-/// Which leases are held, as each voter's deltas report it.
+/// The leases that are held, by voter, as the voter's deltas report them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolders<L>(BTreeMap<usize, BTreeSet<L>>);
 
@@ -149,7 +155,7 @@
 }
 
 impl<L: Ord> LeaseHolders<L> {
-    /// An accepted delta of a voter names these leases, each held or not.
+    /// Applies an accepted delta of a voter, which lists each lease with whether it is held.
     pub fn update(&mut self, voter: usize, delta: &RecordDelta, leases: impl IntoIterator<Item = (L, bool)>) {
         let held = self.0.entry(voter).or_default();
         if delta.since == 0 {
@@ -164,7 +170,7 @@
         }
     }
 
-    /// Leases that are held, as this voter reported last.
+    /// Returns the leases that are held according to the last delta of this voter.
     pub fn held_at(&self, voter: usize) -> impl Iterator<Item = &L> {
         self.0.get(&voter).into_iter().flatten()
     }
--- a/lease/src/slots.rs
+++ b/lease/src/slots.rs
@@ -1,22 +1,22 @@
-//! Which slot a spare requests: one that no majority of votes is granted for, at random, so that many spares spread
-//! over many slots.
+//! Selects the slot that a spare process requests: a random one among the slots for which no
+//! majority of votes is granted, so that many spares spread over many slots.
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What changes by a choice.
+/// The result of choosing a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotChoice<L> {
-    /// The slot to request from now on.
+    /// The slot to request from now on; `None` if the choice has not changed or no slot is free.
     pub request: Option<L>,
-    /// The slot to release before that: it turned out to be another's.
+    /// The slot to release first, because a majority granted it to another process.
     pub release: Option<L>,
 }
 
-/// Chooses the slot that one process requests. `L` is the type of lease names.
+/// Selects the slot that one process requests. `L` is the type of lease names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SlotSelector<L> {
     slots: Vec<L>,
     voters: usize,
-    /// By voter: the slots that its votes are granted for, as it last reported.
+    /// By voter: the slots for which its vote is granted to other processes, as it last reported.
     taken: BTreeMap<usize, BTreeSet<L>>,
     seed: u64,
     choices: u64,
@@ -24,27 +24,29 @@
 }
 
 impl<L: Ord + Clone> SlotSelector<L> {
-    /// A process that may take any of these slots, among so many voters; the choice is drawn from `seed`.
+    /// Creates a selector for a process that may take any of `slots`, which `voters` voters grant.
+    /// `seed` seeds the random choice.
     pub fn new(slots: Vec<L>, voters: usize, seed: u64) -> Self {
         SlotSelector { slots, voters, taken: BTreeMap::new(), seed, choices: 0, requested: None }
     }
 
-    /// A voter reported for which leases its votes are granted to others.
+    /// Records the leases for which a voter reported that its vote is granted to other processes.
     pub fn set_taken(&mut self, voter: usize, taken: impl IntoIterator<Item = L>) {
         self.taken.insert(voter, taken.into_iter().collect());
     }
 
-    /// A voter reported that its vote is free.
+    /// Records that a voter reported its vote for `slot` as free.
     pub fn vote_freed(&mut self, voter: usize, slot: &L) {
         self.taken.entry(voter).or_default().remove(slot);
     }
 
-    /// A voter is not connected any more: a slot whose holder died with it would stay taken for ever.
+    /// Drops the reports of a voter that is no longer connected. Otherwise a slot whose holder died
+    /// at the same time would count as taken forever.
     pub fn forget_voter(&mut self, voter: usize) {
         self.taken.remove(&voter);
     }
 
-    /// The slot that is requested or held.
+    /// Returns the slot that is requested or held.
     pub fn requested(&self) -> Option<&L> {
         self.requested.as_ref()
     }
@@ -53,8 +55,8 @@
         2 * self.taken.values().filter(|taken| taken.contains(slot)).count() > self.voters
     }
 
-    /// The slot to request from now on, and the one to release for it. Nothing changes while no slot is free or no
-    /// voter has reported.
+    /// Chooses the slot to request from now on, and the slot to release for it. Nothing changes
+    /// while no slot is free or no voter has reported.
     pub fn choose(&mut self) -> SlotChoice<L> {
         let lost = self.requested.as_ref().is_some_and(|slot| self.is_taken(slot));
         let release = if lost { self.requested.take() } else { None };
@@ -71,7 +73,7 @@
         SlotChoice { request: self.requested.clone(), release }
     }
 
-    /// The slot is held no more; the next choice starts anew.
+    /// Records that the slot is no longer held, so that the next choice starts afresh.
     pub fn slot_lost(&mut self) {
         self.requested = None;
     }
--- a/lease/src/voter.rs
+++ b/lease/src/voter.rs
@@ -1,26 +1,27 @@
-//! A voter: one vote for each lease, granted to one client at a time.
+//! A voter of the quorum: it has one vote for each lease and grants it to one client at a time.
 use crate::{LeaseConfig, LeaseMetadata, VoteReply};
 use std::collections::BTreeMap;
 
-/// A voter stores votes for at most so many leases; requests for others are refused.
+/// The most leases for which a voter stores votes; requests for any further lease are refused.
 pub const MAX_LEASES: usize = 4096;
 
-/// What a voter stores of one lease. `C` is the type of client names.
+/// What a voter stores about one lease. `C` is the type of client names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StoredVote<C> {
-    /// The highest token that it voted for, or that was released.
+    /// The highest token that the voter voted for or that a client released.
     pub token: u64,
-    /// Who has the vote; `None`: released.
+    /// The client that has the vote; `None` if the vote was released.
     pub holder: Option<C>,
-    /// Until when the vote is valid, in microseconds of the voter's clock.
+    /// When the vote expires, in microseconds of the voter's clock.
     pub expires_at_us: i64,
-    /// The client renewed under its token: it is a holder, not one of many that try.
+    /// Whether the client renewed the vote under its token: then it holds the lease, rather than
+    /// being one of several clients that request it.
     pub renewed: bool,
-    /// What a holder left.
+    /// The newest metadata that a holder wrote.
     pub metadata: LeaseMetadata,
 }
 
-/// Nothing was voted for.
+/// A lease that the voter never voted for.
 impl<C> Default for StoredVote<C> {
     fn default() -> Self {
         StoredVote {
@@ -33,58 +34,62 @@
     }
 }
 
-/// What a voter that lost its state recovers of one lease from another voter.
+/// What a voter that lost its state recovers about one lease from another voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RecoveredVote<L, C> {
     /// The lease's name.
     pub lease: L,
     /// The highest token that the other voter knows.
     pub token: u64,
-    /// Who held the lease under that token.
+    /// The client that held the lease under that token; `None` if no holder is known.
     pub holder: Option<C>,
-    /// What a holder left.
+    /// The newest metadata that a holder wrote.
     pub metadata: LeaseMetadata,
 }
 
-/// `L` is the type of lease names; `C` that of client names, each process another.
+/// A voter's state. `L` is the type of lease names, `C` the type of client names; each process is a
+/// client with a name of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter<L, C> {
     config: LeaseConfig,
-    /// No vote is given before this time.
+    /// The voter grants no vote before this time, in microseconds of its clock.
     votes_from_us: i64,
-    /// Which of the other voters must still report what they store: see `recover_from`.
+    /// The progress of recovery from the other voters, see `recover_from`; `None` if the voter's
+    /// state is complete.
     recovery: Option<Recovery>,
     votes: BTreeMap<L, StoredVote<C>>,
-    /// Leases that were transferred: to whom alone the vote is free, and until when. A refusal harms nothing.
+    /// Leases that were transferred: the only client that may get the vote, and until when. A
+    /// refusal that turns out to be unnecessary does no harm.
     transfers: BTreeMap<L, (C, i64)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Recovery {
     voters: usize,
-    /// Who reported, and whether it had everything that it ever stored.
+    /// By voter that has reported: whether that voter's own state was complete.
     reported: BTreeMap<usize, bool>,
 }
 
 impl<L: Ord + Clone, C: PartialEq + Clone> Voter<L, C> {
-    /// A voter of a quorum that never voted before.
+    /// Creates a voter of a quorum that has never voted.
     pub fn new(config: LeaseConfig, now: i64) -> Self {
         let (votes, transfers) = (BTreeMap::new(), BTreeMap::new());
         Voter { config, votes_from_us: now, recovery: None, votes, transfers }
     }
 
-    /// A voter without what it stored, among so many in all. It may have voted a moment ago: it waits until that vote
-    /// has expired. It may have been one of the two that knew the newest token or metadata: it recovers them from
-    /// the others.
+    /// Creates a voter that lost its state, in a quorum of `voters`. It may have voted just before
+    /// the loss, so it waits until such a vote has expired. It may also have been one of only two
+    /// voters that knew the newest token or metadata, so it recovers them from the other voters.
     pub fn without_state(config: LeaseConfig, now: i64, voters: usize) -> Self {
         let recovery = (voters > 1).then(|| Recovery { voters, reported: BTreeMap::new() });
         let votes_from_us = now + config.recovery_wait_us();
         Voter { votes_from_us, recovery, ..Voter::new(config, now) }
     }
 
-    /// A voter with what it stored in an incarnation for which `is_voting` was true: a start soon after another that
-    /// had lost everything would else vote while what was voted before that is still valid. How long it was away is
-    /// not known: granted votes are valid for a whole lease duration more.
+    /// Creates a voter from the votes that it stored in an incarnation in which `is_voting` was
+    /// true. Without that condition, a voter that restarts soon after it lost its state could vote
+    /// while votes from before the loss are still valid. The length of the downtime is unknown, so
+    /// granted votes stay valid for a whole lease duration plus the clock drift.
     pub fn restored(
         config: LeaseConfig,
         now: i64,
@@ -96,8 +101,9 @@
         voter
     }
 
-    /// What another voter that lost its state recovers from this one. A client that only requested a lease is not
-    /// named: under a token that it shares with another it could else become a second holder.
+    /// Returns the votes from which another voter recovers its state. A client that requested a
+    /// lease but never held it is left out: if it used the same token as another client, it could
+    /// otherwise become a second holder.
     pub fn votes_for_recovery(&self) -> Vec<RecoveredVote<L, C>> {
         let recovered = |(lease, vote): (&L, &StoredVote<C>)| RecoveredVote {
             lease: lease.clone(),
@@ -108,9 +114,9 @@
         self.votes.iter().map(recovered).collect()
     }
 
-    /// Another voter reported what it stores, and whether that is everything that it ever stored. Enough have reported
-    /// once every majority that this voter was part of has another member among them; or once all others have, as
-    /// there is nobody more to ask.
+    /// Merges the votes that another voter reported; `is_complete` tells whether that voter's own
+    /// state is complete. Recovery ends once every majority that this voter was part of has another
+    /// member among the complete voters that reported, or once all other voters have reported.
     pub fn recover_from(
         &mut self,
         other: usize,
@@ -124,7 +130,8 @@
         let enough = complete > voters - (voters / 2 + 1) || recovery.reported.len() + 1 >= voters;
         for recovered in votes {
             let vote = self.votes.entry(recovered.lease).or_default();
-            // Without its name, the holder of that very token would be refused until there is another.
+            // If the holder of this token were left out, the voter would refuse its renewals until
+            // there is a newer holder.
             if recovered.token > vote.token || (recovered.token == vote.token && vote.holder.is_none()) {
                 vote.renewed = recovered.holder.is_some();
                 vote.holder = recovered.holder;
@@ -137,18 +144,20 @@
         }
     }
 
-    /// Whether it gives votes: only from then on what it stores is enough for its next incarnation.
+    /// Returns whether the voter grants votes. A voter may be restored only from what it stored
+    /// while this was true.
     pub fn is_voting(&self, now: i64) -> bool {
         now >= self.votes_from_us && self.recovery.is_none()
     }
 
-    /// Whether it has everything that it ever stored, or has recovered it.
+    /// Returns whether the voter has everything that it ever stored, or has recovered it.
     pub fn is_complete(&self) -> bool {
         self.recovery.is_none()
     }
 
-    /// A client requests a lease under a token of its choice, or renews it under the one that it has. The vote stores
-    /// its metadata, if it brings any.
+    /// Handles a client's request for the vote, under a token of its choice or, for a renewal,
+    /// under the token that it has. The vote stores the client's metadata, if the request carries
+    /// any.
     pub fn request_vote(
         &mut self,
         now: i64,
@@ -173,7 +182,8 @@
         let renews = vote.holder.as_ref() == Some(client) && vote.token == token;
         if !renews {
             if vote.holder.is_some() && now < vote.expires_at_us {
-                // One of many clients mostly releases its vote at once: the others need not wait for it to expire.
+                // One of several requesting clients usually releases its vote soon, so the others
+                // need not wait until it expires.
                 let longest = if vote.renewed { config.duration_us } else { config.round_timeout_us() };
                 let retry_after_us = (vote.expires_at_us - now).min(longest);
                 return VoteReply::Refused { token: vote.token, retry_after_us };
@@ -182,7 +192,8 @@
                 return VoteReply::Refused { token: vote.token, retry_after_us: 0 };
             }
         }
-        // Not before it has the vote: its first request may be refused for its token, and others would get the lease.
+        // The transfer ends only once its client has the vote: the client's first request may be
+        // refused because of its token, and other clients would then get the lease.
         self.transfers.remove(lease);
         vote.renewed = renews;
         (vote.token, vote.holder) = (token, Some(client.clone()));
@@ -194,8 +205,9 @@
         VoteReply::Granted { metadata: before }
     }
 
-    /// A client releases a vote: it does not hold the lease, or does not act on it any more. True where a holder's vote
-    /// is free by this, which others will want to know. A request under that token that comes late finds nothing.
+    /// Releases the vote of a client that did not get the lease or no longer acts on it. Returns
+    /// whether this freed the vote of a holder, which the voter announces to other clients. The
+    /// token is stored, so a late request under the same token is refused.
     pub fn release_vote(&mut self, lease: &L, client: &C, token: u64) -> bool {
         let Some(vote) = self.votes.get_mut(lease) else { return false };
         if vote.holder.as_ref() == Some(client) && vote.token == token {
@@ -207,24 +219,26 @@
         false
     }
 
-    /// What was just released is transferred: for a lease duration the vote is free for this client alone.
+    /// Reserves a released vote for the client `to`: for one lease duration no other client gets
+    /// it.
     pub fn transfer(&mut self, now: i64, lease: &L, to: C) {
         if self.votes.get(lease).is_some_and(|vote| vote.holder.is_none()) {
             self.transfers.insert(lease.clone(), (to, now + self.config.duration_us));
         }
     }
 
-    /// What it stores of one lease.
+    /// Returns what the voter stores about one lease.
     pub fn stored_vote(&self, lease: &L) -> Option<&StoredVote<C>> {
         self.votes.get(lease)
     }
 
-    /// Everything that it stores, for the disk and for operators.
+    /// Returns all stored votes, for the voter's state file and for operators.
     pub fn stored_votes(&self) -> impl Iterator<Item = (&L, &StoredVote<C>)> {
         self.votes.iter()
     }
 
-    /// The time from which on it votes, if it is complete, in microseconds.
+    /// Returns the time from which the voter grants votes if its state is complete, in
+    /// microseconds.
     pub fn votes_from_us(&self) -> i64 {
         self.votes_from_us
     }
