--- a/lease/tests/drawn.rs
+++ b/lease/tests/drawn.rs
@@ -1,6 +1,7 @@
-//! Drawn runs of many clients and several leases under a made-up clock: frames lost, doubled and late, clocks
-//! of different pace, clients stopped and woken, cut off both ways or one, voters started again with and
-//! without what they stored, planned hand-overs. Invariants at every step; a failing case prints its seed.
+//! Randomised runs of several clients and leases under a simulated clock: frames that are lost,
+//! duplicated or late, clocks that run at different rates, clients that are stopped and resumed or
+//! cut off in one or both directions, voters that restart with or without their stored votes, and
+//! planned transfers. Invariants are checked at every step; a failing case prints its seed.
 use basaltpitch_lease::client::{LeaseAction, LeaseClient};
 use basaltpitch_lease::voter::Voter;
 use basaltpitch_lease::{LeaseConfig, LeaseMetadata, VoteReply};
@@ -18,16 +19,16 @@
     Act { lease: u8, token: u64 },
 }
 
-/// One end of a link: voters, clients, or the place where leases take effect.
+/// One end of a frame's path: a voter, a client, or the resource that checks fencing tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Endpoint {
     Voter(usize),
     Client(usize),
-    Effect,
+    Resource,
 }
 
 struct Process {
-    /// Rate against true time, in millionths; both ends of the drift bound are drawn.
+    /// The deviation of the clock's rate from true time, in millionths.
     clock_rate: i64,
     stopped_until: i64,
     receives_from: i64,
@@ -42,19 +43,21 @@
     clients: Vec<LeaseClient<u8>>,
     processes: Vec<Process>,
     in_flight: Vec<(i64, Endpoint, Endpoint, Frame)>,
-    /// By lease: the last token won, the last metadata recorded, the highest token that acted.
-    won: BTreeMap<u8, u64>,
+    /// By lease: the last token acquired, the last metadata stored by a majority, and the highest
+    /// token that acted.
+    acquired: BTreeMap<u8, u64>,
     recorded: BTreeMap<u8, (u64, u64)>,
     acted: BTreeMap<u8, u64>,
-    /// Hand-overs, and acts that were refused.
-    hand_overs: u64,
+    /// Acquisitions of a lease, and actions that the fence refused.
+    acquisitions: u64,
     refused: u64,
 }
 
 impl Run {
     fn new(seed: u64, voters: usize, clients: usize, leases: u8) -> Run {
         let mut rng = fastrand::Rng::with_seed(seed);
-        // Two clocks differ by 2 x 20,000 millionths of a term at the most: 40 ms, under the drift of 50.
+        // Two clocks differ by at most 2 x 20,000 millionths of a lease duration, 40 ms, below the
+        // allowed drift of 50 ms.
         let process = |_| Process {
             clock_rate: rng.i64(-20_000..=20_000),
             stopped_until: 0,
@@ -62,10 +65,10 @@
             sends_from: 0,
         };
         let processes = (0..voters + clients).map(process).collect();
-        let client = |m| {
+        let client = |index| {
             let mut client =
-                LeaseClient::new(CONFIG, voters, seed.wrapping_mul(31).wrapping_add(m as u64), 0);
-            (0..leases).for_each(|d| client.acquire(0, d));
+                LeaseClient::new(CONFIG, voters, seed.wrapping_mul(31).wrapping_add(index as u64), 0);
+            (0..leases).for_each(|lease| client.acquire(0, lease));
             client
         };
         Run {
@@ -75,10 +78,10 @@
             clients: (0..clients).map(client).collect(),
             processes,
             in_flight: Vec::new(),
-            won: BTreeMap::new(),
+            acquired: BTreeMap::new(),
             recorded: BTreeMap::new(),
             acted: BTreeMap::new(),
-            hand_overs: 0,
+            acquisitions: 0,
             refused: 0,
             rng,
         }
@@ -86,62 +89,62 @@
 
     fn process(&mut self, at: Endpoint) -> Option<&mut Process> {
         match at {
-            Endpoint::Voter(v) => self.processes.get_mut(v),
-            Endpoint::Client(m) => self.processes.get_mut(self.voters.len() + m),
-            Endpoint::Effect => None,
+            Endpoint::Voter(voter) => self.processes.get_mut(voter),
+            Endpoint::Client(client) => self.processes.get_mut(self.voters.len() + client),
+            Endpoint::Resource => None,
         }
     }
 
     fn clock(&self, at: Endpoint) -> i64 {
-        let n = match at {
-            Endpoint::Voter(v) => v,
-            Endpoint::Client(m) => self.voters.len() + m,
-            Endpoint::Effect => return self.now,
+        let process = match at {
+            Endpoint::Voter(voter) => voter,
+            Endpoint::Client(client) => self.voters.len() + client,
+            Endpoint::Resource => return self.now,
         };
-        self.now + self.now * self.processes[n].clock_rate / 1_000_000
+        self.now + self.now * self.processes[process].clock_rate / 1_000_000
     }
 
-    /// A frame goes out: lost, once or twice, each time as late as is drawn.
+    /// Sends a frame: it is lost, or arrives once or twice, each time after a random delay.
     fn send(&mut self, from: Endpoint, to: Endpoint, frame: Frame) {
         let now = self.now;
         if self.process(from).is_some_and(|process| process.sends_from > now) {
             return;
         }
-        let copies = [1, 0, 1, 1, 1, 1, 1, 1, 1, 2][self.rng.usize(0..if self.faulty { 10 } else { 1 })];
-        for _ in 0..copies {
-            let far = self.faulty && self.rng.u32(0..50) == 0;
-            let late = self.rng.i64(0..if far { 2 * CONFIG.duration_us } else { 20_000 });
+        let deliveries = [1, 0, 1, 1, 1, 1, 1, 1, 1, 2][self.rng.usize(0..if self.faulty { 10 } else { 1 })];
+        for _ in 0..deliveries {
+            let very_late = self.faulty && self.rng.u32(0..50) == 0;
+            let late = self.rng.i64(0..if very_late { 2 * CONFIG.duration_us } else { 20_000 });
             self.in_flight.push((now + late, from, to, frame.clone()));
         }
     }
 
     fn send_to_voters(&mut self, from: usize, frame: Frame) {
         (0..self.voters.len())
-            .for_each(|v| self.send(Endpoint::Client(from), Endpoint::Voter(v), frame.clone()));
+            .for_each(|voter| self.send(Endpoint::Client(from), Endpoint::Voter(voter), frame.clone()));
     }
 
-    fn run_actions(&mut self, m: usize) {
-        while let Some(action) = self.clients[m].next_action() {
+    fn run_actions(&mut self, client: usize) {
+        while let Some(action) = self.clients[client].next_action() {
             match action {
                 LeaseAction::RequestVotes { lease, token, round, metadata, renews } => {
-                    self.send_to_voters(m, Frame::Request { lease, token, round, metadata, renews })
+                    self.send_to_voters(client, Frame::Request { lease, token, round, metadata, renews })
                 }
                 LeaseAction::ReleaseVotes { lease, token } => {
-                    self.send_to_voters(m, Frame::Release { lease, token })
+                    self.send_to_voters(client, Frame::Release { lease, token })
                 }
                 LeaseAction::Acquired { lease, token, metadata } => {
-                    let before = self.won.insert(lease, token).unwrap_or(0);
-                    assert!(token > before, "duty {lease}: token {token} after {before}");
+                    let before = self.acquired.insert(lease, token).unwrap_or(0);
+                    assert!(token > before, "lease {lease}: token {token} after {before}");
                     let recorded = self.recorded.get(&lease).copied().unwrap_or_default();
                     assert!(
                         (metadata.token, metadata.number) >= recorded,
-                        "duty {lease}: a metadata was lost: {metadata:?} {recorded:?}"
+                        "lease {lease}: metadata was lost: {metadata:?} {recorded:?}"
                     );
-                    self.hand_overs += 1;
+                    self.acquisitions += 1;
                 }
                 LeaseAction::MetadataRecorded { lease, number } => {
-                    let token = self.clients[m].held_token(self.clock(Endpoint::Client(m)), &lease);
-                    // The round that recorded it may have ended with the term.
+                    let token = self.clients[client].held_token(self.clock(Endpoint::Client(client)), &lease);
+                    // The lease may have expired with the round that stored the metadata.
                     if let Some(token) = token {
                         self.recorded.insert(lease, (token, number));
                     }
@@ -155,11 +158,11 @@
         let now = self.clock(to);
         match (to, from, frame) {
             (
-                Endpoint::Voter(v),
-                Endpoint::Client(m),
+                Endpoint::Voter(voter),
+                Endpoint::Client(client),
                 Frame::Request { lease, token, round, metadata, renews },
             ) => {
-                let reply = match self.voters[v].request_vote(now, &lease, &m, token, metadata) {
+                let reply = match self.voters[voter].request_vote(now, &lease, &client, token, metadata) {
                     VoteReply::Granted { .. } if renews => {
                         VoteReply::Granted { metadata: LeaseMetadata::default() }
                     }
@@ -167,17 +170,20 @@
                 };
                 self.send(to, from, Frame::Reply { lease, round, reply });
             }
-            (Endpoint::Voter(v), Endpoint::Client(m), Frame::Release { lease, token }) => {
-                let free = self.voters[v].release_vote(&lease, &m, token);
+            (Endpoint::Voter(voter), Endpoint::Client(client), Frame::Release { lease, token }) => {
+                let free = self.voters[voter].release_vote(&lease, &client, token);
                 let notified = if free { self.clients.len() } else { 0 };
-                (0..notified).for_each(|m| self.send(to, Endpoint::Client(m), Frame::Freed { lease }));
+                (0..notified)
+                    .for_each(|client| self.send(to, Endpoint::Client(client), Frame::Freed { lease }));
             }
-            (Endpoint::Client(m), Endpoint::Voter(v), Frame::Reply { lease, round, reply }) => {
-                self.clients[m].on_vote_reply(now, v, &lease, round, reply);
-                self.run_actions(m);
+            (Endpoint::Client(client), Endpoint::Voter(voter), Frame::Reply { lease, round, reply }) => {
+                self.clients[client].on_vote_reply(now, voter, &lease, round, reply);
+                self.run_actions(client);
             }
-            (Endpoint::Client(m), _, Frame::Freed { lease }) => self.clients[m].vote_freed(now, &lease),
-            (Endpoint::Effect, _, Frame::Act { lease, token }) => {
+            (Endpoint::Client(client), _, Frame::Freed { lease }) => {
+                self.clients[client].vote_freed(now, &lease)
+            }
+            (Endpoint::Resource, _, Frame::Act { lease, token }) => {
                 let highest = self.acted.entry(lease).or_insert(0);
                 self.refused += u64::from(token < *highest);
                 *highest = token.max(*highest);
@@ -190,39 +196,41 @@
         if self.rng.u32(0..400) >= strength {
             return;
         }
-        let m = Endpoint::Client(self.rng.usize(0..self.clients.len()));
+        let endpoint = Endpoint::Client(self.rng.usize(0..self.clients.len()));
         let until = self.now + self.rng.i64(0..3 * CONFIG.duration_us);
         match self.rng.u32(0..6) {
-            0 => self.process(m).into_iter().for_each(|process| process.stopped_until = until),
-            1 => self.process(m).into_iter().for_each(|process| process.receives_from = until),
-            2 => self.process(m).into_iter().for_each(|process| process.sends_from = until),
+            0 => self.process(endpoint).into_iter().for_each(|process| process.stopped_until = until),
+            1 => self.process(endpoint).into_iter().for_each(|process| process.receives_from = until),
+            2 => self.process(endpoint).into_iter().for_each(|process| process.sends_from = until),
             3 => {
-                let v = Endpoint::Voter(self.rng.usize(0..self.voters.len()));
-                self.process(v).into_iter().for_each(|process| process.stopped_until = until);
+                let endpoint = Endpoint::Voter(self.rng.usize(0..self.voters.len()));
+                self.process(endpoint).into_iter().for_each(|process| process.stopped_until = until);
             }
             4 => {
-                // One voter at a time lacks what it stored: more than that is more than a quorum bears.
-                let v = self.rng.usize(0..self.voters.len());
-                let now = self.clock(Endpoint::Voter(v));
+                // Only one voter at a time lacks its state; a quorum does not survive the loss of
+                // more.
+                let voter = self.rng.usize(0..self.voters.len());
+                let now = self.clock(Endpoint::Voter(voter));
                 let stored: Vec<_> =
-                    self.voters[v].stored_votes().map(|(lease, vote)| (*lease, vote.clone())).collect();
+                    self.voters[voter].stored_votes().map(|(lease, vote)| (*lease, vote.clone())).collect();
                 let lose = self.rng.bool() && self.voters.iter().all(Voter::is_complete);
                 if lose {
-                    self.voters[v] = Voter::without_state(CONFIG, now, self.voters.len());
-                } else if self.voters[v].is_voting(now) {
-                    self.voters[v] = Voter::restored(CONFIG, now, stored);
+                    self.voters[voter] = Voter::without_state(CONFIG, now, self.voters.len());
+                } else if self.voters[voter].is_voting(now) {
+                    self.voters[voter] = Voter::restored(CONFIG, now, stored);
                 }
             }
             _ => {
-                // A planned hand-over: what acts has stopped, then the lease is given back, and wanted again.
-                let Endpoint::Client(i) = m else { return };
-                let stopped = self.process(m).is_some_and(|process| process.stopped_until > 0);
+                // A planned transfer: the holder has stopped acting, releases the lease and
+                // requests it again later.
+                let Endpoint::Client(index) = endpoint else { return };
+                let stopped = self.process(endpoint).is_some_and(|process| process.stopped_until > 0);
                 let lease = self.rng.u8(0..2);
                 if !stopped {
-                    let now = self.clock(m);
-                    self.clients[i].release(&lease);
-                    self.clients[i].acquire(now + CONFIG.duration_us / 4, lease);
-                    self.run_actions(i);
+                    let now = self.clock(endpoint);
+                    self.clients[index].release(&lease);
+                    self.clients[index].acquire(now + CONFIG.duration_us / 4, lease);
+                    self.run_actions(index);
                 }
             }
         }
@@ -234,89 +242,92 @@
         let (now, mut due) = (self.now, Vec::new());
         let mut in_flight = std::mem::take(&mut self.in_flight);
         in_flight.retain(|frame| {
-            let comes = frame.0 <= now;
-            if comes {
+            let arrives = frame.0 <= now;
+            if arrives {
                 due.push(frame.clone());
             }
-            !comes
+            !arrives
         });
         self.in_flight.append(&mut in_flight);
         self.rng.shuffle(&mut due);
         for (_, from, to, frame) in due {
-            let (is_stopped, is_deaf) = self
+            let (is_stopped, receives_nothing) = self
                 .process(to)
                 .map_or((false, false), |process| (process.stopped_until > now, process.receives_from > now));
             if is_stopped {
-                // It lies in the socket until the process runs on.
+                // A stopped process reads the frame from its socket once it resumes.
                 self.in_flight.push((now + STEP, from, to, frame));
-            } else if !is_deaf {
+            } else if !receives_nothing {
                 self.deliver(from, to, frame);
             }
         }
-        for v in 0..self.voters.len() {
-            let others: Vec<usize> = (0..self.voters.len()).filter(|&other| other != v).collect();
-            if !self.voters[v].is_complete() && self.rng.u32(0..20) == 0 {
+        for voter in 0..self.voters.len() {
+            let others: Vec<usize> = (0..self.voters.len()).filter(|&other| other != voter).collect();
+            if !self.voters[voter].is_complete() && self.rng.u32(0..20) == 0 {
                 let other = others[self.rng.usize(0..others.len())];
                 let votes = self.voters[other].votes_for_recovery();
                 let is_complete = self.voters[other].is_complete();
-                self.voters[v].recover_from(other, is_complete, votes);
+                self.voters[voter].recover_from(other, is_complete, votes);
             }
         }
-        for m in 0..self.clients.len() {
-            let at = Endpoint::Client(m);
+        for client in 0..self.clients.len() {
+            let at = Endpoint::Client(client);
             if self.process(at).is_some_and(|process| process.stopped_until > now) {
                 continue;
             }
             let clock = self.clock(at);
-            self.clients[m].advance(clock);
-            self.run_actions(m);
+            self.clients[client].advance(clock);
+            self.run_actions(client);
             for lease in 0..2 {
                 if let Some(token) =
-                    self.clients[m].held_token(clock, &lease).filter(|_| self.rng.u32(0..50) == 0)
+                    self.clients[client].held_token(clock, &lease).filter(|_| self.rng.u32(0..50) == 0)
                 {
-                    // Looked; the act is on its way, and the process may be stopped before it leaves.
+                    // The client has checked the lease, and the process may be stopped before its
+                    // action leaves.
                     let late = if self.rng.u32(0..10) == 0 { 3 * CONFIG.duration_us } else { 10_000 };
                     let late = self.rng.i64(0..late);
-                    self.in_flight.push((now + late, at, Endpoint::Effect, Frame::Act { lease, token }));
+                    self.in_flight.push((now + late, at, Endpoint::Resource, Frame::Act { lease, token }));
                     if self.rng.u32(0..4) == 0 {
-                        self.clients[m].write_metadata(clock, &lease, vec![lease]);
+                        self.clients[client].write_metadata(clock, &lease, vec![lease]);
                     }
                 }
             }
         }
         for lease in 0..2 {
-            let holds =
-                |&m: &usize| self.clients[m].held_token(self.clock(Endpoint::Client(m)), &lease).is_some();
+            let holds = |&client: &usize| {
+                self.clients[client].held_token(self.clock(Endpoint::Client(client)), &lease).is_some()
+            };
             let holders: Vec<usize> = (0..self.clients.len()).filter(holds).collect();
-            assert!(holders.len() < 2, "duty {lease} is held by {holders:?} at {now}");
+            assert!(holders.len() < 2, "lease {lease} is held by {holders:?} at {now}");
         }
     }
 }
 
-fn play(seed: u64) -> Run {
+fn run_seed(seed: u64) -> Run {
     let voters = if seed.is_multiple_of(3) { 5 } else { 3 };
     let mut run = Run::new(seed, voters, 2 + seed as usize % 9, 2);
     (0..10_000).for_each(|_| run.step(1 + seed as u32 % 8));
     run.faulty = false;
-    // Calm again, each lease finds a holder within a few terms.
+    // Without faults, each lease is acquired within a few lease durations.
     run.processes
         .iter_mut()
         .for_each(|process| (process.stopped_until, process.receives_from, process.sends_from) = (0, 0, 0));
     (0..4_000).for_each(|_| run.step(0));
     for lease in 0..2 {
-        let held = (0..run.clients.len())
-            .any(|m| run.clients[m].held_token(run.clock(Endpoint::Client(m)), &lease).is_some());
-        assert!(held, "nobody holds duty {lease} in calm");
+        let held = (0..run.clients.len()).any(|client| {
+            run.clients[client].held_token(run.clock(Endpoint::Client(client)), &lease).is_some()
+        });
+        assert!(held, "no client holds lease {lease} without faults");
     }
     run
 }
 
 #[test]
-fn one_holder_rising_tokens_and_no_note_lost_in_drawn_runs() {
-    let (mut hand_overs, mut refused) = (0, 0);
+fn randomised_runs_keep_one_holder_rising_tokens_and_stored_metadata() {
+    let (mut acquisitions, mut refused) = (0, 0);
     for seed in 0..60 {
-        let run = std::panic::catch_unwind(|| play(seed)).unwrap_or_else(|_| panic!("seed {seed}"));
-        (hand_overs, refused) = (hand_overs + run.hand_overs, refused + run.refused);
+        let run = std::panic::catch_unwind(|| run_seed(seed)).unwrap_or_else(|_| panic!("seed {seed}"));
+        (acquisitions, refused) = (acquisitions + run.acquisitions, refused + run.refused);
     }
-    assert!(hand_overs > 500 && refused > 100, "{hand_overs} hand-overs, {refused} acts refused");
+    assert!(acquisitions > 500 && refused > 100, "{acquisitions} acquisitions, {refused} refused actions");
 }
--- a/lease/tests/every_state.rs
+++ b/lease/tests/every_state.rs
@@ -1,11 +1,12 @@
-//! Every state that three voters, two clients and one lease can reach within stated bounds, with frames
-//! lost, late and overtaken, clients that pause, clocks that differ, and a voter that starts again with and
-//! without what it stored. At no moment do two clients hold the lease by their own clocks, tokens rise, and
-//! where the lease takes effect no act of an older holder follows one of a newer.
+//! Explores every state that three voters, two clients and one lease can reach within bounds:
+//! frames that are lost, late or reordered, clients that pause, clocks that differ, and a voter
+//! that restarts with or without its stored votes. At no time do two clients hold the lease by
+//! their own clocks; tokens rise; and where the lease protects a resource, no action of an older
+//! holder follows one of a newer holder.
 //!
-//! A frame comes at once, or is one of a bounded number that are late: those come at any time after, or
-//! never. A client that does not look at the clock pauses. As voters differ in nothing, the one that starts
-//! again and the one whose clock is late is the first.
+//! A frame arrives at once, or is one of a bounded number of late frames, which arrive at any later
+//! time or never. A client that does not advance its clock is paused. All voters are alike, so only
+//! the first one restarts or has a slow clock.
 use basaltpitch_lease::client::{LeaseAction, LeaseClient};
 use basaltpitch_lease::voter::Voter;
 use basaltpitch_lease::{LeaseConfig, VoteReply};
@@ -25,7 +26,7 @@
     Act { token: u64 },
 }
 
-/// Which guard is removed, to see that the check notices it.
+/// The guard that is removed, to show that the checks notice its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum RemovedGuard {
     Nothing,
@@ -36,22 +37,22 @@
     Fence,
 }
 
-/// How far a search goes.
+/// The bounds of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Bounds {
-    /// The lease duration, in ticks; the drift is one tick.
+    /// The lease duration, in ticks; the allowed clock drift is one tick.
     duration_us: i64,
     ticks: i64,
     rounds: [u64; CLIENTS],
-    /// Frames that are late or lost.
+    /// How many frames may be late or lost.
     late: u32,
-    /// One clock of all falls behind by a tick, at any time.
-    clocks: bool,
-    /// The first voter starts again so often, at any time.
+    /// Whether one clock may fall behind by a tick, at any time.
+    clock_skew: bool,
+    /// How often the first voter may restart, at any time.
     restarts: u32,
-    /// What is late comes any number of times.
-    doubled: bool,
-    /// Clients act, at any time after they looked whether they may.
+    /// Whether late frames stay in flight, so that they can arrive any number of times.
+    duplicated: bool,
+    /// Whether clients act under the lease, at any time after they checked that they hold it.
     acts: bool,
 }
 
@@ -60,9 +61,9 @@
     ticks: 5,
     rounds: [2, 2],
     late: 1,
-    clocks: false,
+    clock_skew: false,
     restarts: 0,
-    doubled: false,
+    duplicated: false,
     acts: false,
 };
 
@@ -71,19 +72,19 @@
     removed: RemovedGuard,
     bounds: Bounds,
     now: i64,
-    /// The clock that is a tick behind: a voter's, or after those a client's.
+    /// The process whose clock is one tick behind: a voter, or after the voters a client.
     behind: Option<usize>,
-    // Shared among worlds, as a step changes one of them.
+    // Shared among worlds, because one step changes only one of them.
     voters: [Rc<Voter<u8, usize>>; VOTERS],
     clients: [Rc<LeaseClient<u8>>; CLIENTS],
     late_frames: Rc<BTreeSet<Frame>>,
-    /// Frames that are on their way at this moment; none in a state that is visited.
+    /// Frames that arrive within the current step; empty in every visited state.
     in_flight: VecDeque<Frame>,
     late: u32,
     rounds_begun: [u64; CLIENTS],
     restarted: u32,
-    /// The highest token that was won, and that acted; what is wrong, if anything.
-    won: u64,
+    /// The highest token that was acquired and the highest that acted; the first violation found.
+    acquired: u64,
     acted: u64,
     violation: Option<&'static str>,
 }
@@ -105,7 +106,7 @@
             late: 0,
             rounds_begun: [0; CLIENTS],
             restarted: 0,
-            won: 0,
+            acquired: 0,
             acted: 0,
             violation: None,
         };
@@ -131,14 +132,14 @@
         self.clients[client].held_token(self.clock(VOTERS + client), &LEASE)
     }
 
-    /// What a client is to do is done: its frames are on their way.
+    /// Carries out the actions of a client by putting its frames in flight.
     fn run_actions(&mut self, client: usize) {
         while let Some(action) = Rc::make_mut(&mut self.clients[client]).next_action() {
             match action {
                 LeaseAction::RequestVotes { token, round, .. } => {
                     self.rounds_begun[client] += 1;
                     self.in_flight.extend((0..VOTERS).map(|to| Frame::Request { client, token, round, to }));
-                    // What was said of a round before says nothing any more.
+                    // The client ignores replies to earlier rounds, so they are dropped.
                     Rc::make_mut(&mut self.late_frames)
                         .retain(|frame| !matches!(frame, Frame::Reply { to, .. } if *to == client));
                 }
@@ -146,17 +147,17 @@
                     self.in_flight.extend((0..VOTERS).map(|to| Frame::Release { client, token, to }));
                 }
                 LeaseAction::Acquired { token, .. } => {
-                    if token <= self.won {
-                        self.violation = Some("a token is not above the one before");
+                    if token <= self.acquired {
+                        self.violation = Some("a token is not above the previous one");
                     }
-                    self.won = token;
+                    self.acquired = token;
                 }
                 LeaseAction::Lost { .. } | LeaseAction::MetadataRecorded { .. } => {}
             }
         }
     }
 
-    /// Each frame on its way arrives, or is late.
+    /// Delivers every frame in flight, at once or late, and adds the resulting worlds.
     fn settle(mut self, all: &mut Vec<World>) {
         while let Some(frame) = self.in_flight.pop_front() {
             if self.late < self.bounds.late {
@@ -190,7 +191,7 @@
                 self.run_actions(*to);
             }
             Frame::Act { token } => {
-                // The fence: a token under the highest that acted is refused.
+                // The fence refuses a token below the highest one that acted.
                 if *token < self.acted && self.removed == RemovedGuard::Fence {
                     self.violation = Some("an older holder acted after a newer one");
                 }
@@ -203,7 +204,7 @@
         let mut all = Vec::new();
         if self.now < self.bounds.ticks {
             let tick = World { now: self.now + 1, ..self.clone() };
-            if self.bounds.clocks && self.behind.is_none() {
+            if self.bounds.clock_skew && self.behind.is_none() {
                 let late = [0, VOTERS, VOTERS + 1];
                 all.extend(late.map(|process| World { behind: Some(process), ..tick.clone() }));
             }
@@ -224,7 +225,7 @@
         }
         for frame in self.late_frames.iter() {
             let mut world = self.clone();
-            if !self.bounds.doubled {
+            if !self.bounds.duplicated {
                 Rc::make_mut(&mut world.late_frames).remove(frame);
             }
             world.deliver(frame);
@@ -242,7 +243,7 @@
                 RemovedGuard::Recovery => Voter::without_state(self.config(), self.clock(0), 1),
                 _ => Voter::without_state(self.config(), self.clock(0), VOTERS),
             };
-            // What an incarnation stored counts from when it voted.
+            // A voter may be restored only from what it stored while it was voting.
             let restores =
                 first.is_voting(self.clock(0)) || self.removed == RemovedGuard::VotingBeforeRestore;
             let restored = restores.then(|| Voter::restored(self.config(), self.clock(0), stored));
@@ -264,36 +265,46 @@
     }
 
     fn violation(&self) -> Option<&'static str> {
-        let both = self.held_token(0).is_some() && self.held_token(1).is_some();
-        both.then_some("two members hold the duty").or(self.violation)
+        let both_hold = self.held_token(0).is_some() && self.held_token(1).is_some();
+        both_hold.then_some("two clients hold the lease").or(self.violation)
     }
 }
 
-/// The number of states, or what is wrong in the first state in which something is.
+/// Returns the number of states, or the first violation.
 fn explore(removed: RemovedGuard, bounds: Bounds) -> Result<usize, &'static str> {
     let mut states = 0;
     for world in bfs_reach(World::new(removed, bounds), World::next) {
         states += 1;
-        if let Some(why) = world.violation() {
-            return Err(why);
+        if let Some(violation) = world.violation() {
+            return Err(violation);
         }
     }
     Ok(states)
 }
 
 const LATE: Bounds = Bounds { rounds: [2, 1], late: 2, ..PLAIN };
-const DOUBLED: Bounds = Bounds { rounds: [1, 1], late: 2, doubled: true, ..PLAIN };
-const CLOCKS: Bounds = Bounds { clocks: true, ..PLAIN };
-const RENEWS: Bounds = Bounds { rounds: [3, 2], ..PLAIN };
+const DUPLICATED: Bounds = Bounds { rounds: [1, 1], late: 2, duplicated: true, ..PLAIN };
+const CLOCK_SKEW: Bounds = Bounds { clock_skew: true, ..PLAIN };
+const RENEWALS: Bounds = Bounds { rounds: [3, 2], ..PLAIN };
 const RESTARTS: Bounds = Bounds { restarts: 1, ticks: 6, late: 0, ..PLAIN };
-const BOTH: Bounds = Bounds { rounds: [1, 2], clocks: true, ..RESTARTS };
-const LOST: Bounds = Bounds { rounds: [1, 1], late: 1, ..RESTARTS };
-const TWICE: Bounds = Bounds { restarts: 2, rounds: [1, 2], ticks: 4, ..RESTARTS };
-const ACTS: Bounds = Bounds { rounds: [1, 2], acts: true, ..PLAIN };
+const RESTARTS_AND_SKEW: Bounds = Bounds { rounds: [1, 2], clock_skew: true, ..RESTARTS };
+const RESTARTS_AND_LATE: Bounds = Bounds { rounds: [1, 1], late: 1, ..RESTARTS };
+const TWO_RESTARTS: Bounds = Bounds { restarts: 2, rounds: [1, 2], ticks: 4, ..RESTARTS };
+const ACTIONS: Bounds = Bounds { rounds: [1, 2], acts: true, ..PLAIN };
 
 #[test]
-fn no_two_members_hold_a_duty_in_any_state() {
-    for bounds in [LATE, DOUBLED, CLOCKS, RENEWS, RESTARTS, BOTH, LOST, TWICE, ACTS] {
+fn at_most_one_client_holds_the_lease_in_every_state() {
+    for bounds in [
+        LATE,
+        DUPLICATED,
+        CLOCK_SKEW,
+        RENEWALS,
+        RESTARTS,
+        RESTARTS_AND_SKEW,
+        RESTARTS_AND_LATE,
+        TWO_RESTARTS,
+        ACTIONS,
+    ] {
         let states = explore(RemovedGuard::Nothing, bounds);
         println!("{states:?} states within {bounds:?}");
         assert!(states.is_ok(), "{states:?} within {bounds:?}");
@@ -301,16 +312,19 @@
 }
 
 #[test]
-fn the_check_notices_what_is_missing() {
-    assert_eq!(explore(RemovedGuard::ClockDrift, CLOCKS), Err("two members hold the duty"));
+fn checks_fail_without_each_guard() {
+    assert_eq!(explore(RemovedGuard::ClockDrift, CLOCK_SKEW), Err("two clients hold the lease"));
     assert_eq!(
-        explore(RemovedGuard::RecoveryWait, Bounds { rounds: [1, 2], ..LOST }),
-        Err("two members hold the duty")
+        explore(RemovedGuard::RecoveryWait, Bounds { rounds: [1, 2], ..RESTARTS_AND_LATE }),
+        Err("two clients hold the lease")
     );
-    assert_eq!(explore(RemovedGuard::Recovery, LOST), Err("a token is not above the one before"));
     assert_eq!(
-        explore(RemovedGuard::VotingBeforeRestore, Bounds { late: 1, ..TWICE }),
-        Err("two members hold the duty")
+        explore(RemovedGuard::Recovery, RESTARTS_AND_LATE),
+        Err("a token is not above the previous one")
     );
-    assert_eq!(explore(RemovedGuard::Fence, ACTS), Err("an older holder acted after a newer one"));
+    assert_eq!(
+        explore(RemovedGuard::VotingBeforeRestore, Bounds { late: 1, ..TWO_RESTARTS }),
+        Err("two clients hold the lease")
+    );
+    assert_eq!(explore(RemovedGuard::Fence, ACTIONS), Err("an older holder acted after a newer one"));
 }
--- a/lease/tests/holder.rs
+++ b/lease/tests/holder.rs
@@ -1,4 +1,4 @@
-//! A holder's renewals at voters that come and go.
+//! Tests of a holder's renewals while voters stop, lose their state and recover it.
 use basaltpitch_lease::client::{LeaseAction, LeaseClient};
 use basaltpitch_lease::voter::Voter;
 use basaltpitch_lease::LeaseConfig;
@@ -12,8 +12,8 @@
 }
 
 impl Quorum {
-    /// Lets time pass in small steps; every request is replied to at once by the voters that are there.
-    fn pass(&mut self, time_us: i64) {
+    /// Lets time pass in steps of 10 us; every running voter replies to every request at once.
+    fn run_for(&mut self, time_us: i64) {
         for _ in 0..time_us / 10 {
             self.now += 10;
             self.client.advance(self.now);
@@ -29,54 +29,56 @@
         }
     }
 
-    fn recover(&mut self, lost: usize, other: usize) {
-        let from = self.voters[other].as_ref().expect("it is there");
+    fn recover(&mut self, recovering: usize, other: usize) {
+        let from = self.voters[other].as_ref().expect("the voter runs");
         let (is_complete, votes) = (from.is_complete(), from.votes_for_recovery());
-        self.voters[lost].as_mut().expect("it is there").recover_from(other, is_complete, votes);
+        self.voters[recovering].as_mut().expect("the voter runs").recover_from(other, is_complete, votes);
     }
 }
 
-/// A fault that a drill showed: a voter that had lost its state knew the token from the others
-/// and refused the holder of that very token for ever, so that the next voter's death cost the slot.
+/// Guards against a voter that, after losing its state, learned the token from the other voters but
+/// not its holder. It refused the renewals of that holder for ever, so the next failure of a voter
+/// cost the holder its slot.
 #[test]
-fn a_voter_that_lost_its_state_votes_for_a_holder_of_before() {
+fn recovered_voter_votes_for_the_holder_from_before_the_loss() {
     let voters = vec![Some(Voter::new(CONFIG, 0)); 3];
     let mut quorum = Quorum { now: 0, voters, client: LeaseClient::new(CONFIG, 3, 7, 1) };
     quorum.client.acquire(0, 9);
-    quorum.pass(3000);
-    let token = quorum.client.held_token(quorum.now, &9).expect("it holds");
+    quorum.run_for(3000);
+    let token = quorum.client.held_token(quorum.now, &9).expect("the client holds the lease");
     quorum.voters[0] = Some(Voter::without_state(CONFIG, quorum.now, 3));
     quorum.recover(0, 1);
     quorum.recover(0, 2);
-    quorum.pass(3000);
+    quorum.run_for(3000);
     quorum.voters[1] = None;
-    quorum.pass(3000);
+    quorum.run_for(3000);
     assert_eq!(
         quorum.client.held_token(quorum.now, &9),
         Some(token),
-        "held on with the one that lost its state and the third"
+        "the lease is renewed by the recovered voter and the third one"
     );
 }
 
-/// One that only tried is not a holder: what it had of a vote is not recovered.
+/// A client that requested a lease but never held it is not a holder, so a recovering voter learns
+/// its token but not its name.
 #[test]
-fn a_voter_recovers_no_client_that_never_held() {
-    let mut one: Voter<u8, u8> = Voter::new(CONFIG, 0);
-    one.request_vote(0, &9, &1, 5, None);
-    let mut lost = Voter::without_state(CONFIG, 0, 3);
-    lost.recover_from(1, true, one.votes_for_recovery());
-    lost.recover_from(2, true, Vec::new());
-    assert_eq!(lost.stored_vote(&9).map(|vote| (vote.token, vote.holder)), Some((5, None)));
-    one.request_vote(10, &9, &1, 5, None);
-    let mut lost = Voter::without_state(CONFIG, 0, 3);
-    lost.recover_from(1, true, one.votes_for_recovery());
-    assert_eq!(lost.stored_vote(&9).map(|vote| (vote.token, vote.holder)), Some((5, Some(1))));
+fn recovery_omits_clients_that_never_held_the_lease() {
+    let mut running: Voter<u8, u8> = Voter::new(CONFIG, 0);
+    running.request_vote(0, &9, &1, 5, None);
+    let mut recovering = Voter::without_state(CONFIG, 0, 3);
+    recovering.recover_from(1, true, running.votes_for_recovery());
+    recovering.recover_from(2, true, Vec::new());
+    assert_eq!(recovering.stored_vote(&9).map(|vote| (vote.token, vote.holder)), Some((5, None)));
+    running.request_vote(10, &9, &1, 5, None);
+    let mut recovering = Voter::without_state(CONFIG, 0, 3);
+    recovering.recover_from(1, true, running.votes_for_recovery());
+    assert_eq!(recovering.stored_vote(&9).map(|vote| (vote.token, vote.holder)), Some((5, Some(1))));
     let mut newer: Voter<u8, u8> = Voter::new(CONFIG, 0);
     newer.request_vote(0, &9, &2, 6, None);
-    lost.recover_from(2, true, newer.votes_for_recovery());
+    recovering.recover_from(2, true, newer.votes_for_recovery());
     assert_eq!(
-        lost.stored_vote(&9).map(|vote| (vote.token, vote.holder)),
+        recovering.stored_vote(&9).map(|vote| (vote.token, vote.holder)),
         Some((6, None)),
-        "a newer token, held by nobody yet"
+        "a newer token without a known holder"
     );
 }
--- a/lease/tests/record.rs
+++ b/lease/tests/record.rs
@@ -1,46 +1,46 @@
-//! Every state that a voter's record, one that asks for it, and the frames between them can reach within
-//! stated bounds: leases that change, frames lost, late, overtaken and doubled, deltas that are not
-//! applied, votes that expire, and a voter that starts again with and without what it stored. What is reported
-//! never goes back, and in every state one undisturbed request is enough for the client to know all that the
-//! voter stores.
+//! Explores every state that a voter's record, a client that requests it and the frames between
+//! them can reach within bounds: leases that change, votes that expire, deltas that are not
+//! applied, frames that are lost, late, reordered or duplicated, and a voter that restarts with or
+//! without its stored votes. In every state, no version older than a reported one is reported, and
+//! one undisturbed request tells the client everything that the voter stores.
 use basaltpitch_lease::record::{LeaseHolders, RecordDelta, RevisionLog, RevisionState, RevisionTracker};
 use basaltpitch_lease::voter::StoredVote;
 use basaltpitch_lease::LeaseMetadata;
 use pathfinding::directed::bfs::bfs_reach;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Voter and part of the record: there is one of each.
+/// The only voter, and the only prefix of lease names.
 const VOTER: usize = 0;
-const PART: &str = "planner-";
+const PREFIX: &str = "planner-";
 
-/// What a delta reports of a lease: token, number of its metadata.
+/// The versions that a delta reports: by lease, its token and the number of its metadata.
 type Versions = BTreeMap<u8, (u64, u64)>;
-/// The voter's time: votes that expired did at 0, all others last.
+/// The voter's time; expired votes expire at this time, all others later.
 const NOW: i64 = 0;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Frame {
     Request(RevisionState),
-    /// With those of the versions that are held.
+    /// A delta, the versions in it, and which of these leases are held.
     Reply(RecordDelta, Versions, BTreeSet<u8>),
 }
 
-/// Which guard is removed, to see that the check notices it.
+/// The guard that is removed, to show that the checks notice its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum RemovedGuard {
     Nothing,
-    /// The voter goes by the revision alone.
+    /// The voter compares revisions only, not incarnations.
     Incarnation,
-    /// The client has the revision of a delta that was not applied.
-    Applied,
-    /// The client does not look whether it has what a delta goes on from.
-    Since,
-    /// What is reported is not compared with what was reported before.
-    Newer,
-    /// That a vote expired is no change.
+    /// The client records the revision of a delta that it did not apply.
+    RevisionAfterApply,
+    /// The client does not check that it has the revision that a delta starts from.
+    StartRevision,
+    /// The client does not compare reported versions with the newest one.
+    NewestVersion,
+    /// The voter does not count the expiry of a vote as a change.
     Expiry,
-    /// Who holds what is taken from a delta whose revision is not.
-    Together,
+    /// The client takes the held leases from a delta that it does not apply otherwise.
+    HoldersWithRevision,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -49,13 +49,14 @@
     changes: u32,
     requests: u32,
     restarts: u32,
-    /// The client begins anew with nothing so often, and its frames still come.
-    anew: u32,
-    /// Frames stay on their way however often they came.
-    doubled: bool,
+    /// How often the client restarts without state while frames for it are still in flight.
+    client_restarts: u32,
+    /// Frames stay in flight after they arrive, so they can arrive any number of times.
+    duplicated: bool,
 }
 
-const PLAIN: Bounds = Bounds { leases: 2, changes: 3, requests: 3, restarts: 1, anew: 0, doubled: false };
+const PLAIN: Bounds =
+    Bounds { leases: 2, changes: 3, requests: 3, restarts: 1, client_restarts: 0, duplicated: false };
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
@@ -65,14 +66,14 @@
     log: RevisionLog<u8>,
     tracker: RevisionTracker<&'static str, u8>,
     holders: LeaseHolders<u8>,
-    /// What was reported last of each lease.
+    /// The last reported version of each lease.
     reported: Versions,
     in_flight: BTreeSet<Frame>,
     changes: u32,
     requests: u32,
     restarts: u32,
-    anew: u32,
-    went_back: bool,
+    client_restarts: u32,
+    reported_older: bool,
 }
 
 impl World {
@@ -89,8 +90,8 @@
             changes: 0,
             requests: 0,
             restarts: 0,
-            anew: 0,
-            went_back: false,
+            client_restarts: 0,
+            reported_older: false,
         }
     }
 
@@ -107,19 +108,19 @@
         Frame::Reply(delta, versions, held)
     }
 
-    /// A delta arrives, and is applied or not.
+    /// Handles a delta that arrives; `applies` tells whether the client applies it.
     fn on_reply(&mut self, delta: &RecordDelta, versions: &Versions, held: &BTreeSet<u8>, applies: bool) {
-        let state = self.tracker.state(VOTER, &PART);
+        let state = self.tracker.state(VOTER, &PREFIX);
         let is_accepted = match self.removed {
             RemovedGuard::Incarnation => true,
-            RemovedGuard::Since => delta.up_to.incarnation == state.incarnation || delta.since == 0,
-            _ => self.tracker.accepts(VOTER, &PART, delta),
+            RemovedGuard::StartRevision => delta.up_to.incarnation == state.incarnation || delta.since == 0,
+            _ => self.tracker.accepts(VOTER, &PREFIX, delta),
         };
         if !is_accepted {
             return;
         }
         let is_newer = |(lease, version): &(&u8, &(u64, u64))| {
-            self.removed == RemovedGuard::Newer || self.tracker.is_newer(lease, **version)
+            self.removed == RemovedGuard::NewestVersion || self.tracker.is_newer(lease, **version)
         };
         let newer: Versions =
             versions.iter().filter(is_newer).map(|(lease, version)| (*lease, *version)).collect();
@@ -127,21 +128,21 @@
             let older = |(lease, version): (&u8, &(u64, u64))| {
                 self.reported.get(lease).is_some_and(|newest| version < newest)
             };
-            self.went_back |= newer.iter().any(older);
+            self.reported_older |= newer.iter().any(older);
             self.reported.extend(newer.clone());
             self.holders.update(VOTER, delta, versions.keys().map(|lease| (*lease, held.contains(lease))));
-            self.tracker.applied(VOTER, &PART, delta, newer);
-        } else if self.removed == RemovedGuard::Together {
+            self.tracker.applied(VOTER, &PREFIX, delta, newer);
+        } else if self.removed == RemovedGuard::HoldersWithRevision {
             self.holders.update(VOTER, delta, versions.keys().map(|lease| (*lease, held.contains(lease))));
-        } else if self.removed == RemovedGuard::Applied {
-            self.tracker.applied(VOTER, &PART, delta, []);
+        } else if self.removed == RemovedGuard::RevisionAfterApply {
+            self.tracker.applied(VOTER, &PREFIX, delta, []);
         }
     }
 
-    /// The voter's record changes.
-    fn changed(&self, all: &mut Vec<World>) {
+    /// Adds the worlds after one change of the voter's record.
+    fn add_changed_records(&self, all: &mut Vec<World>) {
         for lease in 0..self.bounds.leases {
-            // Another holder, or other metadata of the one there is.
+            // A new holder, new metadata from the current one, or an expired vote.
             let mut token = self.clone();
             token.changes += 1;
             let mut metadata = token.clone();
@@ -166,11 +167,11 @@
     fn next(&self) -> Vec<World> {
         let mut all = Vec::new();
         if self.changes < self.bounds.changes {
-            self.changed(&mut all);
+            self.add_changed_records(&mut all);
         }
         if self.requests < self.bounds.requests {
             let mut world = World { requests: self.requests + 1, ..self.clone() };
-            world.in_flight.insert(Frame::Request(self.tracker.state(VOTER, &PART)));
+            world.in_flight.insert(Frame::Request(self.tracker.state(VOTER, &PREFIX)));
             all.push(world);
         }
         if self.restarts < self.bounds.restarts {
@@ -180,16 +181,22 @@
                 all.push(World { restarts: self.restarts + 1, votes, log, ..self.clone() });
             }
         }
-        if self.anew < self.bounds.anew {
+        if self.client_restarts < self.bounds.client_restarts {
             let (tracker, reported, holders) =
                 (RevisionTracker::default(), Versions::new(), LeaseHolders::default());
-            all.push(World { anew: self.anew + 1, tracker, reported, holders, ..self.clone() });
+            all.push(World {
+                client_restarts: self.client_restarts + 1,
+                tracker,
+                reported,
+                holders,
+                ..self.clone()
+            });
         }
         for frame in &self.in_flight {
             let mut world = self.clone();
-            if !self.bounds.doubled {
+            if !self.bounds.duplicated {
                 world.in_flight.remove(frame);
-                // Lost, or never to come.
+                // The frame is lost.
                 all.push(world.clone());
             }
             match frame {
@@ -211,29 +218,32 @@
     }
 
     fn violation(&self) -> Option<&'static str> {
-        if self.went_back {
-            return Some("something older was told");
+        if self.reported_older {
+            return Some("an older version was reported after a newer one");
         }
         let mut world = self.clone();
-        if let Frame::Reply(delta, versions, held) = world.reply(world.tracker.state(VOTER, &PART)) {
+        if let Frame::Reply(delta, versions, held) = world.reply(world.tracker.state(VOTER, &PREFIX)) {
             world.on_reply(&delta, &versions, &held, true);
         }
-        let knows = |(lease, vote): (&u8, &StoredVote<u8>)| {
-            world.reported.get(lease).is_some_and(|t| *t >= (vote.token, vote.metadata.number))
+        let is_reported = |(lease, vote): (&u8, &StoredVote<u8>)| {
+            world.reported.get(lease).is_some_and(|newest| *newest >= (vote.token, vote.metadata.number))
         };
-        if !world.votes.iter().all(knows) {
-            return Some("something is never told");
+        if !world.votes.iter().all(is_reported) {
+            return Some("a stored version is never reported");
         }
-        let holds: BTreeSet<u8> = world
+        let held: BTreeSet<u8> = world
             .votes
             .iter()
             .filter(|(_, vote)| NOW < vote.expires_at_us)
             .map(|(lease, _)| *lease)
             .collect();
-        // What the other guards are for shows in what is told, if not as early.
-        let looks =
-            matches!(self.removed, RemovedGuard::Nothing | RemovedGuard::Expiry | RemovedGuard::Together);
-        (looks && !world.holders.held_at(VOTER).eq(&holds)).then_some("who holds what is not known")
+        // Without the other guards the set of held leases may be wrong before the versions are;
+        // those guards are checked by the versions alone.
+        let checks_holders = matches!(
+            self.removed,
+            RemovedGuard::Nothing | RemovedGuard::Expiry | RemovedGuard::HoldersWithRevision
+        );
+        (checks_holders && !world.holders.held_at(VOTER).eq(&held)).then_some("the held leases are not known")
     }
 }
 
@@ -248,14 +258,14 @@
     Ok(states)
 }
 
-const THREE: Bounds = Bounds { leases: 3, changes: 3, requests: 2, ..PLAIN };
-const TWICE: Bounds = Bounds { changes: 2, restarts: 2, ..PLAIN };
-const ANEW: Bounds = Bounds { changes: 2, restarts: 0, anew: 1, ..PLAIN };
-const DOUBLED: Bounds = Bounds { changes: 2, requests: 2, anew: 1, doubled: true, ..PLAIN };
+const THREE_LEASES: Bounds = Bounds { leases: 3, changes: 3, requests: 2, ..PLAIN };
+const TWO_RESTARTS: Bounds = Bounds { changes: 2, restarts: 2, ..PLAIN };
+const CLIENT_RESTARTS: Bounds = Bounds { changes: 2, restarts: 0, client_restarts: 1, ..PLAIN };
+const DUPLICATED: Bounds = Bounds { changes: 2, requests: 2, client_restarts: 1, duplicated: true, ..PLAIN };
 
 #[test]
-fn in_every_state_a_request_is_enough_and_nothing_older_is_told() {
-    for bounds in [PLAIN, THREE, TWICE, ANEW, DOUBLED] {
+fn one_request_reports_everything_and_nothing_older_in_every_state() {
+    for bounds in [PLAIN, THREE_LEASES, TWO_RESTARTS, CLIENT_RESTARTS, DUPLICATED] {
         let states = explore(RemovedGuard::Nothing, bounds);
         println!("{states:?} states within {bounds:?}");
         assert!(states.is_ok(), "{states:?} within {bounds:?}");
@@ -263,11 +273,17 @@
 }
 
 #[test]
-fn the_check_notices_what_is_missing() {
-    assert_eq!(explore(RemovedGuard::Incarnation, PLAIN), Err("something is never told"));
-    assert_eq!(explore(RemovedGuard::Applied, PLAIN), Err("something is never told"));
-    assert_eq!(explore(RemovedGuard::Since, ANEW), Err("something is never told"));
-    assert_eq!(explore(RemovedGuard::Newer, PLAIN), Err("something older was told"));
-    assert_eq!(explore(RemovedGuard::Together, PLAIN), Err("who holds what is not known"));
-    assert_eq!(explore(RemovedGuard::Expiry, PLAIN), Err("who holds what is not known"));
+fn checks_fail_without_each_guard() {
+    assert_eq!(explore(RemovedGuard::Incarnation, PLAIN), Err("a stored version is never reported"));
+    assert_eq!(explore(RemovedGuard::RevisionAfterApply, PLAIN), Err("a stored version is never reported"));
+    assert_eq!(
+        explore(RemovedGuard::StartRevision, CLIENT_RESTARTS),
+        Err("a stored version is never reported")
+    );
+    assert_eq!(
+        explore(RemovedGuard::NewestVersion, PLAIN),
+        Err("an older version was reported after a newer one")
+    );
+    assert_eq!(explore(RemovedGuard::HoldersWithRevision, PLAIN), Err("the held leases are not known"));
+    assert_eq!(explore(RemovedGuard::Expiry, PLAIN), Err("the held leases are not known"));
 }
