--- a/gossip/src/actions.rs
+++ b/gossip/src/actions.rs
@@ -1,76 +1,80 @@
-//! What planners send each other, and what the caller of [`crate::Gossip`] is to do.
+//! The messages between planners, and the actions for the caller of [`crate::Gossip`].
 use std::rc::Rc;
 
-/// A summary on its way, as what changed in it.
+/// A summary in a reply, as the changes against an earlier version of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SummaryDelta {
-    /// The slot whose summary it is; from the number of slots on, the slot that made it of its zone.
+    /// The slot whose summary this is; from the number of slots on, the zone summary made by slot
+    /// `subject - slots`.
     pub subject: usize,
     /// The token under which that slot is held.
     pub token: u64,
-    /// The number of the summary, which rises under one token.
+    /// The number of the summary, which rises under the same token.
     pub number: u64,
-    /// The number of the summary that it changes; 0: it is whole, and what is left out is 0.
+    /// The number of the version that the delta applies to; 0 if the delta is the whole summary, in
+    /// which omitted metrics are 0.
     pub base: u64,
-    /// Microseconds since it was made, at most, when it was sent.
+    /// An upper bound of the summary's age when it was sent, in microseconds.
     pub age_us: i64,
-    /// Indices of metrics, rising, and the bits of the metrics. None: the same as before.
+    /// The changed metrics: rising indices, and the bits of each metric. Empty if nothing changed.
     pub changed: Vec<(usize, u32)>,
 }
 
-/// What somebody holds of a subject, under the token that the reader believes in: who believes in another
-/// refuses what rests on it.
+/// The version that a requester has of a subject. It carries no token: the receiver assumes the
+/// token that it accepts itself, and a requester that accepts another token rejects the resulting
+/// delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Version {
     /// The subject, as in [`SummaryDelta::subject`].
     pub subject: usize,
-    /// The number of its summary; 0: none is held.
+    /// The number of the summary; 0 if there is none.
     pub number: u64,
 }
 
-/// Asks for what is newer than the requester has.
+/// A request for the summaries that are newer than the requester's.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PullRequest {
-    /// Rises with each request of the requester.
+    /// The request's id, which rises with each request of the requester.
     pub id: u64,
-    /// The last request of this link whose reply was accepted; 0: none was, and `versions` is all that the
-    /// requester has. Else `versions` is what it has otherwise than by replies over this link.
+    /// The last request on this link whose reply was accepted; 0 if there is none. If 0, `versions`
+    /// is everything that the requester has; otherwise it is what the requester has other than from
+    /// replies on this link.
     pub acknowledged: u64,
-    /// The requester has something for the other.
+    /// Whether the requester has newer summaries for the receiver.
     pub has_updates: bool,
-    /// What the requester has.
+    /// The versions that the requester has.
     pub versions: Vec<Version>,
 }
 
-/// What the caller is to do.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum GossipAction {
-    /// Link to the planner that holds a slot.
+    /// Open a link to the planner that holds a slot.
     Dial {
-        /// The slot.
+        /// The slot to dial.
         slot: usize,
-        /// Where that planner listens.
+        /// The address on which that planner listens.
         address: Rc<str>,
     },
-    /// The link to this planner is not wanted any more.
+    /// Close a link that is no longer wanted.
     CloseLink {
-        /// The link.
+        /// The link to close.
         link: u64,
     },
     /// Send a request.
     Request {
-        /// Over which link.
+        /// The link to send it on.
         link: u64,
-        /// The request.
+        /// The request to send.
         request: PullRequest,
     },
     /// Send a reply.
     Reply {
-        /// Over which link.
+        /// The link to send it on.
         link: u64,
-        /// The request that it replies to.
+        /// The id of the request that this replies to.
         request_id: u64,
-        /// What the requester lacks.
+        /// The summaries that the requester lacks.
         deltas: Vec<SummaryDelta>,
     },
 }
--- a/gossip/src/config.rs
+++ b/gossip/src/config.rs
@@ -1,58 +1,67 @@
-//! How often planners gossip, with how many others, and how many bytes that may take.
+//! Gossip configuration: how often planners gossip, with how many peers, and within which byte
+//! budget.
 
-/// Up to this many planners hear each of the others, whatever zone they are in.
+/// The most slots for which, without a byte limit, every planner receives each slot's summary
+/// regardless of zones.
 const FLAT_SLOTS_LIMIT: usize = 24;
-/// What each slot costs a planner that hears it, in bytes a second of both directions, where all hear all.
+/// The cost of each slot to a planner that receives its summaries, in bytes per second of both
+/// directions, without zone summaries.
 const BYTES_PER_SLOT: f64 = 80.0;
-/// Bytes of a round: request and reply.
+/// The bytes of one round: a request and its reply.
 const BYTES_PER_ROUND: f64 = 64.0;
-/// Rounds may take one part in so many of what may be sent.
+/// Rounds may use at most this fraction (1/3) of the byte budget.
 const ROUND_BUDGET_DIVISOR: f64 = 3.0;
-/// Bytes that it takes to pass on that one slot or zone is alive.
+/// The bytes that pass on an unchanged summary of one slot or zone.
 const BYTES_PER_REFRESH: f64 = 25.0;
-/// The part of a planner's bytes for control that is for summaries, both directions.
+/// The fraction of a planner's control bytes that is for summaries, both directions together.
 const SUMMARY_SHARE: f64 = 0.25;
-/// Unused bytes are saved for so many seconds: enough to tell one other planner everything once.
+/// The seconds of unused budget that a planner may save: enough to send everything to one peer
+/// once.
 const BURST_S: i64 = 24;
-/// With each slot more, all refresh their summaries so much later.
+/// The time by which each slot lengthens the refresh interval of all slots, in microseconds.
 const REFRESH_PER_SLOT_US: i64 = 36_000;
 
 /// Intervals and limits of gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct GossipConfig {
-    /// One linked planner is asked each so often, give or take a quarter.
+    /// The interval of rounds in microseconds, with a random deviation of up to a quarter. In each
+    /// round this planner requests summaries from one linked peer.
     pub round_us: i64,
-    /// A planner of another region is asked at most each so often.
+    /// The least interval between requests to a peer in another region, in microseconds.
     pub remote_region_interval_us: i64,
-    /// A reply is waited for so long; then the link is closed. A failed dial is repeated after as long.
+    /// How long to wait for a reply before the link is closed, and how long to wait before a failed
+    /// dial is repeated, in microseconds.
     pub timeout_us: i64,
-    /// A summary in which nothing changed is published anew each so often, and one in which little did each
-    /// half of it.
+    /// How often an unchanged summary is published again, in microseconds. A summary with an
+    /// ordinary change is published after half of it.
     pub refresh_us: i64,
-    /// The same of a zone's summary.
+    /// The same interval for a zone's summary, in microseconds.
     pub zone_refresh_us: i64,
-    /// A summary that is older says nothing any more: its slot counts as stale.
+    /// The age above which a summary no longer counts and its slot is stale, in microseconds.
     pub stale_after_us: i64,
-    /// The same of a zone's summary, which is as old as its oldest part.
+    /// The same age for a zone's summary, which is as old as the oldest summary merged into it.
     pub zone_stale_after_us: i64,
-    /// Planners that this one dials. Others dial it.
+    /// The number of planners in its zone that this planner dials; other planners dial it as well.
     pub partners: usize,
-    /// So many planners of a zone, the lowest slots that are fresh, dial one of another zone.
+    /// How many planners of a zone (the lowest slots that are alive) each dial a planner of another
+    /// zone.
     pub remote_links: usize,
-    /// One partner is exchanged for another each so often, so that no split of the links lasts.
+    /// How often one partner is replaced by another, in microseconds, so that the links never stay
+    /// split into unconnected groups.
     pub partner_swap_us: i64,
-    /// Summaries in one reply at most.
+    /// The most summaries in one reply.
     pub max_deltas_per_reply: usize,
-    /// Zones are not summarised: each planner hears each of the others.
+    /// Whether zones are not summarised, so that each planner receives each other planner's
+    /// summary.
     pub flat: bool,
-    /// Bytes a second that this planner sends at most; none: no limit.
+    /// The most bytes per second that this planner sends; `None` for no limit.
     pub bytes_per_second: Option<i64>,
-    /// Bytes that it may have saved and send at once.
+    /// The most bytes that this planner may save and send at once.
     pub burst_bytes: i64,
 }
 
 impl GossipConfig {
-    /// For a few planners whose bytes are not limited.
+    /// The configuration for a few planners without a byte limit.
     pub const DEFAULT: GossipConfig = GossipConfig {
         round_us: 250_000,
         remote_region_interval_us: 2_000_000,
@@ -70,25 +79,26 @@
         burst_bytes: 4096,
     };
 
-    /// For an installation of so many slots and zones. `control_bytes_per_second` is what each planner may
-    /// spend on control, in and out; none: no limit.
+    /// Returns the configuration for an installation with this many slots and zones.
+    /// `control_bytes_per_second` is each planner's budget for control traffic in both directions;
+    /// `None` for no limit.
     pub fn for_installation(
         slots: usize,
         zones: usize,
         control_bytes_per_second: Option<f64>,
     ) -> GossipConfig {
         let summary_bytes = control_bytes_per_second.map(|bytes| bytes * SUMMARY_SHARE);
-        let all_hear_all = slots as f64 * BYTES_PER_SLOT
+        let flat_is_affordable = slots as f64 * BYTES_PER_SLOT
             <= summary_bytes.unwrap_or(FLAT_SLOTS_LIMIT as f64 * BYTES_PER_SLOT);
-        let bytes_per_second = summary_bytes.map(|both| (both / 2.0).max(1.0) as i64);
+        let bytes_per_second = summary_bytes.map(|bytes| (bytes / 2.0).max(1.0) as i64);
         let burst_bytes = bytes_per_second
             .map_or(Self::DEFAULT.burst_bytes, |bytes| (BURST_S * bytes).max(Self::DEFAULT.burst_bytes));
-        let flat = zones <= 1 || all_hear_all;
+        let flat = zones <= 1 || flat_is_affordable;
         let small = GossipConfig { flat, bytes_per_second, burst_bytes, ..Self::DEFAULT };
-        if all_hear_all {
+        if flat_is_affordable {
             return small;
         }
-        // With few bytes everything goes slower, and summaries count for longer.
+        // A small byte budget lengthens all intervals and the ages up to which summaries count.
         let time_to_send = |cost: f64| bytes_per_second.map_or(0, |bytes| (cost / bytes as f64 * 1e6) as i64);
         let round_us = time_to_send(BYTES_PER_ROUND * ROUND_BUDGET_DIVISOR).max(500_000);
         let subjects = slots.div_ceil(zones.max(1)) + zones;
--- a/gossip/src/frame_size.rs
+++ b/gossip/src/frame_size.rs
@@ -1,18 +1,19 @@
-//! What requests and replies cost as frames, in bytes. The lengths are those of `agent.proto`; a planner's test
-//! holds them against the encoder.
+//! The sizes of requests and replies as frames, in bytes. They follow the encoding of
+//! `agent.proto`; a test in the planner package compares them with the encoder.
 use crate::{GossipAction, PullRequest, SummaryDelta, Version};
 
 /// The most bytes that a token takes.
 const MAX_TOKEN_BYTES: usize = 10;
-/// A reply's bytes beside its summaries, at most.
+/// The most bytes of a reply besides its summaries.
 pub(crate) const REPLY_OVERHEAD: i64 = 48;
 
-/// Bytes of a variable-length number.
+/// Returns the size of a variable-length integer.
 fn varint(number: u64) -> usize {
     (64 - (number | 1).leading_zeros() as usize).div_ceil(7)
 }
 
-/// A list of so many bytes behind its tag; nothing where it is empty.
+/// Returns the size of a packed list whose elements take `bytes`, with its tag; an empty list is
+/// not encoded.
 fn list(bytes: usize) -> usize {
     if bytes == 0 {
         return 0;
@@ -27,35 +28,37 @@
     1 + varint(number)
 }
 
-/// The length before the frame, the kind's tag and the body's length.
+/// Returns the size of a frame: its length prefix, the tag of its kind, and the body with its
+/// length.
 fn frame(body: usize) -> usize {
     let inner = 2 + varint(body as u64) + body;
     4 + inner
 }
 
-/// Gaps between indices of changed metrics, each from the one before.
+/// Returns the gaps between the indices of changed metrics, the form in which indices are encoded.
 pub fn index_gaps(changed: &[(usize, u32)]) -> impl Iterator<Item = u32> + '_ {
     let next = std::iter::once(0).chain(changed.iter().map(|(index, _)| index + 1));
     changed.iter().zip(next).map(|((index, _), next)| (index - next) as u32)
 }
 
-/// Ages go on the wire in milliseconds, rounded up.
+/// Converts an age to milliseconds, rounded up, the form in which ages are encoded.
 pub fn age_ms(age_us: i64) -> u64 {
     age_us.max(0).unsigned_abs().div_ceil(1000)
 }
 
-/// Tokens, each as the step from the one before: those of one installation are near each other.
+/// Returns each token's difference from the previous one. Tokens of one installation are close to
+/// each other, so differences are shorter than tokens.
 pub fn token_steps(deltas: &[SummaryDelta]) -> impl Iterator<Item = i64> + '_ {
     let before = std::iter::once(0).chain(deltas.iter().map(|delta| delta.token));
     deltas.iter().zip(before).map(|(delta, before)| delta.token.wrapping_sub(before) as i64)
 }
 
-/// A number of either sign on the wire.
+/// Maps a signed integer to an unsigned one so that small magnitudes have short encodings.
 fn zigzag(number: i64) -> u64 {
     ((number << 1) ^ (number >> 63)) as u64
 }
 
-/// How far a summary's number is beyond that of its base; 0: it is whole.
+/// Returns the difference between the numbers of a summary and its base; 0 for a whole summary.
 pub fn base_distance(delta: &SummaryDelta) -> u64 {
     if delta.base == 0 {
         0
@@ -64,12 +67,13 @@
     }
 }
 
-/// Metrics go on the wire with their bytes swapped: rounded ones end in zeros, which then cost nothing.
+/// Returns the size of a metric. Metrics are encoded with swapped bytes, so that the trailing zeros
+/// of rounded metrics take no space.
 fn metric(bits: u32) -> usize {
     varint(u64::from(bits.swap_bytes()))
 }
 
-/// One summary's bytes in the lists of a reply, at most.
+/// Returns the most bytes that one summary takes in the lists of a reply.
 pub(crate) fn delta_bytes(delta: &SummaryDelta) -> i64 {
     let numbers = [delta.subject as u64, delta.number, base_distance(delta), age_ms(delta.age_us)];
     let indices: usize = index_gaps(&delta.changed).map(|gap| varint(u64::from(gap))).sum();
@@ -82,7 +86,7 @@
     bytes as i64
 }
 
-/// What an action costs as a frame, in bytes; 0 for those that are none.
+/// Returns the size of an action as a frame, in bytes; 0 for actions that send no frame.
 pub fn frame_bytes(action: &GossipAction) -> usize {
     match action {
         GossipAction::Request { request, .. } => request_bytes(request),
--- a/gossip/src/freshness.rs
+++ b/gossip/src/freshness.rs
@@ -1,40 +1,43 @@
-//! What a reader knows of a slot or a zone: a planner that has nothing to do is not a stale one.
+//! What a reader knows of a slot or a zone. An idle planner still publishes, so it is fresh, not
+//! stale.
 use crate::payload::Metrics;
 
-/// What is known of a slot. Ages are in microseconds by the reader's own clock, never less than the true ones.
+/// What a reader knows of a slot. Ages are in microseconds by the reader's own clock and never
+/// below the true ages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness<'a> {
-    /// Nobody ever held it, as far as the voters announced.
+    /// The voters have announced no holder of the slot.
     Unassigned,
-    /// Somebody holds it whose last summary is too old: cut off, stopped, dead, or just started.
+    /// The slot has a holder, but its last summary is too old: the holder is cut off, stopped, dead
+    /// or has just started.
     Stale {
         /// The holder's token.
         token: u64,
-        /// The age of its last summary; none: there is none.
+        /// The age of its last summary, in microseconds; `None` if there is no summary.
         age_us: Option<i64>,
     },
-    /// Its holder is in another zone, of which only the zone's summaries are passed on.
+    /// The holder is in another zone, of which only zone summaries are passed on.
     RemoteZone {
         /// The holder's token.
         token: u64,
-        /// That zone, where it is known.
+        /// The holder's zone, if it is known.
         zone: Option<usize>,
     },
-    /// Its holder is alive and reports this; one that has nothing to do says so.
+    /// The holder's last summary is recent. An idle holder publishes summaries as well.
     Fresh {
         /// The holder's token.
         token: u64,
         /// The number of its summary.
         number: u64,
-        /// How old that is.
+        /// The age of the summary, in microseconds.
         age_us: i64,
-        /// What it reports.
+        /// The metrics in the summary.
         metrics: &'a Metrics,
     },
 }
 
 impl<'a> Freshness<'a> {
-    /// The age of a fresh summary in microseconds, and what it reports.
+    /// Returns the age in microseconds and the metrics of a fresh summary.
     pub fn fresh(self) -> Option<(i64, &'a Metrics)> {
         match self {
             Freshness::Fresh { age_us, metrics, .. } => Some((age_us, metrics)),
@@ -42,7 +45,7 @@
         }
     }
 
-    /// As operators read it.
+    /// Returns the text that status replies show to operators.
     pub fn label(&self) -> &'static str {
         match self {
             Freshness::Unassigned => "nobody seated",
@@ -56,18 +59,18 @@
 /// A zone's summary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneSummary<'a> {
-    /// The slot that made it.
+    /// The slot that made the summary.
     pub reporter: usize,
-    /// The token under which it did.
+    /// The token under which it made the summary.
     pub token: u64,
     /// The number of the summary.
     pub number: u64,
-    /// The age of its oldest part, in microseconds.
+    /// The age of the oldest summary merged into it, in microseconds.
     pub age_us: i64,
-    /// Planners that it stands for.
+    /// How many planners the summary covers.
     pub planners: usize,
-    /// Planners of the zone that were stale there.
+    /// How many planners of the zone were stale when the summary was made.
     pub stale_planners: usize,
-    /// Laid out like a slot's, and two counts behind them.
+    /// The merged metrics in the layout of a slot's summary, followed by the two counts above.
     pub metrics: &'a Metrics,
 }
--- a/gossip/src/invalid_summary.rs
+++ b/gossip/src/invalid_summary.rs
@@ -1,150 +1,153 @@
-//! What cannot be true of what another planner reports. Each error names the peer and the field, what was found
-//! and what was expected; its help says what an operator can do. Slots, and peers by their slots, are numbered
-//! from 0 in the installation's order.
+//! Errors about what another planner reports. Each error names the peer and the field, the value
+//! found and the value expected; its help tells operators what to do. Slots, and peers by their
+//! slots, are numbered from 0 in the installation's order.
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// What is wrong with a summary or a frame of another planner. `peer`: whose frame it is; `slot`: whose summary.
+/// An invalid summary or frame of another planner. In each variant, `peer` is the slot of the
+/// planner that sent the frame and `slot` is the slot that the summary is about.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum InvalidSummary {
-    /// A slot that this installation has not, or that is this planner's own.
+    /// A slot that does not exist, or that is this planner's own.
     #[error("planner-{peer}: seat: found {found}; expected one of another planner, from 0 to {}", slots - 1)]
-    #[diagnostic(help("its files say another number of planners: give all planners the same `planners`"))]
+    #[diagnostic(help(
+        "the peer's files configure another number of planners: set the same `planners` for all planners"
+    ))]
     Slot {
-        /// The slot of the planner whose frame it is.
+        /// The slot of the planner that sent the frame.
         peer: usize,
-        /// What was found.
+        /// The slot's index.
         found: usize,
-        /// How many slots there are.
+        /// The number of slots.
         slots: usize,
     },
 
-    /// The other end of a link held its slot under an earlier token.
+    /// The other end of a link holds its slot under an earlier token than the announced one.
     #[error("planner-{peer}: epoch: found {found}; expected {expected}, under which the seat is held")]
     #[diagnostic(help(
-        "a process that lost this seat and does not know it yet; if it lasts, look for one that was \
-         started without the council"
+        "a process that lost this slot and has not noticed yet; if it persists, look for a planner that \
+         was started without voters"
     ))]
     StaleHolder {
-        /// The slot of the planner whose frame it is.
+        /// The slot of the planner that sent the frame.
         peer: usize,
-        /// What was found.
+        /// The token that the peer stated.
         found: u64,
-        /// What was expected.
+        /// The token that the voters announced.
         expected: u64,
     },
 
-    /// A summary under another token than the voters told of its slot.
+    /// A summary under a later token than the one that the voters announced for its slot.
     #[error(
-        "planner-{peer}: token of planner-{slot}: found {found}; expected {expected}, as the council has it"
+        "planner-{peer}: token of planner-{slot}: found {found}; expected {expected}, which the voters announced"
     )]
     #[diagnostic(help(
-        "usual for a moment after a hand-over; if it lasts, this planner does not reach the voters, or that \
-         one believes other voters: compare `basaltpitch council` from both"
+        "normal for a moment after a slot changes its holder; if it persists, this planner does not reach \
+         the voters, or that planner uses other voters: compare `basaltpitch council` from both"
     ))]
     Token {
-        /// The slot of the planner whose frame it is.
+        /// The slot of the planner that sent the frame.
         peer: usize,
-        /// The slot that the summary is of.
+        /// The slot that the summary is about.
         slot: usize,
-        /// What was found.
+        /// The token of the summary.
         found: u64,
-        /// What was expected.
+        /// The token that the voters announced.
         expected: u64,
     },
 
-    /// A summary of this planner itself with a number that it never published.
-    #[error("planner-{peer}: number of planner-{slot}: found {found}; expected {expected} at most")]
+    /// A summary of this planner itself, with a number that it never published.
+    #[error("planner-{peer}: number of planner-{slot}: found {found}; expected at most {expected}")]
     #[diagnostic(help(
-        "two processes publish for one seat under one token: end the one that `basaltpitch council` does \
-         not name"
+        "two processes publish for one slot under the same token: stop the one that `basaltpitch council` \
+         does not name"
     ))]
     Number {
-        /// The slot of the planner whose frame it is.
+        /// The slot of the planner that sent the frame.
         peer: usize,
-        /// The slot that the summary is of.
+        /// The slot that the summary is about.
         slot: usize,
-        /// What was found.
+        /// The number of the summary.
         found: u64,
-        /// What was expected.
+        /// The last number that this planner published.
         expected: u64,
     },
 
-    /// An age below 0, in microseconds.
+    /// A negative age.
     #[error("planner-{peer}: age of planner-{slot}: found {found} us; expected 0 or more")]
-    #[diagnostic(help("it speaks another version of the protocol, or its clock goes back: see its log"))]
+    #[diagnostic(help(
+        "the peer runs another version of the protocol, or its clock went backwards: see its log"
+    ))]
     Age {
-        /// The slot of the planner whose frame it is.
+        /// The slot of the planner that sent the frame.
         peer: usize,
-        /// The slot that the summary is of.
+        /// The slot that the summary is about.
         slot: usize,
-        /// What was found.
+        /// The age, in microseconds.
         found: i64,
     },
 
-    /// Metrics or a delta that cannot be.
+    /// Metrics or a delta with an invalid value.
     #[error("planner-{peer}: {field} of planner-{slot}: found {found}; expected {expected}")]
     #[diagnostic(help(
-        "what that seat says cannot be true and counts as unheard; compare its version and files with this \
-         planner's"
+        "the invalid summary is dropped and the slot may become stale; compare the version and files of \
+         that slot's planner with this planner's"
     ))]
     Payload {
-        /// The slot of the planner whose frame it is.
+        /// The slot of the planner that sent the frame.
         peer: usize,
-        /// The slot that the summary is of.
+        /// The slot that the summary is about.
         slot: usize,
-        /// The field.
+        /// The name of the field.
         field: String,
-        /// What was found.
+        /// The value found.
         found: String,
-        /// What was expected.
+        /// The value expected.
         expected: String,
     },
 
-    /// Lists of a frame whose lengths do not fit each other.
+    /// Lists of a frame whose lengths do not match.
     #[error("planner-{peer}: {frame}: found lists of {lengths:?}; expected lists that fit each other")]
-    #[diagnostic(help("it speaks another version of the protocol: give all planners the same build"))]
+    #[diagnostic(help("the peer runs another version of the protocol: run the same build on all planners"))]
     Lists {
-        /// The slot of the planner whose frame it is.
+        /// The slot of the planner that sent the frame.
         peer: usize,
         /// The kind of frame.
         frame: &'static str,
-        /// The lengths of its lists.
+        /// The lengths of the lists.
         lengths: Vec<usize>,
     },
 
-    /// Lease metadata that is no address and zone.
-    #[error("planner-{peer}: note of its seat: found {found:?}; expected its address and a zone of this installation")]
+    /// Lease metadata that does not contain an address and a known zone.
+    #[error("planner-{peer}: metadata of its lease: found {found:?}; expected its address and a zone of this installation")]
     #[diagnostic(help(
-        "it speaks another version of the protocol, or its files name other zones: compare them"
+        "the peer runs another version of the protocol, or its files name other zones: compare them"
     ))]
     Address {
-        /// The slot of the planner whose frame it is.
+        /// The slot of the planner that sent the frame.
         peer: usize,
-        /// What was found.
+        /// The metadata found.
         found: String,
     },
 
-    /// A reply to no open request.
-    #[error("planner-{peer}: question: found {found}; expected the one that is open")]
-    #[diagnostic(help(
-        "an answer that came twice or very late; if it lasts, the way to that planner is slow"
-    ))]
+    /// A reply to a request that is not open.
+    #[error("planner-{peer}: request id of its reply: found {found}; expected that of the open request")]
+    #[diagnostic(help("a duplicated or very late reply; if it persists, the link to that planner is slow"))]
     RequestId {
-        /// The slot of the planner whose frame it is.
+        /// The slot of the planner that sent the frame.
         peer: usize,
-        /// What was found.
+        /// The request id in the reply.
         found: u64,
     },
 }
 
 impl InvalidSummary {
-    /// What an operator can do.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> String {
         self.help().map(|help| help.to_string()).unwrap_or_default()
     }
 
-    /// The slot of the planner whose frame it is.
+    /// Returns the slot of the planner that sent the frame.
     pub fn peer(&self) -> usize {
         match *self {
             InvalidSummary::Slot { peer, .. }
@@ -159,7 +162,8 @@
         }
     }
 
-    /// Whether it happens in normal operation, around a change of a slot's holder or over a slow link.
+    /// Returns whether the error occurs in normal operation, such as around a change of a slot's
+    /// holder or on a slow link.
     pub fn is_expected(&self) -> bool {
         matches!(
             self,
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -1,28 +1,31 @@
-//! What planners know of each other. Each holder of a slot publishes a summary under its token and a number
-//! that rises; planners pass on the newest to a few others at random (anti-entropy by pull: Demers and
-//! others, "Epidemic algorithms for replicated database maintenance", 1987), as a delta against what the
-//! other has. Planners of one zone pass on summaries of each slot; beyond it go summaries of whole zones. What
-//! a summary means is the caller's matter. No I/O, no clock of its own: times are whole microseconds of the
-//! caller's clock, which never goes back.
+//! Gossip between planners: what each planner knows of the others. Each holder of a slot publishes
+//! summaries under its token, with a number that rises. Planners pass on the newest summaries to a
+//! few random peers (anti-entropy by pull: Demers and others, "Epidemic algorithms for replicated
+//! database maintenance", 1987), as deltas against the version that the peer has. Summaries of
+//! single slots stay within a zone; between zones, planners pass on one summary for a whole zone.
+//! The meaning of the metrics in a summary is up to the caller. The crate does no I/O and has no
+//! clock: times are whole microseconds of the caller's clock, which never goes back.
 //!
-//! Why no age is understated: nothing is accepted but in reply to a request of one's own. The reply says how
-//! old each summary was when it was sent; that was after the request, so each is at most that age plus the
-//! time since the request, by the requester's own clock. Slow links make summaries look older, never younger.
-//! A zone's summary is as old as its oldest part.
+//! The reported age of a summary is never below its true age. A planner accepts summaries only in
+//! replies to its own requests. A reply states how old each summary was when the reply was sent,
+//! which was after the request, so a summary is at most that age plus the time since the request,
+//! by the requester's clock. Slow links make summaries look older, never younger. A zone's summary
+//! is as old as the oldest summary merged into it.
 //!
-//! Why an earlier holder is not believed: a summary counts only under the token that the voters announced for
-//! its slot. What an earlier holder publishes once it wakes is under a lower one.
+//! Summaries of an earlier holder are not accepted: a summary counts only under the token that the
+//! voters announced for its slot, and an earlier holder that resumes publishes under a lower token.
 //!
-//! Why deltas are enough: a delta is against a number that the requester says it holds, under the same token,
-//! and applies to nothing older; who holds less says so and receives the whole.
+//! Deltas are sufficient: a delta is against a version that the requester stated to have under the
+//! same token, and it is not applied to an older one. A requester with an older version says so and
+//! receives the whole summary.
 //!
-//! - `actions`: what planners send each other, and what the caller is to do.
-//! - `membership`: the slots, their holders, and who is near whom.
-//! - `links`: links to other planners, and which partners are dialled.
+//! - `actions`: the messages between planners, and the actions for the caller.
+//! - `membership`: the slots, their holders, and which holders are in this planner's zone.
+//! - `links`: links to other planners, and the choice of planners to dial.
 //! - `pull`: requests and replies.
-//! - `publish`: a planner's own summary, and that of its zone.
-//! - `payload`, `stored_summary`: the metrics of a summary, and what is kept of one.
-//! - `config`, `frame_size`, `byte_budget`: intervals, limits and bytes.
+//! - `publish`: a planner's own summary and its zone's summary.
+//! - `payload`, `stored_summary`: the metrics of a summary, and the stored form of a summary.
+//! - `config`, `frame_size`, `byte_budget`: intervals, limits and the cost of messages in bytes.
 pub mod actions;
 mod byte_budget;
 pub mod config;
@@ -50,41 +53,42 @@
 use std::collections::{BTreeMap, VecDeque};
 use stored_summary::StoredSummary;
 
-/// One planner's part in gossip, and what it knows of the others.
+/// The gossip state of one planner: its own summaries and those that it received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Gossip<P> {
     membership: Membership,
     config: GossipConfig,
     payload: P,
     seed: u64,
-    /// Random generators made so far: each draw has its own.
+    /// The number of random generators created so far; each draw uses a new one.
     draws: u64,
     slots: Vec<Slot>,
-    /// By subject: each slot's own summary, then that of its zone as each slot made it.
+    /// By subject: first each slot's own summary, then the zone summary that each slot made.
     summaries: Vec<Option<StoredSummary>>,
     links: BTreeMap<u64, Link>,
-    /// Slots that are dialled with no link yet, and since when.
+    /// Slots that were dialled and have no link yet, and when they were dialled, in microseconds.
     dialing: BTreeMap<usize, i64>,
-    /// The id of the last request.
+    /// The id of the last request that this planner sent.
     last_request_id: u64,
     started_us: i64,
     round_at_us: i64,
     swap_at_us: i64,
-    /// When this planner last published a summary of itself.
+    /// When this planner last published its own summary, in microseconds.
     published_us: i64,
-    /// And one of its zone.
+    /// When this planner last published its zone's summary, in microseconds.
     zone_published_us: i64,
     budget: ByteBudget,
-    /// Something waited for bytes since the last summary of its own.
-    short_of_bytes: bool,
-    /// Summaries of its own, one after the other, without that.
-    unhindered: u32,
+    /// Whether a message had to wait for the byte budget since this planner's last own summary.
+    throttled: bool,
+    /// Consecutive own summaries during which no message had to wait for the byte budget.
+    unthrottled_summaries: u32,
     coarseness: u32,
     actions: VecDeque<GossipAction>,
 }
 
 impl<P: Payload> Gossip<P> {
-    /// A planner that has just acquired its slot and knows nothing of the others. `seed` is for its draws.
+    /// Creates the state of a planner that has just acquired its slot and knows nothing of the
+    /// others. `seed` seeds its random choices.
     pub fn new(now_us: i64, config: GossipConfig, membership: Membership, payload: P, seed: u64) -> Self {
         let mut slots = vec![Slot { token: 0, address: None, dial_at_us: now_us }; membership.slots];
         slots[membership.own_slot].token = membership.own_token;
@@ -105,34 +109,35 @@
             published_us: i64::MIN,
             zone_published_us: i64::MIN,
             budget: ByteBudget::new(now_us, config.bytes_per_second, config.burst_bytes),
-            short_of_bytes: false,
-            unhindered: 0,
+            throttled: false,
+            unthrottled_summaries: 0,
             coarseness: publish::initial_coarseness(&config),
             actions: VecDeque::new(),
         }
     }
 
-    /// What is to be done next; none: nothing more.
+    /// Returns the next action for the caller, or `None` if there is none.
     pub fn next_action(&mut self) -> Option<GossipAction> {
         self.actions.pop_front()
     }
 
-    /// The time at which `advance` has something to do.
+    /// Returns the time at which `advance` next has work, in microseconds.
     pub fn next_due_us(&self) -> i64 {
         self.round_at_us
     }
 
-    /// How often the least change that is passed on is doubled now, as bytes are short.
+    /// Returns how many times the least change that is passed on is currently doubled because the
+    /// byte budget is short.
     pub fn coarseness(&self) -> u32 {
         self.coarseness
     }
 
-    /// Bytes of requests and replies so far, as frames.
+    /// Returns the bytes of all requests and replies sent so far, as frames.
     pub fn bytes_sent(&self) -> u64 {
         self.budget.sent
     }
 
-    /// Slots that there are, this planner's own among them.
+    /// Returns the number of slots, including this planner's own.
     pub fn slot_count(&self) -> usize {
         self.slots.len()
     }
@@ -142,22 +147,22 @@
         fastrand::Rng::with_seed(self.seed.wrapping_add(self.draws << 32))
     }
 
-    /// Queues a request or a reply, which costs bytes.
+    /// Queues a request or a reply and charges it to the byte budget.
     fn send(&mut self, action: GossipAction) {
         self.budget.spend(frame_size::frame_bytes(&action));
         self.actions.push_back(action);
     }
 
-    /// Time passes: a planner is asked, links that stall are closed, partners are looked for, and replies that
-    /// waited for bytes are sent.
+    /// Runs a gossip round if one is due: requests summaries from one peer, closes stalled links,
+    /// selects partners, and sends replies that waited for the byte budget.
     pub fn advance(&mut self, now_us: i64) {
         if now_us < self.round_at_us {
             return;
         }
         let quarter_us = self.config.round_us / 4;
         self.round_at_us = now_us + self.config.round_us + self.rng().i64(-quarter_us..=quarter_us);
-        self.give_up_stalled(now_us);
-        self.look_for_partners(now_us);
+        self.close_stalled_links(now_us);
+        self.select_partners(now_us);
         self.publish_zone(now_us);
         let is_due = |link: &Link| self.is_due(now_us, link, 0);
         let due: Vec<u64> = self.links.iter().filter(|(_, link)| is_due(link)).map(|(id, _)| *id).collect();
@@ -165,30 +170,30 @@
             let index = self.rng().usize(0..due.len());
             self.request(now_us, due[index]);
         }
-        let mut owing: Vec<u64> =
-            self.links.iter().filter(|(_, link)| link.owes_reply).map(|(id, _)| *id).collect();
-        self.rng().shuffle(&mut owing);
-        owing.into_iter().for_each(|link| self.reply(now_us, link));
+        let mut pending: Vec<u64> =
+            self.links.iter().filter(|(_, link)| link.reply_pending).map(|(id, _)| *id).collect();
+        self.rng().shuffle(&mut pending);
+        pending.into_iter().for_each(|link| self.reply(now_us, link));
     }
 
-    /// What is stored of a subject, where it is fresh enough to be passed on.
+    /// Returns the stored summary of a subject if it is fresh enough to be passed on.
     fn fresh_summary(&self, now_us: i64, subject: usize) -> Option<&StoredSummary> {
         let summary = self.summaries[subject].as_ref();
         summary.filter(|summary| now_us - summary.made_at_us <= self.stale_after_us(subject))
     }
 
-    /// The number of the summary that is stored of a subject; 0: none.
+    /// Returns the number of the stored summary of a subject; 0 if none is stored.
     fn stored_number(&self, subject: usize) -> u64 {
         self.summaries[subject].as_ref().map_or(0, |summary| summary.number)
     }
 
-    /// What is known of a slot at this moment.
+    /// Returns what this planner knows of a slot at this moment.
     pub fn freshness(&self, now_us: i64, slot: usize) -> Freshness<'_> {
         let Some(holder) = self.slots.get(slot).filter(|holder| holder.token > 0) else {
             return Freshness::Unassigned;
         };
         let token = holder.token;
-        if !self.is_near(slot) && holder.address.is_some() {
+        if !self.is_local(slot) && holder.address.is_some() {
             return Freshness::RemoteZone { token, zone: self.zone_of(slot) };
         }
         let Some(summary) = &self.summaries[slot] else {
@@ -201,14 +206,14 @@
         Freshness::Fresh { token, number: summary.number, age_us, metrics: &summary.metrics }
     }
 
-    /// What is known of a zone: of the fresh summaries of it, the one that stands for the most planners, of
-    /// several that of the lowest slot.
+    /// Returns a zone's summary: among its fresh summaries the one that covers the most planners,
+    /// and among equals the one made by the lowest slot.
     pub fn zone_summary(&self, now_us: i64, zone: usize) -> Option<ZoneSummary<'_>> {
         let (_, std::cmp::Reverse(reporter)) = *self.best_reporters(now_us).get(&zone)?;
         self.zone_summary_by(now_us, reporter)
     }
 
-    /// The summary that this slot made of its zone, where it is fresh.
+    /// Returns the summary that this slot made of its zone, if that summary is fresh.
     pub fn zone_summary_by(&self, now_us: i64, reporter: usize) -> Option<ZoneSummary<'_>> {
         let summary = self.fresh_summary(now_us, reporter + self.membership.slots)?;
         let own_metrics = self.payload.metric_count();
@@ -223,7 +228,8 @@
         })
     }
 
-    /// Of each zone the slot whose summary of it counts here, behind the planners that it stands for.
+    /// Returns, by zone, the slot whose summary of the zone is used, after the number of planners
+    /// that the summary covers.
     fn best_reporters(&self, now_us: i64) -> BTreeMap<usize, (usize, std::cmp::Reverse<usize>)> {
         let mut best_reporters = BTreeMap::new();
         if self.config.flat {
--- a/gossip/src/links.rs
+++ b/gossip/src/links.rs
@@ -1,39 +1,39 @@
-//! Links to other planners: which are dialled, exchanged for others, and given up.
+//! Links to other planners: which planners are dialled, and which links are replaced or closed.
 use crate::{Gossip, GossipAction, InvalidSummary, Payload};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A planner at the other end of a link.
+/// The planner at the other end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LinkedPeer {
-    /// Its slot.
+    /// The peer's slot.
     pub slot: usize,
-    /// The token under which it holds that slot, as it says.
+    /// The token under which the peer states that it holds the slot.
     pub token: u64,
-    /// Whether this side dialled.
+    /// Whether this planner dialled the peer.
     pub outbound: bool,
 }
 
-/// What the other end of a link has of a subject.
+/// The version that the peer has of a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PeerVersion {
     pub token: u64,
     pub number: u64,
-    /// Since when it is known to have it.
+    /// The time at which this planner learned of that version, in microseconds.
     pub since_us: i64,
 }
 
-/// A request that waits for its reply.
+/// A request whose reply has not arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct OpenRequest {
     pub id: u64,
     pub sent_us: i64,
 }
 
-/// A reply of which it is not known that it came through.
+/// A reply that the peer has not acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct UnconfirmedReply {
     pub request_id: u64,
-    /// By subject, what the other end has once it did.
+    /// The versions that the peer has once the reply arrives, by subject.
     pub versions: Vec<(usize, PeerVersion)>,
 }
 
@@ -44,14 +44,14 @@
     pub outbound: bool,
     pub open: Option<OpenRequest>,
     pub requested_us: i64,
-    /// The last request whose reply was accepted.
+    /// The last request of this planner whose reply was accepted; 0 if there is none.
     pub acknowledged: u64,
-    /// Subjects of which the other end must be told anew what is held here.
+    /// Subjects whose stored version the next request must state again.
     pub corrections: BTreeSet<usize>,
-    /// The last request of the other end.
+    /// The last request received from the peer; 0 if there is none.
     pub peer_request_id: u64,
-    /// It still waits for its reply.
-    pub owes_reply: bool,
+    /// Whether that request still waits for its reply.
+    pub reply_pending: bool,
     pub peer_versions: BTreeMap<usize, PeerVersion>,
     pub unconfirmed: Option<UnconfirmedReply>,
 }
@@ -67,26 +67,27 @@
             acknowledged: 0,
             corrections: BTreeSet::new(),
             peer_request_id: 0,
-            owes_reply: false,
+            reply_pending: false,
             peer_versions: BTreeMap::new(),
             unconfirmed: None,
         }
     }
 }
 
-/// The planners of other zones that this one is to link to.
+/// The links to planners of other zones that this planner maintains.
 struct RemoteTarget {
     count: usize,
-    /// In another region, rather than in its own.
+    /// Whether to prefer zones of another region over other zones of this planner's own region.
     other_region: bool,
 }
 
 impl<P: Payload> Gossip<P> {
-    /// A link to a planner is up, whoever dialled. It is asked at once: a planner that has just acquired its
-    /// slot knows nothing.
+    /// Records that a link to a peer is up, whichever side dialled. Requests summaries at once,
+    /// because a planner that has just acquired its slot knows nothing.
     ///
     /// # Errors
-    /// The peer holds no slot of another planner, or held its slot earlier: the link is to be closed.
+    /// The peer's slot does not exist or is this planner's own, or the peer holds it under an
+    /// outdated token. The caller must close the link.
     pub fn link_up(&mut self, now_us: i64, link: u64, peer: LinkedPeer) -> Result<(), InvalidSummary> {
         let LinkedPeer { slot, token, outbound } = peer;
         if outbound {
@@ -104,25 +105,25 @@
         Ok(())
     }
 
-    /// A link is gone.
+    /// Records that a link is down.
     pub fn link_down(&mut self, now_us: i64, link: u64) {
         if let Some(gone) = self.links.remove(&link).filter(|gone| gone.outbound) {
             self.slots[gone.slot].dial_at_us = now_us + self.config.timeout_us;
         }
     }
 
-    /// A planner that was dialled does not answer.
+    /// Records that a dial failed. The slot is not dialled again before the timeout has passed.
     pub fn dial_failed(&mut self, now_us: i64, slot: usize) {
         self.dialing.remove(&slot);
         self.slots[slot].dial_at_us = now_us + self.config.timeout_us;
     }
 
-    /// The slot of the planner at the other end of a link.
+    /// Returns the slot of the planner at the other end of a link.
     pub fn peer_slot(&self, link: u64) -> Option<usize> {
         self.links.get(&link).map(|link| link.slot)
     }
 
-    /// The slots of the planners to which a link is up.
+    /// Returns the slots of the planners to which a link is up.
     pub fn linked_slots(&self) -> impl Iterator<Item = usize> + '_ {
         self.links.values().map(|link| link.slot)
     }
@@ -132,8 +133,8 @@
         self.actions.push_back(GossipAction::CloseLink { link });
     }
 
-    /// Closes links with a request open for too long, and forgets dials without a link for as long.
-    pub(crate) fn give_up_stalled(&mut self, now_us: i64) {
+    /// Closes links whose open request has timed out, and gives up dials that have timed out.
+    pub(crate) fn close_stalled_links(&mut self, now_us: i64) {
         let timeout_us = self.config.timeout_us;
         let is_stalled = |link: &Link| link.open.is_some_and(|open| now_us >= open.sent_us + timeout_us);
         let stalled: Vec<u64> =
@@ -145,31 +146,33 @@
         dead.into_iter().for_each(|slot| self.dial_failed(now_us, slot));
     }
 
-    /// Planners that it dialled, linked or not yet, in its zone or beyond it.
-    fn partner_count(&self, near: bool) -> usize {
+    /// Returns how many planners this planner has dialled, linked or not yet, within its zone
+    /// (`local`) or outside it.
+    fn partner_count(&self, local: bool) -> usize {
         let linked = self.links.values().filter(|link| link.outbound).map(|link| link.slot);
-        linked.chain(self.dialing.keys().copied()).filter(|slot| self.is_near(*slot) == near).count()
+        linked.chain(self.dialing.keys().copied()).filter(|slot| self.is_local(*slot) == local).count()
     }
 
-    /// Some planners of a zone link to other zones: the lowest that are alive, each second one to another
-    /// region; each to more where its zone has few to talk to.
+    /// Returns the links to other zones that this planner maintains. Only the lowest slots of a
+    /// zone that are alive have such links; every second one prefers another region. A planner with
+    /// few peers in its own zone maintains more of them.
     fn remote_target(&self, now_us: i64) -> RemoteTarget {
         let nothing = RemoteTarget { count: 0, other_region: false };
         if self.config.flat {
             return nothing;
         }
         let own_slot = self.membership.own_slot;
-        let near_peers = || (0..self.slots.len()).filter(|slot| *slot != own_slot && self.is_near(*slot));
+        let local_peers = || (0..self.slots.len()).filter(|slot| *slot != own_slot && self.is_local(*slot));
         let lower =
-            near_peers().filter(|slot| *slot < own_slot && self.counts_as_alive(now_us, *slot)).count();
+            local_peers().filter(|slot| *slot < own_slot && self.counts_as_alive(now_us, *slot)).count();
         if lower >= self.config.remote_links {
             return nothing;
         }
-        let count = 1 + self.config.partners.saturating_sub(near_peers().count());
+        let count = 1 + self.config.partners.saturating_sub(local_peers().count());
         RemoteTarget { count, other_region: lower % 2 == 1 }
     }
 
-    pub(crate) fn look_for_partners(&mut self, now_us: i64) {
+    pub(crate) fn select_partners(&mut self, now_us: i64) {
         let is_linked = |slot: usize| self.links.values().any(|link| link.slot == slot);
         let is_candidate = |slot: &usize| {
             let known = &self.slots[*slot];
@@ -180,17 +183,17 @@
         let mut candidates: Vec<usize> = (0..self.slots.len()).filter(is_candidate).collect();
         self.rng().shuffle(&mut candidates);
         let remote = self.remote_target(now_us);
-        // Who links to its own region links to another where its own has nobody else, and the other way round.
+        // Planners of the preferred region come first; the others are used if it has none.
         candidates
-            .sort_by_key(|slot| !self.is_near(*slot) && self.is_remote_region(*slot) != remote.other_region);
+            .sort_by_key(|slot| !self.is_local(*slot) && self.is_remote_region(*slot) != remote.other_region);
         let swaps = now_us >= self.swap_at_us;
-        for (near, wanted) in [(true, self.config.partners), (false, remote.count)] {
+        for (local, wanted) in [(true, self.config.partners), (false, remote.count)] {
             let candidates: Vec<usize> =
-                candidates.iter().copied().filter(|slot| self.is_near(*slot) == near).collect();
-            if let Some(link) = self.link_to_give_up(near, wanted, &remote, &candidates, swaps) {
+                candidates.iter().copied().filter(|slot| self.is_local(*slot) == local).collect();
+            if let Some(link) = self.link_to_close(local, wanted, &remote, &candidates, swaps) {
                 self.close_link(now_us, link);
             }
-            let missing = wanted.saturating_sub(self.partner_count(near));
+            let missing = wanted.saturating_sub(self.partner_count(local));
             for slot in candidates.into_iter().take(missing) {
                 self.dial(now_us, slot);
             }
@@ -200,21 +203,21 @@
         }
     }
 
-    /// The link that is closed as there are too many, as it is time to exchange one, or as a candidate is in the
-    /// region that is looked for and this one is not.
-    fn link_to_give_up(
+    /// Returns the link to close because there are too many, because one is due to be replaced, or
+    /// because a candidate is in the preferred region and the linked planner is not.
+    fn link_to_close(
         &mut self,
-        near: bool,
+        local: bool,
         wanted: usize,
         remote: &RemoteTarget,
         candidates: &[usize],
         swaps: bool,
     ) -> Option<u64> {
-        let count = self.partner_count(near);
+        let count = self.partner_count(local);
         let outbound =
-            || self.links.iter().filter(|(_, link)| link.outbound && self.is_near(link.slot) == near);
+            || self.links.iter().filter(|(_, link)| link.outbound && self.is_local(link.slot) == local);
         let fits = |slot: usize| self.is_remote_region(slot) == remote.other_region;
-        let has_better = !near && candidates.first().is_some_and(|slot| fits(*slot));
+        let has_better = !local && candidates.first().is_some_and(|slot| fits(*slot));
         if count > wanted || swaps && count == wanted && !candidates.is_empty() {
             let all: Vec<u64> = outbound().map(|(id, _)| *id).collect();
             return self.rng().choice(all);
--- a/gossip/src/payload.rs
+++ b/gossip/src/payload.rs
@@ -1,43 +1,44 @@
-//! What summaries carry: metrics in one layout, the same at all planners of an installation. What a metric
-//! means is the caller's matter; how much of a change matters, and how metrics of several planners are merged,
-//! is the layout's to say.
+//! The metrics in a summary, in one layout for all planners of an installation. The caller defines
+//! what a metric means; the layout defines which changes are significant and how metrics of several
+//! planners are merged.
 use std::cmp::Ordering;
 use std::rc::Rc;
 
-/// A summary has at most so many metrics.
+/// The most metrics that a summary can have.
 pub const MAX_METRICS: usize = 256;
-/// A sum is passed on anew once it changed by more than this part of its size.
+/// A sum is passed on again once it changed by more than this fraction.
 const SUM_THRESHOLD: f32 = 0.125;
-/// A median, once it changed by more than this part: limits are laid on it.
+/// A median is passed on again once it changed by more than this fraction; callers compare medians
+/// with limits, so it is half of that for sums.
 const MEDIAN_THRESHOLD: f32 = 0.0625;
-/// A smaller change is never passed on for itself.
+/// A smaller absolute change is never significant.
 const MIN_CHANGE: f32 = 0.1;
-/// The bits of a float that are kept: sign, exponent and seven of the fraction.
+/// The bits of a float that rounding keeps: the sign, the exponent and 7 bits of the fraction.
 const ROUNDED_MASK: u32 = 0xffff_0000;
-/// Half of the least bit that is kept.
+/// Half of the lowest bit that rounding keeps.
 const ROUNDING: u32 = 0x8000;
 
-/// Metrics as they go on the wire, as the bits of 32-bit floats.
+/// Metrics in their encoded form, as the bits of 32-bit floats.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Metrics(pub(crate) Rc<[u32]>);
 
 impl Metrics {
-    /// The metric at an index; 0 where there is none.
+    /// Returns the metric at an index; 0 if there is none.
     pub fn get(&self, index: usize) -> f32 {
         self.0.get(index).map_or(0.0, |bits| f32::from_bits(*bits))
     }
 
-    /// All metrics, in their order.
+    /// Returns all metrics in the order of the layout.
     pub fn iter(&self) -> impl Iterator<Item = f32> + '_ {
         self.0.iter().map(|bits| f32::from_bits(*bits))
     }
 
-    /// How many there are.
+    /// Returns the number of metrics.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no metrics.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -49,45 +50,46 @@
     }
 }
 
-/// What gossip needs to know of metrics to pass them on.
+/// The properties of metrics that gossip needs to pass them on.
 pub trait Payload {
-    /// How many there are.
+    /// Returns the number of metrics.
     fn metric_count(&self) -> usize;
 
-    /// A metric as it is passed on.
+    /// Returns a metric as it is passed on.
     fn rounded(&self, index: usize, metric: f32) -> f32;
 
-    /// Whether it changed enough to be passed on anew. `coarseness`: how often the least such change is
-    /// doubled, where bytes are short.
+    /// Returns whether a metric changed enough to be passed on again. `coarseness` is how many
+    /// times the least such change is doubled because bytes are short.
     fn is_significant(&self, index: usize, before: f32, after: f32, coarseness: u32) -> bool;
 
-    /// Whether its changes are passed on before others'.
+    /// Returns whether changes of a metric are passed on before changes of other metrics.
     fn is_urgent(&self, index: usize) -> bool;
 
-    /// What several planners report, as one. `parts` is never empty.
-    fn merge(&self, parts: &[&Metrics]) -> Vec<f32>;
+    /// Merges the metrics of several planners into one set. `reports` is never empty.
+    fn merge(&self, reports: &[&Metrics]) -> Vec<f32>;
 }
 
-/// How a metric of several planners is merged.
+/// How one metric of several planners is merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MergeRule {
-    /// Of different clients: what one planner has, the others have not.
+    /// The sum, for metrics of different clients, which are disjoint between planners.
     Sum,
-    /// Of the same machines: the median of what is believed; of an even number the lower.
+    /// The median of the planners' estimates, for metrics of the same machines; of an even number
+    /// the lower one.
     Median {
-        /// Only those planners count whose metric at this index is above 0.
+        /// The index of a metric that must be above 0 for a planner's estimate to count.
         observed_by: usize,
-        /// Passed on before others.
+        /// Whether changes are passed on before changes of other metrics.
         urgent: bool,
     },
-    /// All such metrics together are one record, and the highest counts: compared in their order. Exact up to
-    /// 2^24, and passed on before others.
+    /// The highest record. All metrics with this rule form one record, and records are compared
+    /// metric by metric in order. Exact up to 2^24, and passed on before other metrics.
     HighestRecord,
-    /// Of the first planner that reports it.
+    /// The metric of the first planner that reports it.
     First,
 }
 
-/// A rule for each metric.
+/// A layout as one merge rule per metric.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MetricLayout(pub Rc<[MergeRule]>);
 
@@ -96,7 +98,7 @@
         self.0.get(index).copied().unwrap_or(MergeRule::First)
     }
 
-    /// Which of two planners has the higher record.
+    /// Compares the records of two planners.
     fn compare_records(&self, one: &Metrics, other: &Metrics) -> Ordering {
         let rules = self.0.iter().enumerate();
         let record = rules.filter(|(_, rule)| **rule == MergeRule::HighestRecord).map(|(index, _)| index);
@@ -105,10 +107,10 @@
     }
 }
 
-/// The median at an index, of the parts that see what it is about.
-fn median(parts: &[&Metrics], index: usize, observed_by: usize) -> f32 {
-    let observers = parts.iter().filter(|part| part.get(observed_by) > 0.0);
-    let mut metrics: Vec<f32> = observers.map(|part| part.get(index)).collect();
+/// Returns the median at an index, over the planners whose metric at `observed_by` is above 0.
+fn median(reports: &[&Metrics], index: usize, observed_by: usize) -> f32 {
+    let observers = reports.iter().filter(|report| report.get(observed_by) > 0.0);
+    let mut metrics: Vec<f32> = observers.map(|report| report.get(index)).collect();
     metrics.sort_by(f32::total_cmp);
     metrics.get(metrics.len().saturating_sub(1) / 2).copied().unwrap_or(0.0)
 }
@@ -118,7 +120,8 @@
         self.0.len()
     }
 
-    /// Eight bits of it say enough, and are three bytes on the wire.
+    /// Rounds sums and medians to 8 significant bits, which is precise enough and takes three bytes
+    /// when encoded.
     fn rounded(&self, index: usize, metric: f32) -> f32 {
         match self.rule(index) {
             MergeRule::Sum | MergeRule::Median { .. } if metric.is_finite() => {
@@ -147,13 +150,13 @@
         matches!(self.rule(index), MergeRule::HighestRecord | MergeRule::Median { urgent: true, .. })
     }
 
-    fn merge(&self, parts: &[&Metrics]) -> Vec<f32> {
-        let newest = parts.iter().max_by(|one, other| self.compare_records(one, other));
+    fn merge(&self, reports: &[&Metrics]) -> Vec<f32> {
+        let newest = reports.iter().max_by(|one, other| self.compare_records(one, other));
         let merged = |index: usize| match self.rule(index) {
-            MergeRule::Sum => parts.iter().map(|part| part.get(index)).sum(),
-            MergeRule::Median { observed_by, .. } => median(parts, index, observed_by),
-            MergeRule::HighestRecord => newest.map_or(0.0, |part| part.get(index)),
-            MergeRule::First => parts.first().map_or(0.0, |part| part.get(index)),
+            MergeRule::Sum => reports.iter().map(|report| report.get(index)).sum(),
+            MergeRule::Median { observed_by, .. } => median(reports, index, observed_by),
+            MergeRule::HighestRecord => newest.map_or(0.0, |report| report.get(index)),
+            MergeRule::First => reports.first().map_or(0.0, |report| report.get(index)),
         };
         (0..self.metric_count()).map(merged).collect()
     }
--- a/gossip/src/pull.rs
+++ b/gossip/src/pull.rs
@@ -1,4 +1,5 @@
-//! Requests and replies: what the other end of a link lacks, and what is accepted of its reply.
+//! Requests and replies: which summaries a peer lacks, and which summaries of its replies are
+//! accepted.
 use crate::links::{Link, OpenRequest, PeerVersion, UnconfirmedReply};
 use crate::payload::Metrics;
 use crate::publish::{WithZoneCounts, ZONE_COUNTS};
@@ -8,7 +9,7 @@
     MAX_METRICS,
 };
 
-/// A field that cannot be: its name, and what was found and expected.
+/// A field with an invalid value: its name, the value found and the value expected.
 pub(crate) struct InvalidField {
     pub field: String,
     pub found: String,
@@ -16,43 +17,44 @@
 }
 
 impl InvalidField {
-    /// As an error about the summary of `slot`, in a frame of `peer`.
+    /// Converts this into an error about the summary of `slot` in a frame of `peer`.
     pub fn into_error(self, peer: usize, slot: usize) -> InvalidSummary {
         let InvalidField { field, found, expected } = self;
         InvalidSummary::Payload { peer, slot, field, found, expected }
     }
 }
 
-/// What the other end of a link lacks.
-struct OwedSubject {
+/// A subject of which the peer lacks the newest summary.
+struct MissingSubject {
     subject: usize,
-    /// What it has of it, under the token that counts.
+    /// The version that the peer has under the current token; its number is 0 if it has none.
     base: PeerVersion,
-    /// It goes before others.
+    /// Whether an urgent metric changed, so that the subject is sent before others.
     urgent: bool,
 }
 
-/// Where a delta came from.
+/// The origin of a received delta.
 #[derive(Clone, Copy)]
 struct ReplySource {
     link: u64,
     peer: usize,
-    /// Since the request was sent.
+    /// The time between sending the request and receiving the reply, in microseconds.
     round_trip_us: i64,
 }
 
 impl<P: Payload> Gossip<P> {
-    /// Whether the other end may be asked again, so long after the last time; in another region less often.
+    /// Returns whether the peer may be sent another request: none is open and `interval_us` has
+    /// passed since the last one, or the longer interval for peers in another region.
     pub(crate) fn is_due(&self, now_us: i64, link: &Link, interval_us: i64) -> bool {
         let remote = self.is_remote_region(link.slot);
         let interval_us = if remote { self.config.remote_region_interval_us } else { interval_us };
         link.open.is_none() && now_us.saturating_sub(interval_us) >= link.requested_us
     }
 
-    /// Asks the other end of a link, unless a request is open or bytes are short.
+    /// Requests summaries from a peer, unless a request is open or the byte budget is used up.
     pub(crate) fn request(&mut self, now_us: i64, link_id: u64) {
         let Some(link) = self.links.get(&link_id).filter(|link| link.open.is_none()) else { return };
-        // However old: deltas are made against it.
+        // Stale summaries are included, because the peer can send deltas against them.
         let version = |subject: usize| Version { subject, number: self.stored_number(subject) };
         let versions: Vec<Version> = if link.acknowledged == 0 {
             let passed_on =
@@ -63,9 +65,9 @@
             corrections.filter(|subject| self.is_passed_on(*subject, link.slot)).map(version).collect()
         };
         let (id, acknowledged) = (self.last_request_id + 1, link.acknowledged);
-        let has_updates = !self.owed(now_us, link).is_empty();
+        let has_updates = !self.missing_at_peer(now_us, link).is_empty();
         if self.budget.available(now_us) <= 0 {
-            self.short_of_bytes = true;
+            self.throttled = true;
             return;
         }
         self.last_request_id = id;
@@ -77,10 +79,10 @@
         self.send(GossipAction::Request { link: link_id, request });
     }
 
-    /// A linked planner asks for what is newer than it has.
+    /// Handles a peer's request for the summaries that are newer than its own.
     ///
     /// # Errors
-    /// It names a slot that there is not: the link is to be closed.
+    /// The request names a slot that does not exist. The caller must close the link.
     pub fn receive_request(
         &mut self,
         now_us: i64,
@@ -94,16 +96,16 @@
             return Err(InvalidSummary::Slot { peer, found, slots });
         }
         if request.id <= link.peer_request_id {
-            // Doubled or overtaken: what it says it has is not so any more.
+            // A duplicated or reordered request: the versions that it states are out of date.
             return Ok(());
         }
-        (link.peer_request_id, link.owes_reply) = (request.id, true);
+        (link.peer_request_id, link.reply_pending) = (request.id, true);
         match link.unconfirmed.take() {
             _ if request.acknowledged == 0 => link.peer_versions.clear(),
             Some(reply) if reply.request_id == request.acknowledged => {
                 link.peer_versions.extend(reply.versions);
             }
-            // It did not come through, and is sent again.
+            // The previous reply did not arrive; its summaries are sent again.
             _ => {}
         }
         for Version { subject, number } in request.versions {
@@ -111,7 +113,8 @@
             link.peer_versions.insert(subject, PeerVersion { token, number, since_us: now_us });
         }
         self.reply(now_us, link_id);
-        // Two planners that refuse each other's summaries would otherwise ask as fast as the link carries.
+        // Two planners that reject each other's summaries would otherwise send requests as fast as
+        // the link allows.
         let interval_us = self.config.round_us / 2;
         let is_due = |link: &Link| self.is_due(now_us, link, interval_us);
         if request.has_updates && self.links.get(&link_id).is_some_and(is_due) {
@@ -120,15 +123,15 @@
         Ok(())
     }
 
-    /// What the other end of a link has less of than this one: what is urgent first, then what it was told last
-    /// the longest ago.
-    fn owed(&self, now_us: i64, link: &Link) -> Vec<OwedSubject> {
+    /// Returns the subjects of which the peer has an older summary than this planner. Urgent ones
+    /// come first, then those whose version at the peer has been known the longest.
+    fn missing_at_peer(&self, now_us: i64, link: &Link) -> Vec<MissingSubject> {
         let nothing = PeerVersion { token: 0, number: 0, since_us: i64::MIN };
         let slots = self.membership.slots;
-        let mut owed: Vec<OwedSubject> = Vec::new();
+        let mut missing: Vec<MissingSubject> = Vec::new();
         let zones = self.best_reporters(now_us).into_values().map(|(_, reporter)| reporter.0 + slots);
         for subject in (0..slots).chain(zones) {
-            // Of itself it knows best.
+            // The peer has the newest summary of its own slot.
             if self.slot_of(subject) == link.slot || !self.is_passed_on(subject, link.slot) {
                 continue;
             }
@@ -138,26 +141,31 @@
             if (known.token, known.number) < (token, summary.number) {
                 let number = if known.token == token { known.number } else { 0 };
                 let urgent = summary.is_urgent(number, &WithZoneCounts(&self.payload));
-                owed.push(OwedSubject { subject, base: PeerVersion { token, number, ..known }, urgent });
+                missing.push(MissingSubject {
+                    subject,
+                    base: PeerVersion { token, number, ..known },
+                    urgent,
+                });
             }
         }
-        owed.sort_by_key(|one| (!one.urgent, one.base.since_us, one.subject));
-        owed
+        missing.sort_by_key(|subject| (!subject.urgent, subject.base.since_us, subject.subject));
+        missing
     }
 
-    /// Sends what is owed, as far as the bytes of this moment reach.
+    /// Replies to a peer's pending request with as many summaries as the byte budget allows.
     pub(crate) fn reply(&mut self, now_us: i64, link_id: u64) {
         let available = self.budget.available(now_us);
-        let Some(link) = self.links.get(&link_id).filter(|link| link.owes_reply) else { return };
-        if available < self.budget.least_reply() {
-            // It waits for a later round: the requester takes it for as old as it is by then.
-            self.short_of_bytes = true;
+        let Some(link) = self.links.get(&link_id).filter(|link| link.reply_pending) else { return };
+        if available < self.budget.min_reply_bytes() {
+            // The reply waits for a later round. Ages stay correct, because the requester adds the
+            // whole time since its request.
+            self.throttled = true;
             return;
         }
         let mut available = available - frame_size::REPLY_OVERHEAD;
         let mut deltas: Vec<SummaryDelta> = Vec::new();
-        for OwedSubject { subject, base, .. } in
-            self.owed(now_us, link).into_iter().take(self.config.max_deltas_per_reply)
+        for MissingSubject { subject, base, .. } in
+            self.missing_at_peer(now_us, link).into_iter().take(self.config.max_deltas_per_reply)
         {
             let Some(summary) = self.fresh_summary(now_us, subject) else { continue };
             let delta = SummaryDelta {
@@ -169,9 +177,10 @@
                 changed: summary.since(base.number),
             };
             let bytes = frame_size::delta_bytes(&delta);
-            // One always goes: what is large would otherwise wait for ever behind what is small.
+            // At least one summary is always sent; a large one would otherwise wait forever behind
+            // small ones.
             if bytes > available && !deltas.is_empty() {
-                self.short_of_bytes = true;
+                self.throttled = true;
                 break;
             }
             available -= bytes;
@@ -184,13 +193,14 @@
         };
         let versions = deltas.iter().map(version).collect();
         if let Some(link) = self.links.get_mut(&link_id) {
-            link.owes_reply = false;
+            link.reply_pending = false;
             link.unconfirmed = Some(UnconfirmedReply { request_id, versions });
         }
         self.send(GossipAction::Reply { link: link_id, request_id, deltas });
     }
 
-    /// A linked planner replies. What cannot be true is dropped; the errors say what is wrong with each.
+    /// Handles a peer's reply. Invalid summaries are dropped, each with an error that tells what is
+    /// wrong with it.
     pub fn receive_reply(
         &mut self,
         now_us: i64,
@@ -201,7 +211,8 @@
         let Some(link) = self.links.get_mut(&link_id) else { return Vec::new() };
         let peer = link.slot;
         let Some(open) = link.open.take_if(|open| open.id == request_id) else {
-            // Doubled, or late beyond the timeout: how old it is by now is not known.
+            // A duplicated reply, or one that arrived after the timeout: the ages in it cannot be
+            // corrected for the time that it took.
             return vec![InvalidSummary::RequestId { peer, found: request_id }];
         };
         link.acknowledged = request_id;
@@ -222,7 +233,7 @@
         let slot = self.slot_of(subject);
         let (found, expected) = (delta.token, self.slots[slot].token);
         if found < expected {
-            // An earlier holder's, from a planner that does not know of the newer one.
+            // The peer does not know the current holder yet and sent an earlier holder's summary.
             return Ok(());
         }
         if found > expected {
@@ -240,16 +251,16 @@
         if delta.age_us < 0 {
             return Err(InvalidSummary::Age { peer, slot, found: delta.age_us });
         }
-        check_delta(delta, self.metric_count(subject)).map_err(|wrong| wrong.into_error(peer, slot))?;
-        self.note_peer_version(now_us, source.link, delta);
+        check_delta(delta, self.metric_count(subject)).map_err(|invalid| invalid.into_error(peer, slot))?;
+        self.record_peer_version(now_us, source.link, delta);
         if delta.number > stored {
             self.store(now_us, source, delta);
         }
         Ok(())
     }
 
-    /// The other end of a link has what it sent.
-    fn note_peer_version(&mut self, now_us: i64, link_id: u64, delta: &SummaryDelta) {
+    /// Records that the peer has the version that it sent.
+    fn record_peer_version(&mut self, now_us: i64, link_id: u64, delta: &SummaryDelta) {
         let Some(link) = self.links.get_mut(&link_id) else { return };
         let sent = PeerVersion { token: delta.token, number: delta.number, since_us: now_us };
         let known = link.peer_versions.entry(delta.subject).or_insert(sent);
@@ -263,13 +274,13 @@
         let mut made_at_us = now_us.saturating_sub(delta.age_us).saturating_sub(source.round_trip_us);
         let before = self.summaries[subject].as_ref();
         if let Some(before) = before.filter(|_| !self.is_zone(subject)) {
-            // It was made after the one before, of which this is known as well.
+            // A summary is never older than the stored one with a lower number.
             made_at_us = made_at_us.max(before.made_at_us);
         }
         match StoredSummary::apply(before, made_at_us, delta) {
             Some(summary) => {
                 self.summaries[subject] = Some(summary);
-                // Others need not send it again.
+                // Other peers need not send this version again.
                 for (_, link) in self.links.iter_mut().filter(|(id, _)| **id != source.link) {
                     link.corrections.insert(subject);
                 }
@@ -282,16 +293,16 @@
         }
     }
 
-    /// How many metrics the summary of a subject has.
+    /// Returns how many metrics the summary of a subject has.
     fn metric_count(&self, subject: usize) -> usize {
         self.payload.metric_count() + if self.is_zone(subject) { ZONE_COUNTS } else { 0 }
     }
 
-    /// Whether metrics of this planner's own can be true.
+    /// Checks the metrics that this planner is about to publish.
     pub(crate) fn check_own(&self, metrics: &Metrics) -> Result<(), InvalidField> {
         let count = self.metric_count(self.membership.own_slot);
         if metrics.len() != count || count > MAX_METRICS {
-            let expected = format!("{count}, {MAX_METRICS} at most");
+            let expected = format!("{count} metrics, at most {MAX_METRICS}");
             return Err(InvalidField { field: "figures".into(), found: metrics.len().to_string(), expected });
         }
         match metrics.iter().position(|metric| !metric.is_finite()) {
@@ -306,19 +317,19 @@
     InvalidField { field, found, expected: "a finite number".into() }
 }
 
-/// Whether a delta of a summary with so many metrics can be true.
+/// Checks a delta of a summary with `metric_count` metrics.
 fn check_delta(delta: &SummaryDelta, metric_count: usize) -> Result<(), InvalidField> {
     let rises = delta.changed.windows(2).all(|pair| pair[0].0 < pair[1].0);
     let end = delta.changed.last().map_or(0, |(index, _)| index + 1);
     if !rises || end > metric_count || delta.base == 0 && end != metric_count {
-        let expected = format!("{metric_count} figures in their order, as of this planner's files");
+        let expected = format!("{metric_count} metrics in rising order, as in this planner's files");
         return Err(InvalidField { field: "figures".into(), found: end.to_string(), expected });
     }
     if let Some((index, bits)) = delta.changed.iter().find(|(_, bits)| !f32::from_bits(*bits).is_finite()) {
         return Err(not_finite(*index, f32::from_bits(*bits)));
     }
     if delta.base > 0 && delta.base >= delta.number {
-        let expected = format!("less than its number, {}", delta.number);
+        let expected = format!("a number below that of the summary, {}", delta.number);
         return Err(InvalidField { field: "base".into(), found: delta.base.to_string(), expected });
     }
     Ok(())
--- a/gossip/src/stored_summary.rs
+++ b/gossip/src/stored_summary.rs
@@ -1,29 +1,30 @@
-//! What is stored of a summary. Each metric has the number at which it last changed, or a later one: what
-//! changed since any number is then known without keeping the summaries in between (compare van Renesse and
-//! others, "Efficient reconciliation and flow control for anti-entropy protocols", 2008).
+//! The stored form of a summary. Each metric has the number of the summary in which it last
+//! changed, or a later number, so the changes since any number are known without keeping earlier
+//! summaries (compare van Renesse and others, "Efficient reconciliation and flow control for
+//! anti-entropy protocols", 2008).
 use crate::payload::{Metrics, Payload};
 use crate::SummaryDelta;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct StoredSummary {
     pub number: u64,
-    /// It was made at this time or later.
+    /// The earliest time at which the summary can have been made, in microseconds.
     pub made_at_us: i64,
     pub metrics: Metrics,
-    /// By metric, the number of the summary in which it last changed.
+    /// By metric: the number of the summary in which it last changed, or a later one.
     changed: Vec<u64>,
 }
 
 impl StoredSummary {
-    /// Of its maker: the first, or the next after `before`. None: `is_time` says that what changed does not
-    /// make one due yet.
+    /// Makes a planner's next summary after `before`, or its first one. Returns `None` if `is_due`
+    /// denies that one is due for the greatest change in it.
     pub fn next(
         before: Option<&StoredSummary>,
         made_at_us: i64,
         payload: &impl Payload,
         coarseness: u32,
         metrics: impl Iterator<Item = f32>,
-        is_time: impl FnOnce(ChangeKind) -> bool,
+        is_due: impl FnOnce(ChangeKind) -> bool,
     ) -> Option<StoredSummary> {
         let rounded = metrics.enumerate().map(|(index, metric)| payload.rounded(index, metric));
         let Some(before) = before else {
@@ -33,7 +34,7 @@
         };
         let number = before.number + 1;
         let (mut bits, mut changed) = (before.metrics.0.to_vec(), before.changed.clone());
-        let mut kind = ChangeKind::Nothing;
+        let mut kind = ChangeKind::Unchanged;
         for (index, after) in rounded.enumerate().take(bits.len()) {
             if payload.is_significant(index, f32::from_bits(bits[index]), after, coarseness) {
                 (bits[index], changed[index]) = (after.to_bits(), number);
@@ -44,20 +45,21 @@
                 });
             }
         }
-        is_time(kind).then(|| StoredSummary { number, made_at_us, metrics: Metrics(bits.into()), changed })
+        is_due(kind).then(|| StoredSummary { number, made_at_us, metrics: Metrics(bits.into()), changed })
     }
 
-    /// Whether an urgent metric changed since this number.
+    /// Returns whether an urgent metric changed after this number.
     pub fn is_urgent(&self, base: u64, payload: &impl Payload) -> bool {
         let mut changed = self.changed.iter().enumerate();
         changed.any(|(index, number)| *number > base && payload.is_urgent(index))
     }
 
-    /// Index and bits of the metrics that changed since this number of the same maker's, under the same token;
-    /// 0: all of them.
+    /// Returns the index and bits of each metric that changed after number `base`, which must be of
+    /// the same maker and token; 0 returns the whole summary.
     pub fn since(&self, base: u64) -> Vec<(usize, u32)> {
         let last = self.metrics.len().saturating_sub(1);
-        // Of a whole, what is left out is 0; its last metric tells its size.
+        // A whole summary omits metrics that are 0, except the last one, which gives the number of
+        // metrics.
         let is_sent = |index: usize| match base {
             0 => self.metrics.0[index] != 0 || index == last,
             base => self.changed[index] > base,
@@ -66,8 +68,8 @@
         indices.map(|index| (index, self.metrics.0[index])).collect()
     }
 
-    /// A delta applies to its base or a later one, of which what is stored holds every change as well. None: it
-    /// does not, and the whole is wanted.
+    /// Applies a delta to the stored summary, which must be the delta's base or a later one.
+    /// Returns `None` if it is neither, so that the whole summary is needed.
     pub fn apply(
         before: Option<&StoredSummary>,
         made_at_us: i64,
@@ -75,7 +77,8 @@
     ) -> Option<StoredSummary> {
         let (number, size) = (delta.number, delta.changed.last().map_or(0, |(index, _)| index + 1));
         let (mut bits, mut changed) = match before {
-            // A metric may have changed and changed back since what is stored: all count as changed now.
+            // A metric may have changed and changed back since the stored summary, so all count as
+            // changed.
             _ if delta.base == 0 => (vec![0; size], vec![number; size]),
             Some(before) if before.number >= delta.base && size <= before.metrics.len() => {
                 (before.metrics.0.to_vec(), before.changed.clone())
@@ -89,11 +92,11 @@
     }
 }
 
-/// The weightiest change in a summary.
+/// The greatest change in a summary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ChangeKind {
-    Nothing,
+    Unchanged,
     Ordinary,
-    /// Of a metric that is passed on before others.
+    /// A metric whose changes are passed on before others changed.
     Urgent,
 }
