--- a/zone_failover/src/coordinator.rs
+++ b/zone_failover/src/coordinator.rs
@@ -1,37 +1,38 @@
-//! The coordinator decides when a zone has failed and how far it has recovered. A decision counts once a
-//! majority has stored it; a successor goes on from the last that did, with its timers begun anew: late,
-//! never early.
+//! The coordinator decides when a zone has failed and how far it has recovered. A decision takes
+//! effect once a majority of voters has stored it. A new coordinator continues from the last stored
+//! decision with its timers restarted, so it may decide late but never early.
 use crate::evidence::Evidence;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// The parts of a recovering zone's machines that are offered work, step by step.
+/// The fractions of a recovering zone's machines that are offered work, by recovery step.
 pub const RECOVERY_STEPS: [f64; 3] = [0.1, 0.3, 0.6];
 
-/// With fewer recent attempts than this nothing is said of how they go.
+/// The least number of recent attempts from which their outcome is judged.
 const MIN_ATTEMPTS: f64 = 3.0;
-/// The part of refused and failed attempts that is too many.
-const MAX_FAILED_PART: f64 = 0.5;
-/// A hold doubles at most so often.
+/// The fraction of refused and failed attempts above which a recovery step goes back.
+const MAX_FAILED_FRACTION: f64 = 0.5;
+/// The most times that a hold time is doubled.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// How long things must last.
+/// How long evidence must last before the coordinator acts on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FailoverConfig {
-    /// A zone counts as failed once the evidence of it has lasted so long.
+    /// How long evidence of failure must last before a zone is declared failed, in microseconds.
     pub confirm_us: i64,
-    /// It begins to recover once it was seen healthy for so long, twice that after each flap.
+    /// How long evidence of health must last before a failed zone begins to recover, in
+    /// microseconds; doubled for each flap.
     pub settle_us: i64,
-    /// Each step of the recovery, twice that after each step back.
+    /// How long each recovery step lasts, in microseconds; doubled for each step back.
     pub step_us: i64,
-    /// After so long in health its flaps are forgotten.
+    /// How long a zone must stay healthy before its flaps are forgotten, in microseconds.
     pub flap_reset_us: i64,
-    /// What doubles never goes beyond this.
+    /// The most that a doubled time can be, in microseconds.
     pub max_hold_us: i64,
 }
 
 impl FailoverConfig {
-    /// As planners use it.
+    /// The configuration that planners use.
     pub const DEFAULT: FailoverConfig = FailoverConfig {
         confirm_us: 1_500_000,
         settle_us: 2_000_000,
@@ -41,23 +42,23 @@
     };
 }
 
-/// Where a zone is between health, failure and recovery. Stored decisions have the names of the renames.
+/// The phase of a zone. Stored decisions contain the serde names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ZonePhase {
-    /// All its machines are offered work.
+    /// All machines of the zone are offered work.
     #[default]
     #[serde(rename = "well")]
     Healthy,
-    /// None is.
+    /// No machine of the zone is offered work.
     #[serde(rename = "lost")]
     Failed,
-    /// The part of this step in [`RECOVERY_STEPS`] is.
+    /// The fraction of machines at this index of [`RECOVERY_STEPS`] is offered work.
     #[serde(rename = "returning")]
     Recovering(usize),
 }
 
 impl ZonePhase {
-    /// The part of its machines that are offered work, from 0 to 1.
+    /// Returns the fraction of the zone's machines that are offered work, from 0 to 1.
     pub fn offered_share(self) -> f64 {
         match self {
             ZonePhase::Healthy => 1.0,
@@ -66,72 +67,75 @@
         }
     }
 
-    /// Whether its machine of this rank, of so many, is offered work. Ranks are the same at all planners, so
-    /// all offer the same machines, and those of a step stay in the next.
+    /// Returns whether the machine of this rank, of `machine_count`, is offered work. Ranks are the
+    /// same at all planners, so all planners offer work to the same machines, and the machines of a
+    /// step stay in the next one.
     pub fn offers(self, rank: usize, machine_count: usize) -> bool {
         rank < (self.offered_share() * machine_count as f64).ceil() as usize
     }
 }
 
-/// What is recorded of one zone.
+/// The stored state of one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ZoneState {
-    /// Where it is.
+    /// The zone's phase.
     #[serde(rename = "stage")]
     pub phase: ZonePhase,
-    /// Times that it failed again while it recovered or soon after.
+    /// How many times the zone failed again while it recovered.
     pub flaps: u32,
-    /// Steps back of this recovery.
+    /// How many times the current recovery went back a step.
     #[serde(rename = "backs")]
     pub steps_back: u32,
 }
 
-/// The state of all zones, in the installation's order, as a majority stores it.
+/// The state of all zones, in the installation's order, as a majority of voters stores it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FailoverDecision {
-    /// By zone.
+    /// The states, by zone index.
     #[serde(rename = "halls")]
     pub zones: Vec<ZoneState>,
 }
 
 impl FailoverDecision {
-    /// The phase of each zone.
+    /// Returns the phase of each zone.
     pub fn phases(&self) -> Vec<ZonePhase> {
         self.zones.iter().map(|zone| zone.phase).collect()
     }
 }
 
-/// What the coordinator asks its caller to do.
+/// An action for the coordinator's caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum FailoverAction {
-    /// Have a majority store this; [`FailoverCoordinator::decision_stored`] says that it did.
+    /// Have a majority of voters store this decision, then call
+    /// [`FailoverCoordinator::decision_stored`].
     StoreDecision(FailoverDecision),
 }
 
-/// What a coordinator sees of one zone.
+/// What the coordinator has observed of one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ZoneWatch {
     evidence: Evidence,
     evidence_since_us: i64,
     phase_since_us: i64,
-    /// Too many of the recent attempts there were refused or failed.
+    /// Whether too many of the recent attempts in the zone were refused or failed.
     attempts_fail: bool,
 }
 
-/// Decides for all planners, while it holds the lease for it.
+/// Decides the phases of all zones for all planners, while its planner holds the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FailoverCoordinator {
     config: FailoverConfig,
     decision: FailoverDecision,
-    /// Handed out to be stored, and not known to be.
+    /// A decision that was handed out and is not known to be stored.
     pending: Option<FailoverDecision>,
     watches: Vec<ZoneWatch>,
     actions: VecDeque<FailoverAction>,
 }
 
 impl FailoverCoordinator {
-    /// The lease was acquired. `last` is the decision that its last holder left, if there is one; it counts if
-    /// it is about as many zones.
+    /// Creates the coordinator once its planner has acquired the lease. `last` is the last decision
+    /// that the voters stored, if there is one; it is ignored if it is about another number of
+    /// zones.
     pub fn elected(
         now_us: i64,
         config: FailoverConfig,
@@ -151,17 +155,17 @@
         FailoverCoordinator { config, decision, pending: None, watches, actions: VecDeque::new() }
     }
 
-    /// What is to be done next; none: nothing more.
+    /// Returns the next action for the caller, or `None` if there is none.
     pub fn next_action(&mut self) -> Option<FailoverAction> {
         self.actions.pop_front()
     }
 
-    /// The decision that counts: the last that a majority stored.
+    /// Returns the decision in effect: the last one that a majority of voters stored.
     pub fn decision(&self) -> &FailoverDecision {
         &self.decision
     }
 
-    /// The evidence of a zone, from all planners that are heard.
+    /// Records the evidence about a zone from all planners with fresh reports.
     pub fn observe(&mut self, now_us: i64, zone: usize, evidence: Evidence) {
         let watch = &mut self.watches[zone];
         if watch.evidence != evidence {
@@ -169,12 +173,14 @@
         }
     }
 
-    /// How recent attempts in a recovering zone went, of all planners: so many, and of those refused or failed.
+    /// Records the outcome of all planners' recent attempts in a zone: their number, and how many
+    /// were refused or failed.
     pub fn observe_attempts(&mut self, zone: usize, attempts: f64, failed: f64) {
-        self.watches[zone].attempts_fail = attempts >= MIN_ATTEMPTS && failed > MAX_FAILED_PART * attempts;
+        self.watches[zone].attempts_fail =
+            attempts >= MIN_ATTEMPTS && failed > MAX_FAILED_FRACTION * attempts;
     }
 
-    /// A majority has stored what was handed out last.
+    /// Puts the pending decision into effect, after a majority of voters has stored it.
     pub fn decision_stored(&mut self, now_us: i64) {
         let Some(decision) = self.pending.take() else { return };
         for (zone, (before, after)) in self.decision.zones.iter().zip(&decision.zones).enumerate() {
@@ -185,7 +191,8 @@
         self.decision = decision;
     }
 
-    /// Time passes. One decision is under way at a time: the next rests on it.
+    /// Advances the time and makes the next decision. Only one decision is pending at a time,
+    /// because the next one builds on it.
     pub fn advance(&mut self, now_us: i64) {
         if self.pending.is_some() {
             return;
@@ -209,7 +216,7 @@
         let phase_lasted = |time_us| now_us >= watch.phase_since_us + time_us;
         let failed = evidence_lasted(Evidence::Failed, self.config.confirm_us);
         match state.phase {
-            // Its flaps count on until it has been healthy for a while.
+            // Flaps are kept until the zone has been healthy for a while.
             ZonePhase::Healthy if failed => ZoneState { phase: ZonePhase::Failed, ..state },
             ZonePhase::Healthy if state.flaps > 0 && phase_lasted(self.config.flap_reset_us) => {
                 ZoneState { flaps: 0, ..state }
@@ -222,7 +229,7 @@
             ZonePhase::Recovering(_) if failed => {
                 ZoneState { phase: ZonePhase::Failed, flaps: state.flaps + 1, steps_back: 0 }
             }
-            // No step either way without evidence of health.
+            // Without evidence of health the zone stays at its step.
             ZonePhase::Recovering(_) if watch.evidence != Evidence::Healthy => state,
             ZonePhase::Recovering(step) if watch.attempts_fail && phase_lasted(self.config.step_us) => {
                 let phase = ZonePhase::Recovering(step.saturating_sub(1));
--- a/zone_failover/src/evidence.rs
+++ b/zone_failover/src/evidence.rs
@@ -1,32 +1,34 @@
-//! The evidence of a zone: what all planners together see of it, each weighed by the zone that it is in.
+//! The evidence about a zone: the combined observations of all planners, by the zone that each
+//! planner is in.
 
-/// Up to this part of a zone's machines ready, a planner calls it unreachable.
-const UNREACHABLE_PART: f64 = 0.2;
-/// Below this part of them ready, it calls it partial.
-const PARTIAL_PART: f64 = 0.6;
+/// Up to this fraction of ready machines a planner considers a zone unreachable.
+const UNREACHABLE_FRACTION: f64 = 0.2;
+/// Below this fraction of ready machines a planner considers a zone partly reachable.
+const PARTIAL_FRACTION: f64 = 0.6;
 
-/// What one planner sees of a zone, by its own links.
+/// One planner's opinion of a zone, by its own links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Opinion {
-    /// Most of its machines are linked and take work.
+    /// Most machines of the zone are linked and take work.
     Healthy,
-    /// Some are.
+    /// Some machines of the zone are linked and take work.
     Partial,
-    /// Next to none is.
+    /// Almost no machine of the zone is linked and takes work.
     Unreachable,
-    /// It knows no machine there.
+    /// The planner knows no machine in the zone.
     Unknown,
 }
 
 impl Opinion {
-    /// Of so many machines on the machine list, so many are ready. The list may be late: a machine that is
-    /// gone and still listed is not ready.
+    /// Returns the opinion of a planner that has `machines` of the zone on its machine list, of
+    /// which `ready` are linked and take work. A late list may contain machines that are gone; they
+    /// count as not ready.
     pub fn from_counts(machines: f64, ready: f64) -> Opinion {
         if machines <= 0.0 {
             Opinion::Unknown
-        } else if ready <= UNREACHABLE_PART * machines {
+        } else if ready <= UNREACHABLE_FRACTION * machines {
             Opinion::Unreachable
-        } else if ready < PARTIAL_PART * machines {
+        } else if ready < PARTIAL_FRACTION * machines {
             Opinion::Partial
         } else {
             Opinion::Healthy
@@ -34,49 +36,54 @@
     }
 }
 
-/// What a planner that is heard sees of the zone in question, or several planners of one zone as one.
+/// The observation of the zone in question by one planner with a fresh report, or by several
+/// planners of the same zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Observation {
-    /// The zone that the planners are in.
+    /// The zone that the observing planners are in.
     pub zone: usize,
-    /// Its opinion; of several, the one that follows from the median of what they see.
+    /// Their opinion; for several planners, the one that follows from their median counts.
     pub opinion: Opinion,
-    /// How many planners it stands for.
+    /// The number of planners that made this observation.
     pub planners: usize,
 }
 
-/// What is so of a zone, as far as all planners that are heard can tell.
+/// What the observations of all planners with fresh reports show about a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Evidence {
-    /// Most see it, or one alone does not.
+    /// Most planners reach the zone, or only a small minority does not.
     Healthy,
-    /// Outside it most cannot reach it, and nobody inside says otherwise.
+    /// Most planners outside the zone cannot reach it, and no planner inside considers it healthy.
     Failed,
-    /// Outside it most cannot reach it, but planners inside see their machines: work there goes on.
+    /// Most planners outside the zone cannot reach it, but planners inside reach their machines, so
+    /// work continues there.
     Partitioned,
-    /// A good part sees it and a good part does not: the network between zones is at fault, not the zone.
+    /// A large minority of the planners outside, but no majority, cannot reach the zone: the
+    /// network between zones is at fault, not the zone.
     Disputed,
-    /// Too few planners are heard to say anything: it is this one that is cut off, or most are dead.
+    /// Too few planners have fresh reports: this planner is cut off, or most others are dead.
     NoQuorum,
 }
 
-/// The evidence of `zone`, of `slots` planners that there should be. `observations` are of those that are
-/// heard, this one among them.
+/// Returns the evidence about `zone`, in an installation of `slots` planners. `observations` are
+/// those of the planners with fresh reports, including this one.
 pub fn evidence(zone: usize, slots: usize, observations: &[Observation]) -> Evidence {
-    let planners = |seen: &[&Observation]| seen.iter().map(|one| one.planners).sum::<usize>();
+    let planners =
+        |observed: &[&Observation]| observed.iter().map(|observation| observation.planners).sum::<usize>();
     if 2 * planners(&observations.iter().collect::<Vec<_>>()) <= slots {
         return Evidence::NoQuorum;
     }
-    let known = || observations.iter().filter(|one| one.opinion != Opinion::Unknown);
-    let outside: Vec<&Observation> = known().filter(|one| one.zone != zone).collect();
-    let alive_inside = known().any(|one| one.zone == zone && one.opinion == Opinion::Healthy);
+    let known = || observations.iter().filter(|observation| observation.opinion != Opinion::Unknown);
+    let outside: Vec<&Observation> = known().filter(|observation| observation.zone != zone).collect();
+    let healthy_inside =
+        known().any(|observation| observation.zone == zone && observation.opinion == Opinion::Healthy);
     let unreachable: Vec<&Observation> =
-        outside.iter().copied().filter(|one| one.opinion == Opinion::Unreachable).collect();
+        outside.iter().copied().filter(|observation| observation.opinion == Opinion::Unreachable).collect();
     let (unreachable, outside) = (planners(&unreachable), planners(&outside));
     if 2 * unreachable > outside {
-        // A planner inside that cannot reach other zones either is cut off with it; what it sees of its own
-        // machines counts all the same.
-        if alive_inside {
+        // A planner inside that cannot reach other zones is cut off together with its zone; its
+        // opinion of its own machines still counts.
+        if healthy_inside {
             Evidence::Partitioned
         } else {
             Evidence::Failed
@@ -84,7 +91,7 @@
     } else if unreachable > 0 && 3 * unreachable >= outside {
         Evidence::Disputed
     } else {
-        // One that is alone in its opinion acts on itself.
+        // A small minority that cannot reach the zone deals with that itself; the zone works.
         Evidence::Healthy
     }
 }
--- a/zone_failover/src/failover_plan.rs
+++ b/zone_failover/src/failover_plan.rs
@@ -1,47 +1,49 @@
-//! Made in advance, all the time: where a zone's load would go if it failed now, what is refused first, and what
-//! nothing could take.
+//! The failover plan of a zone, computed in advance: where the zone's load would go if it failed
+//! now, which load is dropped first, and which load would find no place.
 
-/// Keeps the weight of a core finite where a load uses next to none.
+/// Keeps the weight per core finite for a load that uses almost no cores.
 const MIN_CORES: f64 = 1e-9;
 
-/// Work that runs in a zone.
+/// One load that runs in a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneLoad {
-    /// Its priority weight.
+    /// The priority weight of the load.
     pub weight: f64,
-    /// The cores that it uses.
+    /// The cores that the load uses.
     pub cores: f64,
-    /// It must stay there: a keyed replica outside its group, a once-only task that may run.
+    /// Whether the load must stay in the zone: a keyed task, for which only machines of its group
+    /// drop repeats, or a once-only task that may be running.
     pub pinned: bool,
 }
 
-/// What would become of a zone's load.
+/// What happens to the load of a zone that fails.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FailoverPlan {
-    /// By load, in the order given: the cores of it that find a place.
+    /// By load, in the order given: how many of its cores find a place.
     pub placed_cores: Vec<f64>,
-    /// By zone, the cores that go there; nothing to the zone itself.
+    /// By zone: how many cores go there; 0 for the failed zone.
     pub cores_by_zone: Vec<f64>,
-    /// Cores that nothing could take, what is pinned to the zone among them.
+    /// The cores that find no place, including pinned loads.
     pub unplaced_cores: f64,
 }
 
-/// The plan for the loss of `zone`, by the free capacity at confidence in each zone, in cores. The highest
-/// weight a core goes first; capacity is filled evenly, so that no surviving zone is filled before the others.
+/// Returns the plan for the loss of `zone`. `free_cores` is the free capacity at confidence of each
+/// zone, in cores. Loads with the highest weight per core are placed first; capacity is filled in
+/// proportion, so that no surviving zone is full before the others.
 pub fn plan_failover(zone: usize, load: &[ZoneLoad], free_cores: &[f64]) -> FailoverPlan {
     let free_elsewhere = |other: usize| if other == zone { 0.0 } else { free_cores[other].max(0.0) };
     let all_free: f64 = (0..free_cores.len()).map(free_elsewhere).sum();
     let mut order: Vec<usize> = (0..load.len()).filter(|index| !load[*index].pinned).collect();
     let weight_per_core = |index: usize| load[index].weight / load[index].cores.max(MIN_CORES);
     order.sort_by(|a, b| weight_per_core(*b).total_cmp(&weight_per_core(*a)));
-    let (mut left, mut placed_cores) = (all_free, vec![0.0; load.len()]);
+    let (mut remaining_cores, mut placed_cores) = (all_free, vec![0.0; load.len()]);
     for index in order {
-        placed_cores[index] = load[index].cores.min(left);
-        left -= placed_cores[index];
+        placed_cores[index] = load[index].cores.min(remaining_cores);
+        remaining_cores -= placed_cores[index];
     }
     let placed: f64 = placed_cores.iter().sum();
     let share = |other| if all_free > 0.0 { placed * free_elsewhere(other) / all_free } else { 0.0 };
     let cores_by_zone = (0..free_cores.len()).map(share).collect();
-    let unplaced_cores = load.iter().map(|one| one.cores).sum::<f64>() - placed;
+    let unplaced_cores = load.iter().map(|load| load.cores).sum::<f64>() - placed;
     FailoverPlan { placed_cores, cores_by_zone, unplaced_cores }
 }
--- a/zone_failover/src/zone_metrics.rs
+++ b/zone_failover/src/zone_metrics.rs
@@ -1,32 +1,34 @@
-//! What one planner reports of a zone, and how the reports of several planners are merged.
+//! The metrics that one planner reports of a zone, and how the reports of several planners are
+//! merged.
 
-/// How reports of several planners are merged.
+/// How one metric of several planners is merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricMerge {
-    /// About machines that all planners see: the median, of those whose metric at this index is above 0.
+    /// The median, for metrics of machines that all planners see. Only planners whose metric at
+    /// this index is above 0 count.
     Median(usize),
-    /// The same, of what evidence rests on: passed on before others.
+    /// The same median for metrics that evidence is based on, which are passed on before others.
     UrgentMedian(usize),
-    /// Counted from this planner's own attempts: the sum.
+    /// The sum, for counts of a planner's own attempts.
     Sum,
 }
 
-/// Index of the machines on the machine list.
+/// Index of the number of machines on the machine list.
 pub const MACHINES: usize = 0;
-/// Index of the machines that take work.
+/// Index of the number of machines that take work.
 pub const READY: usize = 1;
-/// Index of the cores of those.
+/// Index of the cores of the machines that take work.
 pub const CORES: usize = 2;
-/// Index of the cores of those that are used, at confidence.
+/// Index of the used cores, at confidence, of the machines that take work.
 pub const CORES_USED: usize = 3;
-/// Index of the machines that answer, whether they are held back or not.
+/// Index of the number of machines that answer, whether or not work is held back from them.
 pub const ANSWERING: usize = 4;
-/// Index of the recent attempts.
+/// Index of the number of recent attempts.
 pub const ATTEMPTS: usize = 5;
-/// Index of the recent attempts that were refused or failed.
+/// Index of the number of recent attempts that were refused or failed.
 pub const FAILED_ATTEMPTS: usize = 6;
 
-/// The metrics of a zone: what they are called where they are printed, and how they are merged.
+/// The metrics of a zone: the name of each in status replies, and how it is merged.
 pub const ZONE_METRICS: [(&str, MetricMerge); 7] = [
     ("machines", MetricMerge::Median(MACHINES)),
     ("ready", MetricMerge::Median(MACHINES)),
