--- a/zone_failover/tests/evidence.rs
+++ b/zone_failover/tests/evidence.rs
@@ -1,44 +1,47 @@
-//! The evidence of a zone from what planners see of it.
+//! Tests of the evidence about a zone that follows from the opinions of planners.
 #![allow(clippy::too_many_lines, reason = "one table of cases")]
 use basaltpitch_zone_failover::{evidence, Evidence, Observation, Opinion};
 use Opinion::{Healthy, Partial, Unknown, Unreachable};
 
-/// Views as (where it zone, what it sees of hall 0).
-fn evidence_of(seats: usize, heard: &[(usize, Opinion)]) -> Evidence {
-    let views: Vec<Observation> =
-        heard.iter().map(|&(zone, opinion)| Observation { zone, opinion, planners: 1 }).collect();
-    let apart = evidence(0, seats, &views);
-    // Those of one hall and one opinion count the same as one that zone for all of them.
-    let mut whole: Vec<Observation> = Vec::new();
-    for view in views {
-        let same = whole.iter_mut().find(|w| (w.zone, w.opinion) == (view.zone, view.opinion));
+/// Returns the evidence about zone 0, from the zone of each observing planner and its opinion.
+fn evidence_of(slots: usize, opinions: &[(usize, Opinion)]) -> Evidence {
+    let observations: Vec<Observation> =
+        opinions.iter().map(|&(zone, opinion)| Observation { zone, opinion, planners: 1 }).collect();
+    let separate = evidence(0, slots, &observations);
+    // Planners of one zone with the same opinion count the same when they are merged into one
+    // observation.
+    let mut merged: Vec<Observation> = Vec::new();
+    for observation in observations {
+        let same = merged
+            .iter_mut()
+            .find(|other| (other.zone, other.opinion) == (observation.zone, observation.opinion));
         if let Some(same) = same {
             same.planners += 1;
         } else {
-            whole.push(view);
+            merged.push(observation);
         }
     }
-    assert_eq!(evidence(0, seats, &whole), apart, "{whole:?}");
-    apart
+    assert_eq!(evidence(0, slots, &merged), separate, "{merged:?}");
+    separate
 }
 
 #[test]
-fn a_failed_zone_is_distinguished_from_one_that_cannot_be_seen() {
+fn evidence_distinguishes_a_failed_zone_from_an_unreachable_one() {
     let cases = [
         (
-            "all are well",
+            "all planners consider the zone healthy",
             6,
             vec![(0, Healthy), (0, Healthy), (1, Healthy), (1, Healthy), (2, Healthy), (2, Healthy)],
             Evidence::Healthy,
         ),
         (
-            "the hall went with its planners",
+            "the zone and its planners are gone",
             6,
             vec![(1, Unreachable), (1, Unreachable), (2, Unreachable), (2, Unreachable)],
             Evidence::Failed,
         ),
         (
-            "its machines went, its planners live",
+            "its machines are gone, its planners run",
             6,
             vec![
                 (0, Unreachable),
@@ -51,58 +54,63 @@
             Evidence::Failed,
         ),
         (
-            "its planners went, its machines live",
+            "its planners are gone, its machines run",
             6,
             vec![(1, Healthy), (1, Healthy), (2, Healthy), (2, Healthy)],
             Evidence::Healthy,
         ),
         (
-            "it is cut off and lives",
+            "the zone is cut off and alive",
             6,
             vec![(0, Healthy), (1, Unreachable), (1, Unreachable), (2, Unreachable), (2, Unreachable)],
             Evidence::Partitioned,
         ),
         (
-            "half can see it",
+            "half of the planners outside reach the zone",
             6,
             vec![(1, Unreachable), (1, Unreachable), (2, Healthy), (2, Healthy)],
             Evidence::Disputed,
         ),
         (
-            "one alone cannot",
+            "one planner alone cannot reach the zone",
             6,
             vec![(1, Unreachable), (1, Healthy), (2, Healthy), (2, Healthy)],
             Evidence::Healthy,
         ),
-        ("I hear too few", 6, vec![(1, Unreachable), (1, Unreachable), (2, Unreachable)], Evidence::NoQuorum),
         (
-            "some machines of it are gone",
+            "too few planners have fresh reports",
+            6,
+            vec![(1, Unreachable), (1, Unreachable), (2, Unreachable)],
+            Evidence::NoQuorum,
+        ),
+        (
+            "some machines of the zone are gone",
             6,
             vec![(1, Partial), (1, Partial), (2, Partial), (2, Healthy)],
             Evidence::Healthy,
         ),
         (
-            "just seated, most know no machine",
+            "most planners have just started and know no machine",
             6,
             vec![(1, Unknown), (1, Unknown), (2, Unknown), (2, Healthy)],
             Evidence::Healthy,
         ),
     ];
-    for (what, seats, heard, want) in cases {
-        assert_eq!(evidence_of(seats, &heard), want, "{what}");
+    for (case, slots, opinions, expected) in cases {
+        assert_eq!(evidence_of(slots, &opinions), expected, "{case}");
     }
 }
 
 #[test]
-fn an_opinion_follows_the_part_that_is_ready() {
-    let all = [
+fn opinion_follows_the_fraction_of_ready_machines() {
+    let cases = [
         (0.0, 0.0, Unknown),
         (10.0, 0.0, Unreachable),
         (10.0, 2.0, Unreachable),
         (10.0, 3.0, Partial),
         (10.0, 6.0, Healthy),
     ];
-    for (machines, ready, want) in all {
-        assert_eq!(Opinion::from_counts(machines, ready), want, "{ready} of {machines}");
+    for (machines, ready, expected) in cases {
+        assert_eq!(Opinion::from_counts(machines, ready), expected, "{ready} of {machines}");
     }
 }
