--- a/gossip/tests/invalid_summary.rs
+++ b/gossip/tests/invalid_summary.rs
@@ -60,9 +60,9 @@
     errors.push(InvalidSummary::Lists { peer: 1, frame: "digest", lengths: vec![2, 1] });
     let lines: Vec<String> = errors
         .iter()
-        .map(|error| {
-            let help = error.advice();
-            format!("{error}{}\n  {help}", if error.is_expected() { " (expected)" } else { "" })
+        .map(|invalid| {
+            let help = invalid.advice();
+            format!("{invalid}{}\n  {help}", if invalid.is_expected() { " (expected)" } else { "" })
         })
         .collect();
     expect![[r#"
--- a/snapshot_store/src/lib.rs
+++ b/snapshot_store/src/lib.rs
@@ -170,21 +170,21 @@
         value.extend_from_slice(&time_us.to_be_bytes());
         value.extend_from_slice(&xxh3_64(bytes).to_be_bytes());
         value.extend_from_slice(bytes);
-        let mut write = self.database.begin_write().map_err(|error| self.file_error(error))?;
-        write.set_durability(Durability::Immediate).map_err(|error| self.file_error(error))?;
+        let mut write = self.database.begin_write().map_err(|e| self.file_error(e))?;
+        write.set_durability(Durability::Immediate).map_err(|e| self.file_error(e))?;
         write
             .open_table(SNAPSHOTS)
             .and_then(|mut table| table.insert(name, &value[..]).map(|_| ()).map_err(Into::into))
-            .map_err(|error| self.file_error(error))?;
-        write.commit().map_err(|error| self.file_error(error))
+            .map_err(|e| self.file_error(e))?;
+        write.commit().map_err(|e| self.file_error(e))
     }
 
     /// Returns the snapshot with this name, if one was stored. A snapshot of another format or with
     /// a wrong checksum is an error.
     pub fn get(&self, name: &str, format: u32) -> Result<Option<Snapshot>, StoreError> {
-        let read = self.database.begin_read().map_err(|error| self.file_error(error))?;
-        let table = read.open_table(SNAPSHOTS).map_err(|error| self.file_error(error))?;
-        let Some(value) = table.get(name).map_err(|error| self.file_error(error))? else { return Ok(None) };
+        let read = self.database.begin_read().map_err(|e| self.file_error(e))?;
+        let table = read.open_table(SNAPSHOTS).map_err(|e| self.file_error(e))?;
+        let Some(value) = table.get(name).map_err(|e| self.file_error(e))? else { return Ok(None) };
         let value = value.value();
         let invalid = |found: String, expected: String| StoreError::InvalidSnapshot {
             name: name.into(),
--- a/snapshot_store/tests/damaged_files.rs
+++ b/snapshot_store/tests/damaged_files.rs
@@ -97,11 +97,11 @@
     }
 
     #[test]
-    fn overwritten_file_yields_no_partial_snapshot(fraction in 0.0f64..1.0, value in any::<u8>(), length in 1usize..600) {
+    fn overwritten_file_yields_no_partial_snapshot(fraction in 0.0f64..1.0, byte in any::<u8>(), length in 1usize..600) {
         check_damaged("overwritten", |bytes| {
             let start = (bytes.len() as f64 * fraction) as usize;
             let end = (start + length).min(bytes.len());
-            bytes[start..end].fill(value);
+            bytes[start..end].fill(byte);
         })?;
     }
 }
