--- a/gossip/src/actions.rs
+++ b/gossip/src/actions.rs
@@ -20,9 +20,9 @@
     pub changed: Vec<(usize, u32)>,
 }
 
-/// The version that a requester has of a subject. It carries no token: the receiver assumes the
-/// token that it accepts itself, and a requester that accepts another token rejects the resulting
-/// delta.
+/// The version that a requester has of a slot's or zone's summary. It carries no token: the
+/// receiver assumes the token that it accepts itself, and a requester that accepts another token
+/// rejects the resulting delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Version {
     /// The subject, as in [`SummaryDelta::subject`].
--- a/gossip/src/config.rs
+++ b/gossip/src/config.rs
@@ -35,19 +35,20 @@
     /// How often an unchanged summary is published again, in microseconds. A summary with an
     /// ordinary change is published after half of it.
     pub refresh_us: i64,
-    /// The same interval for a zone's summary, in microseconds.
+    /// How often an unchanged zone summary is published again, in microseconds.
     pub zone_refresh_us: i64,
     /// The age above which a summary no longer counts and its slot is stale, in microseconds.
     pub stale_after_us: i64,
-    /// The same age for a zone's summary, which is as old as the oldest summary merged into it.
+    /// The age above which a zone's summary no longer counts, in microseconds. The summary is as
+    /// old as the oldest summary merged into it.
     pub zone_stale_after_us: i64,
     /// The number of planners in its zone that this planner dials; other planners dial it as well.
     pub partners: usize,
     /// How many planners of a zone (the lowest slots that are alive) each dial a planner of another
     /// zone.
     pub remote_links: usize,
-    /// How often one partner is replaced by another, in microseconds, so that the links never stay
-    /// split into unconnected groups.
+    /// How often one of the dialled planners is replaced by another, in microseconds, so that the
+    /// links never stay split into unconnected groups.
     pub partner_swap_us: i64,
     /// The most summaries in one reply.
     pub max_deltas_per_reply: usize,
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -3,8 +3,9 @@
 //! few random peers (anti-entropy by pull: Demers and others, "Epidemic algorithms for replicated
 //! database maintenance", 1987), as deltas against the version that the peer has. Summaries of
 //! single slots stay within a zone; between zones, planners pass on one summary for a whole zone.
-//! The meaning of the metrics in a summary is up to the caller. The crate does no I/O and has no
-//! clock: times are whole microseconds of the caller's clock, which never goes back.
+//! The subject of a summary is a slot, or a slot's zone as the slot's holder summarised it. The
+//! meaning of the metrics in a summary is up to the caller. The crate does no I/O and has no clock:
+//! times are whole microseconds of the caller's clock, which never goes back.
 //!
 //! The reported age of a summary is never below its true age. A planner accepts summaries only in
 //! replies to its own requests. A reply states how old each summary was when the reply was sent,
@@ -176,13 +177,15 @@
         pending.into_iter().for_each(|link| self.reply(now_us, link));
     }
 
-    /// Returns the stored summary of a subject if it is fresh enough to be passed on.
+    /// Returns the stored summary of a subject (a slot or a zone) if it is fresh enough to be
+    /// passed on.
     fn fresh_summary(&self, now_us: i64, subject: usize) -> Option<&StoredSummary> {
         let summary = self.summaries[subject].as_ref();
         summary.filter(|summary| now_us - summary.made_at_us <= self.stale_after_us(subject))
     }
 
-    /// Returns the number of the stored summary of a subject; 0 if none is stored.
+    /// Returns the number of the stored summary of a subject (a slot or a zone); 0 if there is
+    /// none.
     fn stored_number(&self, subject: usize) -> u64 {
         self.summaries[subject].as_ref().map_or(0, |summary| summary.number)
     }
--- a/gossip/src/links.rs
+++ b/gossip/src/links.rs
@@ -13,7 +13,7 @@
     pub outbound: bool,
 }
 
-/// The version that the peer has of a subject.
+/// The version of a summary that the peer has, by its token and number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PeerVersion {
     pub token: u64,
@@ -46,7 +46,7 @@
     pub requested_us: i64,
     /// The last request of this planner whose reply was accepted; 0 if there is none.
     pub acknowledged: u64,
-    /// Subjects whose stored version the next request must state again.
+    /// Slots and zones whose stored version the next request must state again.
     pub corrections: BTreeSet<usize>,
     /// The last request received from the peer; 0 if there is none.
     pub peer_request_id: u64,
--- a/gossip/src/membership.rs
+++ b/gossip/src/membership.rs
@@ -77,7 +77,7 @@
         (0..count).filter(|zone| *zone != self.membership.own_zone)
     }
 
-    /// Returns the slot that made the summary of a subject.
+    /// Returns the slot whose holder makes the summary of a subject (a slot or a zone).
     pub(crate) fn slot_of(&self, subject: usize) -> usize {
         subject % self.membership.slots
     }
@@ -99,7 +99,8 @@
         !self.is_local(slot) && region(self.zone_of(slot)) != region(Some(self.membership.own_zone))
     }
 
-    /// Returns whether summaries of a subject are passed on over a link to this slot.
+    /// Returns whether summaries of a subject (a slot or a zone) are passed on to this slot's
+    /// holder.
     pub(crate) fn is_passed_on(&self, subject: usize, to_slot: usize) -> bool {
         if self.is_zone(subject) {
             !self.config.flat
--- a/gossip/src/pull.rs
+++ b/gossip/src/pull.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// A subject of which the peer lacks the newest summary.
+/// A slot or zone of which the peer lacks the newest summary.
 struct MissingSubject {
     subject: usize,
     /// The version that the peer has under the current token; its number is 0 if it has none.
@@ -123,8 +123,8 @@
         Ok(())
     }
 
-    /// Returns the subjects of which the peer has an older summary than this planner. Urgent ones
-    /// come first, then those whose version at the peer has been known the longest.
+    /// Returns the slots and zones of which the peer has an older summary than this planner. Urgent
+    /// ones come first, then those whose version at the peer has been known the longest.
     fn missing_at_peer(&self, now_us: i64, link: &Link) -> Vec<MissingSubject> {
         let nothing = PeerVersion { token: 0, number: 0, since_us: i64::MIN };
         let slots = self.membership.slots;
@@ -293,7 +293,7 @@
         }
     }
 
-    /// Returns how many metrics the summary of a subject has.
+    /// Returns how many metrics the summary of a subject (a slot or a zone) has.
     fn metric_count(&self, subject: usize) -> usize {
         self.payload.metric_count() + if self.is_zone(subject) { ZONE_COUNTS } else { 0 }
     }
--- a/gossip/src/stored_summary.rs
+++ b/gossip/src/stored_summary.rs
@@ -17,7 +17,7 @@
 
 impl StoredSummary {
     /// Makes a planner's next summary after `before`, or its first one. Returns `None` if `is_due`
-    /// denies that one is due for the greatest change in it.
+    /// is false for the most urgent kind of change in it.
     pub fn next(
         before: Option<&StoredSummary>,
         made_at_us: i64,
@@ -92,11 +92,11 @@
     }
 }
 
-/// The greatest change in a summary.
+/// The most urgent kind of change between a summary and the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ChangeKind {
     Unchanged,
     Ordinary,
-    /// A metric whose changes are passed on before others changed.
+    /// A metric changed whose changes are passed on before those of other metrics.
     Urgent,
 }
--- a/gossip/tests/drawn.rs
+++ b/gossip/tests/drawn.rs
@@ -628,7 +628,7 @@
 /// Random combinations of all faults.
 #[test]
 fn random_faults_leave_no_false_summary_and_all_slots_fresh_afterwards() {
-    let from_env = |name: &str| std::env::var(name).ok().and_then(|value| value.parse::<u64>().ok());
+    let from_env = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let first_seed = from_env("BASALTPITCH_SEED").unwrap_or(1);
     for seed in first_seed..first_seed + from_env("BASALTPITCH_CASES").unwrap_or(30) {
         let result = std::panic::catch_unwind(|| {
--- a/gossip/tests/every_state.rs
+++ b/gossip/tests/every_state.rs
@@ -19,9 +19,9 @@
 
 /// Two metrics that are summed in a zone's summary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct SummedMetrics;
+struct Sums;
 
-impl Payload for SummedMetrics {
+impl Payload for Sums {
     fn metric_count(&self) -> usize {
         2
     }
@@ -91,7 +91,7 @@
     removed: RemovedGuard,
     bounds: Bounds,
     now: i64,
-    planners: [Rc<Gossip<SummedMetrics>>; PROCESSES],
+    planners: [Rc<Gossip<Sums>>; PROCESSES],
     published: [u8; PROCESSES],
     /// By summary: when it (for a zone: its oldest part) was made, its metrics, and when its
     /// maker's own part was made.
@@ -142,9 +142,8 @@
             removed,
             bounds,
             now: 0,
-            planners: [0, 1, 2, 3].map(|process| {
-                Rc::new(Gossip::new(0, config, membership(slot_of(process), 1), SummedMetrics, 1))
-            }),
+            planners: [0, 1, 2, 3]
+                .map(|p| Rc::new(Gossip::new(0, config, membership(slot_of(p), 1), Sums, 1))),
             published: [0; PROCESSES],
             published_summaries: BTreeMap::new(),
             newest: [[(0, 0); 2 * SLOTS]; PROCESSES],
@@ -156,7 +155,7 @@
             violation: None,
         };
         let token = world.token(SUCCESSOR);
-        world.planners[SUCCESSOR] = Rc::new(Gossip::new(0, config, membership(0, token), SummedMetrics, 1));
+        world.planners[SUCCESSOR] = Rc::new(Gossip::new(0, config, membership(0, token), Sums, 1));
         for process in 0..PROCESSES {
             let gossip = Rc::make_mut(&mut world.planners[process]);
             (0..SLOTS).for_each(|slot| gossip.slot_assigned(0, slot, 1, address(slot)));
@@ -245,7 +244,7 @@
                         };
                         if delta.base > stored {
                             delta.base = 0;
-                            if delta.changed.last().is_none_or(|(index, _)| *index < 1) {
+                            if delta.changed.last().is_none_or(|change| change.0 < 1) {
                                 delta.changed.push((1, 0));
                             }
                         }
--- a/lease/src/client.rs
+++ b/lease/src/client.rs
@@ -131,18 +131,18 @@
         wanted.map(due).min()
     }
 
-    fn jitter_us(&self, longest: i64, draw: u32) -> i64 {
-        fastrand::Rng::with_seed(self.seed.wrapping_add(u64::from(draw) << 32)).i64(0..=longest.max(0))
+    fn jitter_us(&self, longest_us: i64, draw: u32) -> i64 {
+        fastrand::Rng::with_seed(self.seed.wrapping_add(u64::from(draw) << 32)).i64(0..=longest_us.max(0))
     }
 
     /// Requests the lease from now on.
-    pub fn acquire(&mut self, now: i64, lease: L) {
+    pub fn acquire(&mut self, now_us: i64, lease: L) {
         // A hundred spares may learn at the same time that a slot is free; a random delay spreads
         // their requests.
         let delay_us = self.jitter_us(self.config.duration_us / JITTER_DIVISOR, FIRST_REQUEST_DRAW);
         let state = self.leases.entry(lease).or_default();
         if !std::mem::replace(&mut state.is_wanted, true) {
-            state.next_request_us = now + delay_us;
+            state.next_request_us = now_us + delay_us;
         }
     }
 
@@ -166,26 +166,26 @@
     /// Returns the token under which the caller may act on the lease at this moment. The caller
     /// must check before each action and attach the token to it, because the process may be
     /// suspended in between.
-    pub fn held_token(&self, now: i64, lease: &L) -> Option<u64> {
-        let held = self.leases.get(lease).filter(|state| state.is_held && now < state.expires_at_us);
+    pub fn held_token(&self, now_us: i64, lease: &L) -> Option<u64> {
+        let held = self.leases.get(lease).filter(|state| state.is_held && now_us < state.expires_at_us);
         held.map(|state| state.token)
     }
 
     /// Returns how long a held lease is still valid, in microseconds; 0 if the lease is not held.
-    pub fn remaining_us(&self, now: i64, lease: &L) -> i64 {
+    pub fn remaining_us(&self, now_us: i64, lease: &L) -> i64 {
         let held = self.leases.get(lease).filter(|state| state.is_held);
-        held.map_or(0, |state| (state.expires_at_us - now).max(0))
+        held.map_or(0, |state| (state.expires_at_us - now_us).max(0))
     }
 
     /// Queues a holder's metadata to be stored by a majority and returns its number, which
     /// `MetadataRecorded` repeats once that is done. Returns `None` if the lease is not held.
-    pub fn write_metadata(&mut self, now: i64, lease: &L, bytes: Vec<u8>) -> Option<u64> {
-        let held = |state: &&mut LeaseState| state.is_held && now < state.expires_at_us;
+    pub fn write_metadata(&mut self, now_us: i64, lease: &L, bytes: Vec<u8>) -> Option<u64> {
+        let held = |state: &&mut LeaseState| state.is_held && now_us < state.expires_at_us;
         let state = self.leases.get_mut(lease).filter(held)?;
         let pending = state.metadata.as_ref().map_or(state.recorded_number, |pending| pending.number);
         let number = pending.max(state.recorded_number) + 1;
         state.metadata = Some(LeaseMetadata { token: state.token, number, bytes });
-        state.next_request_us = now;
+        state.next_request_us = now_us;
         Some(number)
     }
 
@@ -197,35 +197,35 @@
     }
 
     /// Records that a voter reported its vote as free, and requests the lease again soon.
-    pub fn vote_freed(&mut self, now: i64, lease: &L) {
+    pub fn vote_freed(&mut self, now_us: i64, lease: &L) {
         let is_waiting = |state: &&LeaseState| state.is_wanted && !state.is_held && !state.round_open;
         let Some(state) = self.leases.get(lease).filter(is_waiting) else { return };
         let draw = state.failed_rounds.wrapping_add(VOTE_FREED_DRAW);
-        let request_us = now + self.jitter_us(self.config.round_timeout_us(), draw);
+        let request_us = now_us + self.jitter_us(self.config.round_timeout_us(), draw);
         if let Some(state) = self.leases.get_mut(lease) {
             state.next_request_us = state.next_request_us.min(request_us);
         }
     }
 
     /// Advances the time: leases expire, and rounds end and begin.
-    pub fn advance(&mut self, now: i64) {
+    pub fn advance(&mut self, now_us: i64) {
         let wanted = self.leases.iter().filter(|(_, state)| state.is_wanted);
         let wanted: Vec<L> = wanted.map(|(lease, _)| lease.clone()).collect();
         // All held leases are renewed together, so that their requests share one frame.
-        let renews = self.leases.values().any(|state| state.is_held && now >= state.next_request_us);
+        let renews = self.leases.values().any(|state| state.is_held && now_us >= state.next_request_us);
         for lease in wanted {
             let Some(mut state) = self.leases.remove(&lease) else { continue };
-            if state.is_held && now >= state.expires_at_us {
-                self.expire(&lease, &mut state, now);
+            if state.is_held && now_us >= state.expires_at_us {
+                self.expire(&lease, &mut state, now_us);
             }
             let round_ends_us = state.round_started_us + self.config.round_timeout_us();
-            if state.round_open && !state.is_held && now >= round_ends_us {
-                self.fail_round(&lease, &mut state, now);
+            if state.round_open && !state.is_held && now_us >= round_ends_us {
+                self.fail_round(&lease, &mut state, now_us);
             }
             let is_due =
-                if state.is_held { renews } else { now >= state.next_request_us && !state.round_open };
+                if state.is_held { renews } else { now_us >= state.next_request_us && !state.round_open };
             if is_due {
-                self.begin_round(&lease, &mut state, now);
+                self.begin_round(&lease, &mut state, now_us);
             }
             self.leases.insert(lease, state);
         }
@@ -235,17 +235,17 @@
         (self.config.holder_duration_us() / RENEWAL_DIVISOR).max(1)
     }
 
-    fn begin_round(&mut self, lease: &L, state: &mut LeaseState, now: i64) {
+    fn begin_round(&mut self, lease: &L, state: &mut LeaseState, now_us: i64) {
         if !state.is_held {
             state.token = (state.highest_token + 1).max(self.lowest_token);
             state.highest_token = state.token;
             state.newest_metadata = LeaseMetadata::default();
         }
         state.round += 1;
-        (state.round_started_us, state.round_open) = (now, true);
+        (state.round_started_us, state.round_open) = (now_us, true);
         (state.granted, state.refused) = (0, 0);
         state.free_at_us.clear();
-        state.next_request_us = now + if state.is_held { self.renewal_interval_us() } else { 0 };
+        state.next_request_us = now_us + if state.is_held { self.renewal_interval_us() } else { 0 };
         state.sent_number = state.metadata.as_ref().map_or(0, |pending| pending.number);
         self.actions.push_back(LeaseAction::RequestVotes {
             lease: lease.clone(),
@@ -258,10 +258,10 @@
 
     /// Handles a voter's reply to a request. A reply to an earlier round is ignored, because it
     /// does not tell how long the votes of this round are valid.
-    pub fn on_vote_reply(&mut self, now: i64, voter: usize, lease: &L, round: u64, reply: VoteReply) {
+    pub fn on_vote_reply(&mut self, now_us: i64, voter: usize, lease: &L, round: u64, reply: VoteReply) {
         let Some(mut state) = self.leases.remove(lease) else { return };
-        if state.is_held && now >= state.expires_at_us {
-            self.expire(lease, &mut state, now);
+        if state.is_held && now_us >= state.expires_at_us {
+            self.expire(lease, &mut state, now_us);
         }
         if state.round_open && state.round == round && voter < self.voters {
             match reply {
@@ -269,17 +269,17 @@
                     state.granted |= 1 << voter;
                     state.newest_metadata = metadata.max(std::mem::take(&mut state.newest_metadata));
                     if state.granted.count_ones() >= self.majority() {
-                        self.complete_round(lease, &mut state, now);
+                        self.complete_round(lease, &mut state, now_us);
                     }
                 }
                 VoteReply::Refused { token, retry_after_us } => {
                     state.refused |= 1 << voter;
                     state.highest_token = state.highest_token.max(token);
-                    state.free_at_us.insert(voter, now + retry_after_us);
+                    state.free_at_us.insert(voter, now_us + retry_after_us);
                     let refused = state.refused.count_ones();
                     let has_failed = refused > self.voters as u32 - self.majority();
                     if has_failed && !state.is_held {
-                        self.fail_round(lease, &mut state, now);
+                        self.fail_round(lease, &mut state, now_us);
                     }
                 }
             }
@@ -288,10 +288,10 @@
     }
 
     /// Acquires or renews the lease after a majority granted its votes in the open round.
-    fn complete_round(&mut self, lease: &L, state: &mut LeaseState, now: i64) {
+    fn complete_round(&mut self, lease: &L, state: &mut LeaseState, now_us: i64) {
         let expires_at_us = state.round_started_us + self.config.holder_duration_us();
-        if !state.is_held && now >= expires_at_us {
-            return self.fail_round(lease, state, now);
+        if !state.is_held && now_us >= expires_at_us {
+            return self.fail_round(lease, state, now_us);
         }
         (state.round_open, state.failed_rounds) = (false, 0);
         state.expires_at_us = expires_at_us.max(state.expires_at_us);
@@ -309,26 +309,26 @@
 
     /// Ends a round without a majority: releases the votes that were granted and schedules the next
     /// request for when a majority of votes can be free.
-    fn fail_round(&mut self, lease: &L, state: &mut LeaseState, now: i64) {
+    fn fail_round(&mut self, lease: &L, state: &mut LeaseState, now_us: i64) {
         self.actions.push_back(LeaseAction::ReleaseVotes { lease: lease.clone(), token: state.token });
         let mut free_at_us: Vec<i64> = state.free_at_us.values().copied().collect();
         free_at_us.sort_unstable();
         // The round can succeed once this many of the refusing voters are free.
         let missing = self.majority() as usize + state.refused.count_ones() as usize;
         let last_missing = missing.checked_sub(self.voters + 1).and_then(|index| free_at_us.get(index));
-        let majority_free_us = last_missing.copied().unwrap_or(now);
+        let majority_free_us = last_missing.copied().unwrap_or(now_us);
         state.failed_rounds = state.failed_rounds.saturating_add(1);
         let factor = i64::from(state.failed_rounds.min(4));
         let spread_us = (self.config.duration_us / JITTER_DIVISOR).saturating_mul(factor);
         let delay_us = self.jitter_us(spread_us, state.failed_rounds);
-        state.next_request_us = majority_free_us.max(now + 1) + delay_us;
+        state.next_request_us = majority_free_us.max(now_us + 1) + delay_us;
         (state.round_open, state.token) = (false, 0);
     }
 
-    fn expire(&mut self, lease: &L, state: &mut LeaseState, now: i64) {
+    fn expire(&mut self, lease: &L, state: &mut LeaseState, now_us: i64) {
         self.actions.push_back(LeaseAction::Lost { lease: lease.clone(), token: state.token });
         self.actions.push_back(LeaseAction::ReleaseVotes { lease: lease.clone(), token: state.token });
         (state.is_held, state.round_open, state.token, state.metadata) = (false, false, 0, None);
-        state.next_request_us = now + 1;
+        state.next_request_us = now_us + 1;
     }
 }
--- a/lease/src/record.rs
+++ b/lease/src/record.rs
@@ -16,7 +16,7 @@
 /// A state of one voter's record: an incarnation of the voter and a revision within it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RevisionState {
-    /// The time at which the voter started; 0 if the client has no state.
+    /// The start time of the voter; 0 if there is no state, or in a delta of an older build.
     pub incarnation: u64,
     /// The number of changes of the record that the state includes.
     pub revision: u64,
@@ -62,7 +62,7 @@
     /// client that has `client_state`.
     pub fn delta_for<'a, C: 'a>(
         &mut self,
-        now: i64,
+        now_us: i64,
         client_state: RevisionState,
         votes: impl Iterator<Item = (&'a L, &'a StoredVote<C>)>,
     ) -> RecordDelta
@@ -73,7 +73,7 @@
         for (lease, vote) in votes {
             let fingerprint = RecordFingerprint {
                 token: vote.token,
-                is_held: vote.holder.is_some() && now < vote.expires_at_us,
+                is_held: vote.holder.is_some() && now_us < vote.expires_at_us,
                 renewed: vote.renewed,
                 metadata: (vote.metadata.token, vote.metadata.number),
             };
@@ -93,8 +93,8 @@
     }
 }
 
-/// The client's side: the state that it has of each voter's record, separately for each range of
-/// lease names (`R`), and the newest version reported of each lease (`L`).
+/// The client's side: the state that it has of each voter's record, separately for each prefix of
+/// lease names (`P`), and the newest version reported of each lease (`L`).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RevisionTracker<P, L> {
     states: BTreeMap<(usize, P), RevisionState>,
--- a/lease/src/voter.rs
+++ b/lease/src/voter.rs
@@ -72,18 +72,18 @@
 
 impl<L: Ord + Clone, C: PartialEq + Clone> Voter<L, C> {
     /// Creates a voter of a quorum that has never voted.
-    pub fn new(config: LeaseConfig, now: i64) -> Self {
+    pub fn new(config: LeaseConfig, now_us: i64) -> Self {
         let (votes, transfers) = (BTreeMap::new(), BTreeMap::new());
-        Voter { config, votes_from_us: now, recovery: None, votes, transfers }
+        Voter { config, votes_from_us: now_us, recovery: None, votes, transfers }
     }
 
     /// Creates a voter that lost its state, in a quorum of `voters`. It may have voted just before
     /// the loss, so it waits until such a vote has expired. It may also have been one of only two
     /// voters that knew the newest token or metadata, so it recovers them from the other voters.
-    pub fn without_state(config: LeaseConfig, now: i64, voters: usize) -> Self {
+    pub fn without_state(config: LeaseConfig, now_us: i64, voters: usize) -> Self {
         let recovery = (voters > 1).then(|| Recovery { voters, reported: BTreeMap::new() });
-        let votes_from_us = now + config.recovery_wait_us();
-        Voter { votes_from_us, recovery, ..Voter::new(config, now) }
+        let votes_from_us = now_us + config.recovery_wait_us();
+        Voter { votes_from_us, recovery, ..Voter::new(config, now_us) }
     }
 
     /// Creates a voter from the votes that it stored in an incarnation in which `is_voting` was
@@ -92,11 +92,11 @@
     /// granted votes stay valid for a whole lease duration plus the clock drift.
     pub fn restored(
         config: LeaseConfig,
-        now: i64,
+        now_us: i64,
         votes: impl IntoIterator<Item = (L, StoredVote<C>)>,
     ) -> Self {
-        let mut voter = Voter { votes: votes.into_iter().collect(), ..Voter::new(config, now) };
-        let expires_at_us = now + config.recovery_wait_us();
+        let mut voter = Voter { votes: votes.into_iter().collect(), ..Voter::new(config, now_us) };
+        let expires_at_us = now_us + config.recovery_wait_us();
         voter.votes.values_mut().for_each(|vote| vote.expires_at_us = expires_at_us);
         voter
     }
@@ -146,8 +146,8 @@
 
     /// Returns whether the voter grants votes. A voter may be restored only from what it stored
     /// while this was true.
-    pub fn is_voting(&self, now: i64) -> bool {
-        now >= self.votes_from_us && self.recovery.is_none()
+    pub fn is_voting(&self, now_us: i64) -> bool {
+        now_us >= self.votes_from_us && self.recovery.is_none()
     }
 
     /// Returns whether the voter has everything that it ever stored, or has recovered it.
@@ -160,15 +160,15 @@
     /// any.
     pub fn request_vote(
         &mut self,
-        now: i64,
+        now_us: i64,
         lease: &L,
         client: &C,
         token: u64,
         metadata: Option<LeaseMetadata>,
     ) -> VoteReply {
         let config = self.config;
-        if !self.is_voting(now) {
-            let retry_after_us = (self.votes_from_us - now).max(config.clock_drift_us);
+        if !self.is_voting(now_us) {
+            let retry_after_us = (self.votes_from_us - now_us).max(config.clock_drift_us);
             return VoteReply::Refused { token: 0, retry_after_us };
         }
         if self.votes.len() >= MAX_LEASES && !self.votes.contains_key(lease) {
@@ -176,16 +176,16 @@
         }
         let vote = self.votes.entry(lease.clone()).or_default();
         let transferred = self.transfers.get(lease);
-        if let Some((_, until)) = transferred.filter(|(to, until)| to != client && now < *until) {
-            return VoteReply::Refused { token: vote.token, retry_after_us: until - now };
+        if let Some((_, until)) = transferred.filter(|(to, until)| to != client && now_us < *until) {
+            return VoteReply::Refused { token: vote.token, retry_after_us: until - now_us };
         }
         let renews = vote.holder.as_ref() == Some(client) && vote.token == token;
         if !renews {
-            if vote.holder.is_some() && now < vote.expires_at_us {
+            if vote.holder.is_some() && now_us < vote.expires_at_us {
                 // One of several requesting clients usually releases its vote soon, so the others
                 // need not wait until it expires.
-                let longest = if vote.renewed { config.duration_us } else { config.round_timeout_us() };
-                let retry_after_us = (vote.expires_at_us - now).min(longest);
+                let longest_us = if vote.renewed { config.duration_us } else { config.round_timeout_us() };
+                let retry_after_us = (vote.expires_at_us - now_us).min(longest_us);
                 return VoteReply::Refused { token: vote.token, retry_after_us };
             }
             if token <= vote.token {
@@ -197,7 +197,7 @@
         self.transfers.remove(lease);
         vote.renewed = renews;
         (vote.token, vote.holder) = (token, Some(client.clone()));
-        vote.expires_at_us = now + config.duration_us;
+        vote.expires_at_us = now_us + config.duration_us;
         let before = vote.metadata.clone();
         if let Some(metadata) = metadata.filter(|new| new.token == token && *new > vote.metadata) {
             vote.metadata = metadata;
@@ -221,9 +221,9 @@
 
     /// Reserves a released vote for the client `to`: for one lease duration no other client gets
     /// it.
-    pub fn transfer(&mut self, now: i64, lease: &L, to: C) {
+    pub fn transfer(&mut self, now_us: i64, lease: &L, to: C) {
         if self.votes.get(lease).is_some_and(|vote| vote.holder.is_none()) {
-            self.transfers.insert(lease.clone(), (to, now + self.config.duration_us));
+            self.transfers.insert(lease.clone(), (to, now_us + self.config.duration_us));
         }
     }
 
--- a/snapshot_store/src/lib.rs
+++ b/snapshot_store/src/lib.rs
@@ -195,9 +195,8 @@
             let expected = format!("at least {HEADER_LEN} bytes that begin with the magic bytes");
             return Err(invalid("a value without a snapshot header".into(), expected));
         }
-        let read_u64 = |offset: usize| {
-            u64::from_be_bytes(value[offset..offset + 8].try_into().expect("a field has 8 bytes"))
-        };
+        let read_u64 =
+            |offset: usize| u64::from_be_bytes(value[offset..offset + 8].try_into().expect("8 bytes"));
         let stored_format = read_u64(FORMAT_OFFSET);
         if stored_format != u64::from(format) {
             return Err(invalid(format!("format {stored_format}"), format!("format {format}")));
