--- a/gossip/tests/drawn.rs
+++ b/gossip/tests/drawn.rs
@@ -589,7 +589,7 @@
 }
 
 #[test]
-fn silent_and_stopped_holders_are_stale_until_a_successor_replaces_them() {
+fn silent_and_stopped_holders_are_stale_and_a_successor_replaces_the_stopped_one() {
     let mut simulation = Simulation::new(12, 5);
     simulation.processes[3].silent = true;
     simulation.run(8 * SECOND);
--- a/gossip/tests/every_state.rs
+++ b/gossip/tests/every_state.rs
@@ -130,7 +130,7 @@
             ..config
         };
         let zone = |slot: usize| bounds.zones.map_or(0, |zones| zones[slot]);
-        let membership = |own_slot: usize, own_token: u64| Membership {
+        let member = |own_slot: usize, own_token: u64| Membership {
             slots: SLOTS,
             own_slot,
             own_token,
@@ -142,8 +142,7 @@
             removed,
             bounds,
             now: 0,
-            planners: [0, 1, 2, 3]
-                .map(|p| Rc::new(Gossip::new(0, config, membership(slot_of(p), 1), Sums, 1))),
+            planners: [0, 1, 2, 3].map(|p| Rc::new(Gossip::new(0, config, member(slot_of(p), 1), Sums, 1))),
             published: [0; PROCESSES],
             published_summaries: BTreeMap::new(),
             newest: [[(0, 0); 2 * SLOTS]; PROCESSES],
@@ -155,7 +154,7 @@
             violation: None,
         };
         let token = world.token(SUCCESSOR);
-        world.planners[SUCCESSOR] = Rc::new(Gossip::new(0, config, membership(0, token), Sums, 1));
+        world.planners[SUCCESSOR] = Rc::new(Gossip::new(0, config, member(0, token), Sums, 1));
         for process in 0..PROCESSES {
             let gossip = Rc::make_mut(&mut world.planners[process]);
             (0..SLOTS).for_each(|slot| gossip.slot_assigned(0, slot, 1, address(slot)));
