--- a/planner/src/admission.rs
+++ b/planner/src/admission.rs
@@ -1,28 +1,29 @@
-//! The admission controller in front of the placement module: requests that are not worth starting are rejected
-//! at once. The decision is that of `basaltpitch_admission`; this module connects it to the planner's state.
+//! The admission controller in front of the placement module: requests that could not be placed
+//! before their deadline are rejected on arrival. `basaltpitch_admission` makes the decision; this
+//! module connects it to the planner's state. Times are microseconds of the planner's clock.
 use crate::host_adapter::TaskKey;
 use crate::settings_lists::numbered_texts;
 use basaltpitch::host::{number, MachineEstimate, Settings};
 use basaltpitch_admission::{AdmissionDecision, DemandSummary, LocalDemand, PeerSummary, RequestDemand};
 use serde::Serialize;
 
-/// A request: the task's key and the client's request number.
+/// Identifies a request: the task's key and the client's request number.
 pub type RequestKey = (TaskKey, u64);
 
-/// What the settings say of a framework.
+/// A framework's admission settings.
 struct FrameworkPriority {
-    weight: f64,
+    priority_weight: f64,
     latency_objective_us: i64,
 }
 
-/// A peer's summary as it was received.
+/// The demand summary last received from a peer.
 struct ReceivedSummary {
-    /// The earliest time at which it was made.
+    /// The earliest time at which the peer can have made the summary, on this planner's clock.
     made_at: i64,
     peer: PeerSummary,
 }
 
-/// Decides on arrival whether a request is admitted.
+/// Decides on arrival whether a request is admitted to the placement queue.
 pub struct AdmissionController {
     demand: LocalDemand<RequestKey>,
     frameworks: Vec<FrameworkPriority>,
@@ -30,26 +31,26 @@
     rejected: u64,
 }
 
-/// Why a request was rejected.
+/// A request rejected on arrival.
 pub struct Rejection {
-    /// The time after which to ask again, in microseconds.
+    /// How long the client should wait before it retries, in microseconds.
     pub retry_after_us: i64,
-    /// The reason, as the client is told.
+    /// The reason text sent to the client in its answer.
     pub reason: String,
 }
 
-/// What a request asks for.
+/// The properties of a request that admission depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestNeeds {
     /// Index of the task's framework.
     pub framework: usize,
     /// Cores that the task needs.
     pub cores: f64,
-    /// Time left to the request's deadline, in microseconds.
+    /// Time left until the request's deadline, in microseconds.
     pub time_left_us: i64,
 }
 
-/// What operators see of the admission threshold.
+/// The admission threshold and its inputs, as shown to operators.
 #[derive(Debug, Serialize)]
 pub struct AdmissionView {
     #[serde(rename = "others_heard")]
@@ -66,12 +67,13 @@
 }
 
 impl AdmissionController {
-    /// For an installation's frameworks, as laid out for the placement module.
+    /// Creates a controller for the frameworks in `settings`, which have the layout of the
+    /// placement module's settings. `seed` determines the jitter of the retry delays.
     pub fn new(now: i64, seed: u64, settings: &Settings) -> Self {
         let priority = |index: usize| {
             let setting = |name: &str| number(settings, &format!("classes.{index}.{name}"));
             FrameworkPriority {
-                weight: setting("worth").unwrap_or(1.0),
+                priority_weight: setting("worth").unwrap_or(1.0),
                 latency_objective_us: setting("objectiveUs").map_or(i64::MAX, |us| us as i64),
             }
         };
@@ -81,11 +83,12 @@
         AdmissionController { demand, frameworks, received: Vec::new(), rejected: 0 }
     }
 
-    /// A new request arrives. One that is admitted counts as waiting until it is answered.
+    /// Decides on a new request; returns the rejection, or `None` if the request is admitted. An
+    /// admitted request counts as waiting until it is placed, expired or withdrawn.
     pub fn request_arrived(&mut self, now: i64, key: RequestKey, needs: RequestNeeds) -> Option<Rejection> {
         let framework = &self.frameworks[needs.framework];
         let demand = RequestDemand {
-            priority_weight: framework.weight,
+            priority_weight: framework.priority_weight,
             cores: needs.cores,
             latency_objective_us: framework.latency_objective_us,
             time_left_us: needs.time_left_us,
@@ -108,40 +111,45 @@
         }
     }
 
-    /// What the threshold is computed from, in words.
+    /// Describes for the rejection text which planners' data the threshold is computed from.
     fn basis(&self) -> String {
         let threshold = self.demand.threshold();
         match threshold.peer_count {
             0 => "what this planner sees itself".to_owned(),
-            n => {
-                format!("what {n} other planners say, at most {} ms old", threshold.oldest_age_us / 1000)
+            peer_count => {
+                format!(
+                    "what {peer_count} other planners say, at most {} ms old",
+                    threshold.oldest_age_us / 1000
+                )
             }
         }
     }
 
-    /// An admitted request was placed.
+    /// Records that an admitted request was placed.
     pub fn request_placed(&mut self, now: i64, key: &RequestKey) {
         self.demand.request_placed(now, key);
     }
 
-    /// An admitted request found no capacity before its deadline.
+    /// Records that an admitted request found no capacity before its deadline.
     pub fn request_expired(&mut self, now: i64, key: &RequestKey) {
         self.demand.request_expired(now, key);
     }
 
-    /// An admitted request ended for another reason.
+    /// Records that an admitted request ended for another reason, such as a cancellation.
     pub fn request_withdrawn(&mut self, key: &RequestKey) {
         self.demand.request_withdrawn(key);
     }
 
-    /// The peers' summaries that are fresh; they take effect with the next `recompute`.
+    /// Replaces the peers' summaries by `peers`, the ones that are fresh. They take effect with the
+    /// next `recompute`.
     pub fn receive_summaries(&mut self, now: i64, peers: impl Iterator<Item = PeerSummary>) {
         self.received = peers.map(|peer| ReceivedSummary { made_at: now - peer.age_us, peer }).collect();
     }
 
-    /// Recomputes the threshold, with the estimates of the machines that are offered work.
+    /// Recomputes the threshold from the estimates of the machines that can be offered work and
+    /// from the peers' summaries.
     pub fn recompute(&mut self, now: i64, machines: impl Iterator<Item = MachineEstimate>) {
-        // A machine whose memory is full has no capacity, however idle its cores.
+        // A machine whose memory is full has no capacity, even if all its cores are idle.
         let free_cores = |machine: &MachineEstimate| {
             let free_share = |size: f64, used: f64| ((size - used) / size.max(1e-9)).clamp(0.0, 1.0);
             let memory = free_share(machine.memory, machine.used_memory);
@@ -159,15 +167,15 @@
         self.demand.set_peer_summaries(now, peers);
     }
 
-    /// What this planner tells its peers.
+    /// Returns the demand summary that this planner publishes to its peers.
     pub fn summary(&mut self, now: i64) -> DemandSummary {
         self.demand.summary(now)
     }
 
-    /// What operators see of the threshold.
+    /// Returns the threshold and its inputs for operators, rounded to tenths of a core.
     pub fn view(&self) -> AdmissionView {
         let threshold = self.demand.threshold();
-        let rounded = |x: f64| (x * 10.0).round() / 10.0;
+        let rounded = |cores: f64| (cores * 10.0).round() / 10.0;
         let sum = |by_band: &[f64]| rounded(by_band.iter().sum());
         AdmissionView {
             cores_free: rounded(threshold.free_cores()[0]),
--- a/planner/src/host_adapter.rs
+++ b/planner/src/host_adapter.rs
@@ -1,5 +1,5 @@
-//! What the placement module actions through: each of its calls goes into the ledger or becomes a request to the
-//! planner.
+//! The placement module's `Host`: each of the module's calls either goes to the ledger or is queued
+//! as a request that the planner carries out after the call. Times are microseconds.
 use crate::placement_constraints::PlacementConstraints;
 use basaltpitch::host::Host;
 use basaltpitch_constraints::TaskAttributes;
@@ -13,96 +13,98 @@
 /// The client's key of a task.
 pub type TaskKey = Rc<str>;
 
-/// What a task needs, as the planner keeps it.
+/// A task as its client submitted it; the ledger keeps it with the task's record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskJob {
-    /// Its framework, as the module's index.
+    /// The framework, as an index of the placement module.
     pub framework: usize,
-    /// Its tenant, as the module's index.
+    /// The tenant, as an index of the placement module; `None` if the task has no known tenant.
     pub tenant: Option<usize>,
-    /// Its service, as clients number them.
+    /// The number that clients use for the task's service.
     pub service: u64,
-    /// The cores that it needs.
+    /// Cores that the task needs.
     pub cores: f64,
-    /// The memory that it needs, in the unit of the settings.
+    /// Memory that the task needs, in the unit of the settings.
     pub memory: f64,
-    /// How long it is expected to run.
+    /// The expected run time, in microseconds.
     pub runs_for_us: i64,
-    /// How old what was known of tenants was when it was asked for; see `Answer.stale_us`.
+    /// The age of the tenant data when the request was authorized, in microseconds: 0 is fresh, -1
+    /// means that no tenant data was known. Sent to the client as `Answer.stale_us`.
     pub stale_us: i64,
-    /// What constraints see of it, where the installation has constraints.
+    /// The attributes that constraints match; `None` if the installation has no constraints.
     pub facts: Option<Rc<TaskAttributes>>,
 }
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerKind {
-    /// The module's, with its token.
+    /// A timer set by the placement module, with the module's token.
     Placement(u64),
     /// The timeout of an attempt.
     AttemptTimeout(AttemptId),
     /// The timeout of a health check, by its number.
     Probe(u64),
-    /// Records and ids that nothing needs leave.
+    /// Periodic removal of expired task records and unused indices.
     Housekeeping,
-    /// The admission threshold is recomputed.
+    /// Periodic computation of the admission threshold.
     AdmissionThreshold,
-    /// The planner's subset of the fleet changes with time.
+    /// Periodic update of the planner's subset of the fleet.
     Subset,
 }
 
-/// Calls of the module that are not about a task.
+/// A call of the placement module that does not concern a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostRequest {
-    /// Check the health of a machine.
+    /// Send a probe to the machine with this index.
     Probe(usize),
-    /// Have the registry send changes of the list, or no more.
+    /// Subscribe to changes of the registry's machine list, or unsubscribe.
     Watch(bool),
-    /// Have the registry send the list once.
+    /// Request the registry's machine list once.
     Fetch,
 }
 
-/// The host of the placement module.
+/// The host of the placement module: its ledger, timers and pending actions.
 pub struct HostAdapter {
-    /// The time of the calls that are being made.
+    /// The current time, in microseconds, which applies to all calls of the module.
     pub now: i64,
     /// The record of each task.
     pub ledger: Ledger<TaskKey, TaskJob>,
-    /// What the ledger wants done, in order.
+    /// Actions of the ledger that the planner still has to carry out, in order.
     pub actions: VecDeque<LedgerAction<TaskKey>>,
-    /// Calls that are not about a task, in order.
+    /// Calls that do not concern a task and that the planner still has to carry out, in order.
     pub requests: VecDeque<HostRequest>,
     /// All timers of the planner.
     pub timers: Wheel<TimerKind>,
-    /// The module's calls as text, where they are recorded.
+    /// The module's calls as text; `None` unless the planner writes a recording.
     pub transcript: Option<CallTranscript>,
-    /// The installation's constraints, where it has any.
+    /// The installation's constraints; `None` if there are none.
     pub constraints: Option<PlacementConstraints>,
-    /// What constraints answered the module, where its calls are recorded; see `recording`.
+    /// The constraints' answers to the module that are not yet in the recording; see `recording`.
     answers: RefCell<ConstraintAnswers>,
+    /// Receives the actions of one ledger call; kept to reuse its allocation.
     buffer: Vec<LedgerAction<TaskKey>>,
 }
 
-/// Answers to the module's questions about constraints, in their order.
+/// The constraints' answers to the placement module, in the order of the module's queries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConstraintAnswers {
-    /// Whether a task may go to a machine.
+    /// Results of `Host::allows`: whether a task may run on a machine.
     pub allows: VecDeque<bool>,
-    /// How much a machine is preferred for a task.
+    /// Results of `Host::preference_score`: how well a machine meets a task's preferences.
     pub preferences: VecDeque<u64>,
-    /// The group of tasks that constraints do not tell apart.
+    /// Results of `Host::constraint_group`: the group of tasks to which the same constraints apply.
     pub groups: VecDeque<usize>,
 }
 
 impl ConstraintAnswers {
-    /// Whether nothing was asked.
+    /// Whether the module made no query about constraints.
     pub fn is_empty(&self) -> bool {
         self.allows.is_empty() && self.preferences.is_empty() && self.groups.is_empty()
     }
 }
 
 impl HostAdapter {
-    /// A host without constraints; `records`: whether calls are written down.
+    /// Creates a host without constraints. `records` says whether the module's calls are recorded.
     pub fn new(now: i64, ledger: Ledger<TaskKey, TaskJob>, records: bool) -> Self {
         HostAdapter {
             now,
@@ -117,53 +119,64 @@
         }
     }
 
-    /// Calls the ledger and keeps the actions that come of it, in order.
+    /// Calls the ledger and queues the actions that the call returns, in order.
     pub fn on_ledger<R>(
         &mut self,
-        ask: impl FnOnce(&mut Ledger<TaskKey, TaskJob>, &mut Vec<LedgerAction<TaskKey>>) -> R,
+        ledger_call: impl FnOnce(&mut Ledger<TaskKey, TaskJob>, &mut Vec<LedgerAction<TaskKey>>) -> R,
     ) -> R {
         self.ledger.set_clock(self.now);
-        let answer = ask(&mut self.ledger, &mut self.buffer);
+        let result = ledger_call(&mut self.ledger, &mut self.buffer);
         for action in self.buffer.drain(..) {
             match (action, &mut self.constraints) {
-                // Counted at once: the module may send the next task before this one's action is carried out.
-                (LedgerAction::AttemptStarted { attempt, machine, key }, Some(bounds)) => {
-                    let facts = self.ledger.record(&key).and_then(|r| r.job.facts.clone());
-                    facts.into_iter().for_each(|facts| bounds.attempt_started(attempt, machine, &facts));
+                // Constraints count the attempt immediately: the module may place the next task
+                // before this action is carried out.
+                (LedgerAction::AttemptStarted { attempt, machine, key }, Some(constraints)) => {
+                    let attributes = self.ledger.record(&key).and_then(|record| record.job.facts.clone());
+                    attributes
+                        .into_iter()
+                        .for_each(|attributes| constraints.attempt_started(attempt, machine, &attributes));
+                }
+                (LedgerAction::AttemptEnded { attempt }, Some(constraints)) => {
+                    constraints.attempt_ended(attempt)
                 }
-                (LedgerAction::AttemptEnded { attempt }, Some(bounds)) => bounds.attempt_ended(attempt),
                 (LedgerAction::AttemptStarted { .. } | LedgerAction::AttemptEnded { .. }, None) => {}
                 (action, _) => self.actions.push_back(action),
             }
         }
-        answer
+        result
     }
 
-    /// What constraints answered the module since this was last taken.
+    /// Removes and returns the constraints' answers to the module since the last call.
     pub fn take_answers(&mut self) -> ConstraintAnswers {
         self.answers.take()
     }
 
-    fn noted<T: Copy>(&self, answer: T, to: impl FnOnce(&mut ConstraintAnswers) -> &mut VecDeque<T>) -> T {
+    /// Stores a constraints' answer for the recording, if there is one, and returns the answer.
+    fn record_answer<T: Copy>(
+        &self,
+        answer: T,
+        queue: impl FnOnce(&mut ConstraintAnswers) -> &mut VecDeque<T>,
+    ) -> T {
         if self.transcript.is_some() && self.constraints.is_some() {
-            to(&mut self.answers.borrow_mut()).push_back(answer);
+            queue(&mut self.answers.borrow_mut()).push_back(answer);
         }
         answer
     }
 
-    fn call(&mut self, write: impl FnOnce(&mut CallTranscript)) {
+    /// Writes a call of the module to the transcript, if there is one.
+    fn record_call(&mut self, write: impl FnOnce(&mut CallTranscript)) {
         if let Some(transcript) = &mut self.transcript {
             write(transcript);
         }
     }
 }
 
-/// How each call of the module is written in a recording, a line each.
+/// Writes each call of the placement module as one line of text, in the format of a recording.
 #[derive(Default)]
 pub struct CallTranscript {
-    /// The calls, each with its line end.
+    /// The calls, each terminated by a newline.
     pub text: String,
-    /// What was answered when this was recorded, for a replay.
+    /// The recorded answers of constraints; a replay returns them to the module.
     pub answers: RefCell<ConstraintAnswers>,
 }
 
@@ -211,58 +224,60 @@
 
 impl Host for HostAdapter {
     fn launch(&mut self, task: usize, machine: usize, timeout_us: i64) {
-        self.call(|transcript| transcript.launch(task, machine, timeout_us));
+        self.record_call(|transcript| transcript.launch(task, machine, timeout_us));
         self.on_ledger(|ledger, actions| ledger.launch(task, machine, timeout_us, actions));
     }
-    /// The ledger called the launch back already, when it told the module that the task is over.
+    /// Only records the call: the ledger already cancelled the attempt when it reported to the
+    /// module that the task is over.
     fn cancel(&mut self, task: usize, launch: u32) {
-        self.call(|transcript| transcript.cancel(task, launch));
+        self.record_call(|transcript| transcript.cancel(task, launch));
     }
     fn reject(&mut self, task: usize, retry_after_us: i64) {
-        self.call(|transcript| transcript.reject(task, retry_after_us));
+        self.record_call(|transcript| transcript.reject(task, retry_after_us));
         self.on_ledger(|ledger, actions| ledger.decline(task, retry_after_us, actions));
     }
     fn abort(&mut self, task: usize) {
-        self.call(|transcript| transcript.abort(task));
+        self.record_call(|transcript| transcript.abort(task));
         self.on_ledger(|ledger, actions| ledger.abort(task, actions));
     }
     fn evict(&mut self, task: usize) {
-        self.call(|transcript| transcript.evict(task));
+        self.record_call(|transcript| transcript.evict(task));
         self.on_ledger(|ledger, actions| ledger.move_away(task, actions));
     }
     fn probe(&mut self, machine: usize) {
-        self.call(|transcript| transcript.probe(machine));
+        self.record_call(|transcript| transcript.probe(machine));
         self.requests.push_back(HostRequest::Probe(machine));
     }
     fn watch_list(&mut self, on: bool) {
-        self.call(|transcript| transcript.watch_list(on));
+        self.record_call(|transcript| transcript.watch_list(on));
         self.requests.push_back(HostRequest::Watch(on));
     }
     fn fetch_list(&mut self) {
-        self.call(|transcript| transcript.fetch_list());
+        self.record_call(|transcript| transcript.fetch_list());
         self.requests.push_back(HostRequest::Fetch);
     }
     fn set_timer(&mut self, after_us: i64, token: u64) {
-        self.call(|transcript| transcript.set_timer(after_us, token));
+        self.record_call(|transcript| transcript.set_timer(after_us, token));
         self.timers.set(self.now + after_us, TimerKind::Placement(token));
     }
     fn log(&mut self, text: &str) {
-        self.call(|transcript| transcript.log(text));
-        tracing::info!(text, "the placing module");
+        self.record_call(|transcript| transcript.log(text));
+        tracing::info!(text, "message from the placement module");
     }
     fn allows(&self, task: usize, machine: usize) -> bool {
-        let Some(bounds) = &self.constraints else { return true };
-        let allows = bounds.group(task).is_none_or(|g| bounds.state.allows(g, machine));
-        self.noted(allows, |a| &mut a.allows)
+        let Some(constraints) = &self.constraints else { return true };
+        let allowed = constraints.group(task).is_none_or(|group| constraints.state.allows(group, machine));
+        self.record_answer(allowed, |answers| &mut answers.allows)
     }
     fn preference_score(&self, task: usize, machine: usize) -> u64 {
-        let Some(bounds) = &self.constraints else { return 0 };
-        let wishes = bounds.group(task).map_or(0, |g| bounds.state.preference_score(g, machine));
-        self.noted(wishes, |a| &mut a.preferences)
+        let Some(constraints) = &self.constraints else { return 0 };
+        let score =
+            constraints.group(task).map_or(0, |group| constraints.state.preference_score(group, machine));
+        self.record_answer(score, |answers| &mut answers.preferences)
     }
     fn constraint_group(&self, task: usize) -> usize {
-        let Some(bounds) = &self.constraints else { return 0 };
-        let alike = bounds.group(task).unwrap_or(0);
-        self.noted(alike, |a| &mut a.groups)
+        let Some(constraints) = &self.constraints else { return 0 };
+        let group = constraints.group(task).unwrap_or(0);
+        self.record_answer(group, |answers| &mut answers.groups)
     }
 }
