--- a/planner/src/lib.rs
+++ b/planner/src/lib.rs
@@ -1,7 +1,8 @@
-//! The planner service. `state` is one planner without I/O: it holds the placement module, the ledger, the indices
-//! and the timers, and turns what comes from peers into calls, and what is decided into frames. `service` puts it
-//! on sockets, on one thread. `placement_event` is what the placement module is called with, as it is recorded and
-//! replayed.
+//! The planner service. `state` is one planner without I/O: it holds the placement module, the
+//! ledger, the indices and the timers, turns frames of machines, clients and the registry into
+//! calls of the placement module, and turns the module's decisions into frames. `service` runs that
+//! state on sockets, on one thread. `placement_event` defines the events of the placement module,
+//! which `recording` writes to a file and replays.
 pub mod admission;
 pub mod host_adapter;
 pub mod lease_client;
--- a/planner/src/machine_availability.rs
+++ b/planner/src/machine_availability.rs
@@ -1,30 +1,31 @@
-//! Whether a machine is offered work: what the list says, what the machine itself says, and the state of its
-//! link, taken together. No I/O; times are whole microseconds.
+//! Decides whether a machine is offered work, from the machine list, from the machine's own reports
+//! and from the state of its link. No I/O; times are whole microseconds.
 //!
-//! A machine is offered work only while the list has it ready, its link is up and not suspect, and its
-//! inventory has come: before that, attempts of an earlier incarnation of this planner could be on it unseen. A
-//! start newer than the known one means that what was on the machine runs no more, whichever source told of
-//! it first.
+//! A machine is offered work only while the list shows it as ready, its link is up and not suspect,
+//! and its inventory has been received: without the inventory, the machine could run attempts of an
+//! earlier incarnation of this planner that the ledger does not know. A start time newer than the
+//! known one means that the machine restarted and its attempts no longer run, whether the list or
+//! the machine reported it first.
 use basaltpitch::host::{Location, Readiness, Resources};
 
 /// The state of the link to a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkState {
-    /// There is none.
+    /// No link, and no connection attempt.
     #[default]
     None,
-    /// A connection is being made.
+    /// A connection attempt is in progress.
     Connecting,
-    /// Up, its inventory still to come.
+    /// The link is up; the machine's inventory has not been received yet.
     AwaitingInventory,
-    /// Up, and the machine answers.
+    /// The link is up and the machine answers in time.
     Healthy,
-    /// Up, and the machine does not answer in time.
+    /// The link is up, but the machine does not answer in time.
     Suspect,
 }
 
 impl LinkState {
-    /// The state as operators read it.
+    /// Returns the state as it is shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             LinkState::None => "none",
@@ -35,42 +36,47 @@
         }
     }
 
-    /// Whether frames can be sent.
+    /// Whether frames can be sent over the link.
     pub fn is_up(self) -> bool {
         matches!(self, LinkState::AwaitingInventory | LinkState::Healthy | LinkState::Suspect)
     }
 }
 
-/// What is known of a machine from all sides.
+/// The availability of a machine, combined from the machine list, the machine and its link.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MachineAvailability {
-    /// As the list last had it; none: never listed, or missing from a whole list.
+    /// The readiness in the last list entry; `None` if the machine was never listed or is missing
+    /// from the last complete list.
     pub listed: Option<Readiness>,
-    /// The machine itself says that it drains, until it restarts or takes it back.
+    /// Whether the machine itself reports that it drains; reset when it restarts or ends the drain.
     pub draining: bool,
-    /// The state of its link.
+    /// The state of the planner's link to the machine.
     pub link: LinkState,
-    /// Its zone has failed, or recovers and it is not among those that are offered work yet.
+    /// Whether the machine is withheld from placement because its zone has failed, or because its
+    /// zone is recovering and the ramp has not reached this machine yet.
     pub held_back: bool,
-    /// It is not of the planner's subset of the fleet, nor an extra link: linked, if at all, for what is on it.
+    /// Whether the machine is neither in the planner's subset of the fleet nor an extra link. Such a
+    /// machine is linked only to receive its inventory, or while it runs tasks of this planner.
     pub outside_subset: bool,
-    /// The newest start that anyone told of, 0 where nobody did.
+    /// The newest start time reported by the list or the machine, in microseconds; 0 if unknown.
     pub started_us: i64,
-    /// Its kind, zone and cell, as indices of the installation.
+    /// The machine's kind, zone and cell, as indices of the installation.
     pub location: Location,
-    /// The cores and memory that the list says are left on it.
+    /// The free cores and memory in the last list entry.
     pub remaining: Resources,
-    /// What the placement module was last told.
+    /// The readiness last passed to the placement module; `None` before the first time.
     pub last_reported: Option<Readiness>,
 }
 
 impl MachineAvailability {
-    /// Whether it could be offered work, but for its zone and the subset.
+    /// Whether the list, the machine and its link allow new work, regardless of its zone and of the
+    /// subset.
     pub fn is_responsive(&self) -> bool {
         self.listed == Some(Readiness::Ready) && !self.draining && self.link == LinkState::Healthy
     }
 
-    /// What the placement module is told of it.
+    /// Returns the readiness to pass to the placement module. A listed machine that must not get
+    /// work counts as draining.
     pub fn readiness(&self) -> Readiness {
         match self.listed {
             None | Some(Readiness::Gone) => Readiness::Gone,
@@ -82,8 +88,8 @@
         }
     }
 
-    /// A start was told of, in microseconds of the clock. True: it is newer than the known one, and what was
-    /// on the machine runs no more.
+    /// Records a reported start time, in microseconds. Returns true if a different start was known
+    /// and this one is newer: the machine restarted, and its earlier attempts no longer run.
     pub fn observe_start(&mut self, started_us: i64) -> bool {
         let newer = started_us > self.started_us;
         let first = self.started_us == 0;
@@ -94,12 +100,14 @@
         newer && !first
     }
 
-    /// Whether nothing is to be expected of it any more: it is off the list and no link is up.
+    /// Whether the machine is off the list and its link is down, so that its attempts count as
+    /// lost.
     pub fn is_lost(&self) -> bool {
         self.readiness() == Readiness::Gone && !self.link.is_up()
     }
 
-    /// Whether a connection is wanted: to what is listed, draining or not, as its tasks run on.
+    /// Whether the planner should connect to the machine: it is listed. That includes draining
+    /// machines, because their tasks still run.
     pub fn is_wanted(&self) -> bool {
         !matches!(self.listed, None | Some(Readiness::Gone))
     }
--- a/planner/src/settings_lists.rs
+++ b/planner/src/settings_lists.rs
@@ -1,8 +1,8 @@
-//! Lists of names in the settings that are laid out for the placement module.
+//! Lists of names in settings with the layout of the placement module's settings.
 use basaltpitch::host::{text, Settings};
 
-/// The texts under numbered setting names, up to the first that is missing; `setting` gives the name for an
-/// index.
+/// Returns the texts of numbered settings, up to the first that is missing or empty. `setting`
+/// returns the setting's name for an index.
 pub(crate) fn numbered_texts(settings: &Settings, setting: &dyn Fn(usize) -> String) -> Vec<String> {
     (0..)
         .map(|index| text(settings, &setting(index)).to_owned())
