--- a/planner/src/placement_event.rs
+++ b/planner/src/placement_event.rs
@@ -1,73 +1,76 @@
-//! What the placement module is told, one value for each of its methods, so that it can be written down and
-//! told again. Names and codes of outcomes and states are those of the file format, in
+//! Events of the placement module: one variant for each method that the planner calls on it, so
+//! that the calls can be written to a recording and replayed. The serialized names and the codes of
+//! outcomes and states are those of the recording's file format, described in
 //! `docs/design/agent-path.md`.
 use basaltpitch::host::{AttemptOutcome, Host, Readiness};
 use basaltpitch::placement::Planner;
 use serde::{Deserialize, Serialize};
 
-/// An event that the module is told of. Machines, tasks, services, frameworks and tenants are its indices.
+/// An event for the placement module. Machines, tasks, services, frameworks and tenants are given
+/// as indices of the placement module; times are microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementEvent {
-    /// A machine list begins.
+    /// A machine list begins: `Machine` events follow until `ListEnds`.
     ListBegins {
-        /// Machines that are not in it are gone.
+        /// Whether the list is complete, so that machines missing from it are gone.
         whole: bool,
-        /// It comes from the registry, now.
+        /// Whether the list was just received from the registry; false for a change of a machine's
+        /// availability that the planner itself observed.
         fresh: bool,
     },
-    /// An entry of the list.
+    /// An entry of the machine list.
     Machine {
-        /// The machine.
+        /// The machine's index.
         #[serde(rename = "m")]
         machine: usize,
-        /// A number of its name that is the same in every planner.
+        /// A hash of the machine's name, which is the same in every planner.
         number: u64,
-        /// Its kind, zone and cell.
+        /// The machine's kind, zone and cell.
         #[serde(rename = "at")]
         location: (usize, usize, usize),
-        /// Its readiness, as a code.
+        /// The machine's readiness, as a code: see `readiness_code`.
         #[serde(rename = "ready")]
         readiness: u8,
-        /// When it last started, in microseconds.
+        /// The time of the machine's last start, in microseconds.
         #[serde(rename = "started")]
         started_us: i64,
-        /// The cores and memory left on it.
+        /// The free cores and memory of the machine.
         #[serde(rename = "left")]
         remaining: (f64, f64),
     },
     /// The machine list ends.
     ListEnds,
-    /// The list is no longer kept up to date.
+    /// The machine list is no longer kept up to date, because the registry does not answer.
     ListLost,
-    /// A service has an index.
+    /// A service was assigned an index.
     Service {
         /// The service.
         #[serde(rename = "s")]
         service: usize,
-        /// Its number among clients.
+        /// The number that clients use for the service.
         number: u64,
     },
-    /// A service's index is free.
+    /// A service's index was freed and may be assigned to another service.
     ServiceLeft {
         /// The service.
         #[serde(rename = "s")]
         service: usize,
     },
-    /// A machine's index is free.
+    /// A machine's index was freed and may be assigned to another machine.
     MachineLeft {
         /// The machine.
         #[serde(rename = "m")]
         machine: usize,
     },
-    /// A tenant's share of the fleet.
+    /// A tenant's share of the fleet is set.
     TenantShare {
         /// The tenant.
         tenant: usize,
-        /// Its share, 0 to 1.
+        /// The tenant's share, between 0 and 1.
         share: f64,
     },
-    /// A task waits for a place.
+    /// A task waits to be placed.
     Wanted {
         /// The task.
         task: usize,
@@ -82,11 +85,11 @@
         /// The cores and memory that it needs.
         #[serde(rename = "asks")]
         size: (f64, f64),
-        /// The time left for an answer.
+        /// Time left until the request's deadline, in microseconds.
         #[serde(rename = "left")]
         time_left_us: i64,
     },
-    /// A task was found running.
+    /// A running task that this planner did not know was found in a machine's inventory.
     Found {
         /// The task.
         task: usize,
@@ -101,62 +104,63 @@
         /// The cores and memory that it needs.
         #[serde(rename = "asks")]
         size: (f64, f64),
-        /// The machine that it runs on.
+        /// The machine that the task runs on.
         #[serde(rename = "m")]
         machine: usize,
     },
-    /// A machine accepted the task's attempt.
+    /// A machine accepted the attempt to run a task.
     Accepted {
         /// The task.
         task: usize,
     },
-    /// A machine reports something of a running task.
+    /// A machine sent a status note about a running task.
     Noted {
         /// The task.
         task: usize,
-        /// What is reported, as in `docs/protocol/agent.md`.
+        /// The kind of note, as numbered in `docs/protocol/agent.md`.
         sort: i64,
-        /// Its value.
+        /// The note's value; its meaning depends on `sort`.
         value: f64,
     },
-    /// The task's attempt has an outcome.
+    /// The outcome of the task's current attempt is known.
     Resolved {
         /// The task.
         task: usize,
-        /// The outcome, as a code.
+        /// The attempt's outcome, as a code: see `outcome_code`.
         #[serde(rename = "end")]
         outcome: u8,
-        /// The machine's code for the reason; 0 for none.
+        /// The machine's code for the reason; 0 if it gave none.
         #[serde(rename = "why")]
         reason_code: i64,
-        /// Whether the task is over, or waits again.
+        /// Whether the task is over; otherwise it waits to be placed again.
         over: bool,
-        /// The machine's report that came with it.
+        /// The machine's usage report that came with the outcome; empty if there was none.
         report: Vec<f64>,
     },
-    /// The task's request ended; it no longer waits.
+    /// The task's request ended without a placement; the task no longer waits.
     Expired {
         /// The task.
         task: usize,
     },
-    /// A timer of the module's is due.
+    /// A timer that the module set is due.
     Timer {
-        /// The module's token for it.
+        /// The token that the module gave when it set the timer.
         token: u64,
     },
-    /// A health check has an outcome.
+    /// The outcome of a probe is known.
     Probed {
         /// The machine.
         #[serde(rename = "m")]
         machine: usize,
-        /// The outcome, as a code.
+        /// The probe's outcome, as a code: see `outcome_code`.
         #[serde(rename = "end")]
         outcome: u8,
-        /// The machine's report that came with it.
+        /// The machine's usage report that came with the probe; empty if there was none.
         report: Vec<f64>,
     },
 }
 
+/// The codes of outcomes in recordings.
 const OUTCOMES: [(u8, AttemptOutcome); 8] = [
     (0, AttemptOutcome::Ended),
     (5, AttemptOutcome::Error),
@@ -168,28 +172,28 @@
     (125, AttemptOutcome::Cancelled),
 ];
 
-/// A code in a recording that stands for nothing.
+/// A code in a recording that has no meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidCode {
-    /// Of an outcome.
-    #[error("outcome {0}; expected one of the eight known")]
+    /// No outcome has this code.
+    #[error("unknown outcome code {0}; expected one of the eight known codes")]
     Outcome(u8),
-    /// Of a readiness.
-    #[error("readiness {0}; expected 0 to 2")]
+    /// No readiness has this code.
+    #[error("unknown readiness code {0}; expected 0 (ready), 1 (draining) or 2 (gone)")]
     Readiness(u8),
 }
 
-/// The code of an outcome.
+/// Returns the code of an outcome in recordings.
 pub fn outcome_code(outcome: AttemptOutcome) -> u8 {
     OUTCOMES.iter().find(|entry| entry.1 == outcome).map_or(0, |entry| entry.0)
 }
 
-fn outcome_of(code: u8) -> Result<AttemptOutcome, InvalidCode> {
+fn outcome_from_code(code: u8) -> Result<AttemptOutcome, InvalidCode> {
     let entry = OUTCOMES.iter().find(|entry| entry.0 == code);
     entry.map(|entry| entry.1).ok_or(InvalidCode::Outcome(code))
 }
 
-/// The code of a readiness.
+/// Returns the code of a readiness in recordings.
 pub fn readiness_code(readiness: Readiness) -> u8 {
     match readiness {
         Readiness::Ready => 0,
@@ -198,21 +202,21 @@
     }
 }
 
-fn readiness_of(code: u8) -> Result<Readiness, InvalidCode> {
+fn readiness_from_code(code: u8) -> Result<Readiness, InvalidCode> {
     let all = [Readiness::Ready, Readiness::Draining, Readiness::Gone];
     all.get(usize::from(code)).copied().ok_or(InvalidCode::Readiness(code))
 }
 
 impl PlacementEvent {
-    /// Tells the module.
+    /// Calls the method of the placement module that this event stands for.
     ///
     /// # Errors
-    /// A code stands for nothing; the module is not told then.
+    /// A code has no meaning; the placement module is not called then.
     pub fn apply<H: Host>(&self, planner: &mut Planner<H>) -> Result<(), InvalidCode> {
         match self {
             Self::ListBegins { whole, fresh } => planner.list_started(*whole, *fresh),
             Self::Machine { machine, number, location, readiness, started_us, remaining } => {
-                let readiness = readiness_of(*readiness)?;
+                let readiness = readiness_from_code(*readiness)?;
                 planner.set_machine_number(*machine, *number);
                 planner.machine_listed(*machine, *location, readiness, *started_us, *remaining);
             }
@@ -231,12 +235,12 @@
             Self::Accepted { task } => planner.attempt_accepted(*task),
             Self::Noted { task, sort, value } => planner.task_status(*task, *sort, *value),
             Self::Resolved { task, outcome, reason_code, over, report } => {
-                planner.attempt_ended(*task, outcome_of(*outcome)?, *reason_code, *over, report);
+                planner.attempt_ended(*task, outcome_from_code(*outcome)?, *reason_code, *over, report);
             }
             Self::Expired { task } => planner.task_expired(*task),
             Self::Timer { token } => planner.timer_fired(*token),
             Self::Probed { machine, outcome, report } => {
-                planner.probe_finished(*machine, outcome_of(*outcome)?, report);
+                planner.probe_finished(*machine, outcome_from_code(*outcome)?, report);
             }
         }
         Ok(())
--- a/planner/src/recording.rs
+++ b/planner/src/recording.rs
@@ -1,14 +1,16 @@
-//! A recording: everything that the placement module was told, and every call that it made. Text, a line each:
+//! Recordings of the placement module: every event that it received and every call that it made, as
+//! text, with one line for each:
 //!
 //! ```text
 //! # basaltpitch recording 1
 //! {"seed":7,"now":10,"given":{...}}         how the module was started
-//! > watch true                               a call
-//! {"at":20,"told":{"timer":{"token":0}}}     an event that it was told of, and when
-//! {"at":20,"told":{..},"answers":{"allows":"110","wishes":[],"alike":[]}}   and what constraints answered
+//! > watch true                               a call that the module made
+//! {"at":20,"told":{"timer":{"token":0}}}     an event, with its time in microseconds
+//! {"at":20,"told":{..},"answers":{"allows":"110","wishes":[],"alike":[]}}   an event, with the
+//!                                            answers of constraints to the module
 //! ```
 //!
-//! `replay` tells a new module the same and compares its calls, line by line.
+//! `replay` passes the events of a recording to a new module and compares the calls, line by line.
 use crate::host_adapter::{CallTranscript, ConstraintAnswers};
 use crate::placement_event::{InvalidCode, PlacementEvent};
 use basaltpitch::host::{Settings, Value};
@@ -18,13 +20,14 @@
 use std::io::{BufRead, Write};
 use std::sync::mpsc::{sync_channel, SyncSender, TrySendError};
 
+/// The first line of every recording: the format and its version.
 const FIRST_LINE: &str = "# basaltpitch recording 1";
-/// Pieces that may wait for the disk.
-const MAX_WAITING: usize = 4096;
-/// A piece goes to the disk once it is this long, in bytes.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Limit on the chunks that wait to be written to disk.
+const MAX_QUEUED_CHUNKS: usize = 4096;
+/// A chunk is written to disk once it has this length, in bytes.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// How the module was started: the second line.
+/// The second line of a recording: how the placement module was started.
 #[derive(Serialize, Deserialize)]
 #[serde(expecting = "struct Start")]
 struct Header {
@@ -41,7 +44,7 @@
     Text(String),
 }
 
-/// An event that the module was told of.
+/// A line with an event of the placement module.
 #[derive(Serialize, Deserialize)]
 #[serde(expecting = "struct Line")]
 struct EventLine {
@@ -53,7 +56,7 @@
 }
 
 impl EventLine {
-    /// Tells a module again, with the answers of constraints that it got then.
+    /// Passes the event to a module, which receives the recorded answers of constraints.
     fn apply(self, planner: &mut Planner<CallTranscript>) -> Result<(), InvalidCode> {
         planner.set_clock(self.at);
         let answers = self.answers.map(ConstraintAnswers::from).unwrap_or_default();
@@ -62,7 +65,7 @@
     }
 }
 
-/// What constraints answered to the module, in the order of its questions.
+/// The constraints' answers to the module during one event, in the order of the module's queries.
 #[derive(Serialize, Deserialize)]
 #[serde(expecting = "struct Said")]
 struct RecordedAnswers {
@@ -94,15 +97,18 @@
     }
 }
 
-/// Writes a recording beside the planner's thread. When the disk is full or too slow the recording ends with
-/// one error, and the planner serves on: a recording with a gap would replay nothing.
+/// Writes a recording on a thread of its own. If the disk is full or too slow, the recording ends
+/// with one logged error, because a recording with a gap could not be replayed. The planner
+/// continues without it.
 pub struct Recorder {
-    pieces: Option<SyncSender<String>>,
-    piece: String,
+    /// Chunks for the writing thread; `None` once the recording has ended early.
+    chunks: Option<SyncSender<String>>,
+    /// Lines that were not handed to the writing thread yet.
+    chunk: String,
 }
 
 impl Recorder {
-    /// Begins a recording of a module that is started with this seed, time and settings.
+    /// Starts a recording of a placement module that was started with this seed, time and settings.
     pub fn start(mut out: impl Write + Send + 'static, seed: u64, now: i64, settings: &Settings) -> Self {
         let settings = settings.iter().map(|(name, value)| {
             let value = match value {
@@ -113,52 +119,55 @@
         });
         let header = Header { seed, now, settings: settings.collect() };
         let head = format!("{FIRST_LINE}\n{}\n", serde_json::to_string(&header).expect("plain values"));
-        let (pieces, inbox) = sync_channel::<String>(MAX_WAITING);
+        let (chunks, queued_chunks) = sync_channel::<String>(MAX_QUEUED_CHUNKS);
         std::thread::spawn(move || {
-            let mut write = |piece: &str| out.write_all(piece.as_bytes()).and_then(|()| out.flush());
-            let mut wrote = write(&head);
-            while let (Ok(()), Ok(mut piece)) = (&wrote, inbox.recv()) {
-                inbox.try_iter().for_each(|more| piece.push_str(&more));
-                wrote = write(&piece);
+            let mut write = |chunk: &str| out.write_all(chunk.as_bytes()).and_then(|()| out.flush());
+            let mut result = write(&head);
+            while let (Ok(()), Ok(mut chunk)) = (&result, queued_chunks.recv()) {
+                queued_chunks.try_iter().for_each(|more| chunk.push_str(&more));
+                result = write(&chunk);
             }
-            if let Err(error) = wrote {
-                tracing::error!(%error, "the recording ended: it cannot be written; the planner serves on");
+            if let Err(error) = result {
+                tracing::error!(%error, "cannot write the recording; it ends here and the planner continues");
             }
         });
-        Recorder { pieces: Some(pieces), piece: String::new() }
+        Recorder { chunks: Some(chunks), chunk: String::new() }
     }
 
-    /// An event that the module was told of, and what constraints answered it meanwhile. Its calls follow.
+    /// Records an event and the answers of constraints that the module received during it. The
+    /// module's calls are recorded after it, with `record_calls`.
     pub fn record_event(&mut self, at: i64, event: &PlacementEvent, answers: ConstraintAnswers) {
-        if self.pieces.is_some() {
+        if self.chunks.is_some() {
             let answers = (!answers.is_empty()).then(|| answers.into());
             let line = EventLine { at, event: event.clone(), answers };
-            self.piece.push_str(&serde_json::to_string(&line).expect("plain values"));
-            self.piece.push('\n');
+            self.chunk.push_str(&serde_json::to_string(&line).expect("plain values"));
+            self.chunk.push('\n');
         }
     }
 
-    /// The calls that the module made since.
+    /// Records the calls in the transcript, and empties it.
     pub fn record_calls(&mut self, transcript: &mut CallTranscript) {
-        self.piece.push_str(&transcript.text);
+        self.chunk.push_str(&transcript.text);
         transcript.text.clear();
-        if self.piece.len() >= PIECE_BYTES {
+        if self.chunk.len() >= CHUNK_BYTES {
             self.flush();
         }
     }
 
-    /// Hands what was recorded to the writing thread.
+    /// Hands the recorded lines to the writing thread.
     pub fn flush(&mut self) {
-        let piece = std::mem::take(&mut self.piece);
-        if piece.is_empty() {
+        let chunk = std::mem::take(&mut self.chunk);
+        if chunk.is_empty() {
             return;
         }
-        match self.pieces.as_ref().map(|pieces| pieces.try_send(piece)) {
+        match self.chunks.as_ref().map(|chunks| chunks.try_send(chunk)) {
             Some(Err(TrySendError::Full(_))) => {
-                tracing::error!("the recording ended: the disk is too slow; the planner serves on");
-                self.pieces = None;
+                tracing::error!(
+                    "the disk is too slow for the recording; it ends here and the planner continues"
+                );
+                self.chunks = None;
             }
-            Some(Err(TrySendError::Disconnected(_))) => self.pieces = None,
+            Some(Err(TrySendError::Disconnected(_))) => self.chunks = None,
             _ => {}
         }
     }
@@ -170,99 +179,102 @@
     }
 }
 
-/// What a replay found.
+/// The result of replaying a recording.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplayOutcome {
-    /// Every call was the same.
+    /// The module made the same calls as in the recording.
     Same {
-        /// Events that the module was told of.
+        /// The number of events that the module received.
         events: usize,
-        /// Calls that it made.
+        /// The number of calls that the module made.
         calls: usize,
     },
-    /// The first call that differs.
+    /// The module made a different call; the first difference is given.
     Differs {
-        /// The line in the file.
+        /// The line number in the file, from 1.
         line: usize,
-        /// The call in the recording; empty where there is none.
+        /// The call in the recording; empty if the recording has none at this point.
         recorded: String,
-        /// The call that is made now; empty where there is none.
+        /// The call that the module made in the replay; empty if it made none at this point.
         now: String,
     },
 }
 
-/// A file that is no recording.
+/// Why a file cannot be read as a recording.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordingError {
-    /// The file ends where more is expected.
+    /// The file ends before its second line is complete.
     #[error("found the end of the file; expected {0}")]
     EndOfFile(&'static str),
-    /// There is no second line.
-    #[error("found no start; expected one in line 2")]
+    /// The file has no second line.
+    #[error("line 2: found the end of the file; expected seed, now and given in JSON")]
     NoHeader,
-    /// The first line is another one.
+    /// The first line is not that of a recording.
     #[error("line 1: found {0:?}; expected {FIRST_LINE:?}")]
     FirstLine(String),
-    /// The second line does not say how the module was started.
+    /// The second line does not describe how the module was started.
     #[error("line 2: found {0}; expected seed, now and given in JSON")]
     Header(serde_json::Error),
-    /// A line of the head cannot be read.
+    /// The first or the second line cannot be read.
     #[error("line {line}: found {error}; expected {expected}")]
     UnreadableHead {
-        /// Its number.
+        /// The line number, from 1.
         line: usize,
-        /// Why.
+        /// Why the line cannot be read.
         error: std::io::Error,
-        /// What it should hold.
+        /// What the line should contain.
         expected: &'static str,
     },
     /// A line cannot be read.
     #[error("line {line}: {error}")]
     Unreadable {
-        /// Its number.
+        /// The line number, from 1.
         line: usize,
-        /// Why.
+        /// Why the line cannot be read.
         error: std::io::Error,
     },
-    /// A line that is neither an event nor a call.
-    #[error("line {line}: found {error}; expected what the module was told, or a call")]
+    /// A line is neither an event nor a call.
+    #[error(
+        "line {line}: found {error}; expected what the module was told, or a call, which begins with \"> \""
+    )]
     Line {
-        /// Its number.
+        /// The line number, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Why the line is not an event.
         error: serde_json::Error,
     },
-    /// An event with a code that stands for nothing.
+    /// An event has an unknown code.
     #[error("line {line}: found {error}")]
     Code {
-        /// Its number.
+        /// The line number, from 1.
         line: usize,
-        /// The code.
+        /// The unknown code.
         error: InvalidCode,
     },
-    /// The same, where lines are not counted.
+    /// An event has an unknown code; its line number is not known.
     #[error(transparent)]
     UncountedCode(#[from] InvalidCode),
 }
 
-/// The time that a new module takes for all that a recording holds, reading the recording not counted.
+/// Replays a recording's events without comparing the calls, and returns the time that the
+/// placement module took for them. Reading and parsing the file does not count.
 ///
 /// # Errors
-/// The file does not begin as a recording, or has a code that stands for nothing.
+/// The file's second line is not that of a recording, or an event has an unknown code.
 pub fn time_bare(file: impl BufRead) -> Result<std::time::Duration, RecordingError> {
     let mut lines = file.lines().skip(1).map_while(Result::ok);
     let header = lines.next().ok_or(RecordingError::NoHeader)?;
     let mut planner = start_planner(&header)?;
     let events: Vec<EventLine> = lines.filter_map(|line| serde_json::from_str(&line).ok()).collect();
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     for event in events {
         event.apply(&mut planner)?;
         planner.host.text.clear();
     }
-    Ok(began.elapsed())
+    Ok(started_at.elapsed())
 }
 
-/// A new module, started as a recording's second line says.
+/// Starts a placement module with the seed, time and settings in a recording's second line.
 fn start_planner(header: &str) -> Result<Planner<CallTranscript>, RecordingError> {
     let header: Header = serde_json::from_str(header).map_err(RecordingError::Header)?;
     let settings = header.settings.into_iter().map(|(name, value)| {
@@ -275,24 +287,25 @@
     Ok(Planner::new(CallTranscript::default(), header.seed, header.now, settings.collect()))
 }
 
-/// A module that is told a recording again.
+/// A replay in progress.
 struct Replay {
     planner: Planner<CallTranscript>,
-    /// Calls that the module made now and that the recording is to have next.
-    due: VecDeque<String>,
+    /// Calls that the module made in the replay and that were not compared with the recording yet.
+    pending_calls: VecDeque<String>,
     events: usize,
     calls: usize,
 }
 
 impl Replay {
     fn new(mut planner: Planner<CallTranscript>) -> Self {
-        let due = take_calls(&mut planner);
-        Replay { planner, due, events: 0, calls: 0 }
+        let pending_calls = take_calls(&mut planner);
+        Replay { planner, pending_calls, events: 0, calls: 0 }
     }
 
-    /// Compares a recorded call with the one that is made now; the latter where they differ.
+    /// Compares a recorded call with the module's next call; the error is the module's call if the
+    /// two differ, or empty if the module made none.
     fn check_call(&mut self, recorded: &str) -> Result<(), String> {
-        let now = self.due.pop_front().unwrap_or_default();
+        let now = self.pending_calls.pop_front().unwrap_or_default();
         if now != recorded {
             return Err(now);
         }
@@ -300,10 +313,10 @@
         Ok(())
     }
 
-    fn tell(&mut self, line: EventLine) -> Result<(), InvalidCode> {
+    fn apply_event(&mut self, line: EventLine) -> Result<(), InvalidCode> {
         line.apply(&mut self.planner)?;
         self.events += 1;
-        self.due.extend(take_calls(&mut self.planner));
+        self.pending_calls.extend(take_calls(&mut self.planner));
         Ok(())
     }
 }
@@ -312,11 +325,12 @@
     std::mem::take(&mut planner.host.text).lines().map(str::to_owned).collect()
 }
 
-/// Tells a new module what a recording holds and compares its calls. A last line that was cut off by a sudden
-/// end is passed over.
+/// Replays a recording with a new placement module and compares the module's calls with the
+/// recorded ones. A truncated last line is ignored, because the planner may have been killed while
+/// it wrote it.
 ///
 /// # Errors
-/// The file is no recording; the error names the line, what was found and what was expected.
+/// The file is not a recording; the error names the line, what was found and what was expected.
 pub fn replay(file: impl BufRead) -> Result<ReplayOutcome, RecordingError> {
     let mut lines = file.lines().enumerate().map(|(index, line)| (index + 1, line)).peekable();
     let mut next = |expected| match lines.next() {
@@ -334,7 +348,8 @@
         let is_last = lines.peek().is_none();
         if text.starts_with("> ") {
             if let Err(now) = replay.check_call(&text) {
-                // The end of a file that was being written when the planner was killed.
+                // The last line was cut off, because the planner was killed while it wrote the
+                // file.
                 if is_last && now.starts_with(&text) {
                     break;
                 }
@@ -342,11 +357,11 @@
             }
             continue;
         }
-        if let Some(now) = replay.due.pop_front() {
+        if let Some(now) = replay.pending_calls.pop_front() {
             return Ok(ReplayOutcome::Differs { line, recorded: String::new(), now });
         }
         match serde_json::from_str(&text) {
-            Ok(event) => replay.tell(event).map_err(|error| RecordingError::Code { line, error })?,
+            Ok(event) => replay.apply_event(event).map_err(|error| RecordingError::Code { line, error })?,
             Err(_) if is_last => break,
             Err(error) => return Err(RecordingError::Line { line, error }),
         }
