--- a/planner/src/summary_codec.rs
+++ b/planner/src/summary_codec.rs
@@ -1,9 +1,10 @@
-//! Requests and replies of gossip, as frames and back.
+//! Encodes gossip requests and replies as frames, and decodes them.
 use basaltpitch_agent::wire::{Body, Digest, Summaries};
 use basaltpitch_gossip::frame_size::{age_ms, base_distance, index_gaps, token_steps};
 use basaltpitch_gossip::{GossipAction, InvalidSummary, PullRequest, SummaryDelta, Version};
 
-/// A request or a reply as a frame, and the link that it goes to; none for other actions.
+/// Returns the frame of a request or a reply and the link to send it on; `None` for actions that
+/// send no frame.
 pub fn encode(action: &GossipAction) -> Option<(u64, Body)> {
     match action {
         GossipAction::Request { link, request } => {
@@ -36,10 +37,10 @@
     }
 }
 
-/// A peer's request.
+/// Decodes the pull request of a peer.
 ///
 /// # Errors
-/// Names the lists that do not fit each other.
+/// The frame's lists differ in length; the error holds their lengths.
 pub fn decode_request(peer: usize, digest: Digest) -> Result<PullRequest, InvalidSummary> {
     let lengths = vec![digest.subjects.len(), digest.numbers.len()];
     if digest.subjects.len() != digest.numbers.len() {
@@ -56,10 +57,11 @@
     })
 }
 
-/// A peer's reply: the id of the request, and what changed.
+/// Decodes the reply of a peer into the id of the request and the changed summaries.
 ///
 /// # Errors
-/// Names the lists that do not fit each other.
+/// The lengths of the frame's lists are inconsistent, or a change refers to a number below 0; the
+/// error holds the lengths.
 pub fn decode_reply(peer: usize, summaries: Summaries) -> Result<(u64, Vec<SummaryDelta>), InvalidSummary> {
     check_lengths(peer, &summaries)?;
     let count = summaries.subjects.len();
@@ -69,10 +71,10 @@
     for row in 0..count {
         token = token.wrapping_add(summaries.tokens[row] as u64);
         let (number, behind) = (summaries.numbers[row], summaries.behind[row]);
-        let mut last: Option<usize> = None;
+        let mut last_index: Option<usize> = None;
         let changed = changes.by_ref().take(summaries.counts[row] as usize).map(|(gap, bits)| {
-            let index = last.map_or(0, |last| last + 1).saturating_add(gap as usize);
-            last = Some(index);
+            let index = last_index.map_or(0, |last| last + 1).saturating_add(gap as usize);
+            last_index = Some(index);
             (index, bits.swap_bytes())
         });
         deltas.push(SummaryDelta {
@@ -80,7 +82,7 @@
             token,
             number,
             base: if behind == 0 { 0 } else { number - behind },
-            // An age that cannot be is so high that the summary says nothing.
+            // An age outside the range of `i64` saturates, so that the summary counts as expired.
             age_us: i64::try_from(summaries.ages_ms[row]).map_or(i64::MAX, |ms| ms.saturating_mul(1000)),
             changed: changed.collect(),
         });
