--- a/planner/src/lease_client.rs
+++ b/planner/src/lease_client.rs
@@ -166,7 +166,7 @@
         events: link_events,
     };
     for (voter, endpoint) in config.voters.iter().enumerate() {
-        tokio::task::spawn_local(dialer.clone().keep_link(voter, endpoint.clone()));
+        tokio::task::spawn_local(dialer.clone().maintain_link(voter, endpoint.clone()));
     }
     let poll_us = (config.lease_config.duration_us / 4).max(10_000);
     let mut actor = Actor::new(config, deadline, slot_events);
--- a/planner/src/voter_links.rs
+++ b/planner/src/voter_links.rs
@@ -1,5 +1,5 @@
-//! Links to the voters, as planners, spares and other voters keep them; and the clock and the process names that
-//! votes go by.
+//! Links to the voters, which planners, spare planners and other voters maintain; and the clock and
+//! the process names that votes refer to.
 use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
 use basaltpitch_agent::session::{LinkConfig, PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, Body};
@@ -8,64 +8,69 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-const INBOX: usize = 256;
-const ORDERS: usize = 256;
+/// Limit on the events of one link that wait to be handled.
+const EVENT_CAPACITY: usize = 256;
+/// Limit on the commands that wait to be carried out by one link.
+const COMMAND_CAPACITY: usize = 256;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A voter whose link ended is dialled again after this time.
+/// Delay before a voter whose link ended is connected to again.
 const REDIAL_DELAY: Duration = Duration::from_millis(100);
 
-/// Microseconds of a clock that runs on while the machine is suspended.
+/// Returns the time since boot in microseconds. The clock keeps running while the machine is
+/// suspended.
 pub fn boottime_us() -> i64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     time.tv_sec * 1_000_000 + time.tv_nsec / 1000
 }
 
-/// Where a voter listens.
+/// The name and the address of a voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterEndpoint {
-    /// The voter's name; a link on which another answers is ended.
+    /// The voter's name; the link is closed if a process of another name answers.
     pub name: String,
-    /// Host and port.
+    /// Host and port on which the voter listens.
     pub address: String,
 }
 
-/// Who a process is, for votes: its name and the moment of its start. A process that starts again is another.
+/// Returns the name under which a process requests votes: its configured name and its epoch, so
+/// that a restarted process has a different name.
 pub fn process_name(name: &str, epoch: u64) -> Rc<str> {
     format!("{name} of {epoch}").into()
 }
 
-/// What all links of one process to voters have in common.
+/// The settings shared by all links of one process to voters.
 #[derive(Clone)]
 pub(crate) struct VoterDialer {
-    /// What the links share with the others of the process.
+    /// The settings that these links share with the process's other links.
     pub links: LinkConfig,
-    /// Who dials.
+    /// The identity with which this process introduces itself.
     pub identity: PeerIdentity,
     /// The clock of the process.
     pub clock: Clock,
-    /// Where events go, with the voter's index among all.
+    /// Receives the events of all links, each with the voter's index.
     pub events: mpsc::Sender<(usize, VoterLinkEvent)>,
 }
 
-/// What comes of a link to one voter.
+/// An event of the link to one voter.
 pub(crate) enum VoterLinkEvent {
-    /// The voter answered; frames are sent here.
+    /// The link is up; commands for it are sent to this channel.
     Up(mpsc::Sender<LinkCommand>),
-    /// A frame of the voter.
+    /// A frame from the voter.
     Frame(Body),
-    /// The link ended, or the voter did not answer.
+    /// The link ended, or could not be set up.
     Down,
 }
 
 impl VoterDialer {
-    /// Runs one link: orders in, news out; `Ended` is the last of them.
+    /// Starts a task that runs one link. Returns the channel for its commands and the channel of
+    /// its events, of which `LinkEvent::Ended` is the last.
     fn dial(
         &self,
         endpoint: &VoterEndpoint,
         link: u64,
     ) -> (mpsc::Sender<LinkCommand>, mpsc::Receiver<LinkEvent>) {
-        let (orders, orders_in) = mpsc::channel(ORDERS);
-        let (news_out, news) = mpsc::channel(INBOX);
+        let (commands, command_receiver) = mpsc::channel(COMMAND_CAPACITY);
+        let (event_sender, link_events) = mpsc::channel(EVENT_CAPACITY);
         let (links, clock, address) = (self.links.clone(), self.clock, endpoint.address.clone());
         let identity = PeerIdentity { link, ..self.identity.clone() };
         tokio::task::spawn_local(async move {
@@ -75,42 +80,51 @@
                     return link::run(
                         stream,
                         link::LinkContext { config: links, identity, clock },
-                        orders_in,
-                        news_out,
-                        |n| n,
+                        command_receiver,
+                        event_sender,
+                        |event| event,
                     )
                     .await;
                 }
-                Ok(Err(e)) => format!("no connection: {e}"),
-                Err(_) => "no connection in time".into(),
+                Ok(Err(error)) => format!("cannot connect: {error}"),
+                Err(_) => "the connection timed out".into(),
             };
-            let _ = news_out.send(LinkEvent::Ended { why, unsent: Vec::new() }).await;
+            let _ = event_sender.send(LinkEvent::Ended { why, unsent: Vec::new() }).await;
         });
-        (orders, news)
+        (commands, link_events)
     }
 
-    /// Keeps a link to one voter, until nobody receives its events.
-    pub(crate) async fn keep_link(self, voter: usize, endpoint: VoterEndpoint) {
+    /// Maintains a link to one voter, and reconnects whenever it ends. Returns once the receiver of
+    /// the events is dropped.
+    pub(crate) async fn maintain_link(self, voter: usize, endpoint: VoterEndpoint) {
         let mut link = 0;
         loop {
             link += 1;
-            let (orders, mut news) = self.dial(&endpoint, link);
-            while let Some(news) = news.recv().await {
-                let event = match news {
-                    LinkEvent::Session(SessionEvent::Up(party))
-                        if party.role == wire::Role::Voter && party.name == endpoint.name =>
+            let (commands, mut link_events) = self.dial(&endpoint, link);
+            while let Some(link_event) = link_events.recv().await {
+                let event = match link_event {
+                    LinkEvent::Session(SessionEvent::Up(peer))
+                        if peer.role == wire::Role::Voter && peer.name == endpoint.name =>
                     {
-                        VoterLinkEvent::Up(orders.clone())
+                        VoterLinkEvent::Up(commands.clone())
                     }
-                    LinkEvent::Session(SessionEvent::Up(party)) => {
-                        let (voter, found) = (&endpoint.name, party.name);
-                        tracing::error!(voter, found, "another process than the voter answers");
+                    LinkEvent::Session(SessionEvent::Up(peer)) => {
+                        let (voter, found) = (&endpoint.name, peer.name);
+                        tracing::error!(
+                            voter,
+                            found,
+                            "another process answered at the voter's address; closing the link"
+                        );
                         break;
                     }
                     LinkEvent::Session(SessionEvent::Frame(body)) => VoterLinkEvent::Frame(body),
                     LinkEvent::Session(_) => continue,
                     LinkEvent::Ended { why, .. } => {
-                        tracing::debug!(voter = endpoint.name, why, "no link to the voter");
+                        tracing::debug!(
+                            voter = endpoint.name,
+                            why,
+                            "the link to the voter ended; connecting again"
+                        );
                         break;
                     }
                 };
--- a/planner/src/voter_server.rs
+++ b/planner/src/voter_server.rs
@@ -129,7 +129,7 @@
             let dialer = VoterDialer { links, identity, clock, events };
             let endpoints = config.voters.iter().enumerate();
             for (other, endpoint) in endpoints.filter(|(other, _)| *other != config.index) {
-                actor.recovery_links.spawn_local(dialer.clone().keep_link(other, endpoint.clone()));
+                actor.recovery_links.spawn_local(dialer.clone().maintain_link(other, endpoint.clone()));
             }
         }
         actor
--- a/planner/src/zone_monitor.rs
+++ b/planner/src/zone_monitor.rs
@@ -1,6 +1,7 @@
-//! A planner's part in the failover of zones: what it sees goes to the coordinator, whose decision comes back
-//! with the summaries of planners; machines of a zone that is not healthy are held back by it. It decides
-//! nothing itself: `basaltpitch_zone_failover` does.
+//! A planner's part in zone failover. It merges the zone observations of all planners into
+//! evidence, follows the newest failover decision that it receives from voters or peers, and, while
+//! it holds the coordinator's lease, makes the decisions with `basaltpitch_zone_failover` and
+//! stores them as lease metadata.
 use crate::lease_client::{LeaseCommand, LeaseDeadline, LeaseEvent};
 use crate::shared_metrics::SharedDecision;
 use basaltpitch_admission::lower_median;
@@ -15,20 +16,20 @@
 use serde_json::{Map, Value};
 use tokio::sync::mpsc;
 
-/// The name of the coordinator's lease, with the voters; its metadata is the last decision.
+/// The name of the failover coordinator's lease; its metadata is the last decision.
 pub const LEASE_NAME: &str = "halls";
 
-/// What one planner, or several of one zone, see of each zone.
+/// What one planner, or several planners of one zone, observe of each zone.
 pub struct ObservedZones {
-    /// The zone that they are in.
+    /// The index of the planners' coordination zone.
     pub own_zone: usize,
-    /// How many planners there are.
+    /// The number of planners that these observations are from.
     pub planners: usize,
-    /// By zone, what they see of it.
+    /// By observed zone, the planners' metrics of it.
     pub zones: Vec<ZoneMetrics>,
 }
 
-/// The metadata of the lease.
+/// The metadata of the coordinator's lease.
 #[derive(Serialize, Deserialize)]
 struct StoredDecision {
     number: u64,
@@ -36,38 +37,45 @@
     decision: FailoverDecision,
 }
 
-/// The decision that counts, as this planner knows it.
+/// The newest failover decision that this planner knows.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct KnownDecision {
-    /// The coordinator's token, and the number of the decision under it.
+    /// The lease token of the coordinator that made the decision.
     token: u64,
+    /// The number of the decision among those made under the token.
     number: u64,
+    /// By zone, its phase.
     phases: Vec<ZonePhase>,
 }
 
-/// This planner as the coordinator.
+/// The state of this planner while it is the failover coordinator.
 struct Coordination {
     token: u64,
     lease_deadline: LeaseDeadline,
+    /// The number of the decision in force among those made under the token.
     number: u64,
     coordinator: FailoverCoordinator,
 }
 
-/// What a planner knows of zones, and its part in deciding about them.
+/// A planner's view of all zones, and its failover coordinator while it holds the lease.
 pub struct ZoneMonitor {
+    /// The names of the zones.
     names: Vec<String>,
+    /// Commands for the lease client.
     commands: mpsc::Sender<LeaseCommand>,
     known: KnownDecision,
+    /// `None` while this planner is not the coordinator.
     coordination: Option<Coordination>,
-    /// By zone, as all planners that are heard see it.
+    /// By zone, the evidence from all planners with a fresh summary.
     evidence: Vec<Evidence>,
-    /// By zone, cores used at confidence on machines that are ready: the median of what planners see.
+    /// By zone, the cores used on its ready machines, estimated at confidence: the median of the
+    /// planners' estimates.
     cores_used: Vec<f64>,
-    /// By zone, the cores of machines that are ready: the same.
+    /// By zone, the cores of its ready machines: the median of the planners' counts.
     cores: Vec<f64>,
 }
 
-/// What operators see of all zones. The keys are those of the `-o json` output.
+/// The state of all zones, as shown to operators. The keys are those of the `-o json` output.
 #[derive(Serialize)]
 struct ZonesStatus {
     #[serde(rename = "conducts")]
@@ -76,7 +84,7 @@
     zones: Map<String, Value>,
 }
 
-/// What operators see of a zone.
+/// The state of one zone, as shown to operators.
 #[derive(Serialize)]
 struct ZoneStatus {
     #[serde(rename = "state")]
@@ -85,13 +93,13 @@
     offered_share: f64,
     evidence: &'static str,
     cores_used: f64,
-    /// The cores that would go to other zones if this one failed, by their names.
+    /// By the name of another zone, the cores of load that it would take over if this zone failed.
     if_lost_to: Map<String, Value>,
     #[serde(rename = "if_lost_lacks")]
     if_lost_unplaced: f64,
 }
 
-/// A phase as a metric.
+/// Returns the code of a phase in a planner's metrics.
 fn phase_code(phase: ZonePhase) -> f64 {
     match phase {
         ZonePhase::Healthy => 0.0,
@@ -100,6 +108,7 @@
     }
 }
 
+/// Returns the phase with this code.
 fn phase_from_code(code: f64) -> ZonePhase {
     match code as usize {
         0 => ZonePhase::Healthy,
@@ -108,7 +117,7 @@
     }
 }
 
-/// A phase as it is printed.
+/// Returns a phase as it is shown to operators.
 fn phase_text(phase: ZonePhase) -> String {
     match phase {
         ZonePhase::Healthy => "well".into(),
@@ -117,7 +126,7 @@
     }
 }
 
-/// Evidence as it is printed.
+/// Returns evidence as it is shown to operators.
 fn evidence_text(evidence: Evidence) -> &'static str {
     match evidence {
         Evidence::Healthy => "well",
@@ -128,45 +137,48 @@
     }
 }
 
-/// To a tenth, as it is printed.
+/// Rounds to tenths of a core, for operators.
 fn rounded(cores: f64) -> f64 {
     (cores * 10.0).round() / 10.0
 }
 
 impl ZoneMonitor {
-    /// Of zones with these names. `commands` go to the lease client.
+    /// Creates a monitor of zones with these names, all healthy. `commands` go to the lease client.
     pub fn new(names: Vec<String>, commands: mpsc::Sender<LeaseCommand>) -> Self {
         let known = KnownDecision { phases: vec![ZonePhase::Healthy; names.len()], ..Default::default() };
         let (evidence, cores) = (vec![Evidence::NoQuorum; names.len()], vec![0.0; names.len()]);
         ZoneMonitor { names, commands, known, coordination: None, evidence, cores_used: cores.clone(), cores }
     }
 
-    /// What became of the coordinator's lease.
+    /// Handles an event of the coordinator's lease.
     pub fn lease_event(&mut self, now_us: i64, event: LeaseEvent) {
         match (event, &mut self.coordination) {
             (LeaseEvent::Acquired { token, metadata, deadline, .. }, _) => {
                 self.elected(now_us, token, deadline, &metadata)
             }
             (LeaseEvent::Lost { .. }, _) => self.coordination = None,
-            (LeaseEvent::MetadataRecorded { .. }, Some(own)) => {
-                own.coordinator.decision_stored(now_us);
-                own.number += 1;
-                let (token, number) = (own.token, own.number);
-                let phases = own.coordinator.decision().phases();
+            (LeaseEvent::MetadataRecorded { .. }, Some(coordination)) => {
+                coordination.coordinator.decision_stored(now_us);
+                coordination.number += 1;
+                let (token, number) = (coordination.token, coordination.number);
+                let phases = coordination.coordinator.decision().phases();
                 self.adopt(token, number, phases);
             }
             _ => {}
         }
     }
 
-    /// This planner is the coordinator now, after one that left this lease metadata.
+    /// Makes this planner the coordinator, with the last decision in the lease's metadata.
     fn elected(&mut self, now_us: i64, token: u64, lease_deadline: LeaseDeadline, metadata: &[u8]) {
         let last = match metadata.is_empty() {
             true => None,
             false => match serde_json::from_slice::<StoredDecision>(metadata) {
                 Ok(last) => Some(last.decision),
-                Err(e) => {
-                    tracing::error!(error = %e, "the last coordinator's decision cannot be read");
+                Err(error) => {
+                    tracing::error!(
+                        error = %error,
+                        "cannot parse the last failover decision in the lease metadata; starting without it"
+                    );
                     None
                 }
             },
@@ -178,7 +190,8 @@
         self.adopt(token, 1, phases);
     }
 
-    /// The decision that another planner goes by, or this planner's own: the newest counts.
+    /// Follows a decision of another planner or of this one, if it is newer than the known
+    /// decision.
     fn adopt(&mut self, token: u64, number: u64, phases: Vec<ZonePhase>) {
         if (token, number) <= (self.known.token, self.known.number) || phases.len() != self.names.len() {
             return;
@@ -196,19 +209,20 @@
         self.known = KnownDecision { token, number, phases };
     }
 
-    /// A voter's copy of the lease metadata: with it a planner that has just acquired its slot, or hears no
-    /// other, goes by the decision too. A majority may not have stored it yet; then its coordinator writes it
-    /// again, or the next one another. True: it changed what is known.
+    /// Follows the decision in a voter's copy of the lease metadata, so that a planner that has
+    /// just acquired its slot, or receives no summaries of other planners, knows the decision too.
+    /// A majority may not have stored the decision yet; then its coordinator writes it again, or
+    /// the next coordinator writes another. Returns true if the known decision changed.
     pub fn decision_from_voter(&mut self, token: u64, metadata: &[u8]) -> bool {
         let before = (self.known.token, self.known.number);
-        // Unreadable metadata is reported by the coordinator.
+        // Metadata that cannot be parsed is logged by the coordinator.
         if let Ok(stored) = serde_json::from_slice::<StoredDecision>(metadata) {
             self.adopt(token, stored.number, stored.decision.phases());
         }
         before != (self.known.token, self.known.number)
     }
 
-    /// Another planner's decision, as [`Self::shared_decision`] made it.
+    /// Follows the decision in another planner's summary, made by its [`Self::shared_decision`].
     pub fn decision_from_peer(&mut self, shared: &SharedDecision) {
         if shared.token >= 1 && shared.number >= 1 {
             let phases = shared.phases.iter().map(|code| phase_from_code(*code)).collect();
@@ -216,63 +230,75 @@
         }
     }
 
-    /// The decision that counts, to be passed on.
+    /// Returns the known decision, to be published to peers.
     pub fn shared_decision(&self) -> SharedDecision {
         let KnownDecision { token, number, phases } = &self.known;
         let phases = phases.iter().map(|phase| phase_code(*phase)).collect();
         SharedDecision { token: *token, number: *number, phases }
     }
 
-    /// What all planners that are heard see, this one among them, of so many slots.
+    /// Evaluates the observations of all planners with a fresh summary, including this planner.
+    /// `slot_count` is the number of planner slots, by which a quorum of planners is judged. If
+    /// this planner is the coordinator, it may make a decision, which goes to the lease client.
     pub fn observe(&mut self, now_us: i64, slot_count: usize, observed: &[ObservedZones]) {
         for zone in 0..self.names.len() {
             self.observe_zone(now_us, slot_count, zone, observed);
         }
-        let Some(own) = self.coordination.as_mut().filter(|own| own.lease_deadline.is_held()) else { return };
-        own.coordinator.advance(now_us);
-        while let Some(FailoverAction::StoreDecision(decision)) = own.coordinator.next_action() {
-            let stored = StoredDecision { number: own.number + 1, decision };
+        let Some(coordination) =
+            self.coordination.as_mut().filter(|coordination| coordination.lease_deadline.is_held())
+        else {
+            return;
+        };
+        coordination.coordinator.advance(now_us);
+        while let Some(FailoverAction::StoreDecision(decision)) = coordination.coordinator.next_action() {
+            let stored = StoredDecision { number: coordination.number + 1, decision };
             let metadata = serde_json::to_vec(&stored).expect("plain numbers");
-            let write = LeaseCommand::WriteMetadata { lease: LEASE_NAME.into(), token: own.token, metadata };
+            let write =
+                LeaseCommand::WriteMetadata { lease: LEASE_NAME.into(), token: coordination.token, metadata };
             if self.commands.try_send(write).is_err() {
-                // Who cannot write does not act on what is not stored: its successor does.
-                tracing::error!("the lease client takes no decision on zones");
+                // A decision must be stored before it takes effect. This planner stops
+                // coordinating, and the next lease holder makes the decision.
+                tracing::error!(
+                    "cannot hand the zone failover decision to the lease client; no longer coordinating"
+                );
                 self.coordination = None;
                 return;
             }
         }
     }
 
+    /// Updates the evidence and the load estimates of one zone.
     fn observe_zone(&mut self, now_us: i64, slot_count: usize, zone: usize, observed: &[ObservedZones]) {
-        let reports = || observed.iter().filter_map(|one| Some((one, one.zones.get(zone)?)));
-        let observation = |(one, metrics): (&ObservedZones, &ZoneMetrics)| {
+        let reports = || observed.iter().filter_map(|observer| Some((observer, observer.zones.get(zone)?)));
+        let observation = |(observer, metrics): (&ObservedZones, &ZoneMetrics)| {
             let opinion = Opinion::from_counts(metrics[MACHINES], metrics[ANSWERING]);
-            Observation { zone: one.own_zone, opinion, planners: one.planners }
+            Observation { zone: observer.own_zone, opinion, planners: observer.planners }
         };
         let observations: Vec<Observation> = reports().map(observation).collect();
         self.evidence[zone] = evidence(zone, slot_count, &observations);
         let median = |index: usize| {
-            let see_machines = reports().filter(|(_, metrics)| metrics[READY] > 0.0);
-            let each =
-                see_machines.flat_map(|(one, metrics)| std::iter::repeat_n(metrics[index], one.planners));
+            let with_ready_machines = reports().filter(|(_, metrics)| metrics[READY] > 0.0);
+            let each = with_ready_machines
+                .flat_map(|(observer, metrics)| std::iter::repeat_n(metrics[index], observer.planners));
             lower_median(each.collect())
         };
         (self.cores[zone], self.cores_used[zone]) = (median(CORES), median(CORES_USED));
         let (attempts, failed) = reports().fold((0.0, 0.0), |(attempts, failed), (_, metrics)| {
             (attempts + metrics[ATTEMPTS], failed + metrics[FAILED_ATTEMPTS])
         });
-        if let Some(own) = &mut self.coordination {
-            own.coordinator.observe(now_us, zone, self.evidence[zone]);
-            own.coordinator.observe_attempts(zone, attempts, failed);
+        if let Some(coordination) = &mut self.coordination {
+            coordination.coordinator.observe(now_us, zone, self.evidence[zone]);
+            coordination.coordinator.observe_attempts(zone, attempts, failed);
         }
     }
 
-    /// The phase of each zone, by the decision that counts.
+    /// Returns the phase of each zone, by the known decision.
     pub fn phases(&self) -> &[ZonePhase] {
         &self.known.phases
     }
 
-    /// What operators see of each zone: the decision, the evidence, and what would become of its load.
+    /// Returns the state of each zone for operators: the decision, the evidence, and where the
+    /// zone's load would go if it failed.
     pub fn view(&self) -> Value {
         let free: Vec<f64> = self.cores.iter().zip(&self.cores_used).map(|(all, used)| all - used).collect();
         let row = |(zone, name): (usize, &String)| (name.clone(), to_value(&self.zone_status(zone, &free)));
