--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -1,8 +1,9 @@
-//! One planner without I/O: frames and the passing of time come in, frames to send go out. It holds the
-//! placement module, which acts through the host adapter and its ledger, knows peers by small indices, and
-//! decides nothing itself: the module places, the ledger says what an answer means, `machine_availability`
-//! whether a machine is offered work, `dial` when to connect. What clients, machines, constraints and the
-//! directory bring has a module each; all share this one state. Times are whole microseconds.
+//! One planner without I/O: frames and the passing of time come in, frames to send go out. It holds
+//! the placement module, which acts through the host adapter and its ledger, knows peers by small
+//! indices, and decides nothing itself: the module places, the ledger says what an answer means,
+//! `machine_availability` whether a machine is offered work, `dial` when to connect. What clients,
+//! machines, constraints and the directory bring has a module each; all share this one state. Times
+//! are whole microseconds.
 mod actions;
 mod clauses;
 mod clients;
@@ -53,7 +54,7 @@
 /// How long a connection may take to come up, unless the settings say otherwise.
 const DEFAULT_CONNECT_TIMEOUT_US: f64 = 250_000.0;
 /// Rows that one answer holds at the most.
-pub(crate) const MOST_ROWS: usize = 1000;
+pub(crate) const MAX_ROWS: usize = 1000;
 
 /// What the service must do.
 #[derive(Clone, Debug, PartialEq)]
--- a/planner/src/state/clauses.rs
+++ b/planner/src/state/clauses.rs
@@ -4,8 +4,8 @@
 impl PlannerState {
     // Clauses.
 
-    /// From now on clauses bind, with a name and place of each for answers. To be called before anything else
-    /// comes.
+    /// From now on clauses bind, with a name and place of each for answers. To be called before
+    /// anything else comes.
     pub fn set_constraints(&mut self, clauses: Vec<Constraint>, places: Vec<String>) {
         self.constraint_names = places;
         if !clauses.is_empty() {
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Clauses in place of those that bind: what they break of what runs. Taken whole, or not at all.
+    /// Clauses in place of those that bind: what they break of what runs. Taken whole, or not at
+    /// all.
     pub(super) fn rebind(&mut self, clauses: Vec<(Constraint, String)>, take: bool) -> Value {
         let (clauses, places): (Vec<Constraint>, Vec<String>) = clauses.into_iter().unzip();
         // Machines are told to the new ones as they are told to those that bind.
@@ -108,7 +109,8 @@
         json!({"taken": take, "broken": broken})
     }
 
-    /// How clauses stand to a task: each that binds it, what it leaves, and who forbids which machine.
+    /// How clauses stand to a task: each that binds it, what it leaves, and who forbids which
+    /// machine.
     pub(crate) fn explain_constraints(&mut self, facts: &TaskAttributes, machines: bool) -> Value {
         let Some(bounds) = self.placement.host.constraints.as_mut() else { return json!({"clauses": []}) };
         let stands = bounds.eligibility(facts);
@@ -122,7 +124,7 @@
             .map(|x| json!({"clause": self.constraint_names[x.0], "leaves": x.1, "of": known}))
             .collect();
         let mut by_machine = Vec::new();
-        for (m, facts, state) in bounds.state.fleet().filter(|_| machines).take(MOST_ROWS) {
+        for (m, facts, state) in bounds.state.fleet().filter(|_| machines).take(MAX_ROWS) {
             let state = match state {
                 MachineState::Ready => "ready",
                 MachineState::Down => "drains",
--- a/planner/src/view.rs
+++ b/planner/src/view.rs
@@ -1,6 +1,6 @@
-//! What a planner tells operators, as JSON.
+//! The JSON answers of a planner to operators' queries.
 use crate::admission::{AdmissionController, AdmissionView};
-use crate::state::{idempotency_text, ClientFrameError, PlannerState, SubsetView, TaskCounts, MOST_ROWS};
+use crate::state::{idempotency_text, ClientFrameError, PlannerState, SubsetView, TaskCounts, MAX_ROWS};
 use basaltpitch::host::Readiness;
 use basaltpitch_agent::traffic::{FrameKind, Traffic};
 use basaltpitch_agent::wire::Body;
@@ -8,27 +8,28 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// A question that is not answered, with what was found and what was expected.
+/// Why a client's or operator's frame is not answered; the text goes to the client.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
-    /// A frame that is no question was not taken in.
+    /// A frame other than a query was rejected.
     #[error(transparent)]
     Frame(#[from] ClientFrameError),
-    /// A task that is not known here, or that the login may not see.
+    /// The task is not known here, or the login may not see it.
     #[error("task: found {0:?}; expected a key that is known here, of a task that this login may see")]
     UnknownTask(String),
-    /// A question that there is not.
+    /// There is no query of this name.
     #[error(
         "query: found {0:?}; expected planner, machines, tasks, task, tenants, tenant, members, why or directory"
     )]
-    UnknownQuestion(String),
-    /// A question about constraints that cannot be read.
+    UnknownQuery(String),
+    /// The JSON of an `explain` query is not valid.
     #[error("explain: found {0}; expected JSON with a key, or a framework and a service")]
     InvalidExplain(serde_json::Error),
-    /// A task that constraints know nothing of.
+    /// The task of an `explain` query is not known, the login may not see it, or the installation
+    /// has no constraints.
     #[error("explain: found {0:?}; expected the key of a known task, and clauses in the settings")]
     UnexplainedTask(String),
-    /// A question about tenants that the login may not ask, or that there is no answer to; the text says why.
+    /// A query about tenants that the login may not make, or that has no answer; the text says why.
     #[error("{0}")]
     Tenants(String),
 }
@@ -39,21 +40,23 @@
     }
 }
 
-fn rounded(figure: f64) -> f64 {
-    (figure * 1000.0).round() / 1000.0
+fn rounded(number: f64) -> f64 {
+    (number * 1000.0).round() / 1000.0
 }
 
-/// A frame of a client's or operator's: a question is answered, all else is the planner's. `beside`: an object
-/// with what is told of a planner beside what its state knows.
+/// Handles a frame of a client or an operator: answers queries, and passes all other frames to the
+/// planner's state. `extra_fields` returns a JSON object with further fields for the answer to
+/// `planner`.
 ///
 /// # Errors
-/// The frame makes no sense, or its login may not send it; the connection is of no use then.
+/// The frame is invalid, or the login of its connection may not send it; the caller closes the
+/// connection.
 pub fn client_frame(
     state: &mut PlannerState,
     now: i64,
     conn: u64,
     body: Body,
-    beside: impl FnOnce() -> Option<Value>,
+    extra_fields: impl FnOnce() -> Option<Value>,
 ) -> Result<(), QueryError> {
     let Body::Query(query) = body else { return Ok(state.client_frame(now, conn, body)?) };
     state.set_clock(now);
@@ -62,8 +65,8 @@
         "explain" => explain(state, &login, &query.about)?,
         "planner" => {
             let mut answer = planner(state);
-            if let (Value::Object(answer), Some(Value::Object(mut beside))) = (&mut answer, beside()) {
-                answer.append(&mut beside);
+            if let (Value::Object(answer), Some(Value::Object(mut extra))) = (&mut answer, extra_fields()) {
+                answer.append(&mut extra);
             }
             answer.to_string()
         }
@@ -73,11 +76,12 @@
     Ok(())
 }
 
-/// Answers a question: `planner`, `machines`, `tasks` (all open and placed ones that the login may see),
-/// `task` about one key, or one about tenants: `tenants`, `tenant`, `members`, `why` or `directory`.
+/// Answers a query: `planner`, `machines`, `tasks` (the open and placed tasks that the login may
+/// see), `task` for the task with the key `about`, or a query about tenants: `tenants`, `tenant`,
+/// `members`, `why` or `directory`.
 ///
 /// # Errors
-/// There is no such question, or no answer to it that the login may see.
+/// There is no such query, or no answer that the login may see.
 pub fn answer(state: &PlannerState, login: &str, what: &str, about: &str) -> Result<String, QueryError> {
     let value = match what {
         "planner" => planner(state),
@@ -90,26 +94,28 @@
         "tenants" | "tenant" | "members" | "why" | "directory" => {
             state.tenancy().question(state.now(), login, what, about).map_err(QueryError::tenants)?
         }
-        _ => return Err(QueryError::UnknownQuestion(what.to_owned())),
+        _ => return Err(QueryError::UnknownQuery(what.to_owned())),
     };
     Ok(value.to_string())
 }
 
-/// What constraints say of a task. `about` is JSON: `key` of a known task, or `framework`, `tenant`, `service`
-/// of one that might be; `machines` for each machine, too.
+/// Explains which constraints apply to a task. `about` is a JSON object with the `key` of a known
+/// task, or with the `framework`, `tenant` and `service` of a hypothetical one. With `machines` set
+/// to true, the answer also lists for each machine the constraints that forbid it.
 ///
 /// # Errors
-/// The question cannot be read, or the login may not see the task.
+/// `about` is not valid JSON, or the login may not see the task.
 pub fn explain(state: &mut PlannerState, login: &str, about: &str) -> Result<String, QueryError> {
-    let question: Value = serde_json::from_str(about).map_err(QueryError::InvalidExplain)?;
-    let text = |field: &str| question[field].as_str().unwrap_or("").to_owned();
-    let facts = match question["key"].as_str() {
+    let query: Value = serde_json::from_str(about).map_err(QueryError::InvalidExplain)?;
+    let text = |field: &str| query[field].as_str().unwrap_or("").to_owned();
+    let attributes = match query["key"].as_str() {
         Some(key) => {
-            // By the tenant itself: its name of then may be another's by now.
+            // Permission is checked by the tenant's index: another tenant may have its former name
+            // by now.
             let sees = |tenant: Option<usize>| state.tenancy().sees(state.now(), login, tenant);
             let known = state.known_task_facts(key).filter(|known| sees(known.1));
-            let (facts, _) = known.ok_or_else(|| QueryError::UnexplainedTask(key.to_owned()))?;
-            (*facts).clone()
+            let (attributes, _) = known.ok_or_else(|| QueryError::UnexplainedTask(key.to_owned()))?;
+            (*attributes).clone()
         }
         None => {
             let tenant = text("tenant");
@@ -119,15 +125,15 @@
             basaltpitch_constraints::TaskAttributes {
                 framework: text("framework"),
                 tenant,
-                service: question["service"].as_u64().unwrap_or(0),
+                service: query["service"].as_u64().unwrap_or(0),
                 key: String::new(),
             }
         }
     };
-    Ok(state.explain_constraints(&facts, question["machines"] == true).to_string())
+    Ok(state.explain_constraints(&attributes, query["machines"] == true).to_string())
 }
 
-/// What a planner says of itself.
+/// The answer to the query `planner`.
 #[derive(Serialize)]
 struct PlannerView<'a> {
     name: &'a str,
@@ -159,7 +165,7 @@
     serde_json::to_value(view).expect("plain values")
 }
 
-/// What links carried of one kind of frame.
+/// The traffic of one kind of frame.
 #[derive(Serialize)]
 struct TrafficView {
     bytes_in: u64,
@@ -168,7 +174,7 @@
     frames_out: u64,
 }
 
-/// What the links of a process carried since it began, by kind of frame.
+/// Returns the traffic on the links of this process since its start, by kind of frame.
 pub fn traffic(traffic: &Traffic) -> Value {
     let row = |kind: FrameKind| {
         let count = traffic.count(kind);
@@ -183,7 +189,7 @@
     Value::Object(FrameKind::ALL.into_iter().map(row).collect())
 }
 
-/// What is known of a machine.
+/// A machine, as shown to operators.
 #[derive(Serialize)]
 struct MachineView<'a> {
     machine: &'a str,
@@ -216,7 +222,7 @@
     let now = state.now();
     let ms_ago = |at: i64| (at > 0).then(|| (now - at) / 1000);
     let ms_left = |until: i64| ((until - now).max(0)) / 1000;
-    let rows = state.machines().take(MOST_ROWS).map(|(machine, availability, estimate)| {
+    let rows = state.machines().take(MAX_ROWS).map(|(machine, availability, estimate)| {
         let readiness = match availability.readiness() {
             Readiness::Ready => "ready",
             Readiness::Draining => "held back",
@@ -244,7 +250,7 @@
     rows.collect()
 }
 
-/// What is known of an attempt.
+/// An attempt, as shown to operators.
 #[derive(Serialize)]
 struct AttemptView<'a> {
     machine: &'a str,
@@ -254,7 +260,7 @@
     state: &'static str,
 }
 
-/// What is known of a task.
+/// A task, as shown to operators.
 #[derive(Serialize)]
 struct TaskView<'a> {
     key: &'a str,
@@ -301,13 +307,16 @@
     }
 }
 
-fn tasks(state: &PlannerState, login: &str, one: Option<&str>) -> Value {
+/// Returns the task with the key `only_key`, or all open and placed tasks if no key is given. Tasks
+/// that the login may not see are left out.
+fn tasks(state: &PlannerState, login: &str, only_key: Option<&str>) -> Value {
     let (now, tenancy) = (state.now(), state.tenancy());
     let is_shown = |phase: RequestPhase| phase.is_open() || phase == RequestPhase::Placed;
     let records = state.ledger().records();
-    let records = records.filter(|(key, record)| one.map_or(is_shown(record.phase), |one| &***key == one));
+    let records = records
+        .filter(|(key, record)| only_key.map_or(is_shown(record.phase), |only_key| &***key == only_key));
     let records = records.filter(|(_, record)| tenancy.sees(now, login, record.job.tenant));
-    let rows = records.take(MOST_ROWS).map(|(key, record)| {
+    let rows = records.take(MAX_ROWS).map(|(key, record)| {
         let job = &record.job;
         to_json(TaskView {
             key,
