--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -1,9 +1,12 @@
-//! One planner without I/O: frames and the passing of time come in, frames to send go out. It holds
-//! the placement module, which acts through the host adapter and its ledger, knows peers by small
-//! indices, and decides nothing itself: the module places, the ledger says what an answer means,
-//! `machine_availability` whether a machine is offered work, `dial` when to connect. What clients,
-//! machines, constraints and the directory bring has a module each; all share this one state. Times
-//! are whole microseconds.
+//! The state of one planner, without I/O: frames and the current time come in, frames to send go
+//! out.
+//!
+//! The state connects the parts that make the decisions: the placement module chooses machines, the
+//! ledger tracks attempts and answers, `machine_availability` decides whether a machine is offered
+//! work, and `DialQueue` decides when to connect to a peer. The placement module acts through the
+//! host adapter. Submodules handle clients, machines, the registry, constraints, the subset of the
+//! fleet and the tenant directory; all of them extend `PlannerState`. Machines, tasks and services
+//! have small indices. Times are whole microseconds.
 mod actions;
 mod clauses;
 mod clients;
@@ -44,143 +47,156 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// The registry among the peers that are dialled.
+/// The peer index of the registry; all other peers are machines.
 pub const REGISTRY: usize = usize::MAX;
-/// Services and machines that nothing refers to leave their indices after this time.
+/// How long an unused service or machine keeps its index.
 const ID_RETENTION_US: i64 = 600_000_000;
+/// Interval between two runs of the housekeeping.
 const HOUSEKEEPING_INTERVAL_US: i64 = 1_000_000;
-/// The admission threshold is recomputed each so often.
+/// Interval between two computations of the admission threshold.
 const ADMISSION_INTERVAL_US: i64 = 250_000;
-/// How long a connection may take to come up, unless the settings say otherwise.
+/// Timeout of a connection attempt, unless the settings give another.
 const DEFAULT_CONNECT_TIMEOUT_US: f64 = 250_000.0;
-/// Rows that one answer holds at the most.
+/// Limit on the rows of one answer to an operator.
 pub(crate) const MAX_ROWS: usize = 1000;
 
-/// What the service must do.
+/// An action that the service must carry out for the planner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// A frame to a machine.
+    /// Send a frame to a machine.
     Machine {
         /// The machine's index.
         machine: usize,
         /// The frame.
         body: Body,
-        /// The number of an attempt of which it must be known whether it was sent.
+        /// The number of the attempt that the frame starts; if the link ends, the service must
+        /// report whether the frame was sent. `None` for other frames.
         mark: Option<u64>,
     },
-    /// A frame to the registry.
+    /// Send a frame to the registry.
     Registry(Body),
-    /// A frame to a client or operator.
+    /// Send a frame to a client or an operator.
     Client {
-        /// The number of its connection.
+        /// The number of the client's connection.
         conn: u64,
         /// The frame.
         body: Body,
     },
-    /// Connect to a peer.
+    /// Connect to a machine or to the registry.
     Dial {
         /// The machine's index, or `REGISTRY`.
         peer: usize,
-        /// The number of the new link.
+        /// The number of the new link, by which its events are told from those of earlier links.
         link: u64,
         /// The peer's name.
         name: Rc<str>,
-        /// Where it listens.
+        /// The address on which the peer listens.
         address: Rc<str>,
     },
-    /// End the link to a machine.
+    /// Close the link to a machine.
     Disconnect {
         /// The machine's index.
         machine: usize,
-        /// Why, as the machine and the log are told.
+        /// The reason, which is sent to the machine and logged.
         why: &'static str,
     },
-    /// Sync with a server of the directory; a sync that is under way is given up.
+    /// Sync with a server of the tenant directory; a sync in progress is cancelled.
     SyncDirectory(SweepTask),
-    /// Store what of the directory is to outlive this planner.
+    /// Store a snapshot of the tenant directory on disk, for the planner's next start.
     StoreTenants {
-        /// When the directory was last read in full.
+        /// The time of the last full sync.
         at: i64,
-        /// All of it, where it changed; else only the time is stored.
+        /// The snapshot; `None` if it has not changed, so that only the time must be stored.
         all: Option<Vec<u8>>,
     },
 }
 
-/// Who a planner is.
+/// The identity of a planner, and the registry that it uses.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its name among the planners.
+    /// The planner's name, which is unique among the planners.
     pub name: String,
-    /// The number that fences its earlier incarnations.
+    /// The planner's epoch, a fencing token: each incarnation of the planner has a higher one.
     pub epoch: u64,
-    /// Where its random draws begin.
+    /// The seed of the planner's random numbers.
     pub seed: u64,
     /// The address of the registry.
     pub register: String,
 }
 
-/// What is known of a machine.
+/// A machine that has an index.
 struct MachineRecord {
+    /// The address on which its agent listens.
     address: Rc<str>,
+    /// The labels in its last list entry, which constraints match.
     labels: Vec<String>,
     availability: MachineAvailability,
-    /// The number of its newest link.
+    /// The number of its newest link; events of earlier links are ignored.
     link: u64,
-    /// Whether its index is held for it as a listed machine.
+    /// Whether the machine's index is reserved because the machine is listed.
     retained: bool,
 }
 
 /// The state of one planner.
 pub struct PlannerState {
-    /// Who it is.
+    /// The planner's identity.
     pub identity: Identity,
+    /// The placement module.
     placement: Planner<HostAdapter>,
+    /// Writes the recording; `None` if the planner does not record.
     recorder: Option<Recorder>,
     names: InstallationNames,
+    /// The known tenants, and which logins may act for them.
     tenancy: TenantAccess,
-    /// On whose behalf each connection asks.
+    /// By connection of a client or operator, its login.
     logins: HashMap<u64, Rc<str>>,
-    /// The request that is being rejected on arrival.
+    /// The request that is being rejected on arrival; `None` outside of that handling.
     pending_rejection: Option<PendingRejection>,
-    /// Whether requests are worth starting, where that is looked at.
+    /// The admission controller; `None` if every request is admitted.
     pub(crate) admission: Option<AdmissionController>,
-    /// Where each constraint is in the settings, for answers.
+    /// By constraint, its name and place in the settings, for answers.
     constraint_names: Vec<String>,
     machine_ids: RefCountedIds<Rc<str>>,
+    /// By machine index; `None` for an index that is free.
     machines: Vec<Option<MachineRecord>>,
     service_ids: RefCountedIds<u64>,
-    /// The service of each task of the module's.
+    /// By the placement module's task index, the index of the task's service.
     service_of_task: Vec<usize>,
+    /// When to connect to each machine and to the registry.
     dials: DialQueue,
+    /// The number of the newest link.
     last_link: u64,
     registry_up: bool,
-    /// The registry was asked to send changes of the list.
+    /// Whether the planner is subscribed to changes of the machine list.
     watching: bool,
-    /// The registry sends changes without being asked by the module.
+    /// Whether the planner subscribes to the machine list as soon as the registry is up. Otherwise
+    /// the placement module requests the list.
     registry_pushes: bool,
-    /// By number: the machine whose health check is waited for.
+    /// By the number of an unanswered probe, its machine.
     probes: BTreeMap<u64, usize>,
+    /// The number of the newest probe.
     last_probe: u64,
     connect_timeout_us: i64,
-    /// By zone.
+    /// By zone, the counts of attempts.
     zone_attempts: Vec<ZoneAttempts>,
-    /// A report that came with the frame being handled.
+    /// The usage report in the machine frame that is being handled; empty if it has none.
     pending_report: Vec<f64>,
-    /// The planner's subset of the fleet, where it has one.
+    /// The planner's subset of the fleet; `None` if the planner links to all machines.
     subset: Option<subset::SubsetState>,
+    /// Actions for the service, in order.
     outputs: VecDeque<Output>,
-    /// What operators are told of its work.
+    /// Counts for operators.
     pub counts: TaskCounts,
 }
 
-/// What operators are told of a planner's work, since its start.
+/// Counts of a planner's requests and tasks since its start, as shown to operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct TaskCounts {
-    /// Requests that came.
+    /// Requests received.
     pub submitted: u64,
-    /// Attempts made.
+    /// Attempts started.
     pub launched: u64,
-    /// Requests that were answered with a place.
+    /// Requests that were answered with a placement.
     pub placed: u64,
     /// Requests that were declined.
     pub declined: u64,
@@ -192,26 +208,28 @@
     pub lost: u64,
 }
 
-/// Attempts in a zone since the start.
+/// Counts of the planner's attempts in a zone since the planner's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ZoneAttempts {
-    /// Attempts made.
+    /// Attempts started.
     pub(crate) launched: u64,
     /// Attempts that were refused or failed.
     pub(crate) failed: u64,
 }
 
-/// A request that is rejected on arrival.
+/// The details of a request that is being rejected on arrival, for its answer.
 struct PendingRejection {
     request_id: u64,
-    /// How old that is which the rejection rests on.
+    /// The age of the tenant data that the decision was based on, in microseconds; see
+    /// `Answer.stale_us`.
     stale_us: i64,
-    /// The reason in more detail.
+    /// A more detailed reason for the answer; `None` if the general reason is enough.
     explanation: Option<String>,
 }
 
 impl PlannerState {
-    /// A planner that knows no machine yet. Its decisions are recorded to `record`.
+    /// Creates a planner that knows no machines yet. A recording of the placement module goes to
+    /// `record`, if that is given.
     pub fn new(
         identity: Identity,
         settings: Settings,
@@ -263,23 +281,24 @@
         state
     }
 
-    /// The timeout of connections, in microseconds.
+    /// Returns the timeout of a connection attempt, in microseconds.
     pub fn connect_timeout_us(&self) -> i64 {
         self.connect_timeout_us
     }
 
-    /// The next thing that the service must do.
+    /// Removes and returns the next action that the service must carry out.
     pub fn next_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// The time at which `advance_clock` has something to do.
+    /// Returns the time at which `advance_clock` next has something to do.
     pub fn next_at(&self) -> i64 {
         let dial = self.dials.next_due_at().unwrap_or(i64::MAX);
         self.placement.host.timers.next_at().unwrap_or(i64::MAX).min(dial).min(self.tenancy.next_at())
     }
 
-    /// Lets time pass: timers come due, peers are dialled.
+    /// Advances the clock: handles the timers that are due, and starts connections and directory
+    /// syncs.
     pub fn advance_clock(&mut self, now: i64) {
         self.set_clock(now);
         while let Some((_, timer)) = self.placement.host.timers.next_due(now) {
@@ -298,46 +317,50 @@
         while let Some(peer) = self.dials.next_due(now) {
             self.dial(peer);
         }
-        if let Some(learnt) = self.tenancy.learnt() {
-            let task = learnt.next(now);
-            learnt.say(now);
-            self.outputs.extend(task.map(Output::SyncDirectory));
+        if let Some(directory) = self.tenancy.learnt() {
+            let sync = directory.next(now);
+            directory.say(now);
+            self.outputs.extend(sync.map(Output::SyncDirectory));
         }
     }
 
-    /// From now on requests that are not worth starting are declined at once.
+    /// Enables admission control: requests that `controller` rejects are declined on arrival.
     pub fn enable_admission(&mut self, now: i64, controller: AdmissionController) {
         self.admission = Some(controller);
         self.placement.host.timers.set(now + ADMISSION_INTERVAL_US, TimerKind::AdmissionThreshold);
     }
 
-    /// What decides on admission, where that is looked at.
+    /// Returns the admission controller; `None` if every request is admitted.
     pub fn admission(&self) -> Option<&AdmissionController> {
         self.admission.as_ref()
     }
 
+    /// Recomputes the admission threshold, and sets the timer for the next time.
     fn update_admission_threshold(&mut self) {
         let now = self.now();
         self.placement.host.timers.set(now + ADMISSION_INTERVAL_US, TimerKind::AdmissionThreshold);
         let Some(mut admission) = self.admission.take() else { return };
         let ready = self.machines().filter(|entry| entry.1.readiness() == Readiness::Ready);
-        let fleet = self.fleet_to_subset_ratio();
-        // The threshold is that of the whole fleet, of which a subset is a sample.
+        // The threshold is that of the whole fleet, which is extrapolated from the planner's
+        // subset.
+        let ratio = self.fleet_to_subset_ratio();
         let scaled = |estimate: MachineEstimate| MachineEstimate {
-            cores: fleet * estimate.cores,
-            cores_at_confidence: fleet * estimate.cores_at_confidence,
+            cores: ratio * estimate.cores,
+            cores_at_confidence: ratio * estimate.cores_at_confidence,
             ..estimate
         };
         admission.recompute(now, ready.map(|entry| scaled(entry.2)));
         self.admission = Some(admission);
     }
 
+    /// Sets the clock of the state and of the placement module; it never goes back.
     pub(crate) fn set_clock(&mut self, now: i64) {
         let now = now.max(self.placement.host.now);
         self.placement.host.now = now;
         self.placement.set_clock(now);
     }
 
+    /// Starts a connection to a machine or to the registry.
     fn dial(&mut self, peer: usize) {
         self.last_link += 1;
         let link = self.last_link;
@@ -351,16 +374,17 @@
         self.outputs.push_back(Output::Dial { peer, link, name, address });
     }
 
-    /// Tells the placement module of an event, and records it.
+    /// Passes an event to the placement module, and records it.
     fn notify_placement(&mut self, event: PlacementEvent) {
         let now = self.now();
-        event.apply(&mut self.placement).expect("codes that this planner wrote itself");
+        event.apply(&mut self.placement).expect("codes made by outcome_code and readiness_code are valid");
         if let Some(recorder) = &mut self.recorder {
             recorder.record_event(now, &event, self.placement.host.take_answers());
         }
         self.record_calls();
     }
 
+    /// Adds the placement module's latest calls to the recording.
     fn record_calls(&mut self) {
         let host = &mut self.placement.host;
         if let (Some(recorder), Some(transcript)) = (&mut self.recorder, &mut host.transcript) {
@@ -368,7 +392,8 @@
         }
     }
 
-    /// Carries out all actions and requests, in order, until none is left.
+    /// Carries out the pending actions of the ledger and requests of the placement module, in
+    /// order, until none is left. Actions go first.
     fn perform_pending(&mut self) {
         loop {
             if let Some(action) = self.placement.host.actions.pop_front() {
@@ -388,7 +413,8 @@
         }
     }
 
-    /// Records and ids that nothing needs leave.
+    /// Removes expired task records, and frees the indices of services and machines that were
+    /// unused for `ID_RETENTION_US`.
     fn housekeeping(&mut self) {
         let now = self.now();
         self.placement.host.timers.set(now + HOUSEKEEPING_INTERVAL_US, TimerKind::Housekeeping);
@@ -407,14 +433,14 @@
     }
 }
 
-/// What operators and other parts of the service see.
+/// Read access for operators' queries and for other parts of the service.
 impl PlannerState {
-    /// Requests that wait for an answer.
+    /// Returns the number of requests that wait for an answer.
     pub fn open_requests(&self) -> usize {
         self.ledger().open_count()
     }
 
-    /// Attempts of which it is not known whether they run.
+    /// Returns the number of attempts of which it is not known whether they run.
     pub fn uncertain_attempts(&self) -> usize {
         let is_uncertain = |attempt: &&Attempt| attempt.state != AttemptState::Active;
         self.ledger().records().map(|entry| entry.1.attempts.iter().filter(is_uncertain).count()).sum()
@@ -440,7 +466,8 @@
         self.machines.get(machine)?.as_ref()
     }
 
-    /// Each known machine: its index, its availability, and what the module believes of it.
+    /// Returns each machine that was reported to the placement module: its index, its availability
+    /// and the module's estimate of its usage.
     pub(crate) fn machines(&self) -> impl Iterator<Item = (usize, &MachineAvailability, MachineEstimate)> {
         let known = self
             .machines
@@ -452,10 +479,12 @@
         })
     }
 
+    /// Returns the known tenants, and which logins may act for them.
     pub(crate) fn tenancy(&self) -> &TenantAccess {
         &self.tenancy
     }
 
+    /// Whether the planner is subscribed to changes of the machine list.
     pub(crate) fn is_watching(&self) -> bool {
         self.watching
     }
--- a/planner/src/state/actions.rs
+++ b/planner/src/state/actions.rs
@@ -1,18 +1,18 @@
-//! What the ledger and the placement module decided is carried out: frames to machines and clients, events for
-//! the module.
+//! Carries out the actions of the ledger and the requests of the placement module: sends frames to
+//! machines, clients and the registry, and passes events to the placement module.
 use super::names::idempotency_text;
 use super::*;
 
-/// Health checks whose answer is waited for; a further one is not sent.
+/// Limit on the unanswered probes; further probes fail without being sent.
 const MAX_PROBES: usize = 100_000;
 
 impl PlannerState {
-    /// Carries out one action of the ledger's.
+    /// Carries out one action of the ledger.
     pub(super) fn perform(&mut self, action: LedgerAction<TaskKey>) {
         match action {
             LedgerAction::Pending { task, time_left_us } => {
-                let Some((job, service)) = self.hold_service(task) else { return };
-                self.task_waits(task, &job, time_left_us);
+                let Some((job, service)) = self.register_task(task) else { return };
+                self.subset_task_waiting(task, &job, time_left_us);
                 self.notify_placement(PlacementEvent::Wanted {
                     task,
                     framework: job.framework,
@@ -24,7 +24,7 @@
             }
             LedgerAction::Adopted { task, machine } => {
                 self.counts.found += 1;
-                let Some((job, service)) = self.hold_service(task) else { return };
+                let Some((job, service)) = self.register_task(task) else { return };
                 self.notify_placement(PlacementEvent::Found {
                     task,
                     framework: job.framework,
@@ -36,12 +36,12 @@
             }
             LedgerAction::Accepted { task } => self.notify_placement(PlacementEvent::Accepted { task }),
             LedgerAction::Expired { task } => {
-                self.task_waits_no_more(task);
+                self.subset_task_settled(task);
                 self.notify_placement(PlacementEvent::Expired { task });
             }
             LedgerAction::Resolved { task, outcome, reason_code, over } => {
                 let report = std::mem::take(&mut self.pending_report);
-                self.task_resolved(task, outcome, over);
+                self.subset_attempt_resolved(task, outcome, over);
                 let outcome = outcome_code(outcome);
                 self.notify_placement(PlacementEvent::Resolved { task, outcome, reason_code, over, report });
             }
@@ -60,7 +60,7 @@
             LedgerAction::Reply { key, request_id, client, outcome } => {
                 self.reply(&key, request_id, client, outcome);
             }
-            // Counted by the host adapter when the ledger said so.
+            // The host adapter has passed these to the constraints already.
             LedgerAction::AttemptStarted { .. } | LedgerAction::AttemptEnded { .. } => {}
             LedgerAction::Lifecycle { key, request_id, client, event } => {
                 self.send_lifecycle(&key, request_id, client, event);
@@ -68,14 +68,16 @@
         }
     }
 
-    /// The service of a task's job, held under its index while the module knows the task.
-    fn hold_service(&mut self, task: usize) -> Option<(TaskJob, usize)> {
+    /// Prepares a task for the placement module: reserves an index for the task's service until the
+    /// module is done with the task, and records the task with the constraints. Returns the task's
+    /// job and the index of its service; `None` if the ledger does not know the task.
+    fn register_task(&mut self, task: usize) -> Option<(TaskJob, usize)> {
         let now = self.now();
         let ledger = &self.placement.host.ledger;
         let job = ledger.record(ledger.key_of(task)?)?.job.clone();
         let service = self.service_ids.acquire(job.service, now);
-        if let (Some(constraints), Some(facts)) = (&mut self.placement.host.constraints, &job.facts) {
-            constraints.task_opened(task, facts);
+        if let (Some(constraints), Some(attributes)) = (&mut self.placement.host.constraints, &job.facts) {
+            constraints.task_opened(task, attributes);
         }
         if task >= self.service_of_task.len() {
             self.service_of_task.resize(task + 1, 0);
@@ -85,6 +87,8 @@
         Some((job, service))
     }
 
+    /// Sends a lifecycle event of a placed task to the client that submitted it, if still
+    /// connected.
     fn send_lifecycle(&mut self, key: &TaskKey, request_id: u64, client: u64, event: LifecycleEvent) {
         self.counts.lost += u64::from(event == LifecycleEvent::Lost);
         let how = match event {
@@ -100,19 +104,22 @@
         }
     }
 
+    /// Sends a frame to a machine, unless its link is down.
     fn send_machine(&mut self, machine: usize, body: Body) {
         if self.machine(machine).is_some_and(|record| record.availability.link.is_up()) {
             self.outputs.push_back(Output::Machine { machine, body, mark: None });
         }
     }
 
+    /// Sends an attempt to a machine and sets its timeout. Without a usable link, the attempt is
+    /// reported to the ledger as not sent.
     fn launch(&mut self, key: &TaskKey, attempt: AttemptId, machine: usize, timeout_us: i64) {
         self.counts.launched += 1;
         if let Some(counts) = self.zone_attempts_mut(machine) {
             counts.launched += 1;
         }
         if let Some(task) = self.placement.host.ledger.record(key).and_then(|record| record.task) {
-            self.task_launched(task);
+            self.subset_task_launched(task);
         }
         let now = self.now();
         let link = self.machine(machine).map(|record| record.availability.link);
@@ -142,6 +149,7 @@
         self.placement.host.timers.set(now + timeout_us, TimerKind::AttemptTimeout(attempt));
     }
 
+    /// Counts the outcome of a request, and sends the answer to its client.
     fn reply(&mut self, key: &TaskKey, request_id: u64, client: u64, outcome: RequestOutcome) {
         let record = self.placement.host.ledger.record(key);
         let record = record.filter(|record| record.request_id == request_id);
@@ -151,7 +159,7 @@
             stale_us: record.map_or(0, |record| record.job.stale_us),
             ..wire::Answer::default()
         };
-        self.tell_admission(key, request_id, outcome);
+        self.report_to_admission(key, request_id, outcome);
         match outcome {
             RequestOutcome::Placed { machine } => {
                 self.counts.placed += 1;
@@ -184,8 +192,8 @@
         }
     }
 
-    /// Admission control is told of each answer.
-    fn tell_admission(&mut self, key: &TaskKey, request_id: u64, outcome: RequestOutcome) {
+    /// Reports the outcome of a request to the admission controller.
+    fn report_to_admission(&mut self, key: &TaskKey, request_id: u64, outcome: RequestOutcome) {
         let Some(admission) = &mut self.admission else { return };
         let (now, request) = (self.placement.host.now, (key.clone(), request_id));
         match outcome {
@@ -197,7 +205,7 @@
         }
     }
 
-    /// Where more is known of why a request is declined, its answer says so.
+    /// Adds a more detailed reason to the answer of a declined request, if one is known.
     fn explain_decline(&mut self, key: &TaskKey, reason: RejectReason, answer: &mut wire::Answer) {
         let pending = self.pending_rejection.as_mut().filter(|pending| pending.request_id == answer.ask);
         match (reason, pending) {
@@ -211,18 +219,19 @@
                 }
             }
             (RejectReason::NoRoom, _) => {
-                self.short_of_room();
+                self.subset_capacity_refused();
                 let record = self.placement.host.ledger.record(key);
-                let facts = record.and_then(|record| record.job.facts.clone());
-                if let Some(why) = facts.and_then(|facts| self.kept_out(&facts)) {
-                    answer.reason = format!("{}; {why}", answer.reason);
+                let attributes = record.and_then(|record| record.job.facts.clone());
+                if let Some(explanation) = attributes.and_then(|attributes| self.explain_blocked(&attributes))
+                {
+                    answer.reason = format!("{}; {explanation}", answer.reason);
                 }
             }
             _ => {}
         }
     }
 
-    /// Carries out a call of the module's that is not about a task.
+    /// Carries out a call of the placement module that does not concern a task.
     pub(super) fn perform_host_request(&mut self, request: HostRequest) {
         match request {
             HostRequest::Probe(machine) => self.probe(machine),
@@ -237,6 +246,7 @@
         }
     }
 
+    /// Sends a probe to a machine and sets its timeout. Without a link, the probe fails at once.
     fn probe(&mut self, machine: usize) {
         self.last_probe += 1;
         let number = self.last_probe;
--- a/planner/src/state/clients.rs
+++ b/planner/src/state/clients.rs
@@ -1,19 +1,20 @@
-//! Connections of clients and operators: requests, cancellations, and what operators ask to be done.
+//! Connections of clients and operators: handles requests, cancellations and operator commands.
 use super::*;
 
 /// The longest key of a task, in bytes.
 const MAX_KEY_BYTES: usize = 500;
 
 impl PlannerState {
-    /// An answer to an operator.
-    pub(crate) fn reply_to(&mut self, conn: u64, json: String) {
+    /// Queues an answer to an operator's query or command.
+    pub(crate) fn answer_operator(&mut self, conn: u64, json: String) {
         self.outputs.push_back(Output::Client { conn, body: Body::Told(wire::Told { json, more: false }) });
     }
 
-    /// A frame of a client's or operator's that is no question.
+    /// Handles a frame of a client or an operator, other than a query.
     ///
     /// # Errors
-    /// The frame makes no sense, or its login may not send it; the connection is of no use then.
+    /// The frame is invalid, or the login of its connection may not send it; the caller closes the
+    /// connection.
     pub fn client_frame(&mut self, now: i64, conn: u64, body: Body) -> Result<(), ClientFrameError> {
         self.set_clock(now);
         match body {
@@ -28,6 +29,7 @@
         Ok(())
     }
 
+    /// Cancels a request for its client.
     fn cancel(&mut self, withdraw: &wire::Withdraw) {
         let (key, request_id): (TaskKey, u64) = (withdraw.key.as_str().into(), withdraw.ask);
         if let Some(admission) = &mut self.admission {
@@ -36,7 +38,8 @@
         self.placement.host.on_ledger(|ledger, actions| ledger.cancel(&key, request_id, actions));
     }
 
-    /// Whether the login of a connection may do what operators do.
+    /// Returns the login of a connection if it may perform operator commands; otherwise the error
+    /// names `operation`.
     fn check_operator(&self, conn: u64, operation: &str) -> Result<Rc<str>, ClientFrameError> {
         let login = self.login(conn);
         let allowed = self.tenancy.operates(self.now(), &login, operation);
@@ -44,6 +47,7 @@
         Ok(login)
     }
 
+    /// Forwards an operator's drain, or the end of a drain, to the registry.
     fn drain_machine(&mut self, conn: u64, drain: wire::Drain) -> Result<(), ClientFrameError> {
         self.check_operator(conn, "drain")?;
         if !self.registry_up {
@@ -51,50 +55,55 @@
         }
         let json = format!("{{\"machine\":{:?},\"drain\":{}}}", drain.machine, drain.on);
         self.outputs.push_back(Output::Registry(Body::Drain(drain)));
-        self.reply_to(conn, json);
+        self.answer_operator(conn, json);
         Ok(())
     }
 
+    /// Answers which running attempts would violate other constraints, and applies those if
+    /// requested.
     fn try_constraints(&mut self, conn: u64, frame: &wire::Clauses) -> Result<(), ClientFrameError> {
         let login = self.check_operator(conn, "clauses")?;
         let constraints: Vec<(Constraint, String)> =
             serde_json::from_str(&frame.json).map_err(ClientFrameError::InvalidConstraints)?;
         if frame.take {
             let count = constraints.len();
-            tracing::warn!(login = &*login, constraints = count, "other constraints bind from now on");
+            tracing::warn!(login = &*login, constraints = count, "an operator replaces the constraints");
         }
-        let json = self.rebind(constraints, frame.take).to_string();
-        self.reply_to(conn, json);
+        let json = self.replace_constraints(constraints, frame.take).to_string();
+        self.answer_operator(conn, json);
         Ok(())
     }
 
+    /// Accepts the directory changes that are held back, on behalf of an operator.
     fn accept_directory(&mut self, conn: u64) -> Result<(), ClientFrameError> {
         let login = self.check_operator(conn, "accept")?;
         self.tenancy.accept().map_err(|error| ClientFrameError::Denied(error.to_string()))?;
         tracing::warn!(
             login = &*login,
-            "as an operator asked, the next full sync of the directory is accepted"
+            "an operator confirmed the held directory changes; the next full sync is applied"
         );
-        self.reply_to(conn, "{\"accepted\":true}".to_owned());
+        self.answer_operator(conn, "{\"accepted\":true}".to_owned());
         Ok(())
     }
 
-    /// A client or operator said hello.
+    /// Records the login with which a client or an operator connected.
     pub fn client_connected(&mut self, conn: u64, login: &str) {
         self.logins.insert(conn, login.into());
     }
 
-    /// On whose behalf a connection asks.
+    /// Returns the login of a connection; empty if it has none.
     pub(crate) fn login(&self, conn: u64) -> Rc<str> {
         self.logins.get(&conn).cloned().unwrap_or_default()
     }
 
-    /// A client's or operator's connection ended.
+    /// Handles the end of a client's or an operator's connection.
     pub fn client_disconnected(&mut self, conn: u64) {
         self.logins.remove(&conn);
         self.placement.host.ledger.client_disconnected(conn);
     }
 
+    /// Handles a request: declines an invalid one at once, and passes all others to the ledger,
+    /// which rejects the request if its login, the constraints or admission control forbid it.
     fn submit(&mut self, conn: u64, submit: wire::Submit) {
         self.counts.submitted += 1;
         let (framework, access) = match self.check_submit(conn, &submit) {
@@ -107,10 +116,10 @@
             }
         };
         let AccessDecision { tenant, stale_us, refused } = access;
-        let facts = self.facts(framework, tenant, submit.service, &submit.key);
+        let attributes = self.constraint_attributes(framework, tenant, submit.service, &submit.key);
         let rejection = match refused {
             Some((reason, retry_after_us)) => Some((Rejection { reason, retry_after_us }, None)),
-            None => self.reject(&submit, framework, facts.as_ref()),
+            None => self.reject(&submit, framework, attributes.as_ref()),
         };
         let job = TaskJob {
             framework,
@@ -120,7 +129,7 @@
             memory: submit.memory,
             runs_for_us: submit.runs_for_us,
             stale_us,
-            facts,
+            facts: attributes,
         };
         let request = Request {
             key: submit.key.as_str().into(),
@@ -144,10 +153,11 @@
         }
     }
 
-    /// A request's framework and what its login may do, or the text that it is declined with.
+    /// Returns a request's framework and the access decision for its login, or, if the request is
+    /// invalid, the reason to decline it with.
     fn check_submit(&self, conn: u64, submit: &wire::Submit) -> Result<(usize, AccessDecision), String> {
         let access = self.tenancy.asked(self.now(), &self.login(conn), &submit.tenant);
-        let is_size = |size: f64| size.is_finite() && size > 0.0 && size < 1e9;
+        let is_valid = |size: f64| size.is_finite() && size > 0.0 && size < 1e9;
         let key_bytes = submit.key.len();
         if key_bytes == 0 || key_bytes > MAX_KEY_BYTES {
             return Err(format!("key: found {key_bytes} bytes; expected 1 to {MAX_KEY_BYTES}"));
@@ -160,20 +170,21 @@
         };
         let access = access.map_err(|error| error.to_string())?;
         let (cores, memory) = (submit.cores, submit.memory);
-        if !is_size(cores) || !is_size(memory) {
+        if !is_valid(cores) || !is_valid(memory) {
             return Err(format!("cores, memory: found {cores} and {memory}; expected two numbers over 0"));
         }
         Ok((framework, access))
     }
 
-    /// Why a request is not opened, by constraints or by admission control, with an explanation for its client.
+    /// Returns why constraints or admission control reject a request, with an explanation for its
+    /// client; `None` if they accept it.
     fn reject(
         &mut self,
         submit: &wire::Submit,
         framework: usize,
-        facts: Option<&Rc<TaskAttributes>>,
+        attributes: Option<&Rc<TaskAttributes>>,
     ) -> Option<(Rejection, Option<String>)> {
-        if let Some(explanation) = self.never(facts) {
+        if let Some(explanation) = self.explain_infeasible(attributes) {
             let rejection = Rejection { reason: RejectReason::NoMachine, retry_after_us: 0 };
             return Some((rejection, Some(explanation)));
         }
@@ -182,7 +193,8 @@
         Some((Rejection { reason: RejectReason::NoSlack, retry_after_us }, Some(rejected.reason)))
     }
 
-    /// Whether admission control rejects a request. One that is open, answered or runs is no new one.
+    /// Returns the rejection of a request by admission control, if any. A repeated request, or one
+    /// for a task that is placed already, is not new demand and is always admitted.
     fn reject_by_admission(
         &mut self,
         submit: &wire::Submit,
--- a/planner/src/state/machines.rs
+++ b/planner/src/state/machines.rs
@@ -1,20 +1,23 @@
-//! Links to machines: frames of machines, and what a link that ends means for the attempts on it.
+//! Links to machines: handles frames of machines, and resolves the attempts on a link that ends.
 use super::*;
 
-/// Reasons of a machine's that operators are told as figures; see `docs/protocol/agent.md`.
+/// The kind of the status note that a task runs; the kinds are listed in `docs/protocol/agent.md`.
 const NOTE_RUNNING: i64 = 1;
 
 impl PlannerState {
-    /// Whether a machine is reached by the link of this number.
+    /// Whether this is the number of a machine's newest link.
     fn is_current(&self, machine: usize, link: u64) -> bool {
         self.machine(machine).is_some_and(|record| record.link == link)
     }
 
+    /// Returns the availability of a machine that has a current link.
     fn availability_mut(&mut self, machine: usize) -> &mut MachineAvailability {
-        &mut self.machines[machine].as_mut().expect("current links are of known machines").availability
+        &mut self.machines[machine].as_mut().expect("a machine with a current link has a record").availability
     }
 
-    /// A machine said hello: its epoch is when it last started. False: the link is of no use.
+    /// Handles a machine's hello; the epoch in it is the time of the machine's last start. Returns
+    /// false if the link is outdated, reached a different machine or an earlier start of it; the
+    /// caller closes it.
     pub fn machine_up(&mut self, now: i64, machine: usize, link: u64, name: &str, epoch: u64) -> bool {
         self.set_clock(now);
         if !self.is_current(machine, link) || **self.machine_ids.ids.id(machine) != *name {
@@ -33,7 +36,7 @@
         true
     }
 
-    /// A machine's link does not answer in time, or answers again.
+    /// Records whether a machine's link is suspect: a suspect link does not answer in time.
     pub fn machine_suspect(&mut self, now: i64, machine: usize, link: u64, suspect: bool) {
         self.set_clock(now);
         if self.is_current(machine, link) {
@@ -45,12 +48,13 @@
         }
     }
 
-    /// A link ended, or never came up. `unsent`: numbers of attempts of which no byte was handed over.
+    /// Handles the end of a link, or a failed connection. `unsent` holds the numbers of the
+    /// attempts of which no byte was sent.
     pub fn machine_down(&mut self, now: i64, machine: usize, link: u64, unsent: &[u64]) {
         self.set_clock(now);
         let epoch = self.identity.epoch;
         if !self.is_current(machine, link) {
-            // An older link: what it did not send is still known not to have run.
+            // Even on an outdated link, attempts that were not sent are known not to have run.
             for &number in unsent {
                 let attempt = AttemptId { epoch, number };
                 self.placement.host.on_ledger(|ledger, actions| ledger.unsent(attempt, actions));
@@ -71,7 +75,7 @@
         self.availability_changed(machine);
     }
 
-    /// An attempt could not be handed to a link.
+    /// Handles an attempt that could not be handed to its link, and so was not sent.
     pub fn launch_unsent(&mut self, now: i64, number: u64) {
         self.set_clock(now);
         let attempt = AttemptId { epoch: self.identity.epoch, number };
@@ -79,10 +83,10 @@
         self.perform_pending();
     }
 
-    /// A frame of a machine's.
+    /// Handles a frame of a machine. Frames of outdated links are ignored.
     ///
     /// # Errors
-    /// The frame makes no sense; the link is of no use then.
+    /// The frame is invalid; the caller closes the link.
     pub fn machine_frame(
         &mut self,
         now: i64,
@@ -134,12 +138,14 @@
         Ok(())
     }
 
-    /// A report that came with a frame waits for the outcome that the frame leads to.
+    /// Keeps the usage report of a frame for the attempt outcome that the frame leads to. Values
+    /// that are not finite are dropped.
     fn take_report(&mut self, report: Option<wire::Report>) {
         self.pending_report = report.map(|report| report.values).unwrap_or_default();
         self.pending_report.retain(|value| value.is_finite());
     }
 
+    /// Counts a refused or failed attempt, and keeps the frame's usage report.
     fn attempt_not_started(&mut self, machine: usize, report: Option<wire::Report>) {
         self.take_report(report);
         if let Some(counts) = self.zone_attempts_mut(machine) {
@@ -147,6 +153,7 @@
         }
     }
 
+    /// Passes the outcome of an answered probe to the placement module.
     fn probe_answered(&mut self, frame: wire::Probed) {
         if let Some(machine) = self.probes.remove(&frame.number) {
             let report = frame.report.map(|report| report.values).unwrap_or_default();
@@ -156,6 +163,7 @@
         }
     }
 
+    /// Passes the outcome of a probe without an answer to the placement module.
     pub(super) fn probe_failed(&mut self, probe: u64, outcome: AttemptOutcome) {
         if let Some(machine) = self.probes.remove(&probe) {
             let outcome = outcome_code(outcome);
@@ -163,6 +171,7 @@
         }
     }
 
+    /// Passes a status note about an attempt's task to the placement module.
     fn task_note(&mut self, attempt: AttemptId, sort: i64, value: f64) {
         let task = self.placement.host.ledger.task_of_attempt(attempt);
         if let Some(task) = task.filter(|_| value.is_finite()) {
@@ -170,6 +179,7 @@
         }
     }
 
+    /// Handles the full list of a machine's tasks; from then on the machine may be offered work.
     fn inventory(&mut self, machine: usize, inventory: wire::Inventory) -> Result<(), MachineFrameError> {
         let mut entries = Vec::new();
         for held in inventory.held {
@@ -187,6 +197,7 @@
         Ok(())
     }
 
+    /// Converts one task of an inventory for the ledger.
     fn inventory_entry(
         &mut self,
         held: wire::Held,
@@ -201,7 +212,7 @@
             framework,
             tenant,
             stale_us: 0,
-            facts: self.facts(framework, tenant, launch.service, &launch.key),
+            facts: self.constraint_attributes(framework, tenant, launch.service, &launch.key),
             service: launch.service,
             cores: launch.cores,
             memory: launch.memory,
@@ -218,11 +229,13 @@
     }
 }
 
+/// Returns the attempt that a frame is about.
 fn attempt_id(id: Option<wire::LaunchId>) -> Result<AttemptId, MachineFrameError> {
     let id = id.ok_or(MachineFrameError::NoAttemptId)?;
     Ok(AttemptId { epoch: id.epoch, number: id.number })
 }
 
+/// Returns how an attempt ended, from the code in a frame.
 fn attempt_end(how: i32) -> Result<AttemptEnd, MachineFrameError> {
     match wire::EndedHow::try_from(how) {
         Ok(wire::EndedHow::EndedDone) => Ok(AttemptEnd::Done),
--- a/planner/src/state/names.rs
+++ b/planner/src/state/names.rs
@@ -1,24 +1,27 @@
-//! Names of the installation - frameworks, zones, kinds of machines - and their indices.
+//! The names in the installation's settings: frameworks, zones and kinds of machines. Each has an
+//! index, which the placement module uses too.
 use crate::settings_lists::numbered_texts;
 use basaltpitch::host::{number, text, Settings};
 use basaltpitch_ledger::Idempotency;
 
-/// A framework of the installation.
+/// A framework in the installation's settings.
 pub(super) struct Framework {
     pub(super) name: String,
+    /// How often a task of this framework may run.
     pub(super) idempotency: Idempotency,
 }
 
-/// Names of the installation; indices are those of the placement module.
+/// The names in the installation's settings, by index.
 pub(super) struct InstallationNames {
     pub(super) frameworks: Vec<Framework>,
     pub(super) zones: Vec<String>,
-    /// Kinds of machines.
+    /// The kinds of machines.
     pub(super) kinds: Vec<String>,
-    /// Cores and memory of each kind of machine.
+    /// By kind of machine, its cores and memory.
     pub(super) sizes: Vec<(f64, f64)>,
-    /// By framework: the kind of machine that its tasks are bound to.
-    pub(super) kind_of: Vec<Option<usize>>,
+    /// By framework, the only kind of machine that its tasks may run on; `None` if they may run on
+    /// any.
+    pub(super) required_kind: Vec<Option<usize>>,
 }
 
 impl InstallationNames {
@@ -42,7 +45,7 @@
         let framework = |(index, name): (usize, String)| Framework { name, idempotency: idempotency(index) };
         InstallationNames {
             sizes: (0..kinds.len()).map(size).collect(),
-            kind_of: (0..names.len()).map(bound_kind).collect(),
+            required_kind: (0..names.len()).map(bound_kind).collect(),
             frameworks: names.into_iter().enumerate().map(framework).collect(),
             zones: list(&|index| format!("localities.{index}")),
             kinds,
@@ -54,11 +57,12 @@
     }
 }
 
+/// Returns the index of a name in a list of names.
 pub(super) fn index_of_name(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
-/// How often a task may run, as frames and operators have it.
+/// Returns the name of an idempotency in frames and in answers to operators.
 pub fn idempotency_text(idempotency: Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Repeatable => "repeatable",
--- a/planner/src/state/registry.rs
+++ b/planner/src/state/registry.rs
@@ -1,9 +1,9 @@
-//! What the registry says of machines, what the placement module and constraints are told of it, and zones
-//! whose machines are held back.
+//! The registry's machine list: applies it, passes machines to the placement module and the
+//! constraints, and holds back the machines of failed and recovering zones.
 use super::*;
 
 impl PlannerState {
-    /// The registry answers.
+    /// Handles a new link to the registry.
     pub fn registry_up(&mut self, now: i64) {
         self.set_clock(now);
         self.dials.link_up(REGISTRY, now);
@@ -14,7 +14,7 @@
         }
     }
 
-    /// The registry answers no more; the last list stands.
+    /// Handles the end of the registry's link; the last machine list stays in use.
     pub fn registry_down(&mut self, now: i64) {
         self.set_clock(now);
         self.dials.link_down(REGISTRY, now);
@@ -24,10 +24,10 @@
         self.perform_pending();
     }
 
-    /// A frame of the registry's.
+    /// Handles a frame of the registry.
     ///
     /// # Errors
-    /// The frame is no machine list in order; nothing of it is taken in then.
+    /// The frame is not a valid machine list; no entry of it is applied then.
     pub fn registry_frame(&mut self, now: i64, body: Body) -> Result<(), RegistryFrameError> {
         self.set_clock(now);
         let Body::List(list) = body else { return Err(RegistryFrameError::NotAList) };
@@ -59,6 +59,7 @@
         Ok(())
     }
 
+    /// Checks that an entry has a known kind and zone, a machine name and finite capacity.
     fn check_list_entry(&self, entry: &wire::Entry) -> Result<(), RegistryFrameError> {
         let check = |field, found: &str, expected: &[String]| match index_of_name(expected, found) {
             Some(_) => Ok(()),
@@ -77,11 +78,14 @@
         Ok(())
     }
 
+    /// Subscribes to changes of the machine list, or unsubscribes. A planner with a subset asks the
+    /// registry to omit changes that only affect a machine's free capacity.
     pub(super) fn watch(&mut self, on: bool) {
         let brief = self.subset.is_some();
         self.outputs.push_back(Output::Registry(Body::Watch(wire::Watch { on, brief })));
     }
 
+    /// Updates or adds a machine from a valid list entry, and returns its index.
     fn apply_list_entry(&mut self, entry: wire::Entry) -> usize {
         let now = self.now();
         let machine = self.machine_ids.intern(entry.machine.as_str().into(), now);
@@ -116,7 +120,7 @@
                 if !std::mem::replace(&mut record.retained, true) {
                     self.machine_ids.acquire_index(machine);
                 }
-                self.want(machine);
+                self.machine_listed(machine);
             }
             None => self.machine_unlisted(machine),
         }
@@ -124,8 +128,8 @@
         machine
     }
 
-    /// The list has a machine no longer: no new connection is made. What is on it is lost once no link
-    /// is up.
+    /// Handles a machine that the list no longer has: no new connection is made. The attempts on
+    /// the machine count as lost once its link is down.
     pub(super) fn machine_unlisted(&mut self, machine: usize) {
         self.dials.remove(machine);
         self.subset_machine_unlisted(machine);
@@ -139,7 +143,8 @@
         }
     }
 
-    /// A newer start of a machine was told of: what was on it runs no more, and a link of before is dead.
+    /// Handles a list entry with a newer start of a machine: its earlier attempts no longer run,
+    /// and a link from before the restart is closed.
     fn machine_restarted(&mut self, machine: usize) {
         self.placement.host.on_ledger(|ledger, actions| ledger.machine_lost(machine, actions));
         let record = self.machines[machine].as_mut();
@@ -149,7 +154,8 @@
         }
     }
 
-    /// Tells the module of a machine as it stands, within a list or as one of its own.
+    /// Passes a machine's current state to the constraints and to the placement module, between
+    /// `ListBegins` and `ListEnds`.
     fn report_machine(&mut self, machine: usize) {
         let Some(record) = self.machines[machine].as_mut() else { return };
         let availability = &mut record.availability;
@@ -170,7 +176,8 @@
         });
     }
 
-    /// Constraints are told of a machine before the module is.
+    /// Passes a machine's current state to the constraints. Must happen before the placement module
+    /// gets the machine, because the module then queries the constraints.
     pub(super) fn update_machine_constraints(&mut self, machine: usize, ready: Readiness) {
         let (Some(record), Some(constraints)) =
             (&self.machines[machine], &mut self.placement.host.constraints)
@@ -179,7 +186,7 @@
         };
         let availability = &record.availability;
         let (kind, zone, cell) = availability.location;
-        let facts = MachineAttributes {
+        let attributes = MachineAttributes {
             kind: self.names.kinds[kind].clone(),
             zone: self.names.zones[zone].clone(),
             rack: cell as u32,
@@ -192,10 +199,11 @@
             Readiness::Draining => MachineState::Far,
             Readiness::Gone => MachineState::Gone,
         };
-        constraints.update_machine(machine, facts, state);
+        constraints.update_machine(machine, attributes, state);
     }
 
-    /// Something of a machine's availability changed: the module is told if that makes a difference to it.
+    /// Handles a change of a machine's availability: passes the machine to the placement module if
+    /// its readiness changed.
     pub(super) fn availability_changed(&mut self, machine: usize) {
         let availability = self.machine(machine).map(|record| &record.availability);
         match availability.map(|availability| (availability.last_reported, availability.readiness())) {
@@ -204,22 +212,25 @@
                 self.report_machine(machine);
                 self.notify_placement(PlacementEvent::ListEnds);
             }
-            // Constraints depend on how the link is, too.
+            // The constraints also depend on the state of the link.
             Some((_, ready)) => self.update_machine_constraints(machine, ready),
             None => {}
         }
         self.perform_pending();
     }
 
-    /// Machines of zones that are not healthy are held back, those of a recovering one but for the ones whose
-    /// turn it is. Which those are depends on their names alone, so that all planners offer work to the same.
+    /// Withholds work from machines according to the phases of their zones: from all machines of a
+    /// failed zone, and from those machines of a recovering zone that the recovery ramp has not
+    /// reached. Machines are ranked by a hash of their names, so that all planners offer work to
+    /// the same ones.
     pub fn hold_back_zones(&mut self, now: i64, phases: &[ZonePhase]) {
         self.set_clock(now);
         let mut by_zone: Vec<Vec<(bool, u64, usize)>> = vec![Vec::new(); phases.len()];
         for (machine, record) in self.machines.iter().enumerate() {
             let Some(availability) = record.as_ref().map(|record| &record.availability) else { continue };
             if let Some(ranked) = by_zone.get_mut(availability.location.1) {
-                // Those off the list have the last ranks: one that comes back to it is held until its turn.
+                // Machines off the list rank last: one that is listed again is held back until the
+                // ramp reaches its rank.
                 let number = fnv1a_64(self.machine_ids.ids.id(machine));
                 ranked.push((!availability.is_wanted(), number, machine));
             }
@@ -231,7 +242,7 @@
                 let held_back =
                     if unlisted { *phase != ZonePhase::Healthy } else { !phase.offers(rank, listed_count) };
                 let availability =
-                    &mut self.machines[machine].as_mut().expect("ranked machines are known").availability;
+                    &mut self.machines[machine].as_mut().expect("a ranked machine has a record").availability;
                 if std::mem::replace(&mut availability.held_back, held_back) != held_back {
                     self.availability_changed(machine);
                 }
@@ -239,7 +250,7 @@
         }
     }
 
-    /// The counts of a machine's zone.
+    /// Returns the attempt counts of a machine's zone; `None` if the machine is not known.
     pub(super) fn zone_attempts_mut(&mut self, machine: usize) -> Option<&mut ZoneAttempts> {
         let zone = self.machine(machine)?.availability.location.1;
         if zone >= self.zone_attempts.len() {
@@ -248,7 +259,7 @@
         self.zone_attempts.get_mut(zone)
     }
 
-    /// Attempts in a zone since the start.
+    /// Returns the attempt counts of a zone since the planner's start.
     pub(crate) fn zone_attempts(&self, zone: usize) -> ZoneAttempts {
         self.zone_attempts.get(zone).copied().unwrap_or_default()
     }
--- a/planner/src/state/tenants.rs
+++ b/planner/src/state/tenants.rs
@@ -1,57 +1,58 @@
-//! The core's room for the directory of tenants.
+//! The tenant directory: applies the results of syncs, and passes tenants' shares to the placement
+//! module.
 use super::*;
 
 impl PlannerState {
-    // The directory of tenants.
-
-    /// From now on tenants are learnt from a directory. To be called before anything else comes.
-    pub fn use_directory(&mut self, now: i64, learnt: DirectoryAccess) {
+    /// Reads tenants from a directory instead of the settings. Must be called before any machine or
+    /// task is known.
+    pub fn use_directory(&mut self, now: i64, directory: DirectoryAccess) {
         self.set_clock(now);
-        let shares = learnt.shares();
-        self.tenancy = TenantAccess::Directory(Box::new(learnt));
+        let shares = directory.shares();
+        self.tenancy = TenantAccess::Directory(Box::new(directory));
         for (tenant, share) in shares {
             self.notify_placement(PlacementEvent::TenantShare { tenant, share });
         }
         self.advance_clock(now);
     }
 
-    /// A first answer of a sweep came.
+    /// Handles the first page of results of the sync with this number.
     pub fn directory_answered(&mut self, now: i64, number: u64) {
-        if let Some(learnt) = self.tenancy.learnt() {
-            learnt.answered(number);
-            learnt.say(now);
+        if let Some(directory) = self.tenancy.learnt() {
+            directory.answered(number);
+            directory.say(now);
         }
     }
 
-    /// A sweep ended, `None` where it brought nothing; `lacks` says why it is not all.
-    pub fn directory_synced(&mut self, now: i64, number: u64, sweep: Option<Sweep>, lacks: Vec<String>) {
+    /// Handles the end of the sync with this number. `result` is `None` if the sync failed;
+    /// `problems` says why the result is missing or incomplete.
+    pub fn directory_synced(&mut self, now: i64, number: u64, result: Option<Sweep>, problems: Vec<String>) {
         self.set_clock(now);
-        let Some(learnt) = self.tenancy.learnt() else { return };
-        let before = learnt.full_at();
-        let Some(changes) = learnt.swept(now, number, sweep, lacks) else { return };
-        learnt.say(now);
+        let Some(directory) = self.tenancy.learnt() else { return };
+        let previous_full_sync = directory.full_at();
+        let Some(changes) = directory.swept(now, number, result, problems) else { return };
+        directory.say(now);
         let mut shares = Vec::new();
         for change in &changes {
             match change {
                 Change::Came { id, name } => {
-                    tracing::info!(tenant = name, id = %id, "a tenant came");
-                    shares.extend(learnt.share(*id));
+                    tracing::info!(tenant = name, id = %id, "tenant added");
+                    shares.extend(directory.share(*id));
                 }
                 Change::Renamed { id, from, to } => {
-                    tracing::info!(tenant = to, was = from, id = %id, "a tenant has another name")
+                    tracing::info!(tenant = to, was = from, id = %id, "tenant renamed")
                 }
-                Change::Went { id, name } => tracing::info!(tenant = name, id = %id, "a tenant went"),
+                Change::Went { id, name } => tracing::info!(tenant = name, id = %id, "tenant removed"),
                 Change::Members { name, count, .. } => {
-                    tracing::info!(tenant = name, members = count, "a tenant has other members")
+                    tracing::info!(tenant = name, members = count, "tenant members changed")
                 }
                 Change::Share { id, name, from, to } => {
-                    tracing::info!(tenant = name, share = to, was = from, "a tenant has another share");
-                    shares.extend(learnt.share(*id));
+                    tracing::info!(tenant = name, share = to, was = from, "tenant share changed");
+                    shares.extend(directory.share(*id));
                 }
             }
         }
-        if let Some(at) = learnt.full_at().filter(|_| learnt.full_at() != before) {
-            let all = learnt.memory_if_new().map(|m| m.1);
+        if let Some(at) = directory.full_at().filter(|_| directory.full_at() != previous_full_sync) {
+            let all = directory.memory_if_new().map(|snapshot| snapshot.1);
             self.outputs.push_back(Output::StoreTenants { at, all });
         }
         for (tenant, share) in shares {
@@ -60,10 +61,11 @@
         self.perform_pending();
     }
 
-    /// What was to be remembered could not be kept: all of it comes again with the next full sweep.
+    /// Handles a failure to store the tenant snapshot: the whole snapshot is output again after the
+    /// next full sync.
     pub fn tenants_not_stored(&mut self) {
-        if let Some(learnt) = self.tenancy.learnt() {
-            learnt.forgot();
+        if let Some(directory) = self.tenancy.learnt() {
+            directory.forgot();
         }
     }
 }
--- a/planner/src/view.rs
+++ b/planner/src/view.rs
@@ -72,7 +72,7 @@
         }
         what => answer(state, &login, what, &query.about)?,
     };
-    state.reply_to(conn, json);
+    state.answer_operator(conn, json);
     Ok(())
 }
 
@@ -113,7 +113,7 @@
             // Permission is checked by the tenant's index: another tenant may have its former name
             // by now.
             let sees = |tenant: Option<usize>| state.tenancy().sees(state.now(), login, tenant);
-            let known = state.known_task_facts(key).filter(|known| sees(known.1));
+            let known = state.known_task_attributes(key).filter(|known| sees(known.1));
             let (attributes, _) = known.ok_or_else(|| QueryError::UnexplainedTask(key.to_owned()))?;
             (*attributes).clone()
         }
