--- a/planner/src/tenant_access.rs
+++ b/planner/src/tenant_access.rs
@@ -1,7 +1,7 @@
-//! What a planner knows of tenants: a list in its settings, or what it learns from a directory. No I/O: it
-//! says when which server is to be swept and what is to be remembered, and finds for each asking whether it
-//! may go on and on what that rests. What is believed, how fresh it is and who may do what is decided in the
-//! package `tenants`.
+//! The tenants that a planner knows, from its settings or from a directory, and the access
+//! decisions for logins. No I/O: the module says which directory server to sync with and when, and
+//! what to store on disk. The package `tenants` decides which changes are applied, how fresh the
+//! data is and who may do what. Times are microseconds.
 use basaltpitch_ledger::RejectReason;
 use basaltpitch_tenants::authorization::{
     AccessPolicy, AuthorizationBasis, AuthorizationDecision, Operation,
@@ -12,306 +12,342 @@
 use basaltpitch_tenants::{Change, EntryKind, Id, Sweep};
 use serde_json::{json, Value};
 
-/// How a planner learns from a directory.
+/// How a planner reads tenants from a directory.
 #[derive(Clone, Debug)]
 pub struct DirectoryOptions {
-    /// Addresses of its servers, in the order in which they are tried.
+    /// The addresses of the directory's servers, in the order in which they are tried.
     pub servers: Vec<String>,
-    /// Who may do what, and whether tasks are placed while the directory is away.
+    /// Who may do what, and whether tasks are placed while the directory's data is stale or
+    /// missing.
     pub terms: AccessPolicy,
-    /// How often it is swept, and when what is known is stale.
+    /// How often the planner syncs with the directory, and when the data counts as stale.
     pub pace: SyncSchedule,
-    /// Which removals are held, and what confirms them.
+    /// Which removals are held back until they are confirmed, and what confirms them.
     pub caution: ChangeGuard,
 }
 
-/// A sweep that is to be made.
+/// A sync with one server of the directory, to be carried out by the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SweepTask {
-    /// The index of the server.
+    /// The server's index in `DirectoryOptions::servers`.
     pub server: usize,
-    /// Counts the sweeps of this planner.
+    /// The number of the sync: each sync of this planner has a higher one.
     pub number: u64,
-    /// Read everything, not only what changed.
+    /// Whether to read all entries, rather than only those that changed.
     pub whole: bool,
-    /// From where on the server can say what changed.
+    /// The server's synchronization cookie, from which it can report changes; `None` if there is
+    /// none.
     pub cookie: Option<Vec<u8>>,
 }
 
-/// What a planner knows of tenants, and who may act for them.
+/// The tenants that a planner knows, and which logins may act for them.
 pub enum TenantAccess {
-    /// Names in the settings, in order. Nobody is asked who he is.
+    /// The names of tenants in the settings, by index. Every login may act for every tenant.
     Listed(Vec<String>),
+    /// Tenants, groups and people from a directory.
     Directory(Box<DirectoryAccess>),
 }
 
-/// Tenants as the servers of a directory describe them.
+/// Tenants, groups and people as read from the servers of a directory.
 pub struct DirectoryAccess {
     options: DirectoryOptions,
     directory: TenantDirectory,
-    /// The sweep that is under way.
-    under: Option<SweepTask>,
-    sweeps: u64,
-    /// Of each server, why its last sweep brought less than all.
-    lacks: Vec<Vec<String>>,
-    said_held: bool,
-    /// How often anything had changed when the last memory was asked for.
-    remembered: Option<u64>,
+    /// The sync in progress.
+    running_sync: Option<SweepTask>,
+    /// The number of syncs started by this planner.
+    sync_count: u64,
+    /// By server, why its last sync was incomplete; empty if it was complete.
+    problems: Vec<Vec<String>>,
+    /// Whether the log says that removals are held back.
+    held_logged: bool,
+    /// The directory's edit count in the last snapshot that was output; `None` if none was output
+    /// or storing it failed.
+    stored_edits: Option<u64>,
 }
 
-/// What came of asking whether a task may be submitted.
+/// The decision on whether a login may submit a task for a tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AccessDecision {
-    /// The index of the tenant, if it may be submitted for.
+    /// The tenant's index; `None` if the request has no tenant or is not allowed.
     pub tenant: Option<usize>,
-    /// How old the knowledge is that this rests on; 0: fresh, -1: nothing is known.
+    /// The age of the tenant data that the decision is based on, in microseconds: 0 if fresh, -1 if
+    /// there is no data.
     pub stale_us: i64,
-    /// Why not, and after what time it is worth asking again.
+    /// The reason for a rejection, and the time in microseconds after which to retry; `None` if
+    /// allowed.
     pub refused: Option<(RejectReason, i64)>,
 }
 
 impl DirectoryAccess {
-    /// `remembered`: what an earlier life kept, and when that was heard in full.
+    /// Creates the access to a directory. `remembered` is the snapshot stored by an earlier process
+    /// and the time of its last full sync.
+    ///
+    /// # Errors
+    /// The snapshot cannot be parsed.
     pub fn new(
         seed: u64,
         now: i64,
         options: DirectoryOptions,
         remembered: Option<(i64, &[u8])>,
     ) -> Result<Self, String> {
-        let lacks = vec![Vec::new(); options.servers.len()];
+        let problems = vec![Vec::new(); options.servers.len()];
         let directory =
             TenantDirectory::new(seed, now, &options.servers, remembered, options.pace, options.caution)
                 .map_err(|error| error.to_string())?;
         Ok(DirectoryAccess {
             options,
             directory,
-            under: None,
-            sweeps: 0,
-            lacks,
-            said_held: false,
-            remembered: None,
+            running_sync: None,
+            sync_count: 0,
+            problems,
+            held_logged: false,
+            stored_edits: None,
         })
     }
 
-    /// When `next` has something to do, if nothing else happens.
+    /// Returns the time of the next sync, unless an event changes it.
     pub fn next_at(&self) -> i64 {
         self.directory.next_at()
     }
 
-    /// The sweep to make now, if it is time; one that is under way is given up then.
+    /// Returns the sync to start now, if one is due; a sync in progress is cancelled then.
     pub fn next(&mut self, now: i64) -> Option<SweepTask> {
         let server = self.directory.next(now)?;
-        self.sweeps += 1;
+        self.sync_count += 1;
         let (whole, cookie) = (self.directory.whole(), self.directory.cookie());
-        self.under = Some(SweepTask { server, number: self.sweeps, whole, cookie });
-        self.under.clone()
+        self.running_sync = Some(SweepTask { server, number: self.sync_count, whole, cookie });
+        self.running_sync.clone()
     }
 
-    fn is_under_way(&self, number: u64) -> bool {
-        self.under.as_ref().is_some_and(|u| u.number == number)
+    fn is_running(&self, number: u64) -> bool {
+        self.running_sync.as_ref().is_some_and(|sync| sync.number == number)
     }
 
-    /// A first page of a sweep came.
+    /// Records that the first page of results of the sync with this number was received.
     pub fn answered(&mut self, number: u64) {
-        if self.is_under_way(number) {
+        if self.is_running(number) {
             self.directory.answered();
         }
     }
 
-    /// A sweep ended; `lacks` says why it brought less than all. One that was given up says nothing any more:
-    /// none.
+    /// Applies the result of a sync, and returns the changes of tenants. `result` is `None` if the
+    /// sync failed; `problems` says why the result is missing or incomplete. Returns `None` for a
+    /// sync that was cancelled.
     pub fn swept(
         &mut self,
         now: i64,
         number: u64,
-        sweep: Option<Sweep>,
-        lacks: Vec<String>,
+        result: Option<Sweep>,
+        problems: Vec<String>,
     ) -> Option<Vec<Change>> {
-        let task = self.under.take_if(|u| u.number == number)?;
-        let server = &self.options.servers[task.server];
-        match (std::mem::replace(&mut self.lacks[task.server], lacks), &self.lacks[task.server]) {
-            (before, now) if before == *now => {}
-            (_, now) if now.is_empty() => tracing::info!(server, "a server of the directory gives all again"),
-            (_, now) => {
-                tracing::warn!(server, why = now.join("; "), "a server of the directory gives less than all")
+        let sync = self.running_sync.take_if(|sync| sync.number == number)?;
+        let server = &self.options.servers[sync.server];
+        match (std::mem::replace(&mut self.problems[sync.server], problems), &self.problems[sync.server]) {
+            (before, after) if before == *after => {}
+            (_, after) if after.is_empty() => {
+                tracing::info!(server, "a directory server returns complete results again")
+            }
+            (_, after) => {
+                tracing::warn!(
+                    server,
+                    why = after.join("; "),
+                    "a directory server returned incomplete results"
+                )
             }
         }
-        Some(self.directory.swept(now, sweep))
+        Some(self.directory.swept(now, result))
     }
 
-    /// Says each state of the directory once.
+    /// Logs each change of the directory's state, and of whether removals are held back, once.
     pub fn say(&mut self, now: i64) {
         let age_s = self.directory.full_at().map(|at| (now - at) / 1_000_000);
         match self.directory.new_state(now) {
             Some(DirectoryState::Blind) => {
                 tracing::warn!(
                     placed = self.options.terms.place_blind,
-                    "nothing is known of the directory yet"
+                    "no full sync with the directory yet and no stored snapshot"
                 );
             }
             Some(DirectoryState::Stale) => tracing::warn!(
                 age_s,
                 placed = self.options.terms.place_stale,
-                "the directory is not heard: the last known tenants stand"
+                "the directory data is stale; using the last known tenants"
             ),
             Some(DirectoryState::Recovering) => {
-                tracing::info!(age_s, "the directory answers again; not all of it is heard yet")
+                tracing::info!(age_s, "the directory answers again; waiting for a full sync")
             }
-            Some(DirectoryState::Fresh) => tracing::info!("the directory is heard in full"),
+            Some(DirectoryState::Fresh) => tracing::info!("the directory is fully synced"),
             None => {}
         }
-        let held = self.directory.held().map_or(0, |h| h.ids.len());
-        if (held > 0) != std::mem::replace(&mut self.said_held, held > 0) {
+        let held = self.directory.held().map_or(0, |removals| removals.ids.len());
+        if (held > 0) != std::mem::replace(&mut self.held_logged, held > 0) {
             if held > 0 {
                 let tenants = self.held_tenants();
                 tracing::warn!(
                     entries = held,
                     tenants = tenants.join(" "),
-                    "the directory lacks much at once: held, not believed"
+                    "many entries are missing from the directory at once; their removal is held back until confirmed"
                 );
             } else {
-                tracing::info!("no removal is held any more");
+                tracing::info!("directory removals are no longer held back");
             }
         }
     }
 
+    /// Returns the names of the tenants whose removal is held back.
     fn held_tenants(&self) -> Vec<String> {
         let known = self.directory.tenants();
         let name = |id: &Id| {
-            let e = known.entry(*id).filter(|e| matches!(e.kind, EntryKind::Tenant { .. }))?;
-            Some(e.name.clone())
+            let entry = known.entry(*id).filter(|entry| matches!(entry.kind, EntryKind::Tenant { .. }))?;
+            Some(entry.name.clone())
         };
-        self.directory.held().into_iter().flat_map(|h| &h.ids).filter_map(name).collect()
+        self.directory.held().into_iter().flat_map(|removals| &removals.ids).filter_map(name).collect()
     }
 
-    /// What to remember, if it is not what was remembered last.
+    /// Returns the snapshot to store and the time of its last full sync, if the directory has
+    /// changed since the last call.
     pub fn memory_if_new(&mut self) -> Option<(i64, Vec<u8>)> {
         let edits = Some(self.directory.edits());
-        (self.remembered != edits).then(|| self.remembered = edits)?;
+        (self.stored_edits != edits).then(|| self.stored_edits = edits)?;
         self.directory.memory()
     }
 
-    /// The last snapshot was not stored: it is to be given again.
+    /// Handles a failure to store the last snapshot, so that the next call returns it again.
     pub fn forgot(&mut self) {
-        self.remembered = None;
+        self.stored_edits = None;
     }
 
-    /// When all was last heard.
+    /// Returns the time of the last full sync.
     pub fn full_at(&self) -> Option<i64> {
         self.directory.full_at()
     }
 
-    /// Index and share of a tenant that is there.
+    /// Returns the index and the share of a tenant; `None` if it does not exist.
     pub fn share(&self, id: Id) -> Option<(usize, f64)> {
         let tenant = self.directory.tenants().tenant(id, 0)?;
         Some((tenant.index, tenant.share))
     }
 
-    /// All shares, by index.
+    /// Returns the index and the share of each tenant.
     pub fn shares(&self) -> Vec<(usize, f64)> {
-        self.directory.tenants().tenants(0).map(|t| (t.index, t.share)).collect()
+        self.directory.tenants().tenants(0).map(|tenant| (tenant.index, tenant.share)).collect()
     }
 
-    fn authorize(&self, now: i64, login: &str, asks: Operation) -> AuthorizationDecision {
-        self.directory.authorize(now, &self.options.terms, login, asks)
+    /// Decides whether a login may perform an operation.
+    fn authorize(&self, now: i64, login: &str, operation: Operation) -> AuthorizationDecision {
+        self.directory.authorize(now, &self.options.terms, login, operation)
     }
 
-    /// Whether someone may see a tenant's tasks and people; an error says why not.
+    /// Checks that a login may see a tenant's tasks and members; the error says why not.
     fn may_see(&self, now: i64, login: &str, tenant: Option<Id>) -> Result<(), String> {
         let decision = self.authorize(now, login, Operation::See { tenant });
-        let words = decision.basis.description();
-        let no = || format!("found login {login:?}: {words}; expected a member, an auditor or an operator");
-        decision.may.then_some(()).ok_or_else(no)
+        let reason = decision.basis.description();
+        let denial =
+            || format!("found login {login:?}: {reason}; expected a member, an auditor or an operator");
+        decision.may.then_some(()).ok_or_else(denial)
     }
 
-    fn refusal(&self, now: i64, decision: AuthorizationDecision) -> Option<(RejectReason, i64)> {
+    /// Returns the reason of a negative decision, and the time in microseconds after which to
+    /// retry; `None` for a positive decision.
+    fn rejection(&self, now: i64, decision: AuthorizationDecision) -> Option<(RejectReason, i64)> {
         (!decision.may).then(|| {
             (RejectReason::NotAllowed(decision.basis.description()), self.directory.retry_after_us(now))
         })
     }
 
-    /// A question that the directory answers.
+    /// Answers an operator's query about the directory.
     fn question(&self, now: i64, login: &str, what: &str, about: &str) -> Result<Value, String> {
         let known = self.directory.tenants();
         let find = || {
-            let none =
+            let not_found =
                 || format!("{what}: found {about:?}; expected the name or id of a tenant that is known");
-            known.find(about, now).ok_or_else(none)
+            known.find(about, now).ok_or_else(not_found)
         };
-        let row = |t: basaltpitch_tenants::Tenant| {
-            json!({"tenant": t.name, "was": t.was, "id": t.id.to_string(), "share": t.share,
-                   "members": t.members, "index": t.index, "stale_ms": self.stale_ms(now)})
+        let row = |tenant: basaltpitch_tenants::Tenant| {
+            json!({"tenant": tenant.name, "was": tenant.was, "id": tenant.id.to_string(),
+                   "share": tenant.share, "members": tenant.members, "index": tenant.index,
+                   "stale_ms": self.stale_ms(now)})
         };
         Ok(match what {
             "tenants" => known.tenants(now).map(row).collect(),
             "tenant" => row(known.tenant(find()?, now).ok_or("gone")?),
             "members" => {
                 let id = find()?;
-                self.may_see(now, login, Some(id)).map_err(|e| format!("{what}: {e}"))?;
-                let way = |login: &str| known.login(login).map(|p| known.why(p, id)).unwrap_or_default();
+                self.may_see(now, login, Some(id)).map_err(|error| format!("{what}: {error}"))?;
+                let groups =
+                    |login: &str| known.login(login).map(|person| known.why(person, id)).unwrap_or_default();
                 let people = known.people(id);
-                people.iter().map(|login| json!({"login": login, "by": way(login)})).collect()
+                people.iter().map(|login| json!({"login": login, "by": groups(login)})).collect()
             }
             "why" => {
                 let (person, tenant) = about
                     .split_once(' ')
                     .ok_or_else(|| format!("why: found {about:?}; expected a login, a blank and a tenant"))?;
                 let decision = self.authorize(now, person, Operation::Submit { tenant });
-                let way = known.login(person).zip(known.find(tenant, now)).map(|(p, t)| known.why(p, t));
+                let groups = known
+                    .login(person)
+                    .zip(known.find(tenant, now))
+                    .map(|(person, tenant)| known.why(person, tenant));
                 json!({"login": person, "tenant": tenant, "may_submit": decision.may,
-                       "why": decision.basis.description(), "by": way.unwrap_or_default(),
+                       "why": decision.basis.description(), "by": groups.unwrap_or_default(),
                        "stale_ms": self.stale_ms(now)})
             }
             _ => self.state(now),
         })
     }
 
-    /// Age in milliseconds; 0: fresh, null: nothing is known.
+    /// Returns the age of the directory data in milliseconds, rounded up: 0 if fresh, `None` if
+    /// there is no data.
     fn stale_ms(&self, now: i64) -> Option<i64> {
         match self.directory.stale_us(now) {
             -1 => None,
-            us => Some((us + 999) / 1000),
+            stale_us => Some((stale_us + 999) / 1000),
         }
     }
 
-    /// Each server, and what its last sweep lacked.
+    /// Returns each server for operators, with the problems of its last sync.
     fn servers(&self) -> Vec<Value> {
-        let row = |(s, lacks): (&String, &Vec<String>)| json!({"server": s, "lacks": lacks});
-        self.options.servers.iter().zip(&self.lacks).map(row).collect()
+        let row = |(server, problems): (&String, &Vec<String>)| json!({"server": server, "lacks": problems});
+        self.options.servers.iter().zip(&self.problems).map(row).collect()
     }
 
+    /// Returns the state of the directory for operators.
     fn state(&self, now: i64) -> Value {
         let known = self.directory.tenants();
-        let count = |is: fn(&EntryKind) -> bool| known.ids().filter(|x| is(&x.1.kind)).count();
+        let count = |is_counted: fn(&EntryKind) -> bool| {
+            known.ids().filter(|entry| is_counted(&entry.1.kind)).count()
+        };
         let state = match self.directory.state(now) {
             DirectoryState::Blind => "blind",
             DirectoryState::Fresh => "fresh",
             DirectoryState::Stale => "stale",
             DirectoryState::Recovering => "recovering",
         };
-        let terms = &self.options.terms;
-        let places = match self.directory.state(now) {
-            DirectoryState::Blind => terms.place_blind,
+        let policy = &self.options.terms;
+        let places_tasks = match self.directory.state(now) {
+            DirectoryState::Blind => policy.place_blind,
             DirectoryState::Fresh => true,
-            DirectoryState::Stale | DirectoryState::Recovering => terms.place_stale,
+            DirectoryState::Stale | DirectoryState::Recovering => policy.place_stale,
         };
-        let held = self.directory.held().map(|h| {
-            json!({"entries": h.ids.len(), "tenants": self.held_tenants(), "sweeps": h.sweeps,
-                   "since_ms": (now - h.since) / 1000})
+        let held = self.directory.held().map(|removals| {
+            json!({"entries": removals.ids.len(), "tenants": self.held_tenants(), "sweeps": removals.sweeps,
+                   "since_ms": (now - removals.since) / 1000})
         });
         json!({
             "state": state, "heard_in_full_ms_ago": self.directory.full_at().map(|at| (now - at) / 1000),
-            "places": places, "sweeps": self.sweeps,
-            "sweeps_now": self.under.as_ref().map(|u| &self.options.servers[u.server]),
+            "places": places_tasks, "sweeps": self.sync_count,
+            "sweeps_now": self.running_sync.as_ref().map(|sync| &self.options.servers[sync.server]),
             "next_ms": (self.directory.next_at() - now).max(0) / 1000,
             "servers": self.servers(), "held": held, "server_set_back": self.directory.is_behind(),
-            "tenants": count(|w| matches!(w, EntryKind::Tenant { .. })),
-            "groups": count(|w| *w == EntryKind::Group), "people": count(|w| *w == EntryKind::Person),
+            "tenants": count(|kind| matches!(kind, EntryKind::Tenant { .. })),
+            "groups": count(|kind| *kind == EntryKind::Group),
+            "people": count(|kind| *kind == EntryKind::Person),
         })
     }
 }
 
 impl TenantAccess {
+    /// Returns the directory; `None` if tenants are listed in the settings.
     pub fn learnt(&mut self) -> Option<&mut DirectoryAccess> {
         match self {
             TenantAccess::Directory(access) => Some(access),
@@ -319,6 +355,7 @@
         }
     }
 
+    /// Returns the time of the next sync with the directory, or `i64::MAX` without a directory.
     pub fn next_at(&self) -> i64 {
         match self {
             TenantAccess::Directory(access) => access.next_at(),
@@ -326,37 +363,42 @@
         }
     }
 
-    /// Whether someone may submit for a tenant. An error: the settings know no such tenant.
+    /// Decides whether a login may submit a task for a tenant. An empty `tenant` means none.
+    ///
+    /// # Errors
+    /// Tenants are listed in the settings, and this is not one of them.
     pub fn asked(&self, now: i64, login: &str, tenant: &str) -> Result<AccessDecision, String> {
         match self {
             TenantAccess::Listed(names) => {
-                let place = names.iter().position(|n| n == tenant);
-                if place.is_none() && !tenant.is_empty() {
+                let index = names.iter().position(|name| name == tenant);
+                if index.is_none() && !tenant.is_empty() {
                     return Err(format!("tenant: found {tenant:?}; expected one of {}", names.join(", ")));
                 }
-                Ok(AccessDecision { tenant: place, ..AccessDecision::default() })
+                Ok(AccessDecision { tenant: index, ..AccessDecision::default() })
             }
             TenantAccess::Directory(access) => {
                 let decision = access.authorize(now, login, Operation::Submit { tenant });
                 let known = access.directory.tenants();
-                let found = || known.find(tenant, now).and_then(|id| known.index(id));
-                let place = decision.may.then(found).flatten();
+                let find_index = || known.find(tenant, now).and_then(|id| known.index(id));
+                let index = decision.may.then(find_index).flatten();
                 let stale_us = if decision.stale { access.directory.stale_us(now) } else { 0 };
-                Ok(AccessDecision { tenant: place, stale_us, refused: access.refusal(now, decision) })
+                Ok(AccessDecision { tenant: index, stale_us, refused: access.rejection(now, decision) })
             }
         }
     }
 
-    /// The tenant of a launch that a machine holds.
+    /// Returns the index of the tenant of an attempt in a machine's inventory, by the tenant's name
+    /// if tenants are listed in the settings, or by its directory id.
     pub fn of_launch(&mut self, name: &str, id: &str) -> Option<usize> {
         match self {
-            TenantAccess::Listed(names) => names.iter().position(|n| n == name),
-            // By its id alone: its name may be another's by now.
+            TenantAccess::Listed(names) => names.iter().position(|known| known == name),
+            // By the id only, because another tenant may have this name by now.
             TenantAccess::Directory(access) => Id::read(id).map(|id| access.directory.place(id)),
         }
     }
 
-    /// Name and id of a tenant; the id is empty where tenants are listed.
+    /// Returns the name and the directory id of a tenant; the id is empty if tenants are listed in
+    /// the settings.
     pub fn called(&self, tenant: usize) -> (String, String) {
         match self {
             TenantAccess::Listed(names) => (names[tenant].clone(), String::new()),
@@ -367,54 +409,56 @@
         }
     }
 
-    /// The name of before, for a while after a renaming.
+    /// Returns the previous name of a recently renamed tenant.
     pub fn was(&self, now: i64, tenant: usize) -> Option<String> {
         match self {
             TenantAccess::Listed(_) => None,
             TenantAccess::Directory(access) => {
                 let known = access.directory.tenants();
-                known.at(tenant).and_then(|id| known.tenant(id, now)).and_then(|t| t.was)
+                known.at(tenant).and_then(|id| known.tenant(id, now)).and_then(|tenant| tenant.was)
             }
         }
     }
 
-    /// Whether someone may see a tenant's tasks.
+    /// Whether a login may see the tasks of the tenant with this index, or, with `None`, tasks
+    /// without a tenant.
     pub fn sees(&self, now: i64, login: &str, tenant: Option<usize>) -> bool {
         match self {
             TenantAccess::Listed(_) => true,
             TenantAccess::Directory(access) => {
-                let tenant = tenant.and_then(|t| access.directory.tenants().at(t));
+                let tenant = tenant.and_then(|index| access.directory.tenants().at(index));
                 access.may_see(now, login, tenant).is_ok()
             }
         }
     }
 
-    /// The same by a tenant's name; an error says why not.
+    /// Checks that a login may see the tasks of the tenant with this name; the error says why not.
     pub fn may_see(&self, now: i64, login: &str, tenant: &str) -> Result<(), String> {
         let TenantAccess::Directory(access) = self else { return Ok(()) };
         access.may_see(now, login, access.directory.tenants().find(tenant, now))
     }
 
-    /// An operator's act: an error says why someone may not.
-    pub fn operates(&self, now: i64, login: &str, what: &str) -> Result<(), String> {
+    /// Checks that a login may perform the operator command `command`; the error says why not.
+    pub fn operates(&self, now: i64, login: &str, command: &str) -> Result<(), String> {
         let TenantAccess::Directory(access) = self else { return Ok(()) };
         match access.authorize(now, login, Operation::Drain) {
             AuthorizationDecision { may: true, .. } => Ok(()),
-            AuthorizationDecision { basis: why, stale, .. } => {
-                let old = if stale && why != AuthorizationBasis::NothingKnown {
+            AuthorizationDecision { basis, stale, .. } => {
+                let suffix = if stale && basis != AuthorizationBasis::NothingKnown {
                     " (the directory is not heard now)"
                 } else {
                     ""
                 };
                 Err(format!(
-                    "{what}: found login {login:?}: {}{old}; expected an operator",
-                    why.description()
+                    "{command}: found login {login:?}: {}{suffix}; expected an operator",
+                    basis.description()
                 ))
             }
         }
     }
 
-    /// An operator's word for what is held.
+    /// Accepts the held-back removals, or a directory server that was reset to older data, on
+    /// behalf of an operator. The error says that there is nothing to accept.
     pub fn accept(&mut self) -> Result<(), String> {
         let TenantAccess::Directory(access) = self else {
             return Err("accept: found no directory in the settings; expected one".into());
@@ -426,12 +470,15 @@
         }
     }
 
+    /// Answers an operator's query `what` about tenants. The error says why there is no answer.
     pub fn question(&self, now: i64, login: &str, what: &str, about: &str) -> Result<Value, String> {
         match self {
             TenantAccess::Directory(access) => access.question(now, login, what, about),
-            TenantAccess::Listed(names) if what == "tenants" => {
-                Ok(names.iter().enumerate().map(|(i, n)| json!({"tenant": n, "index": i})).collect())
-            }
+            TenantAccess::Listed(names) if what == "tenants" => Ok(names
+                .iter()
+                .enumerate()
+                .map(|(index, name)| json!({"tenant": name, "index": index}))
+                .collect()),
             TenantAccess::Listed(_) => {
                 Err(format!("{what}: found tenants listed in the settings; expected a directory"))
             }
