--- a/cli/src/measure.rs
+++ b/cli/src/measure.rs
@@ -429,7 +429,7 @@
         std::thread::sleep(Duration::from_millis(1500));
         drop(recorded);
         let text = std::fs::read(&path).map_err(failed)?;
-        let bare = recording::time_bare(&text[..]).map_err(failed)?;
+        let bare = recording::time_replay(&text[..]).map_err(failed)?;
         let bare_us = bare.as_secs_f64() * 1e6 / with_record.tasks.max(1) as f64;
 
         let path_us = |l: &Load| l.cpu_us / l.tasks.max(1) as f64;
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -280,7 +280,12 @@
             Ok::<Box<dyn Write + Send>, Failure>(Box::new(file))
         });
         let record = record.transpose()?;
-        let who = Identity { name, epoch, seed: self.seed.unwrap_or(epoch), register: self.register.clone() };
+        let who = Identity {
+            name,
+            epoch,
+            seed: self.seed.unwrap_or(epoch),
+            registry_address: self.register.clone(),
+        };
         let listener = tokio::net::TcpListener::bind(&self.listen).await;
         let listener = listener.map_err(|e| Failure::Wrong(format!("--listen {}: {e}", self.listen)))?;
         let at = listener.local_addr().map_err(|e| Failure::Failed(e.to_string()))?;
--- a/planner/benches/asked.rs
+++ b/planner/benches/asked.rs
@@ -37,25 +37,25 @@
     let terms = AccessPolicy { place_stale: true, ..AccessPolicy::default() };
     let ways = DirectoryOptions {
         servers: vec!["one".into()],
-        terms,
-        pace: DEFAULT_SYNC_SCHEDULE,
-        caution: DEFAULT_CHANGE_GUARD,
+        access_policy: terms,
+        sync_schedule: DEFAULT_SYNC_SCHEDULE,
+        change_guard: DEFAULT_CHANGE_GUARD,
     };
     let mut learnt = DirectoryAccess::new(1, 0, ways, None).expect("nothing is remembered");
-    let task = learnt.next(0).expect("a first sweep");
-    learnt.swept(1, task.number, Some(Sweep::of(all, true)), vec![]);
+    let task = learnt.next_sync(0).expect("a first sweep");
+    learnt.sync_finished(1, task.number, Some(Sweep::of(all, true)), vec![]);
     TenantAccess::Directory(Box::new(learnt))
 }
 
 #[divan::bench]
 fn listed(bencher: Bencher) {
     let tenancy = TenantAccess::Listed((0..TENANTS).map(|t| format!("t{t}")).collect());
-    bencher.bench_local(|| tenancy.asked(2, black_box("p77"), black_box("t77")));
+    bencher.bench_local(|| tenancy.authorize_submit(2, black_box("p77"), black_box("t77")));
 }
 
 #[divan::bench(args = [100, 10_000, 100_000])]
 fn from_a_directory(bencher: Bencher, people: usize) {
     let tenancy = learnt(people);
-    assert!(tenancy.asked(2, "p77", "t77").is_ok_and(|a| a.refused.is_none()));
-    bencher.bench_local(|| tenancy.asked(2, black_box("p77"), black_box("t77")));
+    assert!(tenancy.authorize_submit(2, "p77", "t77").is_ok_and(|a| a.rejection.is_none()));
+    bencher.bench_local(|| tenancy.authorize_submit(2, black_box("p77"), black_box("t77")));
 }
--- a/planner/src/host_adapter.rs
+++ b/planner/src/host_adapter.rs
@@ -32,7 +32,7 @@
     /// means that no tenant data was known. Sent to the client as `Answer.stale_us`.
     pub stale_us: i64,
     /// The attributes that constraints match; `None` if the installation has no constraints.
-    pub facts: Option<Rc<TaskAttributes>>,
+    pub attributes: Option<Rc<TaskAttributes>>,
 }
 
 /// The purpose of a timer.
@@ -131,7 +131,8 @@
                 // Constraints count the attempt immediately: the module may place the next task
                 // before this action is carried out.
                 (LedgerAction::AttemptStarted { attempt, machine, key }, Some(constraints)) => {
-                    let attributes = self.ledger.record(&key).and_then(|record| record.job.facts.clone());
+                    let attributes =
+                        self.ledger.record(&key).and_then(|record| record.job.attributes.clone());
                     attributes
                         .into_iter()
                         .for_each(|attributes| constraints.attempt_started(attempt, machine, &attributes));
--- a/planner/src/recording.rs
+++ b/planner/src/recording.rs
@@ -261,7 +261,7 @@
 ///
 /// # Errors
 /// The file's second line is not that of a recording, or an event has an unknown code.
-pub fn time_bare(file: impl BufRead) -> Result<std::time::Duration, RecordingError> {
+pub fn time_replay(file: impl BufRead) -> Result<std::time::Duration, RecordingError> {
     let mut lines = file.lines().skip(1).map_while(Result::ok);
     let header = lines.next().ok_or(RecordingError::NoHeader)?;
     let mut planner = start_planner(&header)?;
--- a/planner/src/service/directory_sync.rs
+++ b/planner/src/service/directory_sync.rs
@@ -1,6 +1,6 @@
 //! Syncs with the directory of tenants: one at a time, beside the planner's other work.
 use super::PlannerService;
-use crate::tenant_access::SweepTask;
+use crate::tenant_access::DirectorySyncTask;
 use basaltpitch_ldap::{DirectorySettings, SeenEntries, SyncError, SyncResult, SyncState};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
@@ -15,7 +15,7 @@
 
 /// A sync that is under way.
 struct RunningSync {
-    task: SweepTask,
+    task: DirectorySyncTask,
     handle: JoinHandle<()>,
 }
 
@@ -36,12 +36,12 @@
     }
 
     /// Starts a sync; one that is under way is given up.
-    pub(super) fn begin(&mut self, task: SweepTask) {
+    pub(super) fn begin(&mut self, task: DirectorySyncTask) {
         if let Some(superseded) = self.running.take() {
             superseded.handle.abort();
         }
         let last = std::mem::take(&mut self.seen[task.server]);
-        let seen = if task.whole { SeenEntries::default() } else { last };
+        let seen = if task.full { SeenEntries::default() } else { last };
         let before = SyncState { seen, cookie: task.cookie.clone() };
         let (source, events, number, server) =
             (self.directory.source.clone(), self.events.clone(), task.number, task.server);
@@ -69,7 +69,7 @@
     pub(super) fn directory_event(&mut self, event: SyncEvent) {
         let now_us = self.clock.now();
         match event {
-            SyncEvent::Answered(number) => self.state.directory_answered(now_us, number),
+            SyncEvent::Answered(number) => self.state.directory_first_page_received(now_us, number),
             SyncEvent::Ended(number, Ok(mut result)) => {
                 if let Some(syncs) = &mut self.directory_syncs {
                     syncs.finish(number, &mut result);
--- a/planner/src/service/outputs.rs
+++ b/planner/src/service/outputs.rs
@@ -24,7 +24,7 @@
                         syncs.begin(task);
                     }
                 }
-                Output::StoreTenants { at, all } => {
+                Output::StoreTenants { at, snapshot: all } => {
                     self.store_tenants(TenantSnapshot { last_full_sync_us: at, tenants: all });
                 }
                 Output::Disconnect { machine, why: reason } => {
--- a/planner/src/service/tenant_snapshots.rs
+++ b/planner/src/service/tenant_snapshots.rs
@@ -59,9 +59,9 @@
 ) -> DirectoryAccess {
     let ways = DirectoryOptions {
         servers: directory.source.urls.clone(),
-        terms: directory.terms.clone(),
-        pace: directory.pace,
-        caution: directory.caution,
+        access_policy: directory.terms.clone(),
+        sync_schedule: directory.pace,
+        change_guard: directory.caution,
     };
     let stored = store.and_then(load);
     let restored = DirectoryAccess::new(seed, now_us, ways.clone(), stored.as_ref().map(|s| (s.0, &s.1[..])));
--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -28,7 +28,7 @@
 use crate::placement_event::{outcome_code, readiness_code, PlacementEvent};
 use crate::recording::Recorder;
 use crate::settings_lists::numbered_texts;
-use crate::tenant_access::{AccessDecision, DirectoryAccess, SweepTask, TenantAccess};
+use crate::tenant_access::{AccessDecision, DirectoryAccess, DirectorySyncTask, TenantAccess};
 use basaltpitch::host::{number, text, AttemptOutcome, MachineEstimate, Readiness, Settings};
 use basaltpitch::placement::Planner;
 use basaltpitch_agent::dial_queue::{DialConfig, DialQueue};
@@ -101,13 +101,13 @@
         why: &'static str,
     },
     /// Sync with a server of the tenant directory; a sync in progress is cancelled.
-    SyncDirectory(SweepTask),
+    SyncDirectory(DirectorySyncTask),
     /// Store a snapshot of the tenant directory on disk, for the planner's next start.
     StoreTenants {
         /// The time of the last full sync.
         at: i64,
         /// The snapshot; `None` if it has not changed, so that only the time must be stored.
-        all: Option<Vec<u8>>,
+        snapshot: Option<Vec<u8>>,
     },
 }
 
@@ -121,7 +121,7 @@
     /// The seed of the planner's random numbers.
     pub seed: u64,
     /// The address of the registry.
-    pub register: String,
+    pub registry_address: String,
 }
 
 /// A machine that has an index.
@@ -317,9 +317,9 @@
         while let Some(peer) = self.dials.next_due(now) {
             self.dial(peer);
         }
-        if let Some(directory) = self.tenancy.learnt() {
-            let sync = directory.next(now);
-            directory.say(now);
+        if let Some(directory) = self.tenancy.directory_mut() {
+            let sync = directory.next_sync(now);
+            directory.log_state_changes(now);
             self.outputs.extend(sync.map(Output::SyncDirectory));
         }
     }
@@ -365,7 +365,7 @@
         self.last_link += 1;
         let link = self.last_link;
         if peer == REGISTRY {
-            let address = self.identity.register.as_str().into();
+            let address = self.identity.registry_address.as_str().into();
             return self.outputs.push_back(Output::Dial { peer, link, name: "register".into(), address });
         }
         let Some(record) = self.machines[peer].as_mut() else { return self.dials.remove(peer) };
--- a/planner/src/state/actions.rs
+++ b/planner/src/state/actions.rs
@@ -76,7 +76,8 @@
         let ledger = &self.placement.host.ledger;
         let job = ledger.record(ledger.key_of(task)?)?.job.clone();
         let service = self.service_ids.acquire(job.service, now);
-        if let (Some(constraints), Some(attributes)) = (&mut self.placement.host.constraints, &job.facts) {
+        if let (Some(constraints), Some(attributes)) = (&mut self.placement.host.constraints, &job.attributes)
+        {
             constraints.task_opened(task, attributes);
         }
         if task >= self.service_of_task.len() {
@@ -128,7 +129,8 @@
             return self.placement.host.on_ledger(|ledger, actions| ledger.unsent(attempt, actions));
         };
         let job = &record.job;
-        let (tenant, tenant_id) = job.tenant.map(|tenant| self.tenancy.called(tenant)).unwrap_or_default();
+        let (tenant, tenant_id) =
+            job.tenant.map(|tenant| self.tenancy.tenant_name_and_id(tenant)).unwrap_or_default();
         let body = Body::Launch(wire::Launch {
             id: wire_id(attempt),
             key: key.to_string(),
@@ -221,7 +223,7 @@
             (RejectReason::NoRoom, _) => {
                 self.subset_capacity_refused();
                 let record = self.placement.host.ledger.record(key);
-                let attributes = record.and_then(|record| record.job.facts.clone());
+                let attributes = record.and_then(|record| record.job.attributes.clone());
                 if let Some(explanation) = attributes.and_then(|attributes| self.explain_blocked(&attributes))
                 {
                     answer.reason = format!("{}; {explanation}", answer.reason);
--- a/planner/src/state/clauses.rs
+++ b/planner/src/state/clauses.rs
@@ -32,7 +32,7 @@
         service: u64,
         key: &str,
     ) -> Rc<TaskAttributes> {
-        let tenant = tenant.map(|tenant| self.tenancy.called(tenant).0).unwrap_or_default();
+        let tenant = tenant.map(|tenant| self.tenancy.tenant_name_and_id(tenant).0).unwrap_or_default();
         let framework = self.names.frameworks[framework].name.clone();
         Rc::new(TaskAttributes { framework, tenant, service, key: key.to_owned() })
     }
@@ -118,7 +118,11 @@
             }
             let mut attributes: BTreeMap<TaskKey, Rc<TaskAttributes>> =
                 tasks.into_iter().map(|task| (task.0, task.1)).collect();
-            self.placement.host.ledger.jobs_mut().for_each(|(key, job)| job.facts = attributes.remove(key));
+            self.placement
+                .host
+                .ledger
+                .jobs_mut()
+                .for_each(|(key, job)| job.attributes = attributes.remove(key));
             self.placement.host.constraints = Some(replacement);
             self.constraint_names = names;
         }
@@ -175,7 +179,7 @@
     /// known or there are no constraints.
     pub(crate) fn known_task_attributes(&self, key: &str) -> Option<(Rc<TaskAttributes>, Option<usize>)> {
         let job = &self.ledger().record(&key.into())?.job;
-        Some((job.facts.clone()?, job.tenant))
+        Some((job.attributes.clone()?, job.tenant))
     }
 
     /// Names the constraints that forbid a task on all machines now, if the running tasks block it.
--- a/planner/src/state/clients.rs
+++ b/planner/src/state/clients.rs
@@ -42,7 +42,7 @@
     /// names `operation`.
     fn check_operator(&self, conn: u64, operation: &str) -> Result<Rc<str>, ClientFrameError> {
         let login = self.login(conn);
-        let allowed = self.tenancy.operates(self.now(), &login, operation);
+        let allowed = self.tenancy.check_operator(self.now(), &login, operation);
         allowed.map_err(|error| ClientFrameError::Denied(error.to_string()))?;
         Ok(login)
     }
@@ -77,7 +77,7 @@
     /// Accepts the directory changes that are held back, on behalf of an operator.
     fn accept_directory(&mut self, conn: u64) -> Result<(), ClientFrameError> {
         let login = self.check_operator(conn, "accept")?;
-        self.tenancy.accept().map_err(|error| ClientFrameError::Denied(error.to_string()))?;
+        self.tenancy.accept_held_changes().map_err(|error| ClientFrameError::Denied(error.to_string()))?;
         tracing::warn!(
             login = &*login,
             "an operator confirmed the held directory changes; the next full sync is applied"
@@ -115,9 +115,9 @@
                 return self.outputs.push_back(Output::Client { conn, body: Body::Answer(answer) });
             }
         };
-        let AccessDecision { tenant, stale_us, refused } = access;
+        let AccessDecision { tenant, stale_us, rejection } = access;
         let attributes = self.constraint_attributes(framework, tenant, submit.service, &submit.key);
-        let rejection = match refused {
+        let rejection = match rejection {
             Some((reason, retry_after_us)) => Some((Rejection { reason, retry_after_us }, None)),
             None => self.reject(&submit, framework, attributes.as_ref()),
         };
@@ -129,7 +129,7 @@
             memory: submit.memory,
             runs_for_us: submit.runs_for_us,
             stale_us,
-            facts: attributes,
+            attributes,
         };
         let request = Request {
             key: submit.key.as_str().into(),
@@ -156,7 +156,7 @@
     /// Returns a request's framework and the access decision for its login, or, if the request is
     /// invalid, the reason to decline it with.
     fn check_submit(&self, conn: u64, submit: &wire::Submit) -> Result<(usize, AccessDecision), String> {
-        let access = self.tenancy.asked(self.now(), &self.login(conn), &submit.tenant);
+        let access = self.tenancy.authorize_submit(self.now(), &self.login(conn), &submit.tenant);
         let is_valid = |size: f64| size.is_finite() && size > 0.0 && size < 1e9;
         let key_bytes = submit.key.len();
         if key_bytes == 0 || key_bytes > MAX_KEY_BYTES {
--- a/planner/src/state/machines.rs
+++ b/planner/src/state/machines.rs
@@ -207,12 +207,12 @@
         let framework = self.names.framework_index(&launch.framework);
         let framework =
             framework.ok_or_else(|| MachineFrameError::UnknownFramework(launch.framework.clone()))?;
-        let tenant = self.tenancy.of_launch(&launch.tenant, &launch.tenant_id);
+        let tenant = self.tenancy.tenant_of_attempt(&launch.tenant, &launch.tenant_id);
         let job = TaskJob {
             framework,
             tenant,
             stale_us: 0,
-            facts: self.constraint_attributes(framework, tenant, launch.service, &launch.key),
+            attributes: self.constraint_attributes(framework, tenant, launch.service, &launch.key),
             service: launch.service,
             cores: launch.cores,
             memory: launch.memory,
--- a/planner/src/state/tenants.rs
+++ b/planner/src/state/tenants.rs
@@ -16,10 +16,10 @@
     }
 
     /// Handles the first page of results of the sync with this number.
-    pub fn directory_answered(&mut self, now: i64, number: u64) {
-        if let Some(directory) = self.tenancy.learnt() {
-            directory.answered(number);
-            directory.say(now);
+    pub fn directory_first_page_received(&mut self, now: i64, number: u64) {
+        if let Some(directory) = self.tenancy.directory_mut() {
+            directory.first_page_received(number);
+            directory.log_state_changes(now);
         }
     }
 
@@ -27,10 +27,10 @@
     /// `problems` says why the result is missing or incomplete.
     pub fn directory_synced(&mut self, now: i64, number: u64, result: Option<Sweep>, problems: Vec<String>) {
         self.set_clock(now);
-        let Some(directory) = self.tenancy.learnt() else { return };
-        let previous_full_sync = directory.full_at();
-        let Some(changes) = directory.swept(now, number, result, problems) else { return };
-        directory.say(now);
+        let Some(directory) = self.tenancy.directory_mut() else { return };
+        let previous_full_sync = directory.last_full_sync_at();
+        let Some(changes) = directory.sync_finished(now, number, result, problems) else { return };
+        directory.log_state_changes(now);
         let mut shares = Vec::new();
         for change in &changes {
             match change {
@@ -51,9 +51,11 @@
                 }
             }
         }
-        if let Some(at) = directory.full_at().filter(|_| directory.full_at() != previous_full_sync) {
-            let all = directory.memory_if_new().map(|snapshot| snapshot.1);
-            self.outputs.push_back(Output::StoreTenants { at, all });
+        if let Some(at) =
+            directory.last_full_sync_at().filter(|_| directory.last_full_sync_at() != previous_full_sync)
+        {
+            let snapshot = directory.snapshot_if_changed().map(|snapshot| snapshot.1);
+            self.outputs.push_back(Output::StoreTenants { at, snapshot });
         }
         for (tenant, share) in shares {
             self.notify_placement(PlacementEvent::TenantShare { tenant, share });
@@ -64,8 +66,8 @@
     /// Handles a failure to store the tenant snapshot: the whole snapshot is output again after the
     /// next full sync.
     pub fn tenants_not_stored(&mut self) {
-        if let Some(directory) = self.tenancy.learnt() {
-            directory.forgot();
+        if let Some(directory) = self.tenancy.directory_mut() {
+            directory.snapshot_not_stored();
         }
     }
 }
--- a/planner/src/tenant_access.rs
+++ b/planner/src/tenant_access.rs
@@ -19,22 +19,22 @@
     pub servers: Vec<String>,
     /// Who may do what, and whether tasks are placed while the directory's data is stale or
     /// missing.
-    pub terms: AccessPolicy,
+    pub access_policy: AccessPolicy,
     /// How often the planner syncs with the directory, and when the data counts as stale.
-    pub pace: SyncSchedule,
+    pub sync_schedule: SyncSchedule,
     /// Which removals are held back until they are confirmed, and what confirms them.
-    pub caution: ChangeGuard,
+    pub change_guard: ChangeGuard,
 }
 
 /// A sync with one server of the directory, to be carried out by the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SweepTask {
+pub struct DirectorySyncTask {
     /// The server's index in `DirectoryOptions::servers`.
     pub server: usize,
     /// The number of the sync: each sync of this planner has a higher one.
     pub number: u64,
     /// Whether to read all entries, rather than only those that changed.
-    pub whole: bool,
+    pub full: bool,
     /// The server's synchronization cookie, from which it can report changes; `None` if there is
     /// none.
     pub cookie: Option<Vec<u8>>,
@@ -53,7 +53,7 @@
     options: DirectoryOptions,
     directory: TenantDirectory,
     /// The sync in progress.
-    running_sync: Option<SweepTask>,
+    running_sync: Option<DirectorySyncTask>,
     /// The number of syncs started by this planner.
     sync_count: u64,
     /// By server, why its last sync was incomplete; empty if it was complete.
@@ -75,7 +75,7 @@
     pub stale_us: i64,
     /// The reason for a rejection, and the time in microseconds after which to retry; `None` if
     /// allowed.
-    pub refused: Option<(RejectReason, i64)>,
+    pub rejection: Option<(RejectReason, i64)>,
 }
 
 impl DirectoryAccess {
@@ -91,9 +91,15 @@
         remembered: Option<(i64, &[u8])>,
     ) -> Result<Self, String> {
         let problems = vec![Vec::new(); options.servers.len()];
-        let directory =
-            TenantDirectory::new(seed, now, &options.servers, remembered, options.pace, options.caution)
-                .map_err(|error| error.to_string())?;
+        let directory = TenantDirectory::new(
+            seed,
+            now,
+            &options.servers,
+            remembered,
+            options.sync_schedule,
+            options.change_guard,
+        )
+        .map_err(|error| error.to_string())?;
         Ok(DirectoryAccess {
             options,
             directory,
@@ -111,11 +117,11 @@
     }
 
     /// Returns the sync to start now, if one is due; a sync in progress is cancelled then.
-    pub fn next(&mut self, now: i64) -> Option<SweepTask> {
+    pub fn next_sync(&mut self, now: i64) -> Option<DirectorySyncTask> {
         let server = self.directory.next(now)?;
         self.sync_count += 1;
-        let (whole, cookie) = (self.directory.whole(), self.directory.cookie());
-        self.running_sync = Some(SweepTask { server, number: self.sync_count, whole, cookie });
+        let (full, cookie) = (self.directory.whole(), self.directory.cookie());
+        self.running_sync = Some(DirectorySyncTask { server, number: self.sync_count, full, cookie });
         self.running_sync.clone()
     }
 
@@ -124,7 +130,7 @@
     }
 
     /// Records that the first page of results of the sync with this number was received.
-    pub fn answered(&mut self, number: u64) {
+    pub fn first_page_received(&mut self, number: u64) {
         if self.is_running(number) {
             self.directory.answered();
         }
@@ -133,7 +139,7 @@
     /// Applies the result of a sync, and returns the changes of tenants. `result` is `None` if the
     /// sync failed; `problems` says why the result is missing or incomplete. Returns `None` for a
     /// sync that was cancelled.
-    pub fn swept(
+    pub fn sync_finished(
         &mut self,
         now: i64,
         number: u64,
@@ -159,18 +165,18 @@
     }
 
     /// Logs each change of the directory's state, and of whether removals are held back, once.
-    pub fn say(&mut self, now: i64) {
+    pub fn log_state_changes(&mut self, now: i64) {
         let age_s = self.directory.full_at().map(|at| (now - at) / 1_000_000);
         match self.directory.new_state(now) {
             Some(DirectoryState::Blind) => {
                 tracing::warn!(
-                    placed = self.options.terms.place_blind,
+                    placed = self.options.access_policy.place_blind,
                     "no full sync with the directory yet and no stored snapshot"
                 );
             }
             Some(DirectoryState::Stale) => tracing::warn!(
                 age_s,
-                placed = self.options.terms.place_stale,
+                placed = self.options.access_policy.place_stale,
                 "the directory data is stale; using the last known tenants"
             ),
             Some(DirectoryState::Recovering) => {
@@ -206,19 +212,19 @@
 
     /// Returns the snapshot to store and the time of its last full sync, if the directory has
     /// changed since the last call.
-    pub fn memory_if_new(&mut self) -> Option<(i64, Vec<u8>)> {
+    pub fn snapshot_if_changed(&mut self) -> Option<(i64, Vec<u8>)> {
         let edits = Some(self.directory.edits());
         (self.stored_edits != edits).then(|| self.stored_edits = edits)?;
         self.directory.memory()
     }
 
     /// Handles a failure to store the last snapshot, so that the next call returns it again.
-    pub fn forgot(&mut self) {
+    pub fn snapshot_not_stored(&mut self) {
         self.stored_edits = None;
     }
 
     /// Returns the time of the last full sync.
-    pub fn full_at(&self) -> Option<i64> {
+    pub fn last_full_sync_at(&self) -> Option<i64> {
         self.directory.full_at()
     }
 
@@ -235,11 +241,11 @@
 
     /// Decides whether a login may perform an operation.
     fn authorize(&self, now: i64, login: &str, operation: Operation) -> AuthorizationDecision {
-        self.directory.authorize(now, &self.options.terms, login, operation)
+        self.directory.authorize(now, &self.options.access_policy, login, operation)
     }
 
     /// Checks that a login may see a tenant's tasks and members; the error says why not.
-    fn may_see(&self, now: i64, login: &str, tenant: Option<Id>) -> Result<(), String> {
+    fn check_visibility(&self, now: i64, login: &str, tenant: Option<Id>) -> Result<(), String> {
         let decision = self.authorize(now, login, Operation::See { tenant });
         let reason = decision.basis.description();
         let denial =
@@ -256,7 +262,7 @@
     }
 
     /// Answers an operator's query about the directory.
-    fn question(&self, now: i64, login: &str, what: &str, about: &str) -> Result<Value, String> {
+    fn answer_query(&self, now: i64, login: &str, what: &str, about: &str) -> Result<Value, String> {
         let known = self.directory.tenants();
         let find = || {
             let not_found =
@@ -273,7 +279,7 @@
             "tenant" => row(known.tenant(find()?, now).ok_or("gone")?),
             "members" => {
                 let id = find()?;
-                self.may_see(now, login, Some(id)).map_err(|error| format!("{what}: {error}"))?;
+                self.check_visibility(now, login, Some(id)).map_err(|error| format!("{what}: {error}"))?;
                 let groups =
                     |login: &str| known.login(login).map(|person| known.why(person, id)).unwrap_or_default();
                 let people = known.people(id);
@@ -323,7 +329,7 @@
             DirectoryState::Stale => "stale",
             DirectoryState::Recovering => "recovering",
         };
-        let policy = &self.options.terms;
+        let policy = &self.options.access_policy;
         let places_tasks = match self.directory.state(now) {
             DirectoryState::Blind => policy.place_blind,
             DirectoryState::Fresh => true,
@@ -348,7 +354,7 @@
 
 impl TenantAccess {
     /// Returns the directory; `None` if tenants are listed in the settings.
-    pub fn learnt(&mut self) -> Option<&mut DirectoryAccess> {
+    pub fn directory_mut(&mut self) -> Option<&mut DirectoryAccess> {
         match self {
             TenantAccess::Directory(access) => Some(access),
             TenantAccess::Listed(_) => None,
@@ -367,7 +373,7 @@
     ///
     /// # Errors
     /// Tenants are listed in the settings, and this is not one of them.
-    pub fn asked(&self, now: i64, login: &str, tenant: &str) -> Result<AccessDecision, String> {
+    pub fn authorize_submit(&self, now: i64, login: &str, tenant: &str) -> Result<AccessDecision, String> {
         match self {
             TenantAccess::Listed(names) => {
                 let index = names.iter().position(|name| name == tenant);
@@ -382,14 +388,14 @@
                 let find_index = || known.find(tenant, now).and_then(|id| known.index(id));
                 let index = decision.may.then(find_index).flatten();
                 let stale_us = if decision.stale { access.directory.stale_us(now) } else { 0 };
-                Ok(AccessDecision { tenant: index, stale_us, refused: access.rejection(now, decision) })
+                Ok(AccessDecision { tenant: index, stale_us, rejection: access.rejection(now, decision) })
             }
         }
     }
 
     /// Returns the index of the tenant of an attempt in a machine's inventory, by the tenant's name
     /// if tenants are listed in the settings, or by its directory id.
-    pub fn of_launch(&mut self, name: &str, id: &str) -> Option<usize> {
+    pub fn tenant_of_attempt(&mut self, name: &str, id: &str) -> Option<usize> {
         match self {
             TenantAccess::Listed(names) => names.iter().position(|known| known == name),
             // By the id only, because another tenant may have this name by now.
@@ -399,7 +405,7 @@
 
     /// Returns the name and the directory id of a tenant; the id is empty if tenants are listed in
     /// the settings.
-    pub fn called(&self, tenant: usize) -> (String, String) {
+    pub fn tenant_name_and_id(&self, tenant: usize) -> (String, String) {
         match self {
             TenantAccess::Listed(names) => (names[tenant].clone(), String::new()),
             TenantAccess::Directory(access) => {
@@ -410,7 +416,7 @@
     }
 
     /// Returns the previous name of a recently renamed tenant.
-    pub fn was(&self, now: i64, tenant: usize) -> Option<String> {
+    pub fn previous_name(&self, now: i64, tenant: usize) -> Option<String> {
         match self {
             TenantAccess::Listed(_) => None,
             TenantAccess::Directory(access) => {
@@ -422,24 +428,24 @@
 
     /// Whether a login may see the tasks of the tenant with this index, or, with `None`, tasks
     /// without a tenant.
-    pub fn sees(&self, now: i64, login: &str, tenant: Option<usize>) -> bool {
+    pub fn can_see(&self, now: i64, login: &str, tenant: Option<usize>) -> bool {
         match self {
             TenantAccess::Listed(_) => true,
             TenantAccess::Directory(access) => {
                 let tenant = tenant.and_then(|index| access.directory.tenants().at(index));
-                access.may_see(now, login, tenant).is_ok()
+                access.check_visibility(now, login, tenant).is_ok()
             }
         }
     }
 
     /// Checks that a login may see the tasks of the tenant with this name; the error says why not.
-    pub fn may_see(&self, now: i64, login: &str, tenant: &str) -> Result<(), String> {
+    pub fn check_visibility(&self, now: i64, login: &str, tenant: &str) -> Result<(), String> {
         let TenantAccess::Directory(access) = self else { return Ok(()) };
-        access.may_see(now, login, access.directory.tenants().find(tenant, now))
+        access.check_visibility(now, login, access.directory.tenants().find(tenant, now))
     }
 
     /// Checks that a login may perform the operator command `command`; the error says why not.
-    pub fn operates(&self, now: i64, login: &str, command: &str) -> Result<(), String> {
+    pub fn check_operator(&self, now: i64, login: &str, command: &str) -> Result<(), String> {
         let TenantAccess::Directory(access) = self else { return Ok(()) };
         match access.authorize(now, login, Operation::Drain) {
             AuthorizationDecision { may: true, .. } => Ok(()),
@@ -459,7 +465,7 @@
 
     /// Accepts the held-back removals, or a directory server that was reset to older data, on
     /// behalf of an operator. The error says that there is nothing to accept.
-    pub fn accept(&mut self) -> Result<(), String> {
+    pub fn accept_held_changes(&mut self) -> Result<(), String> {
         let TenantAccess::Directory(access) = self else {
             return Err("accept: found no directory in the settings; expected one".into());
         };
@@ -471,9 +477,9 @@
     }
 
     /// Answers an operator's query `what` about tenants. The error says why there is no answer.
-    pub fn question(&self, now: i64, login: &str, what: &str, about: &str) -> Result<Value, String> {
+    pub fn answer_query(&self, now: i64, login: &str, what: &str, about: &str) -> Result<Value, String> {
         match self {
-            TenantAccess::Directory(access) => access.question(now, login, what, about),
+            TenantAccess::Directory(access) => access.answer_query(now, login, what, about),
             TenantAccess::Listed(names) if what == "tenants" => Ok(names
                 .iter()
                 .enumerate()
--- a/planner/src/view.rs
+++ b/planner/src/view.rs
@@ -92,7 +92,7 @@
             rows => rows,
         },
         "tenants" | "tenant" | "members" | "why" | "directory" => {
-            state.tenancy().question(state.now(), login, what, about).map_err(QueryError::tenants)?
+            state.tenancy().answer_query(state.now(), login, what, about).map_err(QueryError::tenants)?
         }
         _ => return Err(QueryError::UnknownQuery(what.to_owned())),
     };
@@ -112,7 +112,7 @@
         Some(key) => {
             // Permission is checked by the tenant's index: another tenant may have its former name
             // by now.
-            let sees = |tenant: Option<usize>| state.tenancy().sees(state.now(), login, tenant);
+            let sees = |tenant: Option<usize>| state.tenancy().can_see(state.now(), login, tenant);
             let known = state.known_task_attributes(key).filter(|known| sees(known.1));
             let (attributes, _) = known.ok_or_else(|| QueryError::UnexplainedTask(key.to_owned()))?;
             (*attributes).clone()
@@ -120,7 +120,7 @@
         None => {
             let tenant = text("tenant");
             if !tenant.is_empty() {
-                state.tenancy().may_see(state.now(), login, &tenant).map_err(QueryError::tenants)?;
+                state.tenancy().check_visibility(state.now(), login, &tenant).map_err(QueryError::tenants)?;
             }
             basaltpitch_constraints::TaskAttributes {
                 framework: text("framework"),
@@ -315,7 +315,7 @@
     let records = state.ledger().records();
     let records = records
         .filter(|(key, record)| only_key.map_or(is_shown(record.phase), |only_key| &***key == only_key));
-    let records = records.filter(|(_, record)| tenancy.sees(now, login, record.job.tenant));
+    let records = records.filter(|(_, record)| tenancy.can_see(now, login, record.job.tenant));
     let rows = records.take(MAX_ROWS).map(|(key, record)| {
         let job = &record.job;
         to_json(TaskView {
@@ -323,8 +323,8 @@
             request_id: record.request_id,
             idempotency: idempotency_text(record.idempotency),
             framework: state.framework_name(job.framework),
-            tenant: job.tenant.map(|tenant| tenancy.called(tenant).0),
-            tenant_was: job.tenant.and_then(|tenant| tenancy.was(now, tenant)),
+            tenant: job.tenant.map(|tenant| tenancy.tenant_name_and_id(tenant).0),
+            tenant_was: job.tenant.and_then(|tenant| tenancy.previous_name(now, tenant)),
             cores: job.cores,
             memory: job.memory,
             service: job.service,
--- a/planner/tests/net/mod.rs
+++ b/planner/tests/net/mod.rs
@@ -108,7 +108,7 @@
     dials: VecDeque<(usize, u64)>,
     /// For whom tasks are submitted, and what the planner said last of its directory.
     pub tenant: String,
-    pub sweeps: Vec<basaltpitch_planner::tenant_access::SweepTask>,
+    pub sweeps: Vec<basaltpitch_planner::tenant_access::DirectorySyncTask>,
     pub memories: Vec<(i64, Option<Vec<u8>>)>,
     pub heard: Vec<wire::Answer>,
     pub told: Vec<String>,
@@ -123,7 +123,7 @@
 }
 
 fn who(epoch: u64) -> Identity {
-    Identity { name: "p".into(), epoch, seed: 7, register: "register".into() }
+    Identity { name: "p".into(), epoch, seed: 7, registry_address: "register".into() }
 }
 
 impl Net {
@@ -273,7 +273,7 @@
                     }
                 }
                 Output::SyncDirectory(task) => self.sweeps.push(task),
-                Output::StoreTenants { at, all } => self.memories.push((at, all)),
+                Output::StoreTenants { at, snapshot: all } => self.memories.push((at, all)),
                 Output::Client { body, .. } => {
                     let (now, life) = (self.now, self.life());
                     self.auditor.client_received(now, &life, &body);
--- a/planner/tests/sockets.rs
+++ b/planner/tests/sockets.rs
@@ -56,7 +56,7 @@
         FlattenedValue::Text(t) => Value::Text(t),
     };
     let given: Settings = site.flatten(&seat).into_iter().map(|(k, v)| (k, value(v))).collect();
-    let who = Identity { name: "p".into(), epoch: 1, seed: 1, register: register.address.clone() };
+    let who = Identity { name: "p".into(), epoch: 1, seed: 1, registry_address: register.address.clone() };
     let config = PlannerConfig {
         identity: who,
         settings: given,
--- a/planner/tests/tenants.rs
+++ b/planner/tests/tenants.rs
@@ -42,9 +42,9 @@
         AccessPolicy { operators: vec!["cn=keepers".into()], place_stale: true, ..AccessPolicy::default() };
     DirectoryOptions {
         servers: vec!["one".into(), "two".into()],
-        terms,
-        pace: DEFAULT_SYNC_SCHEDULE,
-        caution: DEFAULT_CHANGE_GUARD,
+        access_policy: terms,
+        sync_schedule: DEFAULT_SYNC_SCHEDULE,
+        change_guard: DEFAULT_CHANGE_GUARD,
     }
 }
 
