--- a/planner/src/host_adapter.rs
+++ b/planner/src/host_adapter.rs
@@ -42,7 +42,7 @@
     Placement(u64),
     /// The timeout of an attempt.
     AttemptTimeout(AttemptId),
-    /// The timeout of a health check, by its number.
+    /// The timeout of a probe, with the probe's number.
     Probe(u64),
     /// Periodic removal of expired task records and unused indices.
     Housekeeping,
--- a/planner/src/machine_availability.rs
+++ b/planner/src/machine_availability.rs
@@ -55,8 +55,8 @@
     /// Whether the machine is withheld from placement because its zone has failed, or because its
     /// zone is recovering and the ramp has not reached this machine yet.
     pub held_back: bool,
-    /// Whether the machine is neither in the planner's subset of the fleet nor an extra link. Such a
-    /// machine is linked only to receive its inventory, or while it runs tasks of this planner.
+    /// Whether the machine is neither in the planner's subset of the fleet nor an extra link. Such
+    /// a machine is linked only to receive its inventory, or while it runs tasks of this planner.
     pub outside_subset: bool,
     /// The newest start time reported by the list or the machine, in microseconds; 0 if unknown.
     pub started_us: i64,
--- a/planner/src/placement_event.rs
+++ b/planner/src/placement_event.rs
@@ -39,13 +39,13 @@
         #[serde(rename = "left")]
         remaining: (f64, f64),
     },
-    /// The machine list ends.
+    /// The machine list is complete: no further `Machine` events belong to it.
     ListEnds,
     /// The machine list is no longer kept up to date, because the registry does not answer.
     ListLost,
     /// A service was assigned an index.
     Service {
-        /// The service.
+        /// The service's index.
         #[serde(rename = "s")]
         service: usize,
         /// The number that clients use for the service.
@@ -53,36 +53,36 @@
     },
     /// A service's index was freed and may be assigned to another service.
     ServiceLeft {
-        /// The service.
+        /// The service's index.
         #[serde(rename = "s")]
         service: usize,
     },
     /// A machine's index was freed and may be assigned to another machine.
     MachineLeft {
-        /// The machine.
+        /// The machine's index.
         #[serde(rename = "m")]
         machine: usize,
     },
     /// A tenant's share of the fleet is set.
     TenantShare {
-        /// The tenant.
+        /// The tenant's index.
         tenant: usize,
         /// The tenant's share, between 0 and 1.
         share: f64,
     },
     /// A task waits to be placed.
     Wanted {
-        /// The task.
+        /// The task's index.
         task: usize,
-        /// Its framework.
+        /// The index of the task's framework.
         #[serde(rename = "f")]
         framework: usize,
-        /// Its tenant.
+        /// The index of the task's tenant; `None` if the task has no known tenant.
         tenant: Option<usize>,
-        /// Its service.
+        /// The index of the task's service.
         #[serde(rename = "s")]
         service: usize,
-        /// The cores and memory that it needs.
+        /// The cores and memory that the task needs.
         #[serde(rename = "asks")]
         size: (f64, f64),
         /// Time left until the request's deadline, in microseconds.
@@ -91,31 +91,31 @@
     },
     /// A running task that this planner did not know was found in a machine's inventory.
     Found {
-        /// The task.
+        /// The task's index.
         task: usize,
-        /// Its framework.
+        /// The index of the task's framework.
         #[serde(rename = "f")]
         framework: usize,
-        /// Its tenant.
+        /// The index of the task's tenant; `None` if the task has no known tenant.
         tenant: Option<usize>,
-        /// Its service.
+        /// The index of the task's service.
         #[serde(rename = "s")]
         service: usize,
-        /// The cores and memory that it needs.
+        /// The cores and memory that the task needs.
         #[serde(rename = "asks")]
         size: (f64, f64),
-        /// The machine that the task runs on.
+        /// The index of the machine that the task runs on.
         #[serde(rename = "m")]
         machine: usize,
     },
     /// A machine accepted the attempt to run a task.
     Accepted {
-        /// The task.
+        /// The task's index.
         task: usize,
     },
     /// A machine sent a status note about a running task.
     Noted {
-        /// The task.
+        /// The task's index.
         task: usize,
         /// The kind of note, as numbered in `docs/protocol/agent.md`.
         sort: i64,
@@ -124,7 +124,7 @@
     },
     /// The outcome of the task's current attempt is known.
     Resolved {
-        /// The task.
+        /// The task's index.
         task: usize,
         /// The attempt's outcome, as a code: see `outcome_code`.
         #[serde(rename = "end")]
@@ -139,7 +139,7 @@
     },
     /// The task's request ended without a placement; the task no longer waits.
     Expired {
-        /// The task.
+        /// The task's index.
         task: usize,
     },
     /// A timer that the module set is due.
@@ -149,7 +149,7 @@
     },
     /// The outcome of a probe is known.
     Probed {
-        /// The machine.
+        /// The machine's index.
         #[serde(rename = "m")]
         machine: usize,
         /// The probe's outcome, as a code: see `outcome_code`.
--- a/planner/src/recording.rs
+++ b/planner/src/recording.rs
@@ -118,7 +118,10 @@
             (name.clone(), value)
         });
         let header = Header { seed, now, settings: settings.collect() };
-        let head = format!("{FIRST_LINE}\n{}\n", serde_json::to_string(&header).expect("plain values"));
+        let head = format!(
+            "{FIRST_LINE}\n{}\n",
+            serde_json::to_string(&header).expect("a header serializes to JSON")
+        );
         let (chunks, queued_chunks) = sync_channel::<String>(MAX_QUEUED_CHUNKS);
         std::thread::spawn(move || {
             let mut write = |chunk: &str| out.write_all(chunk.as_bytes()).and_then(|()| out.flush());
@@ -140,7 +143,7 @@
         if self.chunks.is_some() {
             let answers = (!answers.is_empty()).then(|| answers.into());
             let line = EventLine { at, event: event.clone(), answers };
-            self.chunk.push_str(&serde_json::to_string(&line).expect("plain values"));
+            self.chunk.push_str(&serde_json::to_string(&line).expect("an event serializes to JSON"));
             self.chunk.push('\n');
         }
     }
@@ -216,7 +219,7 @@
     #[error("line 2: found {0}; expected seed, now and given in JSON")]
     Header(serde_json::Error),
     /// The first or the second line cannot be read.
-    #[error("line {line}: found {error}; expected {expected}")]
+    #[error("cannot read line {line}: {error}; expected {expected}")]
     UnreadableHead {
         /// The line number, from 1.
         line: usize,
@@ -226,7 +229,7 @@
         expected: &'static str,
     },
     /// A line cannot be read.
-    #[error("line {line}: {error}")]
+    #[error("cannot read line {line}: {error}")]
     Unreadable {
         /// The line number, from 1.
         line: usize,
@@ -342,7 +345,8 @@
     if first != FIRST_LINE {
         return Err(RecordingError::FirstLine(first));
     }
-    let mut replay = Replay::new(start_planner(&next("how the module was started")?)?);
+    let mut replay =
+        Replay::new(start_planner(&next("line 2 with the seed, time and settings of the module")?)?);
     while let Some((line, text)) = lines.next() {
         let text = text.map_err(|error| RecordingError::Unreadable { line, error })?;
         let is_last = lines.peek().is_none();
--- a/planner/src/rolling_restart.rs
+++ b/planner/src/rolling_restart.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, HashMap};
 use tokio::sync::mpsc;
 
-/// The name of the lease coordination by the coordinator of rolling restarts; its metadata is the
+/// The name of the lease that the coordinator of rolling restarts holds; its metadata is the
 /// progress.
 pub const RESTART_LEASE: &str = "roll";
 /// The name of the lease with which an operator requests a rolling restart; its metadata is the
@@ -106,7 +106,7 @@
                     Err(error) => {
                         tracing::error!(
                             error = %error,
-                            "cannot parse the rolling restart progress in the lease metadata; not coordinating"
+                            "unreadable rolling restart progress in the lease metadata; not coordinating"
                         );
                     }
                 }
@@ -123,7 +123,7 @@
                     Err(error) => {
                         tracing::error!(
                             error = %error,
-                            "cannot parse the rolling restart plan in the lease metadata; plan ignored"
+                            "unreadable rolling restart plan in the lease metadata; plan ignored"
                         );
                     }
                 }
@@ -223,7 +223,11 @@
                 // expired, when another planner may coordinate: the drain is dropped.
                 RestartAction::SetDraining { .. } if !coordination.deadline.is_held() => {}
                 RestartAction::SetDraining { machine, started_us, draining, number } => {
-                    tracing::info!(machine, draining, "rolling restart");
+                    tracing::info!(
+                        machine,
+                        draining,
+                        "sending a drain change of the rolling restart to the registry"
+                    );
                     let (on, token) = (draining, coordination.token);
                     return Some(Body::Drain(wire::Drain { machine, on, token, number, started_us }));
                 }
--- a/planner/src/shared_metrics.rs
+++ b/planner/src/shared_metrics.rs
@@ -109,7 +109,8 @@
         values.into_iter().collect()
     }
 
-    /// Converts from metrics in the [`layout`] for `zone_count` zones; `None` if there are too few.
+    /// Converts from metrics in the [`layout`] for `zone_count` zones; `None` if the metrics do not
+    /// have this layout.
     pub fn from_metrics(metrics: &Metrics, zone_count: usize) -> Option<SharedMetrics> {
         let values: Vec<f64> = metrics.iter().map(f64::from).collect();
         let zone_count = shared_zone_count(zone_count);
--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -133,7 +133,8 @@
     availability: MachineAvailability,
     /// The number of its newest link; events of earlier links are ignored.
     link: u64,
-    /// Whether the machine's index is reserved because the machine is listed.
+    /// Whether the machine's index is reserved: from its first list entry until it is off the list
+    /// and its link is down.
     retained: bool,
 }
 
@@ -141,7 +142,7 @@
 pub struct PlannerState {
     /// The planner's identity.
     pub identity: Identity,
-    /// The placement module.
+    /// The placement module, which owns the host adapter with the ledger and the timers.
     placement: Planner<HostAdapter>,
     /// Writes the recording; `None` if the planner does not record.
     recorder: Option<Recorder>,
--- a/planner/src/state/actions.rs
+++ b/planner/src/state/actions.rs
@@ -88,8 +88,8 @@
         Some((job, service))
     }
 
-    /// Sends a lifecycle event of a placed task to the client that submitted it, if still
-    /// connected.
+    /// Sends a lifecycle event of a placed task to the client that submitted it, if that
+    /// client is still connected.
     fn send_lifecycle(&mut self, key: &TaskKey, request_id: u64, client: u64, event: LifecycleEvent) {
         self.counts.lost += u64::from(event == LifecycleEvent::Lost);
         let how = match event {
--- a/planner/src/state/clauses.rs
+++ b/planner/src/state/clauses.rs
@@ -1,5 +1,5 @@
-//! The installation's constraints: replaces them, reports which running tasks would violate other
-//! ones, and explains why a task cannot run.
+//! The installation's constraints: replaces them, reports which running tasks would violate a
+//! different set of constraints, and explains why a task cannot run.
 use super::*;
 
 impl PlannerState {
@@ -57,9 +57,9 @@
         }
     }
 
-    /// Evaluates other constraints against the attempts that run, and returns as JSON which
-    /// attempts would violate which constraints. With `apply`, the new constraints replace the
-    /// current ones as a whole, even if attempts violate them; without it, nothing changes.
+    /// Evaluates a different set of constraints against the attempts that run, and returns as JSON
+    /// which attempts would violate which constraints. With `apply`, the new constraints replace
+    /// the current ones as a whole, even if attempts violate them; without it, nothing changes.
     pub(super) fn replace_constraints(
         &mut self,
         constraints: Vec<(Constraint, String)>,
@@ -102,9 +102,8 @@
                     .map(|constraint| names[constraint].as_str())
                     .collect();
                 if !violated.is_empty() {
-                    violations.push(
-                        json!({"key": &**key, "machine": &**self.machine_ids.ids.id(machine), "clauses": violated}),
-                    );
+                    violations.push(json!({"key": &**key, "machine": &**self.machine_ids.ids.id(machine),
+                            "clauses": violated}));
                 }
                 replacement.state.release_group(group);
                 replacement.attempt_started(attempt, machine, attributes);
@@ -131,7 +130,7 @@
 
     /// Explains the constraints of a task as JSON: each constraint that applies with the number of
     /// machines that it leaves, and, with `machines`, for each machine the constraints that forbid
-    /// it.
+    /// the task there.
     pub(crate) fn explain_constraints(&mut self, attributes: &TaskAttributes, machines: bool) -> Value {
         let Some(constraints) = self.placement.host.constraints.as_mut() else {
             return json!({"clauses": []});
@@ -159,8 +158,9 @@
             };
             let forbidding = names_of(&constraints.state.violated_constraints(group, machine));
             by_machine.push(json!({"machine": &**self.machine_ids.ids.id(machine), "state": state,
-                "kind": machine_attributes.kind, "hall": machine_attributes.zone, "rack": machine_attributes.rack,
-                "labels": machine_attributes.labels, "forbidden_by": forbidding}));
+                "kind": machine_attributes.kind, "hall": machine_attributes.zone,
+                "rack": machine_attributes.rack, "labels": machine_attributes.labels,
+                "forbidden_by": forbidding}));
         }
         let verdict = match &eligibility {
             Eligibility::Eligible => json!("some machine is allowed"),
--- a/planner/src/state/clients.rs
+++ b/planner/src/state/clients.rs
@@ -59,8 +59,8 @@
         Ok(())
     }
 
-    /// Answers which running attempts would violate other constraints, and applies those if
-    /// requested.
+    /// Answers which running attempts would violate the constraints in an operator's frame, and
+    /// applies these constraints if the frame requests it.
     fn try_constraints(&mut self, conn: u64, frame: &wire::Clauses) -> Result<(), ClientFrameError> {
         let login = self.check_operator(conn, "clauses")?;
         let constraints: Vec<(Constraint, String)> =
--- a/planner/src/state/registry.rs
+++ b/planner/src/state/registry.rs
@@ -79,7 +79,8 @@
     }
 
     /// Subscribes to changes of the machine list, or unsubscribes. A planner with a subset asks the
-    /// registry to omit changes that only affect a machine's free capacity.
+    /// registry to omit changes that only affect a machine's free capacity, unless the machine
+    /// drains.
     pub(super) fn watch(&mut self, on: bool) {
         let brief = self.subset.is_some();
         self.outputs.push_back(Output::Registry(Body::Watch(wire::Watch { on, brief })));
--- a/planner/src/state/subset.rs
+++ b/planner/src/state/subset.rs
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Records that a machine's inventory was received. It takes effect after
+    /// Records that a machine's inventory was received. The inventory takes effect after
     /// `INVENTORY_SETTLE_US`.
     pub(super) fn subset_inventory_received(&mut self, machine: usize) {
         let now = self.now();
@@ -227,7 +227,8 @@
     }
 
     /// Queries the registry for machines outside the subset with capacity for a task. If there are
-    /// constraints, the query names machines that they allow, and is not sent if there are none.
+    /// constraints, the query names machines that they allow, and is not sent if they allow no
+    /// machine.
     fn query_capacity(&mut self, query: CapacityQuery) {
         let Some(state) = &self.subset else { return };
         let name_or_any = |names: &[String], index: Option<usize>| {
--- a/planner/src/summary_codec.rs
+++ b/planner/src/summary_codec.rs
@@ -60,8 +60,8 @@
 /// Decodes the reply of a peer into the id of the request and the changed summaries.
 ///
 /// # Errors
-/// The lengths of the frame's lists are inconsistent, or a change refers to a number below 0; the
-/// error holds the lengths.
+/// The lengths of the frame's lists are inconsistent, or a summary's base would have a number
+/// below 0; the error holds the lengths.
 pub fn decode_reply(peer: usize, summaries: Summaries) -> Result<(u64, Vec<SummaryDelta>), InvalidSummary> {
     check_lengths(peer, &summaries)?;
     let count = summaries.subjects.len();
--- a/planner/src/tenant_access.rs
+++ b/planner/src/tenant_access.rs
@@ -111,7 +111,7 @@
         })
     }
 
-    /// Returns the time of the next sync, unless an event changes it.
+    /// Returns the time at which `next_sync` may return a sync, unless an event changes it.
     pub fn next_at(&self) -> i64 {
         self.directory.next_at()
     }
@@ -192,7 +192,7 @@
                 tracing::warn!(
                     entries = held,
                     tenants = tenants.join(" "),
-                    "many entries are missing from the directory at once; their removal is held back until confirmed"
+                    "many entries are missing from the directory at once; holding back their removal"
                 );
             } else {
                 tracing::info!("directory removals are no longer held back");
@@ -361,7 +361,8 @@
         }
     }
 
-    /// Returns the time of the next sync with the directory, or `i64::MAX` without a directory.
+    /// Returns the time at which the next sync with the directory may be due; `i64::MAX` without a
+    /// directory.
     pub fn next_at(&self) -> i64 {
         match self {
             TenantAccess::Directory(access) => access.next_at(),
--- a/planner/src/view.rs
+++ b/planner/src/view.rs
@@ -162,7 +162,7 @@
 }
 
 fn to_json(view: impl Serialize) -> Value {
-    serde_json::to_value(view).expect("plain values")
+    serde_json::to_value(view).expect("a view serializes to JSON")
 }
 
 /// The traffic of one kind of frame.
--- a/planner/src/zone_monitor.rs
+++ b/planner/src/zone_monitor.rs
@@ -21,7 +21,7 @@
 
 /// What one planner, or several planners of one zone, observe of each zone.
 pub struct ObservedZones {
-    /// The index of the planners' coordination zone.
+    /// The index of the planners' own zone.
     pub own_zone: usize,
     /// The number of planners that these observations are from.
     pub planners: usize,
@@ -177,7 +177,7 @@
                 Err(error) => {
                     tracing::error!(
                         error = %error,
-                        "cannot parse the last failover decision in the lease metadata; starting without it"
+                        "unreadable failover decision in the lease metadata; coordinating without it"
                     );
                     None
                 }
@@ -252,7 +252,7 @@
         coordination.coordinator.advance(now_us);
         while let Some(FailoverAction::StoreDecision(decision)) = coordination.coordinator.next_action() {
             let stored = StoredDecision { number: coordination.number + 1, decision };
-            let metadata = serde_json::to_vec(&stored).expect("plain numbers");
+            let metadata = serde_json::to_vec(&stored).expect("a decision serializes to JSON");
             let write =
                 LeaseCommand::WriteMetadata { lease: LEASE_NAME.into(), token: coordination.token, metadata };
             if self.commands.try_send(write).is_err() {
@@ -322,5 +322,5 @@
 }
 
 fn to_value(status: &impl Serialize) -> Value {
-    serde_json::to_value(status).expect("plain fields")
+    serde_json::to_value(status).expect("a status serializes to JSON")
 }
