--- a/constraints/src/lib.rs
+++ b/constraints/src/lib.rs
@@ -1,10 +1,14 @@
-//! Constraints on where tasks may run. `parse` takes them out of an installation's records and finds what makes
-//! no sense before anything runs; `state` keeps, for each group of tasks that the same constraints bind, which
-//! machines are allowed, updated by each change; `conflict` names a smallest set of constraints that no machine
-//! of the known fleet can meet. No I/O, no clock.
+//! Placement constraints: which machines tasks may run on. No I/O and no clock.
 //!
-//! Installations write them as `clauses`, and what is sent keeps the words of that form. What one means, in
-//! plain words, is in `docs/protocol/clauses.md`; the types here are its grammar.
+//! - [`parse`] reads the constraints of an installation's configuration and rejects contradictory,
+//!   redundant and undefined ones at load time.
+//! - [`state`] tracks, for each group of tasks that the same constraints apply to, which machines
+//!   are allowed, and updates this incrementally with each change.
+//! - [`conflict`] names a minimal set of constraints that no machine of the known fleet satisfies.
+//!
+//! Installation files call constraints `clauses`, and serialized constraints keep the field names
+//! of that form. `docs/protocol/clauses.md` defines their semantics; the types here are the
+//! grammar.
 pub mod conflict;
 pub mod parse;
 pub mod state;
@@ -12,185 +16,197 @@
 use basaltpitch_config::Span;
 use serde::{Deserialize, Serialize};
 
-/// Which tasks: all parts that are given must match. Nothing given: all tasks.
+/// Selects tasks: each field that is set must match. A scope without any field selects all tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Scope {
-    /// Name of a framework.
+    /// Name of the tasks' framework; `None` matches any.
     pub framework: Option<String>,
-    /// Name of a tenant.
+    /// Name of the tasks' tenant; `None` matches any.
     pub tenant: Option<String>,
-    /// Number of a service.
+    /// Number of the tasks' service; `None` matches any.
     pub service: Option<u64>,
-    /// What a task's key begins with.
+    /// Prefix of the tasks' keys; `None` matches any key.
     pub task: Option<String>,
 }
 
-/// What constraints see of a task.
+/// The attributes of a task that constraints can refer to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TaskAttributes {
-    /// Name of its framework.
+    /// Name of the task's framework.
     pub framework: String,
-    /// Name of its tenant, empty where it has none.
+    /// Name of the task's tenant; empty for a task without a tenant.
     pub tenant: String,
-    /// Number of its service.
+    /// Number of the task's service.
     pub service: u64,
-    /// Its key.
+    /// The task's key, unique in the installation.
     pub key: String,
 }
 
 impl Scope {
-    /// Whether a task is one of these.
+    /// Returns whether the scope selects a task.
     pub fn matches(&self, task: &TaskAttributes) -> bool {
-        let is = |want: &Option<String>, have: &str| want.as_ref().is_none_or(|w| w == have);
-        is(&self.framework, &task.framework)
-            && is(&self.tenant, &task.tenant)
+        let accepts =
+            |wanted: &Option<String>, actual: &str| wanted.as_ref().is_none_or(|name| name == actual);
+        accepts(&self.framework, &task.framework)
+            && accepts(&self.tenant, &task.tenant)
             && self.service.is_none_or(|service| service == task.service)
             && self.task.as_ref().is_none_or(|prefix| task.key.starts_with(prefix.as_str()))
     }
 
-    /// Every task of `other` is one of this.
+    /// Returns whether the scope selects every task that `other` selects.
     pub fn covers(&self, other: &Scope) -> bool {
-        let is = |a: &Option<String>, b: &Option<String>| a.is_none() || a == b;
-        let key = match (&self.task, &other.task) {
+        let includes = |a: &Option<String>, b: &Option<String>| a.is_none() || a == b;
+        let includes_key = match (&self.task, &other.task) {
             (None, _) => true,
             (Some(a), Some(b)) => b.starts_with(a.as_str()),
             (Some(_), None) => false,
         };
-        is(&self.framework, &other.framework)
-            && is(&self.tenant, &other.tenant)
+        includes(&self.framework, &other.framework)
+            && includes(&self.tenant, &other.tenant)
             && (self.service.is_none() || self.service == other.service)
-            && key
+            && includes_key
     }
 
-    /// Some task could be in both.
+    /// Returns whether some task could be selected by both scopes.
     pub fn meets(&self, other: &Scope) -> bool {
-        let can = |a: &Option<String>, b: &Option<String>| a.is_none() || b.is_none() || a == b;
+        let compatible = |a: &Option<String>, b: &Option<String>| a.is_none() || b.is_none() || a == b;
         let key = match (&self.task, &other.task) {
             (Some(a), Some(b)) => a.starts_with(b.as_str()) || b.starts_with(a.as_str()),
             _ => true,
         };
         let service = self.service.is_none() || other.service.is_none() || self.service == other.service;
-        can(&self.framework, &other.framework) && can(&self.tenant, &other.tenant) && service && key
+        compatible(&self.framework, &other.framework)
+            && compatible(&self.tenant, &other.tenant)
+            && service
+            && key
     }
 }
 
-/// A level of the fleet's topology: what counts as one place.
+/// A level of the fleet's topology, which divides the machines into domains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum TopologyLevel {
-    /// Each machine for itself.
+    /// Each machine is a domain of its own.
     Machine,
-    /// A rack of a zone.
+    /// The machines of one rack of a zone.
     Rack,
-    /// Machines that fail together; written `Hall` in what is sent.
+    /// The machines of one zone, which fail together. Serialized as `Hall`.
     #[serde(rename = "Hall")]
     Zone,
 }
 
-/// Machines by what is listed of them. Each list that is not empty must name the machine's; of labels it must
-/// have one.
+/// Selects machines by the attributes that the registry lists. Each list that is not empty must
+/// contain the machine's value; of the labels, the machine must have at least one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MachineSelector {
-    /// Kinds of machine.
+    /// Names of machine kinds; empty accepts any kind.
     pub kinds: Vec<String>,
-    /// Written `halls` in what is sent.
+    /// Names of zones; empty accepts any zone. Serialized as `halls`.
     #[serde(rename = "halls")]
     pub zones: Vec<String>,
-    /// Zone and number of a rack.
+    /// Racks, each by its zone's name and its number in the zone; empty accepts any rack.
     pub racks: Vec<(String, u32)>,
-    /// Labels, of which it must bear one.
+    /// Labels of which the machine must have at least one; empty accepts any machine.
     pub labels: Vec<String>,
 }
 
-/// What constraints see of a machine.
+/// The attributes of a machine that constraints can refer to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachineAttributes {
-    /// Its kind.
+    /// Name of the machine's kind.
     pub kind: String,
-    /// Its zone.
+    /// Name of the machine's zone.
     pub zone: String,
-    /// Number of its rack in the zone.
+    /// Number of the machine's rack in its zone.
     pub rack: u32,
-    /// Labels that it bears.
+    /// The machine's labels.
     pub labels: Vec<String>,
 }
 
 impl MachineSelector {
-    /// Whether a machine is one of these.
+    /// Returns whether the selector selects a machine.
     pub fn names(&self, machine: &MachineAttributes) -> bool {
-        let is = |list: &[String], have: &str| list.is_empty() || list.iter().any(|x| x == have);
-        is(&self.kinds, &machine.kind)
-            && is(&self.zones, &machine.zone)
+        let accepts =
+            |list: &[String], actual: &str| list.is_empty() || list.iter().any(|name| name == actual);
+        accepts(&self.kinds, &machine.kind)
+            && accepts(&self.zones, &machine.zone)
             && (self.racks.is_empty()
                 || self.racks.iter().any(|(zone, rack)| *zone == machine.zone && *rack == machine.rack))
             && (self.labels.is_empty() || self.labels.iter().any(|label| machine.labels.contains(label)))
     }
 }
 
-/// Which domains count for a spread when some have no machine that takes work.
+/// Whether a spread's skew is measured against domains in which no machine accepts tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum UnavailableDomains {
-    /// Only those with a machine that is ready: the others do without.
+    /// Only domains with a ready machine count, so the remaining domains may take the tasks of an
+    /// unavailable one. Serialized as `Live`.
     #[serde(rename = "Live")]
     Ignored,
-    /// All that are known: a place that is gone keeps its part free.
+    /// All known domains count, so an unavailable domain's share of the tasks is not placed
+    /// elsewhere. Serialized as `Keeps`.
     #[serde(rename = "Keeps")]
     Counted,
 }
 
-/// Tasks that a spread counts together.
+/// Which tasks a spread counts together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum SpreadGrouping {
-    /// Those of one service.
+    /// The tasks of one service; each service is counted separately.
     Service,
-    /// All that the constraint binds.
+    /// All tasks that the constraint applies to.
     All,
 }
 
-/// What a constraint demands of a machine for the tasks that it binds.
+/// The requirement that a constraint places on machines for the tasks that it applies to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Rule {
-    /// Only on those machines.
+    /// Tasks run only on the selected machines.
     In(MachineSelector),
-    /// Not on those.
+    /// Tasks do not run on the selected machines.
     NotIn(MachineSelector),
-    /// Where one of these is; where none is anywhere, one that is of them itself may begin.
+    /// Affinity: tasks run only in a domain of this level that runs a task of the scope. While no
+    /// domain runs such a task, a task that is in the scope itself may run anywhere.
     With(Scope, TopologyLevel),
-    /// Not where one of these is, nor one of these where it is.
+    /// Anti-affinity: tasks share no domain of this level with tasks of the scope, whichever of the
+    /// two is placed first.
     Apart(Scope, TopologyLevel),
-    /// At most so many in a domain, and at most so many more than in the domain with the fewest.
+    /// Limits how many tasks run in one domain, absolutely or relative to the other domains.
     Spread {
-        /// The level whose domains are counted.
+        /// The topology level whose domains are counted.
         over: TopologyLevel,
         /// Which tasks are counted together.
         by: SpreadGrouping,
-        /// At most so many in a domain.
+        /// The maximum number of tasks in one domain; `None` sets no maximum.
         most: Option<u32>,
-        /// At most so many more than in the domain with the fewest.
+        /// The maximum by which a domain's count may exceed that of the domain with the fewest
+        /// tasks; `None` sets no maximum.
         skew: Option<u32>,
-        /// Whether domains without a ready machine count for the fewest.
+        /// Whether domains without a ready machine count as the domain with the fewest tasks.
         gone: UnavailableDomains,
     },
 }
 
-/// One constraint on where tasks may run.
+/// A constraint on which machines tasks may run on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Constraint {
-    /// Its name, once in an installation.
+    /// The constraint's name, unique in an installation.
     pub name: String,
-    /// Where it stands in the files; what is sent to a planner has words for that beside it.
+    /// Its location in the configuration files. Not serialized: constraints that are sent to a
+    /// planner carry the location as text beside them.
     #[serde(skip)]
     pub at: Span,
-    /// The tasks that it binds.
+    /// The tasks that the constraint applies to.
     pub of: Scope,
-    /// `None`: it must hold. Else how much it is preferred: higher ranks first.
+    /// `None` for a hard constraint. For a preference, its rank: a higher rank takes precedence.
+    /// Serialized as `wish`.
     #[serde(rename = "wish")]
     pub preference_rank: Option<u32>,
-    /// What it demands.
+    /// What the constraint requires.
     pub rule: Rule,
 }
 
 impl Constraint {
-    /// Whether it must hold.
+    /// Returns whether the constraint is hard: tasks stay unplaced rather than violate it.
     pub fn is_hard(&self) -> bool {
         self.preference_rank.is_none()
     }
--- a/constraints/src/state/groups.rs
+++ b/constraints/src/state/groups.rs
@@ -1,25 +1,26 @@
-//! Groups: tasks that the same constraints bind in the same way.
+//! Groups of tasks that the same constraints apply to in the same way.
 use super::{
-    put, BoundConstraint, BoundRule, ConstraintState, DomainCounts, TaskGroup, MAX_IDLE_GROUPS,
-    MAX_REMEMBERED_TASKS,
+    put, BoundConstraint, BoundRule, ConstraintState, DomainCounts, TaskGroup, MAX_CACHED_TASKS,
+    MAX_IDLE_GROUPS,
 };
 use crate::{Constraint, MachineSelector, Rule, SpreadGrouping, TaskAttributes};
 
 impl ConstraintState {
-    /// The group of a task, held until `release_group`. What it is called or belongs to must not change meanwhile.
+    /// Returns the group of a task and counts one more user of it, until `release_group`. The names
+    /// of the task's framework and tenant must not change in between.
     pub fn acquire_group(&mut self, task: &TaskAttributes) -> usize {
-        let plain = TaskAttributes {
+        let group_key = TaskAttributes {
             key: if self.by_key { task.key.clone() } else { String::new() },
             ..task.clone()
         };
-        let group = match self.group_of_task.get(&plain) {
+        let group = match self.group_of_task.get(&group_key) {
             Some(&group) => group,
             None => {
                 let group = self.find_group(task);
-                if self.group_of_task.len() >= MAX_REMEMBERED_TASKS {
+                if self.group_of_task.len() >= MAX_CACHED_TASKS {
                     self.group_of_task.clear();
                 }
-                self.group_of_task.insert(plain, group);
+                self.group_of_task.insert(group_key, group);
                 group
             }
         };
@@ -27,7 +28,8 @@
         group
     }
 
-    /// Gives up a hold on a group; some that nothing holds are kept, as services come back.
+    /// Counts one user of a group less. Up to `MAX_IDLE_GROUPS` unused groups are kept, as services
+    /// often return; beyond that, the group that has been unused for longest is dropped.
     pub fn release_group(&mut self, group: usize) {
         self.groups[group].uses -= 1;
         if self.groups[group].uses > 0 {
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Forgets a group, and what was kept for it alone.
+    /// Drops a group, and the bound constraints and counts that only this group used.
     pub(super) fn drop_group(&mut self, group: usize) {
         let dropped = std::mem::take(&mut self.groups[group]);
         self.group_of.remove(&(dropped.hard.clone(), dropped.soft.clone(), dropped.counted_in.clone()));
@@ -50,12 +52,13 @@
         self.free_groups.push(group);
         for constraint in dropped.hard.iter().chain(&dropped.soft).copied() {
             self.bound[constraint].groups.retain(|&other| other != group);
-            // Only what was made for one service goes.
-            let own = match self.bound[constraint].test {
+            // Only what was created for a single service is dropped: a bound constraint and its
+            // counts.
+            let service_counts = match self.bound[constraint].test {
                 BoundRule::Spread { counts, .. } => self.counts[counts].service.map(|_| counts),
                 _ => None,
             };
-            if let (Some(counts), true) = (own, self.bound[constraint].groups.is_empty()) {
+            if let (Some(counts), true) = (service_counts, self.bound[constraint].groups.is_empty()) {
                 let entry = &mut self.bound[constraint];
                 self.bound_of.remove(&(entry.constraint, entry.test.clone()));
                 entry.test = BoundRule::Selector { selector: MachineSelector::default(), inside: true };
@@ -72,20 +75,21 @@
         }
     }
 
-    /// The group of a task by what binds it, made where there is none.
+    /// Finds the group of a task by the constraints that apply to it, and creates it where absent.
     pub(super) fn find_group(&mut self, task: &TaskAttributes) -> usize {
         let constraints = self.constraints.clone();
-        let binds: Vec<usize> = (0..constraints.len()).filter(|&c| constraints[c].of.matches(task)).collect();
-        let fixed = |c: &usize| {
+        let applicable: Vec<usize> =
+            (0..constraints.len()).filter(|&c| constraints[c].of.matches(task)).collect();
+        let is_selector = |c: &usize| {
             constraints[*c].is_hard() && matches!(constraints[*c].rule, Rule::In(_) | Rule::NotIn(_))
         };
-        let among: Vec<usize> = binds.iter().copied().filter(fixed).collect();
+        let selectors: Vec<usize> = applicable.iter().copied().filter(is_selector).collect();
         let (mut hard, mut soft) = (Vec::new(), Vec::new());
-        for (index, clause) in constraints.iter().enumerate() {
-            let tests = self.bound_rules(clause, task, &among);
+        for (index, constraint) in constraints.iter().enumerate() {
+            let tests = self.bound_rules(constraint, task, &selectors);
             for test in tests {
-                let constraint = self.bind_constraint(index, test);
-                if clause.is_hard() { &mut hard } else { &mut soft }.push(constraint);
+                let bound = self.bind_constraint(index, test);
+                if constraint.is_hard() { &mut hard } else { &mut soft }.push(bound);
             }
         }
         soft.sort_by_key(|&constraint| {
@@ -115,12 +119,17 @@
         group
     }
 
-    /// What a constraint looks at for a task; nothing where it does not bind it. `among`: the constraints that
-    /// say which machines the task may use.
-    fn bound_rules(&mut self, clause: &Constraint, task: &TaskAttributes, among: &[usize]) -> Vec<BoundRule> {
+    /// Returns the rules by which a constraint affects a task; none where it does not. `selectors`:
+    /// the hard constraints that restrict the task to certain machines by their attributes.
+    fn bound_rules(
+        &mut self,
+        constraint: &Constraint,
+        task: &TaskAttributes,
+        selectors: &[usize],
+    ) -> Vec<BoundRule> {
         let mut tests = Vec::new();
-        let binds = clause.of.matches(task);
-        match &clause.rule {
+        let binds = constraint.of.matches(task);
+        match &constraint.rule {
             Rule::In(selector) if binds => {
                 tests.push(BoundRule::Selector { selector: selector.clone(), inside: true })
             }
@@ -129,29 +138,30 @@
             }
             Rule::With(scope, level) if binds => {
                 let counts = self.counts_for(scope, None, *level);
-                tests.push(BoundRule::With { counts, may_begin: scope.matches(task) });
+                tests.push(BoundRule::With { counts, may_be_first: scope.matches(task) });
             }
             Rule::Apart(scope, level) => {
                 if binds {
                     tests.push(BoundRule::Apart { counts: self.counts_for(scope, None, *level) });
                 }
-                // The other way round: where a bound task is, none of these may come.
-                if scope.matches(task) && clause.of != *scope {
-                    tests.push(BoundRule::Apart { counts: self.counts_for(&clause.of, None, *level) });
+                // Anti-affinity is symmetric: tasks of the scope stay out of the domains that run
+                // tasks the constraint applies to.
+                if scope.matches(task) && constraint.of != *scope {
+                    tests.push(BoundRule::Apart { counts: self.counts_for(&constraint.of, None, *level) });
                 }
             }
             Rule::Spread { over, by, most, skew, gone } if binds => {
                 let service = (*by == SpreadGrouping::Service).then_some(task.service);
-                let counts = self.counts_for(&clause.of, service, *over);
-                let among = if skew.is_some() { among.to_vec() } else { Vec::new() };
-                tests.push(BoundRule::Spread { counts, most: *most, skew: *skew, gone: *gone, among });
+                let counts = self.counts_for(&constraint.of, service, *over);
+                let selectors = if skew.is_some() { selectors.to_vec() } else { Vec::new() };
+                tests.push(BoundRule::Spread { counts, most: *most, skew: *skew, gone: *gone, selectors });
             }
             _ => {}
         }
         tests
     }
 
-    /// The constraint as it binds by a rule, made where there is none.
+    /// Returns the bound constraint of a constraint and a rule, and creates it where absent.
     pub(super) fn bind_constraint(&mut self, constraint: usize, test: BoundRule) -> usize {
         if let Some(&bound) = self.bound_of.get(&(constraint, test.clone())) {
             return bound;
@@ -168,8 +178,8 @@
             test: test.clone(),
             forbids: vec![false; size],
             groups: Vec::new(),
-            counting: Vec::new(),
-            counted: vec![None; size],
+            counted_machines: Vec::new(),
+            counted_domain: vec![None; size],
             fewest: 0,
         };
         let bound = put(&mut self.bound, &mut self.free_bound, new);
--- a/constraints/src/state/mod.rs
+++ b/constraints/src/state/mod.rs
@@ -1,11 +1,11 @@
-//! Which machines are allowed for whom, kept by the change. Tasks that the same constraints bind in the same way
-//! form a group; a group holds, for each machine, how many of its constraints forbid it, so that a question is
-//! one look-up. A change (a task placed or over, a machine listed, down, ready, gone) touches only the
-//! constraints that watch the place where it happened.
+//! Incremental evaluation of placement constraints. Tasks that the same constraints apply to in the
+//! same way form a group. A group stores, for each machine, how many hard constraints forbid it, so
+//! that a query is one look-up. A change (an attempt started or ended, a machine listed, drained or
+//! removed) re-evaluates only the constraints that depend on the domains where it happened.
 //!
-//! A constraint binds a group by a `BoundConstraint`, which keeps the machines that it forbids. What runs is
-//! counted by topology domain (a machine, a rack, a zone) in `DomainCounts`, one for each scope and level that
-//! a constraint looks at.
+//! A `BoundConstraint` is a constraint as it applies to some groups, with the machines that it
+//! forbids. Attempts are counted by topology domain (machine, rack or zone) in `DomainCounts`, one
+//! for each scope and level that a constraint refers to.
 mod counts;
 mod groups;
 mod machines;
@@ -19,68 +19,70 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Groups that no task uses are kept up to so many: services come back.
+/// Number of unused groups that are kept, as tasks of a service often return.
 const MAX_IDLE_GROUPS: usize = 256;
-/// Tasks whose group is remembered by what they are; then all is found anew.
-const MAX_REMEMBERED_TASKS: usize = 100_000;
+/// Number of task attributes in the cache of groups; the cache is cleared when it is full.
+const MAX_CACHED_TASKS: usize = 100_000;
 
-/// Whether a machine takes work, and whether what runs there can be relied on.
+/// Whether a machine accepts tasks, and whether the attempts counted on it satisfy affinity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
-    /// Takes work.
+    /// The machine accepts tasks.
     Ready,
-    /// Known, and takes none now: it drains.
+    /// The machine is listed but accepts no tasks, as it drains.
     Down,
-    /// Its link is not well: what is there counts against others, and not as company.
+    /// The link to the machine is not healthy. Its attempts count for spread and anti-affinity, but
+    /// do not satisfy affinity, as they may have ended.
     Far,
-    /// Not listed any more; what ran there may still be counted.
+    /// The machine is no longer listed; its attempts may still be counted.
     Gone,
 }
 
-/// A machine as it was last listed.
+/// A machine as last listed, with the attempts on it.
 #[derive(Clone, Debug)]
 struct MachineEntry {
-    facts: MachineAttributes,
+    attributes: MachineAttributes,
     state: MachineState,
-    /// Domains of the machine: itself, its rack, its zone.
+    /// The machine's domain of each level: itself, its rack, its zone.
     domains: [usize; 3],
-    /// Groups of the attempts on it, one each.
+    /// The group of each attempt on the machine; a group occurs once for each of its attempts.
     groups: Vec<usize>,
 }
 
-/// Domains of one level, and the machines in each.
+/// The domains of one topology level, by name, and the machines in each.
 #[derive(Clone, Debug, Default)]
 struct Domains {
     names: FnvHashMap<(String, u32), usize>,
     machines: Vec<Vec<usize>>,
 }
 
-/// How many attempts of some tasks are in each domain.
+/// The number of attempts of a scope's tasks in each domain of a level.
 #[derive(Clone, Debug)]
 struct DomainCounts {
     scope: Scope,
     service: Option<u64>,
     level: TopologyLevel,
     by_domain: Vec<u32>,
-    /// Of these, those on machines whose link is well.
+    /// By domain: the attempts on machines whose link is healthy.
     reachable: Vec<u32>,
-    /// Those on such machines, of all domains.
+    /// The sum of `reachable` over all domains.
     total: u32,
-    /// Bound constraints that look at it.
+    /// Bound constraints that depend on these counts.
     watchers: Vec<usize>,
 }
 
-/// A rule with what it looks at.
+/// A rule with its scopes resolved to indices of `DomainCounts`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum BoundRule {
     Selector {
         selector: MachineSelector,
         inside: bool,
     },
-    /// `may_begin`: the tasks bound are of those themselves.
+    /// `may_be_first`: the group's tasks are in the affinity's scope themselves, so that one may be
+    /// placed while none of them runs.
     With {
         counts: usize,
-        may_begin: bool,
+        may_be_first: bool,
     },
     Apart {
         counts: usize,
@@ -90,44 +92,51 @@
         most: Option<u32>,
         skew: Option<u32>,
         gone: UnavailableDomains,
-        among: Vec<usize>,
+        /// With a skew: the hard constraints that restrict the tasks to machines by attributes. A
+        /// domain without such a machine does not count as the one with the fewest tasks.
+        selectors: Vec<usize>,
     },
 }
 
-/// A constraint as it binds some groups, and the machines that it forbids them.
+/// A constraint as it applies to some groups, and the machines that it forbids to them.
 #[derive(Clone, Debug)]
 struct BoundConstraint {
     constraint: usize,
     test: BoundRule,
     forbids: Vec<bool>,
     groups: Vec<usize>,
-    /// Of a spread with a skew: how many machines count by domain, in which domain each counts, and the fewest
-    /// tasks in a domain that counts.
-    counting: Vec<u32>,
-    counted: Vec<Option<usize>>,
+    /// Of a spread with a skew: by domain, how many machines make it eligible as the domain with
+    /// the fewest tasks.
+    counted_machines: Vec<u32>,
+    /// Of a spread with a skew: by machine, the domain that it makes eligible; `None`: it makes
+    /// none.
+    counted_domain: Vec<Option<usize>>,
+    /// Of a spread with a skew: the fewest tasks in an eligible domain.
     fewest: u32,
 }
 
+/// Tasks that the same constraints apply to in the same way.
 #[derive(Clone, Debug, Default)]
 struct TaskGroup {
+    /// Bound constraints that are hard.
     hard: Vec<usize>,
-    /// By rank, highest first.
+    /// Bound constraints that are preferences, highest rank first.
     soft: Vec<usize>,
-    /// Counts that its tasks are in.
+    /// The `DomainCounts` that count the group's tasks.
     counted_in: Vec<usize>,
-    /// By machine, how many of the hard ones forbid it.
+    /// By machine: how many of the `hard` constraints forbid it.
     blocking: Vec<u16>,
-    /// Tasks and attempts that hold it.
+    /// Number of tasks and attempts that use the group.
     uses: u32,
 }
 
-/// What makes a group: hard and soft bound constraints, and the counts that its tasks count in.
+/// Identifies a group: its hard and soft bound constraints, and the counts that count its tasks.
 type GroupKey = (Vec<usize>, Vec<usize>, Vec<usize>);
 
-/// Names an attempt of a task for as long as it counts.
+/// Identifies an attempt; unique among the attempts that are counted.
 pub type AttemptKey = (u64, u64);
 
-/// The constraints of an installation, and for each group of tasks the machines that they forbid.
+/// The constraints of an installation, and the machines that they forbid to each group of tasks.
 pub struct ConstraintState {
     constraints: Rc<[Constraint]>,
     machines: Vec<Option<MachineEntry>>,
@@ -143,7 +152,7 @@
     free_groups: Vec<usize>,
     idle: VecDeque<usize>,
     group_of_task: FnvHashMap<TaskAttributes, usize>,
-    /// Some constraint looks at keys.
+    /// Whether some constraint refers to task keys. If none does, the cache of groups ignores keys.
     by_key: bool,
     attempts: FnvHashMap<AttemptKey, (usize, usize)>,
 }
@@ -152,27 +161,27 @@
     level as usize
 }
 
-/// Puts something into a slot that is free, or a new one.
-fn put<T>(all: &mut Vec<T>, free: &mut Vec<usize>, one: T) -> usize {
+/// Stores an item at a free index, or at a new one if none is free. Returns the index.
+fn put<T>(items: &mut Vec<T>, free: &mut Vec<usize>, item: T) -> usize {
     match free.pop() {
-        Some(slot) => {
-            all[slot] = one;
-            slot
+        Some(index) => {
+            items[index] = item;
+            index
         }
         None => {
-            all.push(one);
-            all.len() - 1
+            items.push(item);
+            items.len() - 1
         }
     }
 }
 
 impl ConstraintState {
-    /// Of these constraints, with no machine and no attempt yet.
+    /// Creates the state of these constraints, without machines or attempts.
     pub fn new(constraints: Vec<Constraint>) -> Self {
-        let looks = |scope: &Scope| scope.task.is_some();
-        let by_key = constraints.iter().any(|clause| {
-            looks(&clause.of)
-                || matches!(&clause.rule, Rule::With(scope, _) | Rule::Apart(scope, _) if looks(scope))
+        let uses_key = |scope: &Scope| scope.task.is_some();
+        let by_key = constraints.iter().any(|constraint| {
+            uses_key(&constraint.of)
+                || matches!(&constraint.rule, Rule::With(scope, _) | Rule::Apart(scope, _) if uses_key(scope))
         });
         let mut state = ConstraintState {
             constraints: constraints.into(),
@@ -192,19 +201,19 @@
             by_key,
             attempts: FnvHashMap::default(),
         };
-        // Counts that are not of one service stand from the start: tasks count before anybody asks about
-        // them.
-        for clause in state.constraints.clone().iter() {
-            match &clause.rule {
+        // Counts that are not limited to one service are created now, as attempts must be counted
+        // in them before the first task that the constraint applies to arrives.
+        for constraint in state.constraints.clone().iter() {
+            match &constraint.rule {
                 Rule::With(scope, level) => {
                     state.counts_for(scope, None, *level);
                 }
                 Rule::Apart(scope, level) => {
                     state.counts_for(scope, None, *level);
-                    state.counts_for(&clause.of, None, *level);
+                    state.counts_for(&constraint.of, None, *level);
                 }
                 Rule::Spread { over, by: SpreadGrouping::All, .. } => {
-                    state.counts_for(&clause.of, None, *over);
+                    state.counts_for(&constraint.of, None, *over);
                 }
                 _ => {}
             }
@@ -212,7 +221,7 @@
         state
     }
 
-    /// The constraints, in the order of the files.
+    /// Returns the constraints, in the order of the configuration files.
     pub fn constraints(&self) -> &[Constraint] {
         &self.constraints
     }
--- a/constraints/src/state/queries.rs
+++ b/constraints/src/state/queries.rs
@@ -1,22 +1,23 @@
-//! Answers from what is kept.
+//! Queries: which machines are allowed, which constraints forbid a machine, and how far preferences
+//! are met.
 use super::{ConstraintState, MachineState};
 use crate::MachineAttributes;
 
 impl ConstraintState {
-    /// Whether a group's task may go to a machine, its state aside.
+    /// Returns whether the hard constraints allow a group's tasks on a machine, whatever its state.
     pub fn allows(&self, group: usize, machine: usize) -> bool {
-        self.groups[group].blocking.get(machine).is_some_and(|constraint| *constraint == 0)
+        self.groups[group].blocking.get(machine).is_some_and(|blocking| *blocking == 0)
     }
 
-    /// Whether any machine that is known is allowed.
+    /// Returns whether the hard constraints allow a group's tasks on any listed machine.
     pub fn allows_any(&self, group: usize) -> bool {
-        self.groups[group].blocking.iter().zip(&self.machines).any(|(constraint, known)| {
-            *constraint == 0 && known.as_ref().is_some_and(|known| known.state != MachineState::Gone)
+        self.groups[group].blocking.iter().zip(&self.machines).any(|(blocking, known)| {
+            *blocking == 0 && known.as_ref().is_some_and(|known| known.state != MachineState::Gone)
         })
     }
 
-    /// How well wishes are met on a machine; more is better. A wish of a higher rank weighs more than all
-    /// below it.
+    /// Scores how well a machine meets a group's preferences; higher is better. A preference that
+    /// ranks higher outweighs all below it. Only the 64 highest ones count: one bit each.
     pub fn preference_score(&self, group: usize, machine: usize) -> u64 {
         let soft = &self.groups[group].soft;
         soft.iter()
@@ -24,7 +25,7 @@
             .fold(0, |all, &constraint| 2 * all + u64::from(!self.bound[constraint].forbids[machine]))
     }
 
-    /// The constraints that forbid a machine, by their place in the files; hard ones.
+    /// Returns the hard constraints that forbid a machine, by their index in the files.
     pub fn violated_constraints(&self, group: usize, machine: usize) -> Vec<usize> {
         let mut all: Vec<usize> = self.groups[group]
             .hard
@@ -36,7 +37,8 @@
         all
     }
 
-    /// The hard constraints that bind a group, and how many known machines each leaves.
+    /// Returns the hard constraints of a group, by their index in the files, each with the number
+    /// of listed machines that it allows.
     pub fn machines_left(&self, group: usize) -> Vec<(usize, usize)> {
         let known = |machine: &usize| {
             self.machines[*machine].as_ref().is_some_and(|known| known.state != MachineState::Gone)
@@ -54,16 +56,15 @@
             .collect()
     }
 
-    /// Groups that are kept now.
+    /// Returns how many groups exist, unused ones included.
     pub fn group_count(&self) -> usize {
         self.groups.len() - self.free_groups.len()
     }
 
-    /// Machines that are known, by what is listed of them.
+    /// Returns all known machines: index, listed attributes and state.
     pub fn fleet(&self) -> impl Iterator<Item = (usize, &MachineAttributes, MachineState)> {
-        self.machines
-            .iter()
-            .enumerate()
-            .filter_map(|(machine, known)| known.as_ref().map(|known| (machine, &known.facts, known.state)))
+        self.machines.iter().enumerate().filter_map(|(machine, known)| {
+            known.as_ref().map(|known| (machine, &known.attributes, known.state))
+        })
     }
 }
