--- a/constraints/src/conflict.rs
+++ b/constraints/src/conflict.rs
@@ -1,23 +1,26 @@
-//! Whether any machine of the known fleet could ever take a task, and if none could, a smallest set of
-//! clauses that says so: none of them can be left out. What runs now does not count here, as it ends: a task
-//! that is kept out by others, by full machines or by machines that are down waits. Work is bounded in steps,
-//! and an end for want of steps is said.
+//! Finds out whether any machine of the known fleet could ever run a task and, if none could, which
+//! constraints conflict: a minimal set, of which none can be left out. Running tasks are ignored,
+//! as they end: a task that is kept out by other tasks, by full machines or by draining machines
+//! waits. The search is bounded by a number of steps, and its result says if that number was
+//! exhausted.
 use crate::{Constraint, MachineAttributes, Rule, Scope, TaskAttributes, TopologyLevel};
 use std::collections::BTreeSet;
 
-/// How far clauses of those that a task must be with are followed.
+/// Number of affinities that are followed in a row, from a task to the tasks that it must run with.
 const MAX_DEPTH: u32 = 3;
 
-/// A set of clauses, by their place in the files, that no machine meets.
+/// Constraints that no machine satisfies together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Conflict {
-    /// Their places in the files.
+    /// Indices of the constraints, in the order of the configuration files.
     pub constraints: Vec<usize>,
-    /// None can be left out; false: the steps ended before that was sure.
+    /// Whether each of the constraints is known to be necessary for the conflict. `false`: the
+    /// steps were exhausted before that was established.
     pub minimal: bool,
 }
 
-/// TaskSelector clauses are about: the task itself, or any that it must be with.
+/// The tasks for which the search looks for a machine: the given task, or any task of a scope that
+/// it must run with.
 enum TaskSelector<'a> {
     Task(&'a TaskAttributes),
     AnyOf(&'a Scope),
@@ -25,17 +28,19 @@
 
 struct Search<'a> {
     constraints: &'a [Constraint],
-    /// Machines that differ in what is listed of them.
+    /// The distinct attributes of the fleet's machines.
     fleet: Vec<&'a MachineAttributes>,
-    /// How many machines there are of each.
+    /// The number of machines with each entry of `fleet`.
     count_of: Vec<usize>,
+    /// Steps left before the search gives up.
     steps: u64,
 }
 
 impl Search<'_> {
+    /// Returns whether machines of two entries of `fleet` can share a domain of a level.
     fn near(&self, a: usize, b: usize, level: TopologyLevel) -> bool {
         let (a, b) = (self.fleet[a], self.fleet[b]);
-        // Machines of one row here may be one machine or several: the same row is as near as can be.
+        // An entry stands for one machine or several, so two uses of it can mean the same machine.
         match level {
             TopologyLevel::Machine => a == b,
             TopologyLevel::Rack => (&a.zone, a.rack) == (&b.zone, b.rack),
@@ -43,11 +48,11 @@
         }
     }
 
-    /// Whether the clauses let some machine like `m` have the task, with those that it must be with somewhere
-    /// near.
+    /// Returns whether the constraints `subset` allow the task on a machine with the attributes of
+    /// `machine`, with the tasks that it must run with placed nearby. `None`: steps exhausted.
     fn meets(
         &mut self,
-        among: &BTreeSet<usize>,
+        subset: &BTreeSet<usize>,
         selector: &TaskSelector,
         machine: usize,
         depth: u32,
@@ -57,7 +62,7 @@
             TaskSelector::Task(task) => constraint.of.matches(task),
             TaskSelector::AnyOf(scope) => constraint.of.covers(scope),
         };
-        for &c in among {
+        for &c in subset {
             let constraint = &constraints[c];
             if !binds(constraint) {
                 continue;
@@ -73,7 +78,7 @@
                     };
                     itself
                         || depth == 0
-                        || self.companion_near(among, selector, machine, others, *level, depth)?
+                        || self.companion_near(subset, selector, machine, others, *level, depth)?
                 }
                 Rule::Apart(..) | Rule::Spread { .. } => true,
             };
@@ -84,10 +89,12 @@
         Some(true)
     }
 
-    /// Whether one of `others` could be near a machine like `m`, and not so near that it must be apart.
+    /// Returns whether a task of the scope `others` could run in the same domain of `level` as a
+    /// machine with the attributes of `machine`, outside the domains that anti-affinity excludes.
+    /// `None`: steps exhausted.
     fn companion_near(
         &mut self,
-        among: &BTreeSet<usize>,
+        subset: &BTreeSet<usize>,
         selector: &TaskSelector,
         machine: usize,
         others: &Scope,
@@ -95,10 +102,10 @@
         depth: u32,
     ) -> Option<bool> {
         let constraints = self.constraints;
-        let apart = among.iter().filter_map(|&c| {
+        let apart = subset.iter().filter_map(|&c| {
             let Rule::Apart(from, far) = &constraints[c].rule else { return None };
             let of = &constraints[c].of;
-            let there = match selector {
+            let applies = match selector {
                 TaskSelector::Task(task) => {
                     of.matches(task) && from.covers(others) || from.matches(task) && of.covers(others)
                 }
@@ -106,7 +113,7 @@
                     of.covers(scope) && from.covers(others) || from.covers(scope) && of.covers(others)
                 }
             };
-            there.then_some(*far)
+            applies.then_some(*far)
         });
         let apart = apart.max();
         for n in 0..self.fleet.len() {
@@ -115,24 +122,24 @@
                 continue;
             }
             let too_near = match apart {
-                // Two machines of one row are two machines.
+                // With two or more machines of the same attributes, the tasks can use one each.
                 Some(TopologyLevel::Machine) => {
                     n == machine && (self.count_of[machine] < 2 || level == TopologyLevel::Machine)
                 }
                 Some(far) => self.near(machine, n, far),
                 None => false,
             };
-            if !too_near && self.meets(among, &TaskSelector::AnyOf(others), n, depth - 1)? {
+            if !too_near && self.meets(subset, &TaskSelector::AnyOf(others), n, depth - 1)? {
                 return Some(true);
             }
         }
         Some(false)
     }
 
-    /// Whether any machine meets a set of clauses; `None`: the steps ended.
-    fn possible(&mut self, among: &BTreeSet<usize>, task: &TaskAttributes) -> Option<bool> {
+    /// Returns whether any machine satisfies a set of constraints; `None`: steps exhausted.
+    fn possible(&mut self, subset: &BTreeSet<usize>, task: &TaskAttributes) -> Option<bool> {
         for machine in 0..self.fleet.len() {
-            if self.meets(among, &TaskSelector::Task(task), machine, MAX_DEPTH)? {
+            if self.meets(subset, &TaskSelector::Task(task), machine, MAX_DEPTH)? {
                 return Some(true);
             }
         }
@@ -140,17 +147,20 @@
     }
 }
 
-/// Hard clauses that can matter to a task: such as bind it, or those that it must be with, and so on.
+/// Returns the hard constraints that can affect a task: those that apply to the task, or to tasks
+/// that it must run with directly or through other tasks.
 fn relevant(constraints: &[Constraint], task: &TaskAttributes) -> BTreeSet<usize> {
-    let mut company: Vec<&Scope> = Vec::new();
+    let mut companions: Vec<&Scope> = Vec::new();
     let mut set = BTreeSet::new();
     for _ in 0..=MAX_DEPTH {
         for (c, constraint) in constraints.iter().enumerate().filter(|x| x.1.is_hard()) {
-            let about = |s: &Scope| s.matches(task) || company.iter().any(|x| s.covers(x));
-            let apart = matches!(&constraint.rule, Rule::Apart(from, _) if about(from));
-            if (about(&constraint.of) || apart) && set.insert(c) {
+            let concerns = |scope: &Scope| {
+                scope.matches(task) || companions.iter().any(|companion| scope.covers(companion))
+            };
+            let apart = matches!(&constraint.rule, Rule::Apart(from, _) if concerns(from));
+            if (concerns(&constraint.of) || apart) && set.insert(c) {
                 if let Rule::With(others, _) = &constraint.rule {
-                    company.push(others);
+                    companions.push(others);
                 }
             }
         }
@@ -158,35 +168,38 @@
     set
 }
 
-/// Why no machine of a fleet could ever take a task; `None`: one could, or the steps ended before that was
-/// known, and then the task waits as if one could.
+/// Returns the constraints because of which no machine of a fleet could ever run a task. `None`: a
+/// machine could, or the fleet is empty, or the steps were exhausted before that was known; the
+/// task then waits as if a machine could run it.
 pub fn conflict<'a>(
     constraints: &[Constraint],
     fleet: impl Iterator<Item = &'a MachineAttributes>,
     task: &TaskAttributes,
     steps: u64,
 ) -> Option<Conflict> {
-    let mut rows: Vec<&MachineAttributes> = fleet.collect();
-    rows.sort();
+    let mut machines: Vec<&MachineAttributes> = fleet.collect();
+    machines.sort();
     let mut count_of: Vec<usize> = Vec::new();
-    let mut kinds: Vec<&MachineAttributes> = Vec::new();
-    for machine in rows {
-        if kinds.last() == Some(&machine) {
+    let mut distinct: Vec<&MachineAttributes> = Vec::new();
+    for machine in machines {
+        if distinct.last() == Some(&machine) {
             *count_of.last_mut()? += 1;
         } else {
-            kinds.push(machine);
+            distinct.push(machine);
             count_of.push(1);
         }
     }
-    if kinds.is_empty() {
+    if distinct.is_empty() {
         return None;
     }
-    let mut search = Search { constraints, fleet: kinds, count_of, steps };
+    let mut search = Search { constraints, fleet: distinct, count_of, steps };
     let mut set = relevant(constraints, task);
     if search.possible(&set, task)? {
         return None;
     }
-    // Leaving one out at a time: fewer clauses never make less possible, so what stays cannot be left out.
+    // Removes each constraint that the conflict does not need. Removing constraints never makes
+    // fewer machines possible, so one that is necessary now stays necessary, and a single pass is
+    // enough.
     for c in set.clone() {
         set.remove(&c);
         match search.possible(&set, task) {
--- a/constraints/src/parse.rs
+++ b/constraints/src/parse.rs
@@ -1,84 +1,95 @@
-//! Takes clauses out of an installation's records. What types alone do not find is found here, with both
-//! places: names that stand for nothing, a rack of no hall, a spread of nothing, clauses that can never hold
-//! together, and one that another swallows.
+//! Reads the constraints of an installation's configuration. Checks what the configuration schema
+//! cannot express, and reports each error with the locations involved: undefined names, a rack in
+//! an undefined zone, a spread without a limit, constraints that contradict each other, and a
+//! constraint that another one implies.
 use crate::{Constraint, MachineSelector, Rule, Scope, SpreadGrouping, TopologyLevel, UnavailableDomains};
 use basaltpitch_config::{ConfigError, ResolvedValue};
 
-/// Reads an installation's constraints, and keeps what is wrong with them.
+/// Reads constraints from an installation's configuration and collects the errors.
 struct Parser<'a> {
-    all: &'a ResolvedValue,
-    faults: Vec<ConfigError>,
+    configuration: &'a ResolvedValue,
+    errors: Vec<ConfigError>,
 }
 
 impl Parser<'_> {
-    fn named(&mut self, list: &str, name: &str, at: basaltpitch_config::Span) {
+    /// Reports a name that the configuration's `list` does not define.
+    fn check_defined(&mut self, list: &str, name: &str, at: basaltpitch_config::Span) {
         let names: Vec<String> = match list {
-            "zones" => self.all.texts(list).into_iter().map(|x| x.0).collect(),
-            _ => self.all.list(list).iter().filter_map(|x| x.text("name").map(str::to_owned)).collect(),
+            "zones" => self.configuration.texts(list).into_iter().map(|x| x.0).collect(),
+            _ => self
+                .configuration
+                .list(list)
+                .iter()
+                .filter_map(|x| x.text("name").map(str::to_owned))
+                .collect(),
         };
         if !names.iter().any(|n| n == name) {
             let list = if list == "zones" { "halls (zones)" } else { list };
-            let what = format!("found {name:?}; expected one of the {list}: {}", names.join(", "));
-            self.faults.push(ConfigError::new(at, what));
+            let message = format!("found {name:?}; expected one of the {list}: {}", names.join(", "));
+            self.errors.push(ConfigError::new(at, message));
         }
     }
 
-    fn scope(&mut self, s: &ResolvedValue) -> Scope {
-        if let Some(f) = s.get("framework").and_then(|f| Some((s.text("framework")?, f.at))) {
-            self.named("frameworks", f.0, f.1);
+    fn scope(&mut self, record: &ResolvedValue) -> Scope {
+        if let Some(named) =
+            record.get("framework").and_then(|value| Some((record.text("framework")?, value.at)))
+        {
+            self.check_defined("frameworks", named.0, named.1);
         }
-        // With a directory, tenants are not known before it is heard.
-        let listed = !self.all.list("tenants").is_empty();
-        if let Some(t) = s.get("tenant").filter(|_| listed).and_then(|t| Some((s.text("tenant")?, t.at))) {
-            self.named("tenants", t.0, t.1);
+        // With a tenant directory, the configuration defines no tenants to check against.
+        let listed = !self.configuration.list("tenants").is_empty();
+        if let Some(named) =
+            record.get("tenant").filter(|_| listed).and_then(|value| Some((record.text("tenant")?, value.at)))
+        {
+            self.check_defined("tenants", named.0, named.1);
         }
-        let text = |field: &str| s.text(field).map(str::to_owned);
+        let text = |field: &str| record.text(field).map(str::to_owned);
         Scope {
             framework: text("framework"),
             tenant: text("tenant"),
-            service: s.number("service").map(|n| n as u64),
+            service: record.number("service").map(|n| n as u64),
             task: text("task").filter(|t| !t.is_empty()),
         }
     }
 
-    fn selector(&mut self, w: &ResolvedValue) -> MachineSelector {
+    fn selector(&mut self, record: &ResolvedValue) -> MachineSelector {
         for (list, names) in [("kinds", "kinds"), ("halls", "zones"), ("racks", "racks")] {
-            for (name, at) in w.texts(list) {
-                self.named(names, &name, at);
+            for (name, at) in record.texts(list) {
+                self.check_defined(names, &name, at);
             }
         }
-        let plain = |list: &str| w.texts(list).into_iter().map(|x| x.0).collect::<Vec<_>>();
-        let racks = self.all.list("racks").iter().filter(|r| {
-            let wanted = plain("racks");
-            r.text("name").is_some_and(|n| wanted.iter().any(|w| w == n))
+        let texts = |list: &str| record.texts(list).into_iter().map(|x| x.0).collect::<Vec<_>>();
+        let racks = self.configuration.list("racks").iter().filter(|rack| {
+            let wanted = texts("racks");
+            rack.text("name").is_some_and(|name| wanted.iter().any(|w| w == name))
         });
-        let racks = racks.map(|r| (r.text("hall").unwrap_or("").to_owned(), number(r, "cell")));
+        let racks = racks.map(|rack| (rack.text("hall").unwrap_or("").to_owned(), number(rack, "cell")));
         let selector = MachineSelector {
-            kinds: plain("kinds"),
-            zones: plain("halls"),
+            kinds: texts("kinds"),
+            zones: texts("halls"),
             racks: racks.collect(),
-            labels: plain("labels"),
+            labels: texts("labels"),
         };
-        if w.texts("racks").is_empty() && selector == MachineSelector::default() {
-            let what = "found no kinds, halls, racks or labels; expected at least one";
-            self.faults.push(ConfigError::new(w.at, what));
+        if record.texts("racks").is_empty() && selector == MachineSelector::default() {
+            let message = "found no kinds, halls, racks or labels; expected at least one";
+            self.errors.push(ConfigError::new(record.at, message));
         }
         selector
     }
 
-    fn rule(&mut self, c: &ResolvedValue, name: &str) -> Option<Rule> {
-        let of = ["in", "not_in", "with", "apart", "spread"];
-        let given: Vec<&str> = of.into_iter().filter(|f| c.get(f).is_some()).collect();
-        let [one] = given[..] else {
-            let what = format!(
+    fn rule(&mut self, record: &ResolvedValue, name: &str) -> Option<Rule> {
+        let fields = ["in", "not_in", "with", "apart", "spread"];
+        let given: Vec<&str> = fields.into_iter().filter(|field| record.get(field).is_some()).collect();
+        let [field] = given[..] else {
+            let message = format!(
                 "{name}: found {}; expected one of in, not_in, with, apart, spread",
                 if given.is_empty() { "none".to_owned() } else { given.join(" and ") }
             );
-            self.faults.push(ConfigError::new(c.at, what));
+            self.errors.push(ConfigError::new(record.at, message));
             return None;
         };
-        let rule = c.get(one)?;
-        Some(match one {
+        let rule = record.get(field)?;
+        Some(match field {
             "in" => Rule::In(self.selector(rule)),
             "not_in" => Rule::NotIn(self.selector(rule)),
             "with" => Rule::With(self.scope(rule), level(rule, "within")),
@@ -87,8 +98,9 @@
                 let count = |field: &str| rule.number(field).map(|n| n as u32);
                 let (most, skew) = (count("most"), count("skew"));
                 if most.is_none() && skew.is_none() {
-                    let what = format!("{name}: found a spread of nothing; expected most, skew or both");
-                    self.faults.push(ConfigError::new(rule.at, what));
+                    let message =
+                        format!("{name}: found a spread without a limit; expected most, skew or both");
+                    self.errors.push(ConfigError::new(rule.at, message));
                 }
                 let by = if rule.text("by") == Some("all") {
                     SpreadGrouping::All
@@ -106,137 +118,141 @@
     }
 }
 
-fn number(of: &ResolvedValue, field: &str) -> u32 {
-    of.number(field).unwrap_or(0.0) as u32
+fn number(record: &ResolvedValue, field: &str) -> u32 {
+    record.number(field).unwrap_or(0.0) as u32
 }
 
-fn level(of: &ResolvedValue, field: &str) -> TopologyLevel {
-    match of.text(field) {
+fn level(record: &ResolvedValue, field: &str) -> TopologyLevel {
+    match record.text(field) {
         Some("machine") => TopologyLevel::Machine,
         Some("rack") => TopologyLevel::Rack,
         _ => TopologyLevel::Zone,
     }
 }
 
-/// The clauses of an installation, in the order of its files, or all that is wrong with them.
-pub fn parse(all: &ResolvedValue) -> Result<Vec<Constraint>, Vec<ConfigError>> {
-    let mut parser = Parser { all, faults: Vec::new() };
-    for rack in all.list("racks") {
+/// Reads the constraints of an installation's configuration, in the order of its files. Returns all
+/// errors found, and checks constraints against each other only if each is valid by itself.
+pub fn parse(configuration: &ResolvedValue) -> Result<Vec<Constraint>, Vec<ConfigError>> {
+    let mut parser = Parser { configuration, errors: Vec::new() };
+    for rack in configuration.list("racks") {
         let (name, zone) = (rack.text("name").unwrap_or(""), rack.text("hall").unwrap_or(""));
-        if !all.texts("zones").iter().any(|z| z.0 == zone) {
-            let zones: Vec<String> = all.texts("zones").into_iter().map(|x| x.0).collect();
-            let at = rack.get("hall").map_or(rack.at, |h| h.at);
-            let what = format!("rack {name}: found hall {zone:?}; expected one of {}", zones.join(", "));
-            parser.faults.push(ConfigError::new(at, what));
+        if !configuration.texts("zones").iter().any(|z| z.0 == zone) {
+            let zones: Vec<String> = configuration.texts("zones").into_iter().map(|x| x.0).collect();
+            let at = rack.get("hall").map_or(rack.at, |value| value.at);
+            let message = format!("rack {name}: found hall {zone:?}; expected one of {}", zones.join(", "));
+            parser.errors.push(ConfigError::new(at, message));
         }
     }
-    let mut clauses = Vec::new();
-    for c in all.list("clauses") {
-        let name = c.text("name").unwrap_or("").to_owned();
-        let of = c.get("of").map(|s| parser.scope(s)).unwrap_or_default();
-        let preference_rank = (c.text("how") == Some("prefer")).then(|| number(c, "rank"));
-        let Some(rule) = parser.rule(c, &name) else { continue };
-        clauses.push(Constraint { name, at: c.at, of, preference_rank, rule });
+    let mut constraints = Vec::new();
+    for record in configuration.list("clauses") {
+        let name = record.text("name").unwrap_or("").to_owned();
+        let of = record.get("of").map(|scope| parser.scope(scope)).unwrap_or_default();
+        let preference_rank = (record.text("how") == Some("prefer")).then(|| number(record, "rank"));
+        let Some(rule) = parser.rule(record, &name) else { continue };
+        constraints.push(Constraint { name, at: record.at, of, preference_rank, rule });
     }
-    let mut faults = parser.faults;
-    if faults.is_empty() {
-        faults = nonsense(&clauses);
+    let mut errors = parser.errors;
+    if errors.is_empty() {
+        errors = inconsistencies(&constraints);
     }
-    if faults.is_empty() {
-        Ok(clauses)
+    if errors.is_empty() {
+        Ok(constraints)
     } else {
-        Err(faults)
+        Err(errors)
     }
 }
 
-/// Clauses that can never hold, alone or together, or that another makes needless.
-fn nonsense(clauses: &[Constraint]) -> Vec<ConfigError> {
-    let mut faults = Vec::new();
-    for (i, a) in clauses.iter().enumerate() {
-        for b in &clauses[..i] {
+/// Finds constraints that share a name, that no machine can satisfy together, or that are
+/// redundant.
+fn inconsistencies(constraints: &[Constraint]) -> Vec<ConfigError> {
+    let mut errors = Vec::new();
+    for (i, a) in constraints.iter().enumerate() {
+        for b in &constraints[..i] {
             if a.name == b.name {
-                let what = format!("clauses: found {:?} twice; expected each name once", a.name);
-                faults.push(ConfigError::new(a.at, what).with_note(b.at, "the first"));
+                let message = format!("clauses: found {:?} twice; expected each name once", a.name);
+                errors.push(ConfigError::new(a.at, message).with_note(b.at, "first defined here"));
             }
-            // Either may be the one that covers the other.
+            // The check is not symmetric: it compares the constraint with the narrower scope to the
+            // one with the wider scope.
             for (a, b) in [(a, b), (b, a)] {
                 if a.is_hard() && b.is_hard() && b.of.covers(&a.of) {
-                    if let Some(why) = never(&a.rule, &b.rule, a) {
-                        let what =
-                            format!("{}: found {why}; expected clauses that can hold together", a.name);
-                        faults.push(
-                            ConfigError::new(a.at, what)
-                                .with_note(b.at, format!("{}, which binds the same tasks", b.name)),
+                    if let Some(contradiction) = contradiction(&a.rule, &b.rule, a) {
+                        let message = format!(
+                            "{}: found {contradiction}; expected constraints that can hold together",
+                            a.name
+                        );
+                        errors.push(
+                            ConfigError::new(a.at, message)
+                                .with_note(b.at, format!("{}, which applies to the same tasks", b.name)),
                         );
                         break;
                     }
-                    if swallows(b, a) {
-                        let what = format!(
-                            "{}: found a clause that another swallows; expected one that says more",
+                    if implies(b, a) {
+                        let message = format!(
+                            "{}: found a constraint that another implies; expected one that restricts more",
                             a.name
                         );
-                        faults.push(
-                            ConfigError::new(a.at, what).with_note(
-                                b.at,
-                                format!("{}, which says as much of all these tasks", b.name),
-                            ),
-                        );
+                        errors.push(ConfigError::new(a.at, message).with_note(
+                            b.at,
+                            format!("{}, which restricts all these tasks at least as much", b.name),
+                        ));
                         break;
                     }
                 }
             }
         }
     }
-    faults.extend(circles(clauses));
-    faults
+    errors.extend(affinity_cycles(constraints));
+    errors
 }
 
 fn disjoint(a: &[String], b: &[String]) -> bool {
     !a.is_empty() && !b.is_empty() && !a.iter().any(|x| b.contains(x))
 }
 
-/// Why a task that both bind can be nowhere, whatever the fleet.
-fn never(a: &Rule, b: &Rule, of: &Constraint) -> Option<String> {
+/// Says why no machine of any fleet satisfies both rules for a task; `None` if one could. `of` is
+/// the constraint of rule `a`, which has the narrower scope.
+fn contradiction(a: &Rule, b: &Rule, of: &Constraint) -> Option<String> {
     match (a, b) {
         (Rule::In(a), Rule::In(b)) if disjoint(&a.kinds, &b.kinds) => {
-            Some("kinds of which none is in both".into())
+            Some("kinds that have no member in common".into())
         }
         (Rule::In(a), Rule::In(b)) if disjoint(&a.zones, &b.zones) => {
-            Some("halls of which none is in both".into())
+            Some("halls that have no member in common".into())
         }
         (Rule::In(a), Rule::In(b))
             if !a.racks.is_empty() && !b.racks.is_empty() && !a.racks.iter().any(|r| b.racks.contains(r)) =>
         {
-            Some("racks of which none is in both".into())
+            Some("racks that have no member in common".into())
         }
         (Rule::In(a), Rule::NotIn(b)) | (Rule::NotIn(b), Rule::In(a)) if within(a, b) => {
-            Some("machines that are wanted and not wanted".into())
+            Some("machines that are both required and excluded".into())
         }
         (Rule::With(a, near), Rule::Apart(b, far)) | (Rule::Apart(b, far), Rule::With(a, near))
             if b.covers(a) && far >= near =>
         {
-            Some("tasks that it must be with and apart from".into())
+            Some("tasks that its tasks must run both with and apart from".into())
         }
         (Rule::With(a, near), Rule::Spread { over, most: Some(1), by: SpreadGrouping::All, .. })
         | (Rule::Spread { over, most: Some(1), by: SpreadGrouping::All, .. }, Rule::With(a, near))
             if of.of.covers(a) && over >= near =>
         {
-            Some("tasks that it must be with, and a place for one".into())
+            Some("tasks that its tasks must run with, in domains limited to one task".into())
         }
         _ => None,
     }
 }
 
-/// Every machine that `a` names is named by `b`.
+/// Returns whether `b` selects every machine that `a` selects.
 fn within(a: &MachineSelector, b: &MachineSelector) -> bool {
-    let part =
+    let is_subset =
         |a: &[String], b: &[String]| b.is_empty() || (!a.is_empty() && a.iter().all(|x| b.contains(x)));
     let racks = b.racks.is_empty() || (!a.racks.is_empty() && a.racks.iter().all(|r| b.racks.contains(r)));
-    part(&a.kinds, &b.kinds) && part(&a.zones, &b.zones) && part(&a.labels, &b.labels) && racks
+    is_subset(&a.kinds, &b.kinds) && is_subset(&a.zones, &b.zones) && is_subset(&a.labels, &b.labels) && racks
 }
 
-/// Whatever the first allows, the second allows.
-fn swallows(first: &Constraint, second: &Constraint) -> bool {
+/// Returns whether the second constraint allows whatever the first allows, so that it is redundant.
+fn implies(first: &Constraint, second: &Constraint) -> bool {
     match (&first.rule, &second.rule) {
         (Rule::In(a), Rule::In(b)) => within(a, b),
         (Rule::NotIn(a), Rule::NotIn(b)) => within(b, a),
@@ -247,47 +263,49 @@
             Rule::Spread { over, by, most, skew, gone },
         ) => {
             let tighter = |a: &Option<u32>, b: &Option<u32>| b.is_none() || (a.is_some() && a <= b);
-            // More tasks in a count make a most tighter, and a skew another thing.
-            let alike = first.of == second.of || skew.is_none();
-            (o, b, g) == (over, by, gone) && tighter(m, most) && tighter(s, skew) && alike
+            // Counting more tasks makes a maximum stricter, but changes a skew in either direction.
+            // Skews are comparable only for equal scopes.
+            let comparable = first.of == second.of || skew.is_none();
+            (o, b, g) == (over, by, gone) && tighter(m, most) && tighter(s, skew) && comparable
         }
         _ => false,
     }
 }
 
-/// Tasks that must each be with others which must be with them, when none may begin.
-fn circles(clauses: &[Constraint]) -> Vec<ConfigError> {
-    let waits: Vec<(&Constraint, &Scope)> = clauses
+/// Finds cycles of hard affinities in which each task needs another to be placed first, so that
+/// none of them can ever be placed.
+fn affinity_cycles(constraints: &[Constraint]) -> Vec<ConfigError> {
+    let dependencies: Vec<(&Constraint, &Scope)> = constraints
         .iter()
         .filter(|c| c.is_hard())
         .filter_map(|c| match &c.rule {
-            // A task of the same kind may begin.
+            // Tasks that are in the affinity's own scope may be placed first.
             Rule::With(other, _) if !other.covers(&c.of) => Some((c, other)),
             _ => None,
         })
         .collect();
-    let mut faults = Vec::new();
-    for (i, &(first, _)) in waits.iter().enumerate() {
-        // Along clauses that bind all of the tasks that the one before waits for.
-        let (mut way, mut at) = (vec![i], i);
-        while let Some(next) = waits.iter().position(|w| w.0.of.covers(waits[at].1)) {
-            if let Some(begin) = way.iter().position(|&w| w == next) {
-                // Each circle is said once, at its first clause.
-                if way[begin..].iter().min() == Some(&i) && begin == 0 {
-                    let names: Vec<&str> = way.iter().map(|&w| waits[w].0.name.as_str()).collect();
-                    let what = format!(
-                        "{}: found tasks that wait for each other ({}); expected one that may begin",
+    let mut errors = Vec::new();
+    for (i, &(first, _)) in dependencies.iter().enumerate() {
+        // Follows constraints that apply to all tasks which the constraint before depends on.
+        let (mut path, mut at) = (vec![i], i);
+        while let Some(next) = dependencies.iter().position(|d| d.0.of.covers(dependencies[at].1)) {
+            if let Some(begin) = path.iter().position(|&d| d == next) {
+                // Each cycle is reported once, at its first constraint in the files.
+                if path[begin..].iter().min() == Some(&i) && begin == 0 {
+                    let names: Vec<&str> = path.iter().map(|&d| dependencies[d].0.name.as_str()).collect();
+                    let message = format!(
+                        "{}: found a cycle of affinities ({}); expected one whose tasks may be placed first",
                         first.name,
                         names.join(", ")
                     );
-                    let last = waits[*way.last().unwrap_or(&i)].0;
-                    faults.push(ConfigError::new(first.at, what).with_note(last.at, last.name.clone()));
+                    let last = dependencies[*path.last().unwrap_or(&i)].0;
+                    errors.push(ConfigError::new(first.at, message).with_note(last.at, last.name.clone()));
                 }
                 break;
             }
-            way.push(next);
+            path.push(next);
             at = next;
         }
     }
-    faults
+    errors
 }
