--- a/constraints/benches/decision.rs
+++ b/constraints/benches/decision.rs
@@ -1,6 +1,6 @@
-//! What clauses cost a decision: asking of every machine whether it is allowed, and counting one copy more
-//! and less, by mended sets and by a plain evaluation of the clauses that bind the task. `cargo bench -p
-//! basaltpitch-constraints`.
+//! Cost of constraints per placement decision: checks of all machines, and one attempt started and
+//! ended, with the incremental state and, for comparison, with an evaluation from scratch; and the
+//! search for a conflict. Run with `cargo bench -p basaltpitch-constraints`.
 use basaltpitch_constraints::conflict::conflict;
 use basaltpitch_constraints::state::{ConstraintState, MachineState};
 use basaltpitch_constraints::{
@@ -9,6 +9,7 @@
 };
 use divan::{black_box, Bencher};
 
+/// Numbers of machines and of constraints.
 const SIZES: [(usize, usize); 9] = [
     (100, 10),
     (100, 200),
@@ -31,8 +32,8 @@
     MachineAttributes { kind: kind.into(), zone: format!("h{}", m % 4), rack: (m / 40) as u32, labels }
 }
 
-/// Clauses of many frameworks; a task of the first is bound by one in ten of them at the most.
-fn clauses(n: usize) -> Vec<Constraint> {
+/// Returns `n` constraints, of which at most one in ten applies to a task of the first framework.
+fn constraints(n: usize) -> Vec<Constraint> {
     let of = |f: usize| Scope { framework: Some(format!("f{f}")), ..Scope::default() };
     let frameworks = (n / 10).max(10);
     let rule = |i: usize| match i % 5 {
@@ -54,14 +55,14 @@
             gone: UnavailableDomains::Ignored,
         },
     };
-    let one = |i: usize| Constraint {
+    let constraint = |i: usize| Constraint {
         name: format!("c{i}"),
         at: Default::default(),
         of: of(i / 5 % frameworks),
         preference_rank: None,
         rule: rule(i),
     };
-    (0..n).map(one).collect()
+    (0..n).map(constraint).collect()
 }
 
 fn task(f: usize, n: usize) -> TaskAttributes {
@@ -73,102 +74,106 @@
     }
 }
 
-struct World {
-    deciding: ConstraintState,
-    clauses: Vec<Constraint>,
+struct Fleet {
+    state: ConstraintState,
+    constraints: Vec<Constraint>,
     machines: Vec<MachineAttributes>,
-    /// Tasks by machine.
-    on: Vec<Vec<TaskAttributes>>,
+    /// The tasks that run on each machine.
+    tasks: Vec<Vec<TaskAttributes>>,
 }
 
-fn world((machines, n): (usize, usize)) -> World {
-    let clauses = clauses(n);
-    let mut w = World {
-        deciding: ConstraintState::new(clauses.clone()),
-        clauses,
+/// Creates a fleet with two running tasks per machine.
+fn fleet((machines, n): (usize, usize)) -> Fleet {
+    let constraints = constraints(n);
+    let mut fleet = Fleet {
+        state: ConstraintState::new(constraints.clone()),
+        constraints,
         machines: (0..machines).map(machine).collect(),
-        on: vec![Vec::new(); machines],
+        tasks: vec![Vec::new(); machines],
     };
     for m in 0..machines {
-        w.deciding.update_machine(m, machine(m), MachineState::Ready);
+        fleet.state.update_machine(m, machine(m), MachineState::Ready);
     }
     for i in 0..machines * 2 {
-        let (t, m) = (task(i % 10, i), i * 7 % machines);
-        let g = w.deciding.acquire_group(&t);
-        w.deciding.attempt_started((1, i as u64), g, m);
-        w.deciding.release_group(g);
-        w.on[m].push(t);
+        let (task, m) = (task(i % 10, i), i * 7 % machines);
+        let group = fleet.state.acquire_group(&task);
+        fleet.state.attempt_started((1, i as u64), group, m);
+        fleet.state.release_group(group);
+        fleet.tasks[m].push(task);
     }
-    w
+    fleet
 }
 
-impl World {
-    /// The plain meaning, for one machine.
-    fn allows(&self, t: &TaskAttributes, m: usize) -> bool {
-        let here = &self.machines[m];
-        let near = |o: usize, level: TopologyLevel| match level {
-            TopologyLevel::Machine => o == m,
-            TopologyLevel::Rack => self.machines[o].zone == here.zone && self.machines[o].rack == here.rack,
-            TopologyLevel::Zone => self.machines[o].zone == here.zone,
+impl Fleet {
+    /// Evaluates all constraints for one machine from scratch.
+    fn allows(&self, task: &TaskAttributes, machine: usize) -> bool {
+        let attributes = &self.machines[machine];
+        let near = |other: usize, level: TopologyLevel| match level {
+            TopologyLevel::Machine => other == machine,
+            TopologyLevel::Rack => {
+                self.machines[other].zone == attributes.zone && self.machines[other].rack == attributes.rack
+            }
+            TopologyLevel::Zone => self.machines[other].zone == attributes.zone,
         };
-        let count = |level: TopologyLevel, is: &dyn Fn(&TaskAttributes) -> bool| {
-            let places: Box<dyn Iterator<Item = usize>> = if level == TopologyLevel::Machine {
-                Box::new(std::iter::once(m))
+        let count = |level: TopologyLevel, counted: &dyn Fn(&TaskAttributes) -> bool| {
+            let machines: Box<dyn Iterator<Item = usize>> = if level == TopologyLevel::Machine {
+                Box::new(std::iter::once(machine))
             } else {
-                Box::new((0..self.on.len()).filter(|&o| near(o, level)))
+                Box::new((0..self.tasks.len()).filter(|&other| near(other, level)))
             };
-            places.flat_map(|o| &self.on[o]).filter(|t| is(t)).count() as u32
+            machines.flat_map(|m| &self.tasks[m]).filter(|task| counted(task)).count() as u32
         };
-        self.clauses.iter().all(|c| match &c.rule {
-            Rule::In(w) => !c.of.matches(t) || w.names(here),
-            Rule::NotIn(w) => !c.of.matches(t) || !w.names(here),
-            Rule::Apart(s, l) => {
-                let there = c.of.matches(t) && count(*l, &|o| s.matches(o)) > 0;
-                let back = s.matches(t) && count(*l, &|o| c.of.matches(o)) > 0;
-                !there && !back
+        self.constraints.iter().all(|c| match &c.rule {
+            Rule::In(selector) => !c.of.matches(task) || selector.names(attributes),
+            Rule::NotIn(selector) => !c.of.matches(task) || !selector.names(attributes),
+            Rule::Apart(scope, level) => {
+                let conflicts = c.of.matches(task) && count(*level, &|other| scope.matches(other)) > 0;
+                let conflicts_back = scope.matches(task) && count(*level, &|other| c.of.matches(other)) > 0;
+                !conflicts && !conflicts_back
             }
-            Rule::Spread { over, by, most: Some(most), .. } if c.of.matches(t) => {
-                count(*over, &|o| c.of.matches(o) && (*by == SpreadGrouping::All || o.service == t.service))
-                    < *most
+            Rule::Spread { over, by, most: Some(most), .. } if c.of.matches(task) => {
+                count(*over, &|other| {
+                    c.of.matches(other) && (*by == SpreadGrouping::All || other.service == task.service)
+                }) < *most
             }
             _ => true,
         })
     }
 }
 
-/// One task placed and over, and every machine asked about in between.
+/// Checks every machine with the incremental state, then starts and ends one attempt.
 #[divan::bench(args = SIZES)]
-fn mended(bencher: Bencher, size: (usize, usize)) {
-    let mut w = world(size);
-    let t = task(0, 3);
+fn incremental(bencher: Bencher, size: (usize, usize)) {
+    let mut fleet = fleet(size);
+    let task = task(0, 3);
     bencher.bench_local(|| {
-        let g = w.deciding.acquire_group(black_box(&t));
-        let allowed = (0..w.machines.len()).filter(|&m| w.deciding.allows(g, m)).count();
-        w.deciding.attempt_started((2, 1), g, 5);
-        w.deciding.attempt_ended((2, 1));
-        w.deciding.release_group(g);
+        let group = fleet.state.acquire_group(black_box(&task));
+        let allowed = (0..fleet.machines.len()).filter(|&m| fleet.state.allows(group, m)).count();
+        fleet.state.attempt_started((2, 1), group, 5);
+        fleet.state.attempt_ended((2, 1));
+        fleet.state.release_group(group);
         allowed
     });
 }
 
-/// Every machine asked about by the plain meaning.
+/// Checks every machine by an evaluation from scratch.
 #[divan::bench(args = [(100, 10), (100, 200), (100, 2000), (1000, 10), (1000, 200)], sample_count = 10)]
-fn plain(bencher: Bencher, size: (usize, usize)) {
-    let w = world(size);
-    let t = task(0, 3);
-    bencher.bench_local(|| (0..w.machines.len()).filter(|&m| w.allows(black_box(&t), m)).count());
+fn from_scratch(bencher: Bencher, size: (usize, usize)) {
+    let fleet = fleet(size);
+    let task = task(0, 3);
+    bencher.bench_local(|| (0..fleet.machines.len()).filter(|&m| fleet.allows(black_box(&task), m)).count());
 }
 
-/// A set of clauses that no machine can meet is named.
+/// Finds the constraints that conflict for a task that no machine can run.
 #[divan::bench(args = SIZES, sample_count = 10)]
-fn naming_a_conflict(bencher: Bencher, size: (usize, usize)) {
-    let mut all = clauses(size.1);
+fn find_conflict(bencher: Bencher, size: (usize, usize)) {
+    let mut all = constraints(size.1);
     let machines: Vec<MachineAttributes> = (0..size.0).map(machine).collect();
     let at = all.len() / 2;
     all[at].of = Scope { framework: Some("f0".into()), ..Scope::default() };
     all[at].rule = Rule::NotIn(MachineSelector { labels: vec!["ssd".into()], ..MachineSelector::default() });
-    let t = task(0, 3);
+    let task = task(0, 3);
     bencher.bench_local(|| {
-        conflict(&all, machines.iter(), black_box(&t), 50_000_000).expect("a conflict").constraints.len()
+        conflict(&all, machines.iter(), black_box(&task), 50_000_000).expect("a conflict").constraints.len()
     });
 }
--- a/constraints/tests/plain.rs
+++ b/constraints/tests/plain.rs
@@ -1,6 +1,6 @@
-//! The compiled form beside a plain evaluator of what clauses mean, on drawn clauses, fleets and days;
-//! conflicts beside brute force on small fleets. The evaluator shares the grammar's types with the compiler
-//! and nothing else.
+//! Compares `ConstraintState` with a direct evaluation of the constraints' semantics, on random
+//! constraints, fleets and sequences of changes, and conflicts with a brute-force search on small
+//! fleets. The reference evaluator shares only the types of constraints with the code under test.
 use basaltpitch_constraints::conflict::conflict;
 use basaltpitch_constraints::state::{ConstraintState, MachineState};
 use basaltpitch_constraints::{
@@ -11,26 +11,26 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-fn text(list: &'static [&'static str]) -> impl Strategy<Value = String> {
+fn one_of(list: &'static [&'static str]) -> impl Strategy<Value = String> {
     proptest::sample::select(list).prop_map(str::to_owned)
 }
 
-fn some(list: &'static [&'static str]) -> impl Strategy<Value = Vec<String>> {
+fn subset_of(list: &'static [&'static str]) -> impl Strategy<Value = Vec<String>> {
     proptest::sample::subsequence(list, 0..=list.len())
         .prop_map(|l| l.into_iter().map(str::to_owned).collect())
 }
 
 const FRAMEWORKS: &[&str] = &["web", "batch"];
 const TENANTS: &[&str] = &["orders", "stores"];
-const HALLS: &[&str] = &["a", "b"];
+const ZONES: &[&str] = &["a", "b"];
 const LABELS: &[&str] = &["ssd", "gpu"];
 const KINDS: &[&str] = &["std", "wide"];
 const KEYS: &[&str] = &["x/1", "x/2", "y/1"];
 
 fn scope() -> impl Strategy<Value = Scope> {
-    let maybe = |list| proptest::option::weighted(0.4, text(list));
-    let key = proptest::option::weighted(0.2, text(&["x/", "y/", "x/1"]));
-    (maybe(FRAMEWORKS), maybe(TENANTS), proptest::option::weighted(0.2, 0u64..3), key)
+    let optional = |list| proptest::option::weighted(0.4, one_of(list));
+    let key = proptest::option::weighted(0.2, one_of(&["x/", "y/", "x/1"]));
+    (optional(FRAMEWORKS), optional(TENANTS), proptest::option::weighted(0.2, 0u64..3), key)
         .prop_map(|(framework, tenant, service, task)| Scope { framework, tenant, service, task })
 }
 
@@ -38,22 +38,22 @@
     prop_oneof![Just(TopologyLevel::Machine), Just(TopologyLevel::Rack), Just(TopologyLevel::Zone)]
 }
 
-fn which() -> impl Strategy<Value = MachineSelector> {
-    let racks = proptest::collection::vec((text(HALLS), 0u32..2), 0..3);
-    (some(KINDS), some(HALLS), racks, some(LABELS))
+fn selector() -> impl Strategy<Value = MachineSelector> {
+    let racks = proptest::collection::vec((one_of(ZONES), 0u32..2), 0..3);
+    (subset_of(KINDS), subset_of(ZONES), racks, subset_of(LABELS))
         .prop_map(|(kinds, zones, racks, labels)| MachineSelector { kinds, zones, racks, labels })
 }
 
 fn rule() -> impl Strategy<Value = Rule> {
-    let few = || proptest::option::of(1u32..3);
+    let limit = || proptest::option::of(1u32..3);
     let by = prop_oneof![Just(SpreadGrouping::Service), Just(SpreadGrouping::All)];
     let gone = prop_oneof![Just(UnavailableDomains::Ignored), Just(UnavailableDomains::Counted)];
     prop_oneof![
-        which().prop_map(Rule::In),
-        which().prop_map(Rule::NotIn),
-        (scope(), level()).prop_map(|(s, l)| Rule::With(s, l)),
-        (scope(), level()).prop_map(|(s, l)| Rule::Apart(s, l)),
-        (level(), by, few(), few(), gone).prop_map(|(over, by, most, skew, gone)| Rule::Spread {
+        selector().prop_map(Rule::In),
+        selector().prop_map(Rule::NotIn),
+        (scope(), level()).prop_map(|(scope, level)| Rule::With(scope, level)),
+        (scope(), level()).prop_map(|(scope, level)| Rule::Apart(scope, level)),
+        (level(), by, limit(), limit(), gone).prop_map(|(over, by, most, skew, gone)| Rule::Spread {
             over,
             by,
             most,
@@ -63,19 +63,19 @@
     ]
 }
 
-fn clause() -> impl Strategy<Value = Constraint> {
+fn constraint() -> impl Strategy<Value = Constraint> {
     (scope(), proptest::option::weighted(0.3, 1u32..4), rule()).prop_map(|(of, preference_rank, rule)| {
         Constraint { name: String::new(), at: Default::default(), of, preference_rank, rule }
     })
 }
 
 fn task() -> impl Strategy<Value = TaskAttributes> {
-    (text(FRAMEWORKS), text(TENANTS), 0u64..3, text(KEYS))
+    (one_of(FRAMEWORKS), one_of(TENANTS), 0u64..3, one_of(KEYS))
         .prop_map(|(framework, tenant, service, key)| TaskAttributes { framework, tenant, service, key })
 }
 
 fn machine() -> impl Strategy<Value = MachineAttributes> {
-    (text(KINDS), text(HALLS), 0u32..2, some(LABELS))
+    (one_of(KINDS), one_of(ZONES), 0u32..2, subset_of(LABELS))
         .prop_map(|(kind, zone, rack, labels)| MachineAttributes { kind, zone, rack, labels })
 }
 
@@ -83,14 +83,15 @@
     prop_oneof![4 => Just(MachineState::Ready), 1 => Just(MachineState::Down), 1 => Just(MachineState::Far), 1 => Just(MachineState::Gone)]
 }
 
-/// All that is so, with no index and nothing kept.
+/// The reference evaluator: stores machines and attempts only, and evaluates each query from
+/// scratch.
 #[derive(Default)]
-struct Plain {
+struct Reference {
     machines: Vec<(MachineAttributes, MachineState)>,
-    copies: BTreeMap<u64, (TaskAttributes, usize)>,
+    attempts: BTreeMap<u64, (TaskAttributes, usize)>,
 }
 
-impl Plain {
+impl Reference {
     fn near(&self, a: usize, b: usize, level: TopologyLevel) -> bool {
         let (x, y) = (&self.machines[a].0, &self.machines[b].0);
         match level {
@@ -100,71 +101,75 @@
         }
     }
 
-    fn count(&self, m: usize, level: TopologyLevel, is: impl Fn(&TaskAttributes) -> bool) -> u32 {
-        self.copies.values().filter(|(t, o)| is(t) && self.near(*o, m, level)).count() as u32
+    fn count(&self, machine: usize, level: TopologyLevel, counted: impl Fn(&TaskAttributes) -> bool) -> u32 {
+        self.attempts.values().filter(|(task, at)| counted(task) && self.near(*at, machine, level)).count()
+            as u32
     }
 
-    fn met(&self, all: &[Constraint], c: &Constraint, t: &TaskAttributes, m: usize) -> bool {
-        let here = &self.machines[m].0;
-        let bound = c.of.matches(t);
+    fn satisfies(&self, all: &[Constraint], c: &Constraint, task: &TaskAttributes, machine: usize) -> bool {
+        let attributes = &self.machines[machine].0;
+        let applies = c.of.matches(task);
         match &c.rule {
-            Rule::In(w) => !bound || w.names(here),
-            Rule::NotIn(w) => !bound || !w.names(here),
-            Rule::With(s, l) => {
-                let sure = |o: &usize| self.machines[*o].1 != MachineState::Far;
-                let company = || self.copies.values().filter(|(t, o)| s.matches(t) && sure(o));
-                let near = company().any(|(_, o)| self.near(*o, m, *l));
-                !bound || if company().next().is_some() { near } else { s.matches(t) }
+            Rule::In(selector) => !applies || selector.names(attributes),
+            Rule::NotIn(selector) => !applies || !selector.names(attributes),
+            Rule::With(scope, level) => {
+                let reachable = |at: &usize| self.machines[*at].1 != MachineState::Far;
+                let companions =
+                    || self.attempts.values().filter(|(other, at)| scope.matches(other) && reachable(at));
+                let near = companions().any(|(_, at)| self.near(*at, machine, *level));
+                !applies || if companions().next().is_some() { near } else { scope.matches(task) }
             }
-            Rule::Apart(s, l) => {
-                let there = bound && self.count(m, *l, |t| s.matches(t)) > 0;
-                let back = s.matches(t) && self.count(m, *l, |t| c.of.matches(t)) > 0;
-                !there && !back
+            Rule::Apart(scope, level) => {
+                let conflicts = applies && self.count(machine, *level, |other| scope.matches(other)) > 0;
+                let conflicts_back =
+                    scope.matches(task) && self.count(machine, *level, |other| c.of.matches(other)) > 0;
+                !conflicts && !conflicts_back
             }
             Rule::Spread { over, by, most, skew, gone } => {
-                let alike = |o: &TaskAttributes| {
-                    c.of.matches(o) && (*by == SpreadGrouping::All || o.service == t.service)
+                let counted = |other: &TaskAttributes| {
+                    c.of.matches(other) && (*by == SpreadGrouping::All || other.service == task.service)
                 };
-                let n = self.count(m, *over, alike);
-                let fixed = |x: usize| {
-                    all.iter().filter(|c| c.is_hard() && c.of.matches(t)).all(|c| match &c.rule {
-                        Rule::In(w) => w.names(&self.machines[x].0),
-                        Rule::NotIn(w) => !w.names(&self.machines[x].0),
+                let count = self.count(machine, *over, counted);
+                let selected = |other: usize| {
+                    all.iter().filter(|c| c.is_hard() && c.of.matches(task)).all(|c| match &c.rule {
+                        Rule::In(selector) => selector.names(&self.machines[other].0),
+                        Rule::NotIn(selector) => !selector.names(&self.machines[other].0),
                         _ => true,
                     })
                 };
-                let counts = |x: &usize| {
-                    fixed(*x)
+                let eligible = |other: &usize| {
+                    selected(*other)
                         && (*gone == UnavailableDomains::Counted
-                            || self.machines[*x].1 == MachineState::Ready)
+                            || self.machines[*other].1 == MachineState::Ready)
                 };
                 let fewest = (0..self.machines.len())
-                    .filter(counts)
-                    .map(|x| self.count(x, *over, alike))
+                    .filter(eligible)
+                    .map(|other| self.count(other, *over, counted))
                     .min()
                     .unwrap_or(0);
-                !bound || (most.is_none_or(|k| n < k) && skew.is_none_or(|k| n < fewest + k))
+                !applies
+                    || (most.is_none_or(|most| count < most) && skew.is_none_or(|skew| count < fewest + skew))
             }
         }
     }
 
-    fn allows(&self, all: &[Constraint], t: &TaskAttributes, m: usize) -> bool {
-        all.iter().filter(|c| c.is_hard()).all(|c| self.met(all, c, t, m))
+    fn allows(&self, all: &[Constraint], task: &TaskAttributes, machine: usize) -> bool {
+        all.iter().filter(|c| c.is_hard()).all(|c| self.satisfies(all, c, task, machine))
     }
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Machine(usize, MachineAttributes, MachineState),
-    Placed(TaskAttributes, usize),
-    Over(usize),
+    UpdateMachine(usize, MachineAttributes, MachineState),
+    StartAttempt(TaskAttributes, usize),
+    EndAttempt(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        1 => (0usize..5, machine(), state()).prop_map(|(m, f, s)| Step::Machine(m, f, s)),
-        4 => (task(), 0usize..5).prop_map(|(t, m)| Step::Placed(t, m)),
-        2 => (0usize..8).prop_map(Step::Over),
+        1 => (0usize..5, machine(), state()).prop_map(|(m, a, s)| Step::UpdateMachine(m, a, s)),
+        4 => (task(), 0usize..5).prop_map(|(t, m)| Step::StartAttempt(t, m)),
+        2 => (0usize..8).prop_map(Step::EndAttempt),
     ]
 }
 
@@ -181,65 +186,73 @@
     #![proptest_config(cases(1500))]
 
     #[test]
-    fn mended_sets_answer_as_the_plain_meaning_does(
-        clauses in proptest::collection::vec(clause(), 1..6),
+    fn incremental_state_matches_evaluation_from_scratch(
+        constraints in proptest::collection::vec(constraint(), 1..6),
         fleet in proptest::collection::vec((machine(), state()), 5),
         steps in proptest::collection::vec(step(), 1..30),
-        asks in proptest::collection::vec(task(), 1..6),
+        queries in proptest::collection::vec(task(), 1..6),
     ) {
-        let (mut plain, mut ours) = (Plain::default(), ConstraintState::new(clauses.clone()));
-        for (m, (facts, state)) in fleet.into_iter().enumerate() {
-            ours.update_machine(m, facts.clone(), state);
-            plain.machines.push((facts, state));
+        let (mut reference, mut tested) = (Reference::default(), ConstraintState::new(constraints.clone()));
+        for (m, (attributes, state)) in fleet.into_iter().enumerate() {
+            tested.update_machine(m, attributes.clone(), state);
+            reference.machines.push((attributes, state));
         }
         let mut n = 0;
         for step in steps {
             match step {
-                Step::Machine(m, facts, state) => {
-                    ours.update_machine(m, facts.clone(), state);
-                    plain.machines[m] = (facts, state);
+                Step::UpdateMachine(m, attributes, state) => {
+                    tested.update_machine(m, attributes.clone(), state);
+                    reference.machines[m] = (attributes, state);
                 }
-                Step::Placed(t, m) => {
+                Step::StartAttempt(task, m) => {
                     n += 1;
-                    let g = ours.acquire_group(&t);
-                    ours.attempt_started((0, n), g, m);
-                    ours.release_group(g);
-                    plain.copies.insert(n, (t, m));
+                    let group = tested.acquire_group(&task);
+                    tested.attempt_started((0, n), group, m);
+                    tested.release_group(group);
+                    reference.attempts.insert(n, (task, m));
                 }
-                Step::Over(i) => {
-                    let id = plain.copies.keys().nth(i).copied();
+                Step::EndAttempt(i) => {
+                    let id = reference.attempts.keys().nth(i).copied();
                     if let Some(id) = id {
-                        ours.attempt_ended((0, id));
-                        plain.copies.remove(&id);
+                        tested.attempt_ended((0, id));
+                        reference.attempts.remove(&id);
                     }
                 }
             }
-            for t in &asks {
-                let g = ours.acquire_group(t);
-                for m in 0..plain.machines.len() {
-                    prop_assert_eq!(ours.allows(g, m), plain.allows(&clauses, t, m), "{:?} on {}", t, m);
-                    let named: Vec<&Constraint> = ours.violated_constraints(g, m).into_iter().map(|c| &clauses[c]).collect();
-                    prop_assert!(named.iter().all(|c| !plain.met(&clauses, c, t, m)), "{:?} on {}", t, m);
-                    // Wishes, by the plain meaning: rank before rank, in the order of the files.
-                    let mut soft: Vec<&Constraint> = clauses.iter().filter(|c| !c.is_hard()).collect();
-                    soft.retain(|c| c.of.matches(t) || matches!(&c.rule, Rule::Apart(s, _) if s.matches(t)));
+            for task in &queries {
+                let group = tested.acquire_group(task);
+                for m in 0..reference.machines.len() {
+                    prop_assert_eq!(
+                        tested.allows(group, m), reference.allows(&constraints, task, m), "{:?} on {}", task, m
+                    );
+                    let violated: Vec<&Constraint> =
+                        tested.violated_constraints(group, m).into_iter().map(|c| &constraints[c]).collect();
+                    prop_assert!(
+                        violated.iter().all(|c| !reference.satisfies(&constraints, c, task, m)), "{:?} on {}", task, m
+                    );
+                    // With a single preference that is not an anti-affinity, the score is 1 if the
+                    // machine satisfies it and 0 otherwise.
+                    let mut soft: Vec<&Constraint> = constraints.iter().filter(|c| !c.is_hard()).collect();
+                    soft.retain(|c| c.of.matches(task) || matches!(&c.rule, Rule::Apart(s, _) if s.matches(task)));
                     if soft.len() == 1 && !matches!(soft[0].rule, Rule::Apart(..)) {
-                        prop_assert_eq!(ours.preference_score(g, m), u64::from(plain.met(&clauses, soft[0], t, m)));
+                        prop_assert_eq!(
+                            tested.preference_score(group, m), u64::from(reference.satisfies(&constraints, soft[0], task, m))
+                        );
                     }
                 }
-                ours.release_group(g);
+                tested.release_group(group);
             }
         }
     }
 }
 
-/// Whether some placing of the task and of one helper for each clause `with` meets the clauses, tried one by
-/// one.
-fn possible(clauses: &[&Constraint], fleet: &[MachineAttributes], t: &TaskAttributes) -> bool {
-    let fixed = |binds: &dyn Fn(&Constraint) -> bool, m: usize| {
-        clauses.iter().filter(|c| binds(c)).all(|c| match &c.rule {
-            Rule::In(w) => w.names(&fleet[m]),
-            Rule::NotIn(w) => !w.names(&fleet[m]),
+/// Brute-force reference for `conflict`: whether the constraints allow some placement of the task
+/// and of one companion for each affinity.
+fn possible(constraints: &[&Constraint], fleet: &[MachineAttributes], task: &TaskAttributes) -> bool {
+    let selected = |applies: &dyn Fn(&Constraint) -> bool, m: usize| {
+        constraints.iter().filter(|c| applies(c)).all(|c| match &c.rule {
+            Rule::In(selector) => selector.names(&fleet[m]),
+            Rule::NotIn(selector) => !selector.names(&fleet[m]),
             _ => true,
         })
     };
@@ -249,20 +262,20 @@
         TopologyLevel::Zone => fleet[a].zone == fleet[b].zone,
     };
     (0..fleet.len()).any(|m| {
-        fixed(&|c| c.of.matches(t), m)
-            && clauses.iter().filter(|c| c.of.matches(t)).all(|c| {
-                let Rule::With(s, level) = &c.rule else { return true };
-                s.matches(t)
+        selected(&|c| c.of.matches(task), m)
+            && constraints.iter().filter(|c| c.of.matches(task)).all(|c| {
+                let Rule::With(scope, level) = &c.rule else { return true };
+                scope.matches(task)
                     || (0..fleet.len()).any(|n| {
-                        let apart = clauses.iter().any(|c| match &c.rule {
+                        let apart = constraints.iter().any(|c| match &c.rule {
                             Rule::Apart(from, far) => {
-                                let there =
-                                    c.of.matches(t) && from.covers(s) || from.matches(t) && c.of.covers(s);
-                                there && near(m, n, *far)
+                                let applies = c.of.matches(task) && from.covers(scope)
+                                    || from.matches(task) && c.of.covers(scope);
+                                applies && near(m, n, *far)
                             }
                             _ => false,
                         });
-                        near(m, n, *level) && !apart && fixed(&|c| c.of.covers(s), n)
+                        near(m, n, *level) && !apart && selected(&|c| c.of.covers(scope), n)
                     })
             })
     })
@@ -271,52 +284,55 @@
 proptest! {
     #![proptest_config(cases(3000))]
 
-    /// Of clauses that do not wait for helpers of helpers, as brute force tries one round of them.
+    /// Leaves out constraints whose companions have affinities of their own, as the brute-force
+    /// search places companions of the task only.
     #[test]
-    fn a_conflict_is_one_and_none_of_it_can_be_left_out(
-        clauses in proptest::collection::vec(clause(), 1..7),
+    fn conflict_matches_brute_force_and_is_minimal(
+        constraints in proptest::collection::vec(constraint(), 1..7),
         fleet in proptest::collection::vec(machine(), 1..6),
         task in task(),
     ) {
-        let clauses: Vec<Constraint> = clauses.into_iter().map(|c| Constraint { preference_rank: None, ..c }).collect();
-        let waits = |d: &Constraint, s: &Scope| matches!(d.rule, Rule::With(..)) && d.of.covers(s);
-        let helps = |c: &Constraint| match &c.rule {
-            Rule::With(s, _) => clauses.iter().any(|d| waits(d, s)),
+        let constraints: Vec<Constraint> =
+            constraints.into_iter().map(|c| Constraint { preference_rank: None, ..c }).collect();
+        let has_affinity =
+            |c: &Constraint, scope: &Scope| matches!(c.rule, Rule::With(..)) && c.of.covers(scope);
+        let is_nested = |c: &Constraint| match &c.rule {
+            Rule::With(scope, _) => constraints.iter().any(|other| has_affinity(other, scope)),
             _ => false,
         };
-        prop_assume!(!clauses.iter().any(helps));
-        let all: Vec<&Constraint> = clauses.iter().collect();
-        let found = conflict(&clauses, fleet.iter(), &task, 1_000_000);
+        prop_assume!(!constraints.iter().any(is_nested));
+        let all: Vec<&Constraint> = constraints.iter().collect();
+        let found = conflict(&constraints, fleet.iter(), &task, 1_000_000);
         prop_assert_eq!(found.is_none(), possible(&all, &fleet, &task));
         if let Some(found) = found {
             prop_assert!(found.minimal);
-            let set: Vec<&Constraint> = found.constraints.iter().map(|&c| &clauses[c]).collect();
-            prop_assert!(!possible(&set, &fleet, &task), "a conflict");
+            let set: Vec<&Constraint> = found.constraints.iter().map(|&c| &constraints[c]).collect();
+            prop_assert!(!possible(&set, &fleet, &task), "brute force places the task despite the conflict");
             for left_out in 0..set.len() {
                 let mut fewer = set.clone();
                 fewer.remove(left_out);
-                prop_assert!(possible(&fewer, &fleet, &task), "{:?} can be left out", set[left_out]);
+                prop_assert!(possible(&fewer, &fleet, &task), "{:?} is not needed for the conflict", set[left_out]);
             }
         }
     }
 }
 
 #[test]
-fn steps_end_honestly() {
-    let of = |zones: &str| Constraint {
-        name: zones.into(),
+fn reports_exhausted_steps() {
+    let in_zone = |zone: &str| Constraint {
+        name: zone.into(),
         at: Default::default(),
         of: Scope::default(),
         preference_rank: None,
-        rule: Rule::In(MachineSelector { zones: vec![zones.into()], ..MachineSelector::default() }),
+        rule: Rule::In(MachineSelector { zones: vec![zone.into()], ..MachineSelector::default() }),
     };
-    let clauses = [of("a"), of("a"), of("b")];
+    let constraints = [in_zone("a"), in_zone("a"), in_zone("b")];
     let fleet = [
         MachineAttributes { zone: "a".into(), ..MachineAttributes::default() },
         MachineAttributes { zone: "b".into(), ..MachineAttributes::default() },
     ];
-    let found = |steps| conflict(&clauses, fleet.iter(), &TaskAttributes::default(), steps);
-    assert_eq!(found(2), None, "not known: it waits");
+    let found = |steps| conflict(&constraints, fleet.iter(), &TaskAttributes::default(), steps);
+    assert_eq!(found(2), None, "a search that runs out of steps reports no conflict");
     assert!(!found(6).unwrap().minimal);
     let all = found(1000).unwrap();
     assert_eq!((all.constraints, all.minimal), (vec![1, 2], true));
