--- a/constraints/benches/decision.rs
+++ b/constraints/benches/decision.rs
@@ -106,14 +106,12 @@
 
 impl Fleet {
     /// Evaluates all constraints for one machine from scratch.
-    fn allows(&self, task: &TaskAttributes, machine: usize) -> bool {
-        let attributes = &self.machines[machine];
-        let near = |other: usize, level: TopologyLevel| match level {
-            TopologyLevel::Machine => other == machine,
-            TopologyLevel::Rack => {
-                self.machines[other].zone == attributes.zone && self.machines[other].rack == attributes.rack
-            }
-            TopologyLevel::Zone => self.machines[other].zone == attributes.zone,
+    fn allows(&self, t: &TaskAttributes, machine: usize) -> bool {
+        let own = &self.machines[machine];
+        let near = |o: usize, level: TopologyLevel| match level {
+            TopologyLevel::Machine => o == machine,
+            TopologyLevel::Rack => self.machines[o].zone == own.zone && self.machines[o].rack == own.rack,
+            TopologyLevel::Zone => self.machines[o].zone == own.zone,
         };
         let count = |level: TopologyLevel, counted: &dyn Fn(&TaskAttributes) -> bool| {
             let machines: Box<dyn Iterator<Item = usize>> = if level == TopologyLevel::Machine {
@@ -124,17 +122,16 @@
             machines.flat_map(|m| &self.tasks[m]).filter(|task| counted(task)).count() as u32
         };
         self.constraints.iter().all(|c| match &c.rule {
-            Rule::In(selector) => !c.of.matches(task) || selector.names(attributes),
-            Rule::NotIn(selector) => !c.of.matches(task) || !selector.names(attributes),
+            Rule::In(selector) => !c.of.matches(t) || selector.names(own),
+            Rule::NotIn(selector) => !c.of.matches(t) || !selector.names(own),
             Rule::Apart(scope, level) => {
-                let conflicts = c.of.matches(task) && count(*level, &|other| scope.matches(other)) > 0;
-                let conflicts_back = scope.matches(task) && count(*level, &|other| c.of.matches(other)) > 0;
+                let conflicts = c.of.matches(t) && count(*level, &|other| scope.matches(other)) > 0;
+                let conflicts_back = scope.matches(t) && count(*level, &|other| c.of.matches(other)) > 0;
                 !conflicts && !conflicts_back
             }
-            Rule::Spread { over, by, most: Some(most), .. } if c.of.matches(task) => {
-                count(*over, &|other| {
-                    c.of.matches(other) && (*by == SpreadGrouping::All || other.service == task.service)
-                }) < *most
+            Rule::Spread { over, by, most: Some(most), .. } if c.of.matches(t) => {
+                count(*over, &|o| c.of.matches(o) && (*by == SpreadGrouping::All || o.service == t.service))
+                    < *most
             }
             _ => true,
         })
--- a/constraints/src/conflict.rs
+++ b/constraints/src/conflict.rs
@@ -154,9 +154,7 @@
     let mut set = BTreeSet::new();
     for _ in 0..=MAX_DEPTH {
         for (c, constraint) in constraints.iter().enumerate().filter(|x| x.1.is_hard()) {
-            let concerns = |scope: &Scope| {
-                scope.matches(task) || companions.iter().any(|companion| scope.covers(companion))
-            };
+            let concerns = |s: &Scope| s.matches(task) || companions.iter().any(|x| s.covers(x));
             let apart = matches!(&constraint.rule, Rule::Apart(from, _) if concerns(from));
             if (concerns(&constraint.of) || apart) && set.insert(c) {
                 if let Rule::With(others, _) = &constraint.rule {
--- a/constraints/src/parse.rs
+++ b/constraints/src/parse.rs
@@ -32,14 +32,14 @@
 
     fn scope(&mut self, record: &ResolvedValue) -> Scope {
         if let Some(named) =
-            record.get("framework").and_then(|value| Some((record.text("framework")?, value.at)))
+            record.get("framework").and_then(|field| Some((record.text("framework")?, field.at)))
         {
             self.check_defined("frameworks", named.0, named.1);
         }
         // With a tenant directory, the configuration defines no tenants to check against.
         let listed = !self.configuration.list("tenants").is_empty();
         if let Some(named) =
-            record.get("tenant").filter(|_| listed).and_then(|value| Some((record.text("tenant")?, value.at)))
+            record.get("tenant").filter(|_| listed).and_then(|field| Some((record.text("tenant")?, field.at)))
         {
             self.check_defined("tenants", named.0, named.1);
         }
@@ -138,7 +138,7 @@
         let (name, zone) = (rack.text("name").unwrap_or(""), rack.text("hall").unwrap_or(""));
         if !configuration.texts("zones").iter().any(|z| z.0 == zone) {
             let zones: Vec<String> = configuration.texts("zones").into_iter().map(|x| x.0).collect();
-            let at = rack.get("hall").map_or(rack.at, |value| value.at);
+            let at = rack.get("hall").map_or(rack.at, |field| field.at);
             let message = format!("rack {name}: found hall {zone:?}; expected one of {}", zones.join(", "));
             parser.errors.push(ConfigError::new(at, message));
         }
--- a/constraints/src/state/queries.rs
+++ b/constraints/src/state/queries.rs
@@ -63,8 +63,9 @@
 
     /// Returns all known machines: index, listed attributes and state.
     pub fn fleet(&self) -> impl Iterator<Item = (usize, &MachineAttributes, MachineState)> {
-        self.machines.iter().enumerate().filter_map(|(machine, known)| {
-            known.as_ref().map(|known| (machine, &known.attributes, known.state))
-        })
+        self.machines
+            .iter()
+            .enumerate()
+            .filter_map(|(index, known)| known.as_ref().map(|known| (index, &known.attributes, known.state)))
     }
 }
--- a/constraints/tests/reading.rs
+++ b/constraints/tests/reading.rs
@@ -56,10 +56,9 @@
     let file = &if file.contains("racks: [{") { file.to_owned() } else { format!("{file}{RACKS}") };
     match load_texts(&[("site.rec", SITE), ("clauses.rec", file)]) {
         Ok(site) => match parse(&site.all) {
-            Ok(constraints) => constraints
-                .iter()
-                .map(|c| format!("{}: {:?} {}\n", c.name, c.of, describe(&c.rule)))
-                .collect(),
+            Ok(parsed) => {
+                parsed.iter().map(|c| format!("{}: {:?} {}\n", c.name, c.of, describe(&c.rule))).collect()
+            }
             Err(errors) => errors.iter().map(|e| format!("{}\n", e.render(&site.sources))).collect(),
         },
         Err((sources, errors)) => errors.iter().map(|e| format!("{}\n", e.render(&sources))).collect(),
