--- a/invariants/tests/forged_traffic.rs
+++ b/invariants/tests/forged_traffic.rs
@@ -1,4 +1,5 @@
-//! Forged traffic that violates each invariant, and its neighbour that just keeps it.
+//! Forged traffic for each invariant: cases that violate it, and similar cases that just satisfy
+//! it.
 use basaltpitch_agent::wire::{
     self, Answer, Body, Cancel, Entry, Hello, Inventory, Launch, LaunchId, List, Readiness, Refused, Submit,
     Yes,
@@ -78,8 +79,8 @@
         kind: String::new(),
         tenant_id: String::new(),
     };
-    let conn = machine.bytes().map(u64::from).sum();
-    checker.machine_socket_read(at, machine, conn, &planner(), &Body::Launch(launch), false);
+    let connection = machine.bytes().map(u64::from).sum();
+    checker.machine_socket_read(at, machine, connection, &planner(), &Body::Launch(launch), false);
 }
 
 fn answer(checker: &mut InvariantChecker, at: i64, kind: i32) {
@@ -96,13 +97,13 @@
     checker.machine_socket_read(at, machine, 1, &planner(), &Body::Cancel(Cancel { id: id(number) }), false);
 }
 
-/// The invariants that were violated, by the end.
+/// Ends the scenario and returns the numbers of the invariants that were violated.
 fn violated(checker: InvariantChecker) -> Vec<u8> {
     checker.finish(100 * SECOND).0.iter().map(|violation| violation.invariant).collect()
 }
 
 #[test]
-fn invariant_1_no_answer_two_answers_a_late_one_and_a_launch_after_it() {
+fn invariant_1_reports_missing_contradictory_and_late_answers_and_launches_after_an_answer() {
     let mut checker = new_checker();
     request(&mut checker, 0, "small");
     assert_eq!(violated(checker), [1], "no answer");
@@ -129,18 +130,18 @@
     let mut checker = new_checker();
     request(&mut checker, 0, "small");
     checker.planner_killed(SECOND, "p", 1);
-    assert_eq!(violated(checker), [0u8; 0], "a killed planner owes nothing");
+    assert_eq!(violated(checker), [0u8; 0], "a killed planner need not answer");
 
     let mut checker = new_checker();
     request(&mut checker, 0, "small");
     request(&mut checker, SECOND, "small");
     answer(&mut checker, SECOND, 2);
     answer(&mut checker, 2 * SECOND, 2);
-    assert_eq!(violated(checker), [0u8; 0], "the same answer to the same asking, asked for twice");
+    assert_eq!(violated(checker), [0u8; 0], "the same answer to each of two submits of a request");
 }
 
 #[test]
-fn invariant_2_two_launches_out() {
+fn invariant_2_reports_two_launches_at_the_same_time() {
     for (first_ends, want) in [(SECOND, vec![]), (3 * SECOND, vec![2])] {
         let mut checker = new_checker();
         request(&mut checker, 0, "small");
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn invariant_2_a_keyed_repeat_outside_its_group_or_window() {
+fn invariant_2_reports_keyed_repeat_outside_its_group_or_window() {
     for (at, machine, want) in
         [(4 * SECOND, "m2", vec![]), (4 * SECOND, "m1", vec![2]), (6 * SECOND + 1, "m2", vec![2])]
     {
@@ -163,57 +164,57 @@
         cancel(&mut checker, 3 * SECOND, 1, "m0");
         launch(&mut checker, at, "big", 2, machine);
         answer(&mut checker, 8 * SECOND, 1);
-        assert_eq!(violated(checker), want, "again on {machine} at {at}");
+        assert_eq!(violated(checker), want, "repeated on {machine} at {at}");
     }
     let mut checker = new_checker();
     request(&mut checker, 0, "big");
     launch(&mut checker, 0, "big", 1, "m0");
     cancel(&mut checker, 3 * SECOND, 1, "m0");
     answer(&mut checker, 4 * SECOND, 2);
-    assert_eq!(violated(checker), [2], "declined, though a repeat may do harm");
+    assert_eq!(violated(checker), [2], "declined, though the cancelled launch may have run");
 }
 
 #[test]
-fn invariant_2_a_once_only_repeat_needs_a_refusal() {
-    for (proved, want) in [(true, vec![]), (false, vec![2])] {
+fn invariant_2_requires_a_refusal_before_a_once_only_repeat() {
+    for (was_refused, want) in [(true, vec![]), (false, vec![2])] {
         let mut checker = new_checker();
         request(&mut checker, 0, "once");
         launch(&mut checker, 0, "once", 1, "m0");
         cancel(&mut checker, SECOND, 1, "m0");
-        if proved {
+        if was_refused {
             refused(&mut checker, SECOND, 1, "m0");
         }
         launch(&mut checker, 2 * SECOND, "once", 2, "m1");
         answer(&mut checker, 3 * SECOND, 1);
-        assert_eq!(violated(checker), want, "proved: {proved}");
+        assert_eq!(violated(checker), want, "first launch refused: {was_refused}");
     }
 }
 
 #[test]
-fn invariant_3_a_launch_past_the_grace() {
+fn invariant_3_reports_launch_after_the_grace_unless_the_machine_is_ready_again() {
     let list = |readiness: Readiness| List {
         whole: false,
         stamp: 1,
         question: 0,
         entries: vec![Entry { machine: "m0".into(), readiness: readiness as i32, ..Entry::default() }],
     };
-    for (at, back, want) in
+    for (at, ready_again, want) in
         [(2 * SECOND, false, vec![]), (2 * SECOND + 1, false, vec![3]), (3 * SECOND, true, vec![])]
     {
         let mut checker = new_checker();
         checker.registry_sent(SECOND, &planner(), &list(Readiness::Draining));
-        if back {
+        if ready_again {
             checker.registry_sent(SECOND, &planner(), &list(Readiness::Ready));
         }
         request(&mut checker, 0, "small");
         launch(&mut checker, at, "small", 1, "m0");
         answer(&mut checker, 4 * SECOND, 1);
-        assert_eq!(violated(checker), want, "launched at {at}");
+        assert_eq!(violated(checker), want, "launched at {at}, ready again: {ready_again}");
     }
 }
 
 #[test]
-fn invariant_4_more_offers_than_a_cold_machine_bears() {
+fn invariant_4_reports_too_many_launches_on_a_machine_that_is_warming_up() {
     for (gap, want) in [(SECOND / 3, vec![4]), (SECOND / 2, vec![])] {
         let mut checker = new_checker();
         checker.machine_started(0, "m0");
@@ -223,12 +224,12 @@
             refused(&mut checker, SECOND + gap * n, n as u64, "m0");
         }
         answer(&mut checker, 5 * SECOND, 1);
-        assert_eq!(violated(checker), want, "an offer each {gap} us");
+        assert_eq!(violated(checker), want, "a launch every {gap} us");
     }
 }
 
 #[test]
-fn invariant_5_more_of_a_service_than_its_spread_allows() {
+fn invariant_5_reports_more_tasks_of_a_service_than_its_spread_allows() {
     for (machine, want) in [("m0", vec![5]), ("m1", vec![])] {
         let mut checker = new_checker();
         for n in 0..2 {
@@ -241,38 +242,40 @@
             );
         }
         launch(&mut checker, 2 * SECOND, "once", 3, machine);
-        assert_eq!(violated(checker), want, "the third on {machine}");
+        assert_eq!(violated(checker), want, "two tasks on m0, the third on {machine}");
     }
 }
 
-/// A name's older holder, epoch 1, and its successor, epoch 2.
-fn greeted(checker: &mut InvariantChecker, at: i64, machine: &str, epoch: u64, taken: bool) {
-    let of: Incarnation = ("p".into(), epoch);
-    checker.machine_received(at, machine, &of, &Body::Hello(Hello { epoch, ..Hello::default() }));
-    if taken {
-        checker.machine_sent_and_delivered(at + 1, machine, &of, &Body::Inventory(Inventory::default()));
+/// A machine receives the hello of planner `p` under an epoch and, if `accepted`, replies with its
+/// inventory, by which it accepts the planner.
+fn greeted(checker: &mut InvariantChecker, at: i64, machine: &str, epoch: u64, accepted: bool) {
+    let planner: Incarnation = ("p".into(), epoch);
+    checker.machine_received(at, machine, &planner, &Body::Hello(Hello { epoch, ..Hello::default() }));
+    if accepted {
+        checker.machine_sent_and_delivered(at + 1, machine, &planner, &Body::Inventory(Inventory::default()));
     }
 }
 
 #[test]
-fn invariant_7_a_machine_takes_no_older_holder_in_after_a_newer_one() {
-    for (first, second, taken, want) in
+fn invariant_7_reports_machine_that_accepts_an_older_epoch_after_a_newer_one() {
+    for (first, second, accepted, want) in
         [(1, 2, true, vec![]), (2, 1, false, vec![]), (2, 1, true, vec![7]), (2, 2, true, vec![])]
     {
         let mut checker = new_checker();
         greeted(&mut checker, SECOND, "m0", first, true);
-        greeted(&mut checker, 2 * SECOND, "m0", second, taken);
-        assert_eq!(violated(checker), want, "epoch {first}, then {second}, taken in: {taken}");
+        greeted(&mut checker, 2 * SECOND, "m0", second, accepted);
+        assert_eq!(violated(checker), want, "epoch {first}, then {second}, accepted: {accepted}");
     }
     let mut checker = new_checker();
     greeted(&mut checker, SECOND, "m0", 2, true);
     greeted(&mut checker, 2 * SECOND, "m1", 1, true);
-    assert_eq!(violated(checker), [0u8; 0], "another machine, which has not heard of the newer one");
+    assert_eq!(violated(checker), [0u8; 0], "m1 has received no hello of the newer epoch");
 }
 
 #[test]
-fn invariant_7_what_a_stalled_machine_has_not_received_is_nothing_to_it() {
-    // The successor's hello is on the socket long before the machine hears it.
+fn invariant_7_counts_a_newer_hello_once_the_machine_received_it() {
+    // The machine is stalled: the successor's hello is on its socket long before the machine reads
+    // it.
     let hello = |epoch| Body::Hello(Hello { epoch, ..Hello::default() });
     let (older, newer): (Incarnation, Incarnation) = (("p".into(), 1), ("p".into(), 2));
     for (received_newer_at, want) in [(4 * SECOND + 2, vec![]), (2 * SECOND, vec![7])] {
@@ -287,14 +290,15 @@
         if received_newer_at > 4 * SECOND {
             checker.machine_received(received_newer_at, "m0", &newer, &hello(2));
         }
-        // Held back once more, the inventory says nothing of when the machine took the planner in.
+        // The delivery of the inventory is delayed, too, and must not count as the time of
+        // acceptance.
         checker.machine_frame_delivered(9 * SECOND, "m0", &older, &Body::Inventory(Inventory::default()));
-        assert_eq!(violated(checker), want, "the newer hello heard at {received_newer_at}");
+        assert_eq!(violated(checker), want, "the newer hello received at {received_newer_at}");
     }
 }
 
 #[test]
-fn invariant_2_a_planner_that_launches_again_before_it_can_know_of_the_refusal() {
+fn invariant_2_reports_repeat_before_the_refusal_was_delivered() {
     for (delivered_at, want) in [(2 * SECOND, vec![]), (4 * SECOND, vec![2])] {
         let mut checker = new_checker();
         request(&mut checker, 0, "small");
@@ -309,12 +313,12 @@
             checker.machine_frame_delivered(delivered_at, "m0", &planner(), &refused);
         }
         answer(&mut checker, 5 * SECOND, 1);
-        assert_eq!(violated(checker), want, "refused at {SECOND}, told at {delivered_at}");
+        assert_eq!(violated(checker), want, "refused at {SECOND}, delivered at {delivered_at}");
     }
 }
 
 #[test]
-fn invariant_3_a_drain_that_is_held_back_is_not_known() {
+fn invariant_3_counts_a_drain_once_it_was_delivered() {
     for (delivered_at, want) in [(6 * SECOND, vec![]), (2 * SECOND, vec![3])] {
         let mut checker = new_checker();
         request(&mut checker, 0, "small");
@@ -325,36 +329,36 @@
         }
         launch(&mut checker, 5 * SECOND, "small", 1, "m0");
         answer(&mut checker, 6 * SECOND, 1);
-        assert_eq!(violated(checker), want, "said at {}, told at {delivered_at}", 2 * SECOND);
+        assert_eq!(violated(checker), want, "sent at {}, delivered at {delivered_at}", 2 * SECOND);
     }
 }
 
 #[test]
-fn invariant_7_what_an_older_holder_sends_after_its_successor_acted_takes_no_effect() {
+fn invariant_7_reports_accepted_launch_of_an_older_epoch_after_its_successor_launched() {
     for (at, accepted, want) in
         [(2 * SECOND, true, vec![]), (3 * SECOND, false, vec![]), (3 * SECOND, true, vec![7])]
     {
         let mut checker = new_checker();
-        let (task, new) = (
+        let (task, successor) = (
             wire::Launch { id: Some(LaunchId { epoch: 2, number: 7 }), ..wire::Launch::default() },
             ("p".into(), 2),
         );
-        let acts = |checker: &mut InvariantChecker| {
-            checker.machine_socket_read(2 * SECOND, "m0", 2, &new, &Body::Launch(task.clone()), false)
+        let successor_launches = |checker: &mut InvariantChecker| {
+            checker.machine_socket_read(2 * SECOND, "m0", 2, &successor, &Body::Launch(task.clone()), false)
         };
         if at > 2 * SECOND {
-            acts(&mut checker);
+            successor_launches(&mut checker);
         }
         launch(&mut checker, at, "small", 1, "m1");
         if at <= 2 * SECOND {
-            acts(&mut checker);
+            successor_launches(&mut checker);
         }
         if accepted {
-            // The successor's link is the newest by now: the word goes there.
+            // The machine replies on its newest link, which is the successor's.
             checker.machine_sent_and_delivered(
                 4 * SECOND,
                 "m1",
-                &new,
+                &successor,
                 &Body::Yes(Yes { id: id(1), key: "k".into(), report: None }),
             );
         }
@@ -363,8 +367,8 @@
 }
 
 #[test]
-fn invariant_10_a_recovered_zone_is_launched_on_step_by_step() {
-    // Of the two machines of zone a: none at first, then one, then both.
+fn invariant_10_reports_launches_on_more_machines_than_the_recovery_step_allows() {
+    // Zone a has two machines, m0 and m2: the steps allow none, then one, then both.
     for (at, machines, want) in [
         (SECOND, vec!["m0"], vec![10]),
         (3 * SECOND, vec!["m0"], vec![]),
@@ -383,13 +387,14 @@
 }
 
 #[test]
-fn invariant_11_nothing_of_less_priority_is_placed_while_higher_priority_is_declined() {
-    // By the time between askings, and what becomes of the dear ones: all declined, or one of them placed.
+fn invariant_11_reports_placed_low_priority_while_high_priority_is_declined() {
+    // Time between requests, the reason for declining urgent ones, the index of the one urgent
+    // request that is placed (if any), and the invariants violated.
     let cases = [
         (SECOND / 4, "room", None, vec![11]),
         (SECOND / 4, "room", Some(7), vec![]),
         (SECOND / 4, "a launch may still run", None, vec![]),
-        // Too few within the age of the view.
+        // Too few requests within the window.
         (SECOND, "room", None, vec![]),
     ];
     for (gap, reason, placed, want) in cases {
@@ -411,17 +416,18 @@
                 checker.client_received(at + 1, &planner(), &Body::Answer(answer));
             }
         }
-        let (violations, tally) = checker.finish(100 * SECOND);
+        let (violations, totals) = checker.finish(100 * SECOND);
         let invariants: Vec<u8> = violations.iter().map(|violation| violation.invariant).collect();
         assert_eq!(invariants, want, "{gap} us, {reason}, placed {placed:?}: {violations:?}");
-        let dear = if placed.is_some() { 5.0 } else { 0.0 };
-        let worth = (tally.weight_requested, tally.weight_placed, tally.weight_in_objective, tally.missed);
-        assert_eq!(worth, (96.0, 16.0 + dear, 16.0 + dear, 0));
+        let placed_weight = if placed.is_some() { 5.0 } else { 0.0 };
+        let weights =
+            (totals.weight_requested, totals.weight_placed, totals.weight_in_objective, totals.missed);
+        assert_eq!(weights, (96.0, 16.0 + placed_weight, 16.0 + placed_weight, 0));
     }
 }
 
 #[test]
-fn a_stopped_planner_may_answer_late_and_must_not_answer_twice() {
+fn stopped_planner_may_answer_late_but_not_twice() {
     for (kinds, want) in [(vec![2], vec![]), (vec![2, 1], vec![1])] {
         let mut checker = new_checker();
         checker.planner_stopped(0, "p", 1);
@@ -433,8 +439,9 @@
 }
 
 #[test]
-fn invariant_8_a_rolling_restart_drains_so_many_at_once_and_none_twice() {
-    // By machine and word: drained, let go, or restarted.
+fn invariant_8_reports_too_many_drained_machines_and_machines_drained_twice() {
+    // Machines, each with what happens to it: it drains (on), accepts tasks again (off), or
+    // restarts.
     let cases = [
         (vec![("m0", "on"), ("m0", "on"), ("m0", "off"), ("m2", "on")], vec![]),
         (vec![("m0", "on"), ("m2", "on")], vec![8]),
@@ -442,18 +449,22 @@
         (vec![("m0", "on"), ("m0", "off"), ("m0", "on")], vec![8]),
         (vec![("m0", "on"), ("m0", "anew"), ("m0", "on")], vec![8]),
     ];
-    for (words, want) in cases {
+    for (steps, want) in cases {
         let mut checker = new_checker();
         checker.rolling_restart_started(0, 1, "a");
-        for (n, &(machine, word)) in words.iter().enumerate() {
+        for (n, &(machine, step)) in steps.iter().enumerate() {
             let at = SECOND * (n as i64 + 1);
-            match word {
+            match step {
                 "anew" => checker.machine_started(at, machine),
-                word => checker.rolling_restart_drained(at, machine, word == "on"),
+                step => checker.rolling_restart_drained(at, machine, step == "on"),
             }
         }
-        let anew = words.iter().filter(|w| w.1 == "anew").count();
-        assert_eq!(checker.machines_not_restarted().len(), 2 - anew, "two of zone a, {words:?}");
-        assert_eq!(violated(checker), want, "{words:?}");
+        let restarted = steps.iter().filter(|step| step.1 == "anew").count();
+        assert_eq!(
+            checker.machines_not_restarted().len(),
+            2 - restarted,
+            "two machines in zone a, {steps:?}"
+        );
+        assert_eq!(violated(checker), want, "{steps:?}");
     }
 }
