--- a/invariants/src/config.rs
+++ b/invariants/src/config.rs
@@ -1,45 +1,47 @@
-//! What the traffic is checked against. All times are microseconds.
+//! Configuration of the checker: limits, frameworks and machine locations. Times are microseconds.
 use std::collections::HashMap;
 
-/// Limits that the invariants rest on.
+/// Limits that the invariants are checked against.
 #[derive(Clone, Debug)]
 pub struct InvariantConfig {
-    /// An answer may come so long after the request's time limit.
+    /// How long after a request's deadline its final answer is still accepted.
     pub answer_grace_us: i64,
-    /// A planner may launch on a machine so long after it was told that the machine drains or is gone.
+    /// How long a planner may still launch on a machine after it was notified that the machine
+    /// drains or is gone.
     pub drain_grace_us: i64,
-    /// A machine warms up for so long after its start.
+    /// How long a machine is warming up after its start.
     pub warm_up_us: i64,
-    /// The window in which offers to a machine that warms up are counted.
+    /// Length of the window in which launches on a machine that is warming up are counted.
     pub offer_window_us: i64,
-    /// Offers within that window, at most.
+    /// Maximum number of launches on a machine that is warming up, within `offer_window_us`.
     pub max_offers: usize,
-    /// Frames on two sockets can be seen in another order than they were sent in, by this much.
+    /// Largest time by which frames of two sockets may be observed out of the order of sending.
     pub reorder_tolerance_us: i64,
-    /// By name.
+    /// Frameworks by name.
     pub frameworks: HashMap<String, Framework>,
 }
 
-/// How tasks of a framework may be repeated and placed.
+/// How a framework's tasks may be repeated, how they are spread, and how they are prioritized.
 #[derive(Clone, Debug)]
 pub struct Framework {
-    /// Whether a task may run again: `repeatable`, `keyed` or `once-only`.
+    /// Idempotency of the tasks: `repeatable`, `keyed` (repeats are dropped by key) or `once-only`.
     pub repeats: String,
-    /// Of keyed tasks, the machines that know of each other's repeats: `all`, `zone` or `cell`.
+    /// For keyed tasks: the machines that drop each other's repeats: `all`, or those of one `zone`
+    /// or one `cell`.
     pub group: String,
-    /// Of keyed tasks: repeats are known for so long.
+    /// For keyed tasks: how long after a launch its repeats are dropped.
     pub window_us: i64,
-    /// Where tasks of one service are kept apart: `none`, `machine`, `cell` or `zone`.
+    /// The domains over which tasks of a service are spread: `none`, `machine`, `cell` or `zone`.
     pub spread: String,
-    /// Tasks of one service in one such place, at most.
+    /// Maximum number of tasks of one service in one domain of the spread.
     pub max_together: usize,
-    /// What one task counts.
+    /// Priority weight of one task.
     pub priority_weight: f64,
-    /// A task should be placed within this time of its request.
+    /// Latency objective: the time from a request's submission within which it should be placed.
     pub latency_objective_us: i64,
 }
 
-/// Where a machine is, and what it is.
+/// The location and the kind of a machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Location {
     /// The zone's name.
@@ -48,6 +50,6 @@
     pub cell: u32,
     /// The kind of machine.
     pub kind: String,
-    /// Labels that constraints may name.
+    /// The machine's labels, which constraints can refer to.
     pub labels: Vec<String>,
 }
--- a/invariants/src/drains.rs
+++ b/invariants/src/drains.rs
@@ -1,27 +1,30 @@
-//! Invariant 3: no launch on a machine after the planner was told that it drains or is gone, but for a grace.
+//! Invariant 3: a planner launches nothing on a machine once a grace period has passed since it was
+//! notified that the machine drains or is gone.
 use crate::launches::LaunchArrival;
 use crate::{Incarnation, InvariantChecker};
 use basaltpitch_agent::wire::{List, Readiness};
 use std::collections::{HashMap, HashSet};
 
-/// Who told a planner about a machine. Each takes back its own notice only.
+/// Sender of a drain notice about a machine. A sender can withdraw its own notices only.
 #[derive(Clone, Copy)]
 pub(crate) enum NoticeSource {
     Registry,
     Machine,
 }
 
-/// What planners were told about machines.
+/// The notices about draining or removed machines that planners received.
 #[derive(Default)]
 pub(crate) struct DrainNotices {
-    /// By planner and machine: since when it drains or is gone, by each source.
+    /// By planner and machine: when each source sent its notice, in microseconds; `None`: no notice
+    /// of that source is in force.
     since: HashMap<(Incarnation, String), [Option<i64>; 2]>,
-    /// Machines that the registry last listed as ready.
+    /// By planner: the machines that the registry last listed to it as ready.
     listed: HashMap<Incarnation, HashSet<String>>,
 }
 
 impl DrainNotices {
-    /// What a source said last; the first time of a notice that is repeated counts.
+    /// Records the latest notice of a source; `drains_since` of `None` withdraws it. A repeated
+    /// notice keeps the time of the first one.
     pub(crate) fn notice(
         &mut self,
         planner: &Incarnation,
@@ -34,10 +37,12 @@
         *notice = drains_since.map(|at| notice.unwrap_or(at));
     }
 
+    /// Drops all notices about a machine, as it started anew.
     pub(crate) fn forget_machine(&mut self, machine: &str) {
         self.since.retain(|(_, known), _| known != machine);
     }
 
+    /// Returns when the planner first received a notice that is still in force.
     fn first(&self, planner: &Incarnation, machine: &str) -> Option<i64> {
         let notices = self.since.get(&(planner.clone(), machine.to_owned()))?;
         notices.iter().flatten().min().copied()
@@ -45,7 +50,7 @@
 }
 
 impl InvariantChecker {
-    /// The registry's list is on a planner's socket.
+    /// Records that a machine list of the registry was written to a planner's socket.
     pub fn registry_sent(&mut self, at_us: i64, planner: &Incarnation, list: &List) {
         let mut ready_machines = HashSet::new();
         for entry in &list.entries {
@@ -68,6 +73,7 @@
         }
     }
 
+    /// Reports a launch on a machine that the planner knows to drain or to be gone.
     pub(crate) fn check_drain(&mut self, arrival: &LaunchArrival) {
         let LaunchArrival { at_us, machine, planner, launch, late, .. } = *arrival;
         let allowed = self.config.drain_grace_us + self.config.reorder_tolerance_us;
--- a/invariants/src/fencing.rs
+++ b/invariants/src/fencing.rs
@@ -1,25 +1,26 @@
-//! Invariant 7: of all holders of a planner's name one acts. What an older one does after its successor acted
-//! takes no effect.
+//! Invariant 7: of the processes that held a planner's name, only the latest acts. Launches that an
+//! older epoch sends after a newer one has launched something have no effect.
 use crate::{Incarnation, InvariantChecker};
 use basaltpitch_agent::wire::LaunchId;
 use std::collections::HashMap;
 
-/// The highest epoch that was seen, and when it was seen first.
+/// The highest epoch observed, and the time of its first observation in microseconds.
 type NewestEpoch = (u64, i64);
 
-/// Which incarnations of planners showed themselves.
+/// The epochs under which planners greeted machines and launched tasks.
 #[derive(Default)]
 pub(crate) struct Epochs {
-    /// By planner's name and machine: the newest epoch that the machine was greeted with.
+    /// By planner's name and machine: the newest epoch of which the machine received a hello.
     greeted: HashMap<(String, String), NewestEpoch>,
-    /// By planner's name: the newest epoch under which anything was launched.
+    /// By planner's name: the newest epoch that launched a task.
     acted: HashMap<String, NewestEpoch>,
-    /// From a planner's death to the first launch of its successor, in microseconds.
+    /// Times from the death of a planner's process to its successor's first launch, in
+    /// microseconds.
     takeover_times_us: Vec<i64>,
 }
 
 impl Epochs {
-    /// A machine received a planner's hello.
+    /// Records that a machine received a planner's hello.
     pub(crate) fn greeted(&mut self, at_us: i64, machine: &str, planner: &Incarnation) {
         let newest = self.greeted.entry((planner.0.clone(), machine.to_owned())).or_default();
         if planner.1 > newest.0 {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// A planner launched something. `killed_at`: when the incarnation of an epoch was killed.
+    /// Records a planner's launch. `killed_at` returns when the process of an epoch was killed.
     pub(crate) fn acted(
         &mut self,
         at_us: i64,
@@ -36,19 +37,21 @@
     ) {
         let newest = self.acted.entry(planner.0.clone()).or_default();
         if planner.1 > newest.0 {
-            self.takeover_times_us.extend(killed_at(newest.0).map(|died| at_us - died));
+            self.takeover_times_us.extend(killed_at(newest.0).map(|killed| at_us - killed));
             *newest = (planner.1, at_us);
         }
     }
 }
 
 impl InvariantChecker {
-    /// From each planner's death to the first launch of its successor, in microseconds.
+    /// Returns the times from the death of a planner's process to its successor's first launch, in
+    /// microseconds.
     pub fn takeover_times_us(&self) -> &[i64] {
         &self.epochs.takeover_times_us
     }
 
-    /// A machine accepts a planner under no epoch that is lower than one it was greeted with before.
+    /// Reports a machine that accepts a planner's connection under an epoch that is lower than one
+    /// of which it received a hello before.
     pub(crate) fn check_greeting(&mut self, at_us: i64, machine: &str, planner: &Incarnation) {
         let key = (planner.0.clone(), machine.to_owned());
         let (epoch, since) = self.epochs.greeted.get(&key).copied().unwrap_or_default();
@@ -58,7 +61,8 @@
         }
     }
 
-    /// What an older holder of a planner's name launches after its successor acted is not accepted.
+    /// Reports a machine that accepts a launch which an older epoch sent after a newer epoch of the
+    /// same planner had launched something.
     pub(crate) fn check_fence(
         &mut self,
         at_us: i64,
--- a/invariants/src/launches.rs
+++ b/invariants/src/launches.rs
@@ -1,35 +1,41 @@
-//! Launches, and what became of them, as machines' sockets carried it.
+//! Launches and their outcomes, from the frames on the machines' sockets.
 use crate::drains::NoticeSource;
 use crate::{Incarnation, InvariantChecker, RequestId};
 use basaltpitch_agent::wire::{self, Body, Launch, LaunchId};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// How a launch ended, as far as the planner can know.
+/// The outcome of a launch that has ended, as far as the planner can know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LaunchEnd {
+    /// The task did not run.
     NeverRan,
+    /// The task may have run, completely or in part.
     MayHaveRun,
 }
 
-/// A launch that a machine read. Times are microseconds.
+/// A launch that was written to a machine's socket. Times are microseconds.
 #[derive(Debug)]
 pub(crate) struct SentLaunch {
     pub(crate) at_us: i64,
-    /// Read by a machine that had stopped reading for a while: when it was sent is not known.
+    /// Whether the machine had stopped reading, so that the time of sending is not known.
     pub(crate) late: bool,
     pub(crate) machine: String,
+    /// How long after the launch the planner may treat it as ended without any reply.
     pub(crate) time_out_us: i64,
-    /// Since when the planner can know of its end, and which end.
+    /// When the planner could first know that the launch ended, and how; `None`: it cannot know
+    /// yet.
     pub(crate) end: Option<(i64, LaunchEnd)>,
     accepted: bool,
-    /// The machine is done with it.
+    /// Whether the launch has ended on the machine, known to the planner or not.
     pub(crate) over: bool,
+    /// When a frame of the machine set `over`, in microseconds; 0 if none has.
     pub(crate) over_at: i64,
     pub(crate) number: u64,
 }
 
 impl SentLaunch {
-    /// It has no outcome yet; one that was accepted is active until it is over.
+    /// Returns whether the launch counts as running: an accepted one until it is over, any other
+    /// until the planner can know of its end or its timeout expires.
     pub(crate) fn is_active(&self, at_us: i64) -> bool {
         !self.over && (self.accepted || (self.end.is_none() && at_us < self.at_us + self.time_out_us))
     }
@@ -39,7 +45,7 @@
     }
 }
 
-/// A launch as a machine reads it.
+/// A launch frame on a machine's socket.
 #[derive(Clone, Copy)]
 pub(crate) struct LaunchArrival<'a> {
     pub(crate) at_us: i64,
@@ -50,22 +56,25 @@
     pub(crate) late: bool,
 }
 
-/// A launch by its request and its place among the request's launches.
+/// Identifies a launch: its request, and its index among the launches of the request.
 type LaunchIndex = (RequestId, usize);
 
-/// All launches.
+/// All launches that were observed.
 #[derive(Default)]
 pub(crate) struct Launches {
+    /// The frames, by planner and launch number.
     tasks: HashMap<(Incarnation, u64), Launch>,
     by_request: BTreeMap<RequestId, Vec<SentLaunch>>,
+    /// The request of each launch, by planner and launch number.
     by_number: HashMap<(Incarnation, u64), RequestId>,
     by_connection: HashMap<u64, Vec<LaunchIndex>>,
-    /// By planner and machine: launches since its last inventory, and those that it held then.
+    /// By planner and machine: launches since the machine's last inventory, and those that were not
+    /// settled by it.
     open: HashMap<(Incarnation, String), Vec<LaunchIndex>>,
 }
 
 impl Launches {
-    /// All of a planner's.
+    /// Returns all launches of a planner.
     pub(crate) fn of_planner<'a>(&'a self, planner: &'a Incarnation) -> impl Iterator<Item = &'a SentLaunch> {
         self.by_request.iter().filter(move |(id, _)| id.0 == *planner).flat_map(|(_, sent)| sent)
     }
@@ -83,18 +92,20 @@
         std::mem::take(&mut self.by_request)
     }
 
-    /// What ran on the machine runs no more; what was sent is judged by its connection.
+    /// Ends all accepted launches of a machine, as its start ends what ran on it. Launches that
+    /// were not accepted yet end with their connection.
     pub(crate) fn machine_started(&mut self, machine: &str) {
         let accepted = |sent: &&mut SentLaunch| sent.machine == machine && sent.accepted;
         self.by_request.values_mut().flatten().filter(accepted).for_each(|sent| sent.over = true);
     }
 
+    /// Changes the launch that a frame refers to, if it was observed.
     fn change(&mut self, planner: &Incarnation, id: Option<LaunchId>, change: impl Fn(&mut SentLaunch)) {
         let Some(id) = id else { return };
         let launcher = (planner.0.clone(), id.epoch);
         let Some(request) = self.by_number.get(&(launcher, id.number)) else { return };
-        let all = self.by_request.get_mut(request);
-        if let Some(sent) = all.and_then(|all| all.iter_mut().find(|sent| sent.number == id.number)) {
+        let sent = self.by_request.get_mut(request);
+        if let Some(sent) = sent.and_then(|sent| sent.iter_mut().find(|sent| sent.number == id.number)) {
             change(sent);
         }
     }
@@ -102,8 +113,8 @@
     fn add(&mut self, arrival: &LaunchArrival, number: u64) {
         let LaunchArrival { at_us, machine, connection, planner, launch, late } = *arrival;
         let request = (planner.clone(), launch.key.clone(), launch.ask);
-        let all = self.by_request.entry(request.clone()).or_default();
-        all.push(SentLaunch {
+        let launches = self.by_request.entry(request.clone()).or_default();
+        launches.push(SentLaunch {
             at_us,
             late,
             machine: machine.to_owned(),
@@ -114,19 +125,20 @@
             over_at: 0,
             number,
         });
-        let index = (request, all.len() - 1);
+        let index = (request, launches.len() - 1);
         self.open.entry((planner.clone(), machine.to_owned())).or_default().push(index.clone());
         self.by_connection.entry(connection).or_default().push(index);
     }
 
-    /// A launch that was read before the inventory and is not in it has ended, or was never accepted: it runs
-    /// no more.
+    /// Applies a machine's inventory: a launch that the machine read before and does not list was
+    /// never accepted, or has ended, and will not run.
     fn inventory(&mut self, at_us: i64, machine: &str, planner: &Incarnation, inventory: &wire::Inventory) {
         let held = inventory.held.iter().filter_map(|held| Some(held.launch.as_ref()?.id?.number));
         let held: HashSet<u64> = held.collect();
         let key = (planner.clone(), machine.to_owned());
         for (request, index) in self.open.remove(&key).unwrap_or_default() {
-            let sent = &mut self.by_request.get_mut(&request).expect("kept together")[index];
+            let sent =
+                &mut self.by_request.get_mut(&request).expect("every open launch is in by_request")[index];
             if !sent.over && !sent.accepted && !held.contains(&sent.number) {
                 sent.end = Some((sent.end.map_or(at_us, |end| end.0), LaunchEnd::NeverRan));
             } else if !sent.over {
@@ -137,7 +149,7 @@
 }
 
 impl InvariantChecker {
-    /// A frame of a machine's, where nothing holds any back: sent and delivered at once.
+    /// Records a frame that a machine sent to a planner and that was delivered without a delay.
     pub fn machine_sent_and_delivered(
         &mut self,
         at_us: i64,
@@ -149,8 +161,9 @@
         self.machine_frame_delivered(at_us, machine, planner, body);
     }
 
-    /// A frame of a machine's is on the socket: the planner can know of it. What it does before that rests
-    /// on less, whatever the machine has long decided.
+    /// Records that a machine's frame was written to the planner's socket. From now on the planner
+    /// can know its content; what the planner does before is checked without it, however long ago
+    /// the machine sent the frame.
     pub fn machine_frame_delivered(&mut self, at_us: i64, machine: &str, planner: &Incarnation, body: &Body) {
         match body {
             Body::Drain(drain) => {
@@ -162,7 +175,7 @@
             }
             Body::Refused(refused) => self.launches.change(planner, refused.id, |sent| {
                 sent.end = sent.end.or(Some((at_us, LaunchEnd::NeverRan)));
-                // A cancelled launch that is refused after all is known not to have run from then on.
+                // A refusal proves that the task did not run, also after a cancel left that open.
                 if !sent.accepted {
                     sent.end = sent.end.map(|end| (end.0, LaunchEnd::NeverRan));
                 }
@@ -174,7 +187,7 @@
         }
     }
 
-    /// A frame that a machine sent to a planner, though it may still be held back.
+    /// Records a frame that a machine sent to a planner. It may not have been delivered yet.
     pub fn machine_sent(&mut self, at_us: i64, machine: &str, planner: &Incarnation, body: &Body) {
         match body {
             Body::Inventory(inventory) => {
@@ -197,22 +210,25 @@
         }
     }
 
-    /// A frame that a machine received from a planner.
+    /// Records a frame that a machine received from a planner.
     pub fn machine_received(&mut self, at_us: i64, machine: &str, planner: &Incarnation, body: &Body) {
         if let Body::Hello(_) = body {
             self.epochs.greeted(at_us, machine, planner);
         }
     }
 
-    /// A connection between a planner and a machine ended: what was sent on it may have run.
+    /// Records the end of a connection between a planner and a machine: launches that were sent on
+    /// it and whose end is not known may have run.
     pub fn machine_disconnected(&mut self, at_us: i64, connection: u64) {
         for (request, index) in self.launches.by_connection.remove(&connection).unwrap_or_default() {
-            let all = self.launches.by_request.get_mut(&request).expect("kept together");
-            all[index].may_have_run(at_us);
+            let launches =
+                self.launches.by_request.get_mut(&request).expect("every sent launch is in by_request");
+            launches[index].may_have_run(at_us);
         }
     }
 
-    /// A frame of a planner's is on a machine's socket. `late`: nothing had been read there for a while.
+    /// Records a planner's frame on a machine's socket. `late`: the socket had not been read for a
+    /// while, so that the time of sending is not known.
     pub fn machine_socket_read(
         &mut self,
         at_us: i64,
@@ -233,6 +249,7 @@
         }
     }
 
+    /// Records a launch and checks it. A frame that repeats a launch number is only counted.
     fn launched(&mut self, arrival: &LaunchArrival) {
         let LaunchArrival { at_us, machine, planner, launch, .. } = *arrival;
         let Some(id) = launch.id else { return };
--- a/invariants/src/lib.rs
+++ b/invariants/src/lib.rs
@@ -1,21 +1,24 @@
-//! Checks the scheduler's invariants from the traffic that machines, the registry and clients saw, never from
-//! a planner's own words. It shares no code with the planner's decisions. Times are whole microseconds of one
-//! clock, that of the process in which the testbed lives. A link to a machine may hold frames back, so each
-//! frame counts when it matters: what a planner does, when it is on the machine's socket; what it can know,
-//! when that is written there; what a machine does and knows, when the machine itself sends or receives it.
+//! Checks the scheduler's invariants from the traffic that machines, the registry and clients see,
+//! never from a planner's own state. Shares no code with the planner's decisions. Times are
+//! microseconds of a single clock, that of the testbed's process.
+//!
+//! A link to a machine may delay frames, so each frame is recorded at the time that matters for a
+//! check: a planner's action when its frame is on the machine's socket, a planner's knowledge when
+//! the frame is written to the planner's socket, and a machine's action or knowledge when the
+//! machine itself sends or receives the frame.
 //!
 //! | number | invariant | checked in |
 //! | --- | --- | --- |
-//! | 1 | one final answer to each request, in time | [`requests`], [`repeats`] |
-//! | 2 | nothing runs twice that must not | [`repeats`] |
+//! | 1 | each request gets one final answer in time, and no launch after it | [`requests`], [`repeats`] |
+//! | 2 | no task runs twice unless its idempotency allows it | [`repeats`] |
 //! | 3 | no launch on a machine that is known to drain | [`drains`] |
-//! | 4 | a machine that warms up gets few offers | [`warm_up`] |
-//! | 5 | tasks of a service are spread | [`spread`] |
+//! | 4 | a machine that is warming up gets few launches | [`warm_up`] |
+//! | 5 | tasks of a service are spread over domains | [`spread`] |
 //! | 6 | placement constraints hold | [`placement`] |
-//! | 7 | one holder of a planner's name acts | [`fencing`] |
-//! | 8 | a rolling restart stays within its limit | [`rolling_restart`] |
-//! | 10 | a zone that recovers is used step by step | [`zone_recovery`] |
-//! | 11 | higher priority goes first | [`priority`] |
+//! | 7 | only the latest holder of a planner's name acts | [`fencing`] |
+//! | 8 | a rolling restart stays within its limits | [`rolling_restart`] |
+//! | 10 | a recovering zone gets launches in steps | [`zone_recovery`] |
+//! | 11 | tasks of higher priority are placed first | [`priority`] |
 mod config;
 mod drains;
 mod fencing;
@@ -45,13 +48,14 @@
 pub use crate::config::{Framework, InvariantConfig, Location};
 pub use crate::report::{TrafficTotals, Violation};
 
-/// One incarnation of a planner: its name and its epoch.
+/// One process that held a planner's name: the name and the epoch.
 pub type Incarnation = (String, u64);
 
-/// A request: the planner that it was submitted to, the task's key, and the client's number of the request.
+/// Identifies a request: the planner that it was submitted to, the task's key, and the request
+/// number that the client chose.
 type RequestId = (Incarnation, String, u64);
 
-/// Watches the traffic and collects violations of the invariants.
+/// Observes the traffic and collects violations of the invariants.
 pub struct InvariantChecker {
     config: InvariantConfig,
     placement_invariants: Vec<PlacementInvariant>,
@@ -62,16 +66,16 @@
     warm_ups: WarmUps,
     planners: Planners,
     epochs: Epochs,
-    /// By zone that all planners declared failed and whose machines are back.
+    /// By name: zones that all planners declared failed and whose machines are back.
     recoveries: HashMap<String, ZoneRecovery>,
-    /// The rolling restart that was started, if any.
+    /// The rolling restart that was started last, if any.
     rolling_restart: Option<RollingRestart>,
     violations: Vec<Violation>,
     totals: TrafficTotals,
 }
 
 impl InvariantChecker {
-    /// A checker that has seen no traffic yet.
+    /// Creates a checker that has observed no traffic.
     pub fn new(config: InvariantConfig) -> Self {
         InvariantChecker {
             config,
@@ -90,17 +94,17 @@
         }
     }
 
-    /// Placement constraints to check, as invariant 6.
+    /// Sets the placement constraints to check as invariant 6.
     pub fn set_placement_invariants(&mut self, invariants: Vec<PlacementInvariant>) {
         self.placement_invariants = invariants;
     }
 
-    /// Says where a machine is.
+    /// Sets the location and the kind of a machine.
     pub fn set_location(&mut self, machine: &str, location: Location) {
         self.locations.insert(machine.to_owned(), location);
     }
 
-    /// A machine started, with nothing on it, and warms up from now on.
+    /// Records that a machine started. It runs no tasks and is warming up from now on.
     pub fn machine_started(&mut self, at_us: i64, machine: &str) {
         self.warm_ups.started(at_us, machine);
         if let Some(restart) = &mut self.rolling_restart {
@@ -110,6 +114,7 @@
         self.launches.machine_started(machine);
     }
 
+    /// Records a violation.
     fn report(&mut self, invariant: u8, at_us: i64, planner: &Incarnation, subject: &str, text: String) {
         self.violations.push(Violation {
             invariant,
@@ -120,8 +125,8 @@
         });
     }
 
-    /// The scenario is over: what can only be checked from the whole is checked now. Violations come in the
-    /// order of their times.
+    /// Ends the scenario and runs the checks that need all of its traffic. Returns the violations
+    /// in the order of their times, and the totals.
     pub fn finish(mut self, now_us: i64) -> (Vec<Violation>, TrafficTotals) {
         let requests = std::mem::take(&mut self.requests);
         self.check_unanswered(&requests, now_us);
--- a/invariants/src/placement.rs
+++ b/invariants/src/placement.rs
@@ -1,25 +1,26 @@
-//! Invariant 6: the installation's placement constraints hold. This shares no code with the planner's reading,
-//! compiling or keeping of them: invariants are plain tests over what is on machines when a launch arrives.
-//! Only a planner's own tasks count, as planners share nothing. A skew is not checked: it depends on which
-//! machines a planner believed ready.
+//! Invariant 6: the installation's placement constraints hold. Shares no code with the planner's
+//! parsing and evaluation of constraints: each constraint is tested against the tasks on the
+//! machines when a launch arrives. Only tasks of the same planner count, as planners do not share
+//! their tasks. The skew of a spread is not checked, as it depends on which machines the planner
+//! believed ready.
 use crate::launches::{LaunchArrival, SentLaunch};
 use crate::{InvariantChecker, Location};
 use basaltpitch_agent::wire::Launch;
 
-/// A constraint that wants company counts tasks that were on a machine so long ago, in microseconds: the
-/// launch may have been sent while they were.
+/// How long a task that ended still satisfies affinity, in microseconds: the launch may have been
+/// sent before the planner could know of that end.
 const JUST_GONE_US: i64 = 2_000_000;
 
-/// Which tasks: an empty part matches all.
+/// Selects tasks: each field that is not empty must match.
 #[derive(Clone, Debug, Default)]
 pub struct TaskSelector {
-    /// The framework's name.
+    /// Name of the tasks' framework; empty matches any.
     pub framework: String,
-    /// The tenant's name.
+    /// Name of the tasks' tenant; empty matches any.
     pub tenant: String,
-    /// The service's number.
+    /// Number of the tasks' service; `None` matches any.
     pub service: Option<u64>,
-    /// What the task's key begins with.
+    /// Prefix of the tasks' keys; empty matches any key.
     pub task: String,
 }
 
@@ -32,57 +33,58 @@
     }
 }
 
-/// What a constraint requires. Places are `machine`, `rack` or `hall`, which is the zone.
+/// What a constraint requires. Domains are `machine`, `rack` or `hall`, the installation's word for
+/// a zone.
 #[derive(Clone, Debug)]
 pub enum PlacementRequirement {
-    /// On machines of these kinds, zones and labels, or on others.
+    /// Tasks run only on the selected machines, or on none of them.
     OnMachines {
-        /// Kinds of machines; empty: all.
+        /// Names of machine kinds; empty selects any kind.
         kinds: Vec<String>,
-        /// Zones; empty: all.
+        /// Names of zones; empty selects any zone.
         zones: Vec<String>,
-        /// Labels of which a machine has one at least; empty: all machines.
+        /// Labels of which a machine has at least one; empty selects any machine.
         labels: Vec<String>,
-        /// Whether tasks must be on such machines, or must not.
+        /// `true`: tasks run on selected machines only; `false`: on other machines only.
         inside: bool,
     },
-    /// In one place with some of these tasks.
+    /// Affinity: tasks share a domain with at least one of the selected tasks.
     Together {
-        /// The tasks that they must be with.
+        /// The tasks with which the domain is shared.
         with: TaskSelector,
-        /// The place.
+        /// The kind of domain: `machine`, `rack` or `hall`.
         within: String,
     },
-    /// In no place with any of these tasks.
+    /// Anti-affinity: tasks share no domain with any of the selected tasks.
     Apart {
-        /// The tasks that they must not be with.
+        /// The tasks with which no domain is shared.
         from: TaskSelector,
-        /// The place.
+        /// The kind of domain: `machine`, `rack` or `hall`.
         within: String,
     },
-    /// So many in one place, at most.
+    /// Spread: a limited number of tasks runs in one domain.
     AtMost {
-        /// The place.
+        /// The kind of domain: `machine`, `rack` or `hall`.
         within: String,
-        /// Counted for each service on its own.
+        /// Whether tasks of each service are counted separately.
         by_service: bool,
-        /// How many.
+        /// The maximum number of tasks in one domain.
         most: usize,
     },
 }
 
-/// A placement constraint, as a test over what is on machines.
+/// A placement constraint, to be tested against the tasks on the machines.
 #[derive(Clone, Debug)]
 pub struct PlacementInvariant {
     /// The constraint's name.
     pub name: String,
-    /// The tasks that it binds.
+    /// The tasks that the constraint applies to.
     pub tasks: TaskSelector,
-    /// What it requires of them.
+    /// What the constraint requires.
     pub requirement: PlacementRequirement,
 }
 
-/// An attempt that is on a machine, or was a moment ago.
+/// An attempt that is on a machine, or ended within the last `JUST_GONE_US`.
 struct PlacedAttempt<'a> {
     task: &'a Launch,
     machine: &'a str,
@@ -90,8 +92,8 @@
     active: bool,
 }
 
-fn in_one_place(place: &str, first: (&str, &Location), second: (&str, &Location)) -> bool {
-    match place {
+fn in_one_domain(level: &str, first: (&str, &Location), second: (&str, &Location)) -> bool {
+    match level {
         "machine" => first.0 == second.0,
         "rack" => (first.1.cell, &first.1.zone) == (second.1.cell, &second.1.zone),
         _ => first.1.zone == second.1.zone,
@@ -103,7 +105,7 @@
 }
 
 impl PlacementInvariant {
-    /// What a launch on a machine violates, if anything.
+    /// Describes how a launch on a machine violates the constraint; `None` if it does not.
     fn violation(
         &self,
         launch: &Launch,
@@ -111,7 +113,7 @@
         placed: &[PlacedAttempt],
     ) -> Option<String> {
         let near =
-            |other: &PlacedAttempt, place: &str| in_one_place(place, here, (other.machine, other.location));
+            |other: &PlacedAttempt, level: &str| in_one_domain(level, here, (other.machine, other.location));
         let bound = self.tasks.matches(launch);
         match &self.requirement {
             PlacementRequirement::OnMachines { kinds, zones, labels, inside } if bound => {
@@ -152,7 +154,8 @@
 }
 
 impl InvariantChecker {
-    /// Checks a launch by what is on machines of this planner's tasks now.
+    /// Checks a launch against the placement constraints, given the planner's tasks on the
+    /// machines.
     pub(crate) fn check_placement(&mut self, arrival: &LaunchArrival) {
         let LaunchArrival { at_us, machine, planner, launch, .. } = *arrival;
         if self.placement_invariants.is_empty() {
--- a/invariants/src/planners.rs
+++ b/invariants/src/planners.rs
@@ -1,12 +1,14 @@
-//! Planners whose process was killed or stopped owe no answer in time.
+//! Killed and stopped planner processes, whose open requests are not required to be answered in
+//! time.
 use crate::{Incarnation, InvariantChecker};
 use std::collections::{HashMap, HashSet};
 
-/// What became of planners' processes.
+/// The planner processes that were killed or are stopped.
 #[derive(Default)]
 pub(crate) struct Planners {
+    /// When each killed process was killed, in microseconds.
     killed: HashMap<Incarnation, i64>,
-    /// Incarnations whose process is stopped: it cannot answer, so it need not in time.
+    /// Processes that are stopped (SIGSTOP): requests that reach them may be answered late.
     stopped: HashSet<Incarnation>,
 }
 
@@ -21,26 +23,27 @@
 }
 
 impl InvariantChecker {
-    /// A planner's process was killed.
+    /// Records that a planner's process was killed.
     pub fn planner_killed(&mut self, at_us: i64, name: &str, epoch: u64) {
         let planner = (name.to_owned(), epoch);
         self.excuse(at_us, &planner);
         self.planners.killed.insert(planner, at_us);
     }
 
-    /// A planner's process is stopped: requests that it has, or gets until it resumes, may be answered late.
+    /// Records that a planner's process was stopped: its open requests, and those that it gets
+    /// until it resumes, may be answered late.
     pub fn planner_stopped(&mut self, at_us: i64, name: &str, epoch: u64) {
         let planner = (name.to_owned(), epoch);
         self.excuse(at_us, &planner);
         self.planners.stopped.insert(planner);
     }
 
-    /// A planner's process that was stopped runs again.
+    /// Records that a stopped planner process resumed.
     pub fn planner_resumed(&mut self, name: &str, epoch: u64) {
         self.planners.stopped.remove(&(name.to_owned(), epoch));
     }
 
-    /// A planner's requests that are not overdue need not be answered in time any more.
+    /// Excuses a planner's open requests that are not overdue from being answered in time.
     fn excuse(&mut self, at_us: i64, planner: &Incarnation) {
         let open = |(id, request): &(&crate::RequestId, &mut crate::RequestRecord)| {
             id.0 == *planner && request.answers.is_empty()
--- a/invariants/src/priority.rs
+++ b/invariants/src/priority.rs
@@ -1,23 +1,25 @@
-//! Invariant 11: no task of lower priority is placed while tasks of higher priority with the same needs are
-//! declined for want of capacity, beyond the age of what planners share. And totals of priority weight.
+//! Invariant 11: no tasks of lower priority are placed while tasks of higher priority that need no
+//! more cores are declined for lack of capacity, for longer than planners may act on outdated
+//! summaries of each other. Also computes the totals of priority weight.
 use crate::requests::RequestRecord;
 use crate::{InvariantChecker, RequestId};
 use basaltpitch_agent::wire::AnswerKind;
 use std::collections::{BTreeMap, HashMap};
 
-/// What planners share is at most so old, in microseconds, when it counts, and a moment more until all act
-/// on it.
+/// Length of the windows in which the classes are compared, in microseconds: the largest age at
+/// which planners still use each other's summaries, and the time until all of them act on a change.
 const WINDOW_US: i64 = 6_000_000;
-/// Requests of either class that are too few to say anything.
+/// Minimum number of requests of either class in a window; fewer are not significant.
 const MIN_REQUESTS: usize = 12;
 
-/// Requests that need the same: framework and cores, in thousandths.
+/// Requests with equal needs: the framework's name, and thousandths of a core per task.
 type RequestClass<'a> = (&'a str, u64);
 
-/// When a request was submitted, and whether it was placed.
+/// When a request was submitted, in microseconds, and whether it was placed.
 type PlacementRecord = (i64, bool);
 
 impl InvariantChecker {
+    /// Reports priority inversions, and adds up the priority weights of all tasks.
     pub(crate) fn check_priority(&mut self, requests: &BTreeMap<RequestId, RequestRecord>) {
         self.total_weights(requests);
         let violations = self.priority_inversions(&by_class(requests));
@@ -33,7 +35,8 @@
         }
     }
 
-    /// From when on, and of which class of higher and of lower priority.
+    /// Finds priority inversions. Each is the start of its window in microseconds, the declined
+    /// class of higher priority, and the placed class of lower priority.
     fn priority_inversions<'a>(
         &self,
         classes: &[(RequestClass<'a>, Vec<PlacementRecord>)],
@@ -42,15 +45,17 @@
         let weight_of_core = |class: &RequestClass| {
             framework(class).map_or(0.0, |f| f.priority_weight) / class.1.max(1) as f64
         };
-        // Keyed and once-only tasks are bound to places of their own, and so are those with a spread.
-        let free = |class: &RequestClass| {
+        // Keyed and once-only tasks are limited to certain machines after a launch, and tasks with
+        // a spread by their service's other tasks, so that they may be declined while capacity is
+        // free.
+        let unrestricted = |class: &RequestClass| {
             framework(class).is_some_and(|f| f.repeats == "repeatable" && f.spread == "none")
         };
         let mut found = Vec::new();
         for (higher, declined) in classes {
             let is_lower = |class: &RequestClass| {
-                free(higher)
-                    && free(class)
+                unrestricted(higher)
+                    && unrestricted(class)
                     && class.1 >= higher.1
                     && weight_of_core(higher) > 2.0 * weight_of_core(class)
             };
@@ -61,8 +66,10 @@
         found
     }
 
+    /// Adds up the priority weights of requested and placed tasks, and counts the requests that
+    /// were declined for lack of capacity after more than half of their time.
     fn total_weights(&mut self, requests: &BTreeMap<RequestId, RequestRecord>) {
-        // By task: its weight, and whether it was placed, and within its objective.
+        // By task: its weight, whether it was placed, and whether within its latency objective.
         let mut tasks: BTreeMap<&str, (f64, bool, bool)> = BTreeMap::new();
         for ((_, key, _), request) in requests {
             let Some(framework) = self.config.frameworks.get(&request.framework) else { continue };
@@ -83,7 +90,8 @@
     }
 }
 
-/// Requests that were placed, or declined for want of capacity, by class and in the order of their times.
+/// Returns the requests that were placed or declined for lack of capacity, by class, in the order
+/// of their submission.
 fn by_class(requests: &BTreeMap<RequestId, RequestRecord>) -> Vec<(RequestClass<'_>, Vec<PlacementRecord>)> {
     let mut classes: HashMap<RequestClass, Vec<PlacementRecord>> = HashMap::new();
     for request in requests.values() {
@@ -98,8 +106,8 @@
     all
 }
 
-/// The first moment from which on, for the age of what planners share, no request of the one class is placed
-/// and enough of the other are.
+/// Returns the start of the first window in which at least `MIN_REQUESTS` of the one class are
+/// declined and none placed, while at least `MIN_REQUESTS` of the other class are placed.
 fn inverted_from(declined: &[PlacementRecord], placed: &[PlacementRecord]) -> Option<i64> {
     let count = |records: &[PlacementRecord], from: i64, wanted: bool| {
         let window = records.iter().filter(|record| record.0 >= from && record.0 < from + WINDOW_US);
--- a/invariants/src/repeats.rs
+++ b/invariants/src/repeats.rs
@@ -1,11 +1,12 @@
-//! Invariants 1 and 2 over all launches of one request: none after the final answer, none while another is
-//! out, and no repeat that may take effect twice.
+//! Invariants 1 and 2 over all launches of a request: no launch after the final answer, no two
+//! launches at the same time, and no repeat that may take effect twice.
 use crate::launches::{LaunchEnd, SentLaunch};
 use crate::requests::RequestRecord;
 use crate::{Framework, InvariantChecker, RequestId};
 use basaltpitch_agent::wire::AnswerKind;
 
-/// When a planner may take a launch for ended, and how: an end that it learns of, or the launch's timeout.
+/// Returns when a planner may treat a launch as ended, and how it ended: by an end that the planner
+/// can know of, or by the launch's timeout.
 fn end_of(sent: &SentLaunch) -> (i64, LaunchEnd) {
     let timeout = sent.at_us + sent.time_out_us;
     let (end, how) = sent.end.unwrap_or((timeout, LaunchEnd::MayHaveRun));
@@ -13,6 +14,7 @@
 }
 
 impl InvariantChecker {
+    /// Checks all launches of a request against its final answer and against each other.
     pub(crate) fn check_request(&mut self, id: &RequestId, request: &RequestRecord, sent: &[SentLaunch]) {
         let Some(framework) = self.config.frameworks.get(&request.framework).cloned() else { return };
         let answered = request.answers.first();
@@ -28,8 +30,8 @@
             framework.repeats == "repeatable" || (framework.repeats == "keyed" && framework.group == "all");
         let declined = answered.filter(|answer| answer.1 == AnswerKind::Declined as i32);
         if let (Some(&(at_us, _)), false) = (declined, harmless) {
-            let doubtful = |sent: &&SentLaunch| sent.end.is_none_or(|end| end.1 == LaunchEnd::MayHaveRun);
-            if let Some(launch) = sent.iter().find(doubtful) {
+            let may_have_run = |sent: &&SentLaunch| sent.end.is_none_or(|end| end.1 == LaunchEnd::MayHaveRun);
+            if let Some(launch) = sent.iter().find(may_have_run) {
                 let text = format!(
                     "asking {}: declined, though launch {} on {} may have run",
                     id.2, launch.number, launch.machine
@@ -39,6 +41,7 @@
         }
     }
 
+    /// Reports a launch that reached its machine after the request's final answer at `at_us`.
     fn check_after_answer(&mut self, (planner, key, number): &RequestId, launch: &SentLaunch, at_us: i64) {
         if !launch.late && launch.at_us > at_us + self.config.reorder_tolerance_us {
             let text = format!(
@@ -51,6 +54,7 @@
         }
     }
 
+    /// Checks a launch against an earlier launch of the same request.
     fn check_pair(
         &mut self,
         id: &RequestId,
@@ -70,7 +74,7 @@
         }
     }
 
-    /// A further launch after one that may have run.
+    /// Checks whether a launch is allowed after an earlier one that may have run.
     fn check_repeat(
         &mut self,
         (planner, key, number): &RequestId,
--- a/invariants/src/report.rs
+++ b/invariants/src/report.rs
@@ -1,61 +1,64 @@
-//! What a check found. The names of the fields in JSON are those that reports have always had.
+//! Results of a check: violations and totals. The JSON field names are part of the report format
+//! and stay stable.
 use serde::Serialize;
 
-/// An invariant that was not kept: which task or machine, when, and the frames that show it.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
     /// The invariant's number.
     #[serde(rename = "rule")]
     pub invariant: u8,
-    /// When, in microseconds.
+    /// The time of the violation, in microseconds.
     #[serde(rename = "at")]
     pub at_us: i64,
-    /// The planner's name and epoch, or who else broke it.
+    /// The planner that violated the invariant, by name and epoch, or another component.
     pub planner: String,
-    /// The task or machine that it is about.
+    /// The task's key or the machine's name that the violation concerns.
     #[serde(rename = "about")]
     pub subject: String,
-    /// The frames that show it.
+    /// What was observed, with the frames that show it.
     #[serde(rename = "what")]
     pub description: String,
 }
 
-/// Counts of what was seen.
+/// Totals of the observed traffic.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct TrafficTotals {
-    /// Requests that clients submitted.
+    /// Number of requests that clients submitted.
     #[serde(rename = "asks")]
     pub requests: usize,
-    /// Requests whose first answer was "placed".
+    /// Number of requests whose first answer was "placed".
     pub placed: usize,
-    /// Requests whose first answer was "declined".
+    /// Number of requests whose first answer was "declined".
     pub declined: usize,
-    /// Requests whose first answer was another.
+    /// Number of requests whose first answer was neither "placed" nor "declined".
     pub aborted: usize,
-    /// Requests whose planner died, whose connection broke or whose client withdrew: no answer is owed.
+    /// Number of unanswered requests that required no answer, as the planner's process was killed
+    /// or stopped, the connection ended, or the client withdrew the request.
     pub excused: usize,
-    /// Launches that machines read.
+    /// Number of launches that reached machines, without repetitions of the same launch.
     pub launches: usize,
-    /// Launches that machines read once more.
+    /// Number of launch frames that repeated an earlier launch.
     #[serde(rename = "repeats")]
     pub repeated_launches: usize,
-    /// Launches that machines accepted.
+    /// Number of launches that machines accepted.
     #[serde(rename = "yes")]
     pub accepted: usize,
-    /// Launches that machines refused.
+    /// Number of launches that machines refused.
     pub refused: usize,
-    /// The most offers that a machine that warmed up got within a window.
+    /// The largest number of launches on one machine within one window while it was warming up.
     #[serde(rename = "most_cold_offers")]
     pub max_warm_up_offers: usize,
-    /// Declined for want of capacity when over half of its time had gone: admitted, and not worth it.
+    /// Number of requests that were declined for lack of capacity after more than half of their
+    /// time: they were admitted and took part in scheduling without being placed.
     pub missed: usize,
     /// Priority weight of all tasks that were requested.
     #[serde(rename = "worth_asked")]
     pub weight_requested: f64,
-    /// Priority weight of those that were placed.
+    /// Priority weight of the tasks that were placed.
     #[serde(rename = "worth_placed")]
     pub weight_placed: f64,
-    /// Priority weight of those that were placed within their latency objective.
+    /// Priority weight of the tasks that were placed within their latency objective.
     #[serde(rename = "worth_in_goal")]
     pub weight_in_objective: f64,
 }
--- a/invariants/src/requests.rs
+++ b/invariants/src/requests.rs
@@ -1,28 +1,29 @@
-//! Requests and their answers, as clients saw them, and the part of invariant 1 that they show: one final
-//! answer to each request, in time.
+//! Requests and their answers, as clients see them, and the part of invariant 1 that can be checked
+//! from them: each request gets one final answer in time.
 use crate::{Incarnation, InvariantChecker, RequestId};
 use basaltpitch_agent::wire::{Answer, AnswerKind, Body, Submit};
 use std::collections::BTreeMap;
 
-/// What was seen of one request. Times are microseconds.
+/// What was observed of one request. Times are microseconds.
 #[derive(Debug, Default)]
 pub(crate) struct RequestRecord {
     pub(crate) submitted_at: i64,
     pub(crate) cores: f64,
     pub(crate) deadline: i64,
+    /// How often the client submitted the request.
     submits: usize,
-    /// When each answer came, and its kind.
+    /// Time and kind of each answer.
     pub(crate) answers: Vec<(i64, i32)>,
-    /// No answer is owed.
+    /// Whether the request may stay unanswered or be answered late.
     pub(crate) excused: bool,
-    /// Declined for another reason than want of capacity.
+    /// Whether an answer gave a reason to decline other than a lack of capacity.
     pub(crate) declined_for_other_reason: bool,
     pub(crate) framework: String,
 }
 
 impl RequestRecord {
-    /// Whether it was placed; none where no answer came, or it was declined for another reason than want of
-    /// capacity.
+    /// Returns whether the request was placed or declined for lack of capacity; `None` without an
+    /// answer, and after any other answer.
     pub(crate) fn placed(&self) -> Option<bool> {
         match AnswerKind::try_from(self.answers.first()?.1) {
             Ok(AnswerKind::Placed) => Some(true),
@@ -33,7 +34,7 @@
 }
 
 impl InvariantChecker {
-    /// A client submitted a request.
+    /// Records that a client submitted a request.
     pub fn client_sent(&mut self, at_us: i64, planner: &Incarnation, submit: &Submit) {
         let id = (planner.clone(), submit.key.clone(), submit.ask);
         let request = self.requests.entry(id).or_default();
@@ -47,19 +48,19 @@
         request.submits += 1;
     }
 
-    /// A client withdrew its request: no answer is owed, though one may come.
+    /// Records that a client withdrew its request: an answer may come, but is not required.
     pub fn client_withdrew(&mut self, planner: &Incarnation, key: &str, request: u64) {
         if let Some(request) = self.requests.get_mut(&(planner.clone(), key.to_owned(), request)) {
             request.excused = true;
         }
     }
 
-    /// A client's connection ended before the answer came.
+    /// Records that a client's connection ended before the answer came.
     pub fn client_disconnected(&mut self, planner: &Incarnation, key: &str, request: u64) {
         self.client_withdrew(planner, key, request);
     }
 
-    /// A frame of a planner's reached a client.
+    /// Records and checks a planner's frame that reached a client.
     pub fn client_received(&mut self, at_us: i64, planner: &Incarnation, body: &Body) {
         let Body::Answer(answer) = body else { return };
         let id = (planner.clone(), answer.key.clone(), answer.ask);
@@ -72,6 +73,7 @@
         self.check_answer(at_us, &id, answer);
     }
 
+    /// Reports answers that contradict each other, exceed the number of submits, or come too late.
     fn check_answer(&mut self, at_us: i64, id: &RequestId, answer: &Answer) {
         let Some(request) = self.requests.get(id) else { return };
         let (first, answers, submits) = (request.answers[0], request.answers.len(), request.submits);
@@ -98,7 +100,7 @@
         }
     }
 
-    /// At the end: requests that no answer came to.
+    /// Reports requests without an answer, at the end of the scenario.
     pub(crate) fn check_unanswered(&mut self, requests: &BTreeMap<RequestId, RequestRecord>, now_us: i64) {
         for ((planner, key, number), request) in requests {
             if !request.answers.is_empty() {
--- a/invariants/src/spread.rs
+++ b/invariants/src/spread.rs
@@ -1,9 +1,11 @@
-//! Invariant 5: so many of a planner's tasks of one service in one place, at most.
+//! Invariant 5: a planner runs no more tasks of one service in one domain than the framework's
+//! spread allows.
 use crate::launches::LaunchArrival;
 use crate::InvariantChecker;
 
 impl InvariantChecker {
-    /// Counts this planner's tasks of the service in one place, this launch included.
+    /// Counts the planner's tasks of the launch's service in the launch's domain, the launch
+    /// included, and reports more than the spread allows.
     pub(crate) fn check_spread(&mut self, arrival: &LaunchArrival) {
         let LaunchArrival { at_us, machine, planner, launch, .. } = *arrival;
         let framework = self.config.frameworks.get(&launch.framework);
