--- a/tenants/src/authorization.rs
+++ b/tenants/src/authorization.rs
@@ -1,69 +1,68 @@
-//! Who may do what, and on what that rests. No I/O.
+//! Authorization: decides who may submit tasks, drain machines and see tasks. No I/O.
 use crate::sync_schedule::DirectoryState;
 use crate::{Id, Tenants};
 
-/// What settings say of rights.
+/// The access rights that the configuration grants.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AccessPolicy {
-    /// Groups, by distinguished name, whose members may drain machines and see every task.
+    /// Distinguished names of groups whose members may drain machines and see every task.
     pub operators: Vec<String>,
-    /// Groups whose members may see every task.
+    /// Distinguished names of groups whose members may see every task.
     pub auditors: Vec<String>,
-    /// Logins that may drain machines and see every task whatever the directory says, or when it says
-    /// nothing.
+    /// Logins that may drain machines and see every task in any state of the directory.
     pub always: Vec<String>,
-    /// Whether tasks are placed while nothing is known of the directory.
+    /// Whether tasks may be submitted before the directory was ever synchronized.
     pub place_blind: bool,
-    /// Whether tasks are placed on the last known tenants.
+    /// Whether tasks may be submitted while the directory is stale, by its last known tenants.
     pub place_stale: bool,
 }
 
-/// What someone wants to do.
+/// An operation that needs authorization.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Operation<'a> {
     /// Submit a task for a tenant.
     Submit {
-        /// Its name or id, as the client gave it.
+        /// Name or id of the tenant, as the client sent it.
         tenant: &'a str,
     },
     /// Drain a machine.
     Drain,
-    /// See a task of that tenant's; of none: of a tenant that is not known.
+    /// See a task of a tenant.
     See {
-        /// The tenant.
+        /// The task's tenant; `None`: the directory does not know it.
         tenant: Option<Id>,
     },
 }
 
-/// On what a decision rests.
+/// The reason for an authorization decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AuthorizationBasis {
-    /// A member of the tenant.
+    /// Allowed: the login is a member of the tenant.
     Member,
-    /// A member of a group of operators.
+    /// Allowed: the login is a member of a group of operators.
     Operator,
-    /// A member of a group of auditors.
+    /// Allowed: the login is a member of a group of auditors.
     Auditor,
-    /// Settings let this login do it without the directory.
+    /// Allowed: the configuration lists the login, whatever the directory contains.
     Always,
-    /// Settings place without a directory.
+    /// Allowed: the directory was never synchronized, and the configuration permits submits then.
     PlacedBlind,
-    /// The directory has no such login.
+    /// Denied: the directory has no person with the login.
     NoSuchPerson,
-    /// The directory has no such tenant.
+    /// Denied: the directory has no such tenant.
     NoSuchTenant,
-    /// Not a member of the tenant.
+    /// Denied: the login is not a member of the tenant.
     NotAMember,
-    /// Not a member of a group of operators.
+    /// Denied: the login is not a member of a group of operators.
     NotAnOperator,
-    /// Nothing was ever received from the directory.
+    /// Denied: the directory was never synchronized.
     NothingKnown,
-    /// The last synchronization is too old, and settings do not place on that.
+    /// Denied: the directory is stale, and the configuration does not permit submits then.
     TooStale,
 }
 
 impl AuthorizationBasis {
-    /// The text that clients and operators see.
+    /// Returns the text that clients and operators see.
     pub fn description(self) -> &'static str {
         match self {
             AuthorizationBasis::Member => "a member of the tenant",
@@ -85,18 +84,18 @@
     }
 }
 
-/// An answer, and whether it rests on what was known some time ago.
+/// The decision on an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AuthorizationDecision {
-    /// Whether it is allowed.
+    /// Whether the operation is allowed.
     pub may: bool,
-    /// On what that rests.
+    /// The reason for the decision.
     pub basis: AuthorizationBasis,
-    /// Whether the directory was not fresh.
+    /// Whether the decision was made on a directory that was not fresh.
     pub stale: bool,
 }
 
-/// The decision at a time, in a state of the directory.
+/// Decides on an operation of a login, given the state of the directory at `now` (microseconds).
 pub fn authorize(
     known: &Tenants,
     now: i64,
@@ -122,23 +121,23 @@
         return decision(false, AuthorizationBasis::TooStale);
     }
     let Some(person) = known.login(login) else { return decision(false, AuthorizationBasis::NoSuchPerson) };
-    let in_one = |groups: &[String]| {
-        groups.iter().any(|dn| known.group(dn).is_some_and(|g| known.is_member(person, g)))
+    let is_in_any = |groups: &[String]| {
+        groups.iter().any(|dn| known.group(dn).is_some_and(|group| known.is_member(person, group)))
     };
-    let member = |tenant: Id| known.is_member(person, tenant);
+    let is_member = |tenant: Id| known.is_member(person, tenant);
     match operation {
         Operation::Submit { tenant } => match known.find(tenant, now) {
             None => decision(false, AuthorizationBasis::NoSuchTenant),
-            Some(t) if member(t) => decision(true, AuthorizationBasis::Member),
+            Some(tenant) if is_member(tenant) => decision(true, AuthorizationBasis::Member),
             Some(_) => decision(false, AuthorizationBasis::NotAMember),
         },
-        Operation::Drain if in_one(&policy.operators) => decision(true, AuthorizationBasis::Operator),
+        Operation::Drain if is_in_any(&policy.operators) => decision(true, AuthorizationBasis::Operator),
         Operation::Drain => decision(false, AuthorizationBasis::NotAnOperator),
-        Operation::See { .. } if in_one(&policy.operators) => decision(true, AuthorizationBasis::Operator),
-        Operation::See { .. } if in_one(&policy.auditors) => decision(true, AuthorizationBasis::Auditor),
+        Operation::See { .. } if is_in_any(&policy.operators) => decision(true, AuthorizationBasis::Operator),
+        Operation::See { .. } if is_in_any(&policy.auditors) => decision(true, AuthorizationBasis::Auditor),
         Operation::See { tenant } => match tenant {
             None => decision(false, AuthorizationBasis::NoSuchTenant),
-            Some(t) if member(t) => decision(true, AuthorizationBasis::Member),
+            Some(tenant) if is_member(tenant) => decision(true, AuthorizationBasis::Member),
             Some(_) => decision(false, AuthorizationBasis::NotAMember),
         },
     }
--- a/tenants/src/group_closure.rs
+++ b/tenants/src/group_closure.rs
@@ -1,28 +1,35 @@
-//! Who is in a group, through groups in groups: the closure is kept, and mended by the change alone.
+//! Transitive membership of nested groups, updated incrementally.
 //!
-//! For each group three sets are kept as compressed bitmaps: the groups below it (itself included), the
-//! groups above it, and all persons in the groups below. A person who comes or goes touches the groups above
-//! his group. An edge that comes joins sets; an edge that goes makes the groups above it count anew, and no
-//! others. Cycles need no care of their own: groups of a cycle are above and below one another. A look-up is
-//! one test of a bitmap.
+//! Each group stores three sets as compressed bitmaps: its descendants and its ancestors, both with
+//! the group itself, and all persons in its descendants. A person who is added or removed changes
+//! only the ancestors of the group. An added edge merges sets; a removed edge makes the ancestors
+//! of the group recompute their sets. Cycles need no special handling: groups of a cycle are
+//! ancestors and descendants of each other. A membership look-up is one bitmap test.
 use roaring::RoaringBitmap;
 
+/// A group with its direct members and its transitive sets.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Group {
+    /// Persons directly in the group.
     persons: RoaringBitmap,
+    /// Groups directly in the group.
     groups: RoaringBitmap,
+    /// Descendants of the group, itself included.
     below: RoaringBitmap,
+    /// Ancestors of the group, itself included.
     above: RoaringBitmap,
+    /// Persons in any of the descendants.
     all: RoaringBitmap,
 }
 
-/// The members of nested groups. Groups and persons are small dense numbers of the caller's, each from 0.
+/// The transitive members of nested groups. The caller numbers groups and persons densely from 0.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GroupClosure {
     groups: Vec<Group>,
 }
 
 impl GroupClosure {
+    /// Creates empty groups up to a number, if absent.
     fn ensure_group(&mut self, group_id: u32) {
         while self.groups.len() <= group_id as usize {
             let own: RoaringBitmap = [self.groups.len() as u32].into_iter().collect();
@@ -34,27 +41,28 @@
         self.groups.get(group_id as usize)
     }
 
-    /// Whether a person is in a group or in one below it.
+    /// Returns whether a person is in a group or in one of its descendants.
     pub fn contains(&self, group_id: u32, person: u32) -> bool {
         self.get(group_id).is_some_and(|group| group.all.contains(person))
     }
 
-    /// Whether a group is below another, or is it.
+    /// Returns whether a group is a descendant of `above`, or is that group.
     pub fn is_below(&self, group_id: u32, above: u32) -> bool {
         self.get(above).is_some_and(|group| group.below.contains(group_id))
     }
 
-    /// All persons in a group and below it.
+    /// Returns all persons in a group and its descendants.
     pub fn persons(&self, group_id: u32) -> impl Iterator<Item = u32> + '_ {
         self.get(group_id).into_iter().flat_map(|group| group.all.iter())
     }
 
-    /// How many persons are in a group and below it.
+    /// Returns the number of persons in a group and its descendants.
     pub fn count(&self, group_id: u32) -> u64 {
         self.get(group_id).map_or(0, |group| group.all.len())
     }
 
-    /// The groups on a way down from one group to one that holds a person, the first found; for "why".
+    /// Returns a shortest path of groups from a group to a descendant that a person is directly in,
+    /// to explain a membership. Empty if the person is not a member.
     pub fn path(&self, group_id: u32, person: u32) -> Vec<u32> {
         let mut paths = vec![vec![group_id]];
         let mut seen: RoaringBitmap = [group_id].into_iter().collect();
@@ -76,7 +84,7 @@
         Vec::new()
     }
 
-    /// Sets who is directly in a group. Returns whether that changed anything.
+    /// Sets the persons directly in a group. Returns whether the set changed.
     pub fn set_persons(&mut self, group_id: u32, persons: RoaringBitmap) -> bool {
         self.ensure_group(group_id);
         let old = std::mem::replace(&mut self.groups[group_id as usize].persons, persons);
@@ -96,7 +104,8 @@
         true
     }
 
-    /// Persons left one group below `ancestor`: those whom no other group below holds leave its closure.
+    /// Updates `ancestor` after persons were removed from one of its descendants: those that no
+    /// other descendant contains are removed from its transitive members.
     fn remove_persons(&mut self, ancestor: u32, removed: &RoaringBitmap) {
         let mut gone = removed.clone();
         for descendant in &self.groups[ancestor as usize].below {
@@ -108,13 +117,14 @@
         self.groups[ancestor as usize].all -= &gone;
     }
 
-    /// Sets which groups are directly in a group. Returns whether that changed anything.
+    /// Sets the groups directly in a group. Returns whether the set changed.
     pub fn set_groups(&mut self, group_id: u32, groups: RoaringBitmap) -> bool {
         self.ensure_group(groups.max().unwrap_or(0).max(group_id));
         let old = self.groups[group_id as usize].groups.clone();
         let (added, removed) = (&groups - &old, &old - &groups);
         if !removed.is_empty() {
-            // First what goes, without what comes: each step finds the sets as the other left them.
+            // Removes edges before adding any, as `recompute_above` reads the direct groups and
+            // `add_edge` relies on consistent transitive sets.
             self.groups[group_id as usize].groups = &old & &groups;
             self.recompute_above(group_id);
         }
@@ -125,7 +135,7 @@
         !added.is_empty() || !removed.is_empty()
     }
 
-    /// An edge from a group down to a child was added.
+    /// Updates the transitive sets after an edge from a group to a child was added.
     fn add_edge(&mut self, group_id: u32, child: u32) {
         if self.groups[group_id as usize].below.contains(child) {
             return;
@@ -143,7 +153,7 @@
         }
     }
 
-    /// An edge below a group was removed: the groups above it recompute what is below them.
+    /// Recomputes the descendants of a group's ancestors after an edge from the group was removed.
     fn recompute_above(&mut self, group_id: u32) {
         let above = self.groups[group_id as usize].above.clone();
         for ancestor in &above {
@@ -168,7 +178,7 @@
         }
     }
 
-    /// Bytes that the sets take when written, as a measure of their size.
+    /// Returns the serialized size of all sets in bytes, as an estimate of their memory use.
     pub fn bytes(&self) -> usize {
         let size = |group: &Group| {
             [&group.persons, &group.groups, &group.below, &group.above, &group.all]
--- a/tenants/src/lib.rs
+++ b/tenants/src/lib.rs
@@ -1,8 +1,13 @@
-//! Tenants as a directory tells of them. No I/O and no clock of its own: sweeps of the directory come in,
-//! changes go out, and questions are answered with how far the answer can be relied on. `group_closure` keeps
-//! members of nested groups, `sync_schedule` says when to ask which server and how fresh what is known is,
-//! `change_guard` what of a sweep is accepted, `authorization` who may do what, and `tenant_directory` joins
-//! them. Times are whole microseconds.
+//! The tenant directory: tenants, groups and persons, synchronized from an external directory such
+//! as LDAP. No I/O and no clock of its own: the caller passes in the results of synchronizations
+//! and the time. Times are microseconds.
+//!
+//! - [`group_closure`] stores the transitive members of nested groups.
+//! - [`sync_schedule`] decides when to synchronize with which server, and how fresh the directory
+//!   is.
+//! - [`change_guard`] decides which changes of a synchronization are accepted.
+//! - [`authorization`] decides who may submit, drain and see tasks.
+//! - [`tenant_directory`] combines these.
 pub mod authorization;
 pub mod change_guard;
 pub mod group_closure;
@@ -16,14 +21,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The directory's stable id of an entry (`entryUUID`), whatever its name.
+/// The stable id of a directory entry (`entryUUID`), which does not change when the entry is
+/// renamed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id(pub u128);
 
 impl Id {
-    /// Reads 32 hex digits, with or without dashes.
+    /// Parses 32 hex digits, with or without dashes. `None`: the text is not an id.
     pub fn read(text: &str) -> Option<Id> {
-        // Names are looked up with every asking: most are none by their length.
+        // Called with the tenant's name of every request: the length excludes most names cheaply.
         if !matches!(text.len(), 32..=36) {
             return None;
         }
@@ -36,7 +42,7 @@
 }
 
 impl std::fmt::Display for Id {
-    /// As RFC 4122 writes it.
+    /// Formats the id as in RFC 4122.
     fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
         let hex = format!("{:032x}", self.0);
         let parts = [&hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..]];
@@ -44,203 +50,207 @@
     }
 }
 
-/// When an entry last changed, as the directory says; later ones are larger. Generalized time in text sorts
-/// so.
+/// The time of an entry's last change, in the directory's notation. Later times sort higher, as
+/// LDAP generalized time does as text.
 pub type Stamp = String;
 
-/// What an entry of the directory stands for.
+/// The kind of a directory entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EntryKind {
-    /// A tenant is a group with a share of the fleet.
+    /// A tenant: a group with a share of the fleet.
     Tenant {
-        /// Its share of the fleet, from 0 to 1.
+        /// The tenant's share of the fleet, from 0 to 1.
         share: f64,
     },
-    /// A group that is no tenant; it may be a member of other groups.
+    /// A group that is not a tenant. It may be a member of other groups.
     Group,
-    /// Someone who submits and operates.
+    /// A person, who submits tasks or operates the installation.
     Person,
 }
 
-/// One entry of the directory.
+/// An entry of the directory.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its stable id.
+    /// The entry's stable id.
     pub id: Id,
-    /// What it stands for.
+    /// The kind of entry.
     #[serde(rename = "what")]
     pub kind: EntryKind,
-    /// What people call it: the tenant's name, the person's login.
+    /// The tenant's or group's name, or the person's login.
     pub name: String,
-    /// Its distinguished name, in one spelling.
+    /// The entry's distinguished name, normalized so that equal names are equal strings.
     pub dn: String,
-    /// Distinguished names of direct members.
+    /// Distinguished names of the direct members.
     pub members: Vec<String>,
-    /// When it last changed.
+    /// The time of the last change.
     pub stamp: Stamp,
 }
 
-/// How far a server says that it is, by the server that a change was made on (`contextCSN`); empty: it does
-/// not say.
+/// Change sequence numbers that a server reports (`contextCSN`): the latest one for each server on
+/// which changes were made. Empty if the server reports none.
 pub type Mark = BTreeMap<String, String>;
 
-/// What came of a sweep of one server.
+/// The result of a synchronization with one server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sweep {
-    /// Entries that were read, as they are now.
+    /// Entries that were received.
     pub entries: Vec<Entry>,
-    /// Entries that are there as this server gave them before.
+    /// Ids of entries that the server reports as unchanged since an earlier synchronization.
     pub present: Vec<Id>,
-    /// Every page came, no limit was met and no referral: what is not in it is not in the directory.
+    /// Whether all pages were received without a size limit or a referral, so that other entries
+    /// are not in the directory.
     pub complete: bool,
-    /// How far the server says that it is.
+    /// The server's change sequence numbers.
     pub mark: Mark,
-    /// Entries that the server says were deleted; all others are as they were. None: what is not in it is
-    /// gone.
+    /// Ids of entries that the server reports as deleted; all other known entries are unchanged.
+    /// `None`: the server reports no deletions, and entries that were not received are deleted.
     pub gone: Option<Vec<Id>>,
-    /// From where on the server can say what changed.
+    /// The cookie with which the server can send only the changes that follow.
     pub cookie: Option<Vec<u8>>,
 }
 
 impl Sweep {
-    /// A sweep that reads every entry.
+    /// Creates the result of a synchronization that reads all entries.
     pub fn of(entries: Vec<Entry>, complete: bool) -> Self {
         Sweep { entries, complete, ..Sweep::default() }
     }
 }
 
-/// What is different from before.
+/// A change of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A tenant was added.
     Came {
-        /// Its id.
+        /// The tenant's id.
         id: Id,
-        /// Its name.
+        /// The tenant's name.
         name: String,
     },
-    /// A tenant has another name.
+    /// A tenant was renamed.
     Renamed {
-        /// Its id.
+        /// The tenant's id.
         id: Id,
-        /// Its name before.
+        /// The previous name.
         from: String,
-        /// Its name now.
+        /// The new name.
         to: String,
     },
     /// A tenant was removed.
     Went {
-        /// Its id.
+        /// The tenant's id.
         id: Id,
-        /// Its last name.
+        /// The tenant's last name.
         name: String,
     },
-    /// A tenant has more or fewer members.
+    /// The number of a tenant's members changed.
     Members {
-        /// Its id.
+        /// The tenant's id.
         id: Id,
-        /// Its name.
+        /// The tenant's name.
         name: String,
-        /// How many members it has now.
+        /// The new number of members.
         count: u64,
     },
-    /// A tenant has another share of the fleet.
+    /// A tenant's share of the fleet changed.
     Share {
-        /// Its id.
+        /// The tenant's id.
         id: Id,
-        /// Its name.
+        /// The tenant's name.
         name: String,
-        /// Its share before.
+        /// The previous share.
         from: f64,
-        /// Its share now.
+        /// The new share.
         to: f64,
     },
 }
 
+/// A known entry with its number in the closure.
 #[derive(Clone, Debug, PartialEq)]
 struct EntryRecord {
     entry: Entry,
-    /// Number of a group or tenant, or of a person, in the closure.
+    /// The number of the group or tenant, or of the person, in the closure.
     number: u32,
-    /// The name before the last renaming, and when that was heard.
+    /// The name before the last renaming, and when the renaming was received, in microseconds.
     was: Option<(String, i64)>,
 }
 
-/// For how long, in microseconds, a renamed tenant's old name is shown beside the new one.
+/// How long a renamed tenant's old name stays valid beside the new one, in microseconds.
 pub const OLD_NAME_SHOWN: i64 = 86_400_000_000;
 
-/// A tenant as it is shown.
+/// A tenant as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its stable id.
+    /// The tenant's stable id.
     pub id: Id,
-    /// Its name now.
+    /// The current name.
     pub name: String,
-    /// Its name before, for [`OLD_NAME_SHOWN`] after a renaming.
+    /// The previous name, for [`OLD_NAME_SHOWN`] after a renaming.
     pub was: Option<String>,
-    /// Its share of the fleet.
+    /// The tenant's share of the fleet, from 0 to 1.
     pub share: f64,
-    /// How many persons are in it and in the groups below it.
+    /// Number of persons in the tenant and in its nested groups.
     pub members: u64,
-    /// The index under which the placing module knows it, which stays over renamings.
+    /// The tenant's index in the placement module, which a renaming does not change.
     pub index: usize,
 }
 
-/// The entries of a directory as last accepted, indexed for look-up.
+/// The accepted entries of a directory, indexed for look-up.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
     known: BTreeMap<Id, EntryRecord>,
     by_dn: FnvHashMap<String, Id>,
-    /// Distinguished names of before, for members that the directory has not mended yet. Entries of now go
-    /// first.
+    /// Previous distinguished names, as the directory may still list a renamed entry as a member
+    /// under its old name. Current names take precedence.
     old_dns: FnvHashMap<String, Id>,
-    /// Groups that name a distinguished name among their members, so that its change reaches them and no
-    /// others.
+    /// By distinguished name: the groups that list it as a member, which a change of the name
+    /// affects.
     mentions: FnvHashMap<String, BTreeSet<Id>>,
     by_name: FnvHashMap<String, Id>,
     by_login: FnvHashMap<String, Id>,
     persons: IdAllocator<Id>,
     groups: IdAllocator<Id>,
-    /// Tenants' indices are never given to another: the module's shares and running tasks rest on them.
+    /// All tenants ever known, by index. An index is never reused for another tenant, as the
+    /// placement module's shares and running tasks refer to it.
     tenants: Vec<Id>,
+    /// The index of each tenant.
     places: FnvHashMap<Id, usize>,
-    /// The last known name of each tenant, by index, empty where none was heard; and its id as text.
+    /// By index: the tenant's last known name, empty if none was received, and its id as text.
     names: Vec<(String, String)>,
-    /// Names of before that no tenant has now; see `find`.
+    /// Previous names of renamed tenants; see `find`.
     old_names: FnvHashMap<String, Id>,
-    /// The last stamp of an entry that went.
+    /// The last stamp of each removed entry, to recognize outdated versions of it.
     gone: FnvHashMap<Id, Stamp>,
     closure: GroupClosure,
     edits: u64,
 }
 
 impl Tenants {
-    /// How often anything changed.
+    /// Returns the number of changes to entries so far.
     pub fn edits(&self) -> u64 {
         self.edits
     }
 
-    /// What is known of an entry.
+    /// Returns a known entry.
     pub fn entry(&self, id: Id) -> Option<&Entry> {
         self.known.get(&id).map(|record| &record.entry)
     }
 
-    /// All entries, in the order of their ids.
+    /// Returns all entries, in the order of their ids.
     pub fn ids(&self) -> impl Iterator<Item = (Id, &Entry)> {
         self.known.iter().map(|(id, record)| (*id, &record.entry))
     }
 
-    /// Takes in what `change_guard` accepted: entries that are there, and ids that are gone. An entry older
-    /// than what is known of it changes nothing.
+    /// Applies the changes that `change_guard` accepted: entries to add or update, and ids to
+    /// remove. An entry that is older than its known version is ignored.
     pub fn take(&mut self, now: i64, entries: Vec<Entry>, gone: &[Id]) -> Vec<Change> {
-        self.take_in(now, entries, gone, false)
+        self.apply(now, entries, gone, false)
     }
 
-    /// The same; with `as_is`, entries count however old they are.
-    pub(crate) fn take_in(&mut self, now: i64, entries: Vec<Entry>, gone: &[Id], as_is: bool) -> Vec<Change> {
+    /// Applies accepted changes; with `as_is`, older entries replace newer versions of them.
+    pub(crate) fn apply(&mut self, now: i64, entries: Vec<Entry>, gone: &[Id], as_is: bool) -> Vec<Change> {
         let mut changes = Vec::new();
         let before: Vec<(Id, u64)> = self.tenants.iter().map(|&t| (t, self.count(t))).collect();
-        // Groups whose members are to be found anew.
+        // Groups whose direct members must be resolved again.
         let mut dirty = BTreeSet::new();
         for &id in gone {
             self.drop_entry(id, &mut dirty, &mut changes);
@@ -263,12 +273,13 @@
         changes
     }
 
-    /// A distinguished name leads elsewhere from now on.
-    fn dn_moves(&self, dn: &str, dirty: &mut BTreeSet<Id>) {
+    /// Marks the groups that list a distinguished name, as it refers to another entry from now on.
+    fn mark_mentions(&self, dn: &str, dirty: &mut BTreeSet<Id>) {
         dirty.extend(self.mentions.get(dn).into_iter().flatten());
     }
 
-    fn mention(&mut self, id: Id, old: &[String], new: &[String]) {
+    /// Updates the index of listed members for a group whose members changed.
+    fn update_mentions(&mut self, id: Id, old: &[String], new: &[String]) {
         for dn in old {
             if let Some(groups) = self.mentions.get_mut(dn) {
                 groups.remove(&id);
@@ -282,6 +293,7 @@
         }
     }
 
+    /// Adds or updates an entry.
     fn put(&mut self, now: i64, entry: Entry, dirty: &mut BTreeSet<Id>, changes: &mut Vec<Change>) {
         let id = entry.id;
         self.edits += 1;
@@ -296,17 +308,17 @@
             if record.entry.dn != entry.dn && self.by_dn.get(&record.entry.dn) == Some(&id) {
                 self.by_dn.remove(&record.entry.dn);
                 self.old_dns.insert(record.entry.dn.clone(), id);
-                self.dn_moves(&record.entry.dn, dirty);
+                self.mark_mentions(&record.entry.dn, dirty);
             }
-            self.unname(&record.entry);
+            self.remove_name(&record.entry);
         }
-        let known_there = old.as_ref().is_some_and(|record| record.entry.dn == entry.dn);
-        if !known_there {
-            self.dn_moves(&entry.dn, dirty);
+        let same_dn = old.as_ref().is_some_and(|record| record.entry.dn == entry.dn);
+        if !same_dn {
+            self.mark_mentions(&entry.dn, dirty);
         }
         let members: &[String] = old.as_ref().map_or(&[], |record| &record.entry.members);
         if members != entry.members {
-            self.mention(id, members, &entry.members);
+            self.update_mentions(id, members, &entry.members);
             dirty.insert(id);
         }
         if let EntryKind::Tenant { share } = entry.kind {
@@ -336,20 +348,21 @@
         self.known.insert(id, EntryRecord { entry, number, was });
     }
 
-    /// A name is free again, unless another entry has taken it in the meantime.
-    fn unname(&mut self, entry: &Entry) {
+    /// Removes an entry's name from the look-up, unless another entry has it by now.
+    fn remove_name(&mut self, entry: &Entry) {
         let names = if entry.kind == EntryKind::Person { &mut self.by_login } else { &mut self.by_name };
         if names.get(&entry.name) == Some(&entry.id) {
             names.remove(&entry.name);
         }
     }
 
+    /// Removes an entry.
     fn drop_entry(&mut self, id: Id, dirty: &mut BTreeSet<Id>, changes: &mut Vec<Change>) {
         let Some(record) = self.known.remove(&id) else { return };
         self.edits += 1;
-        self.unname(&record.entry);
-        self.dn_moves(&record.entry.dn, dirty);
-        self.mention(id, &record.entry.members, &[]);
+        self.remove_name(&record.entry);
+        self.mark_mentions(&record.entry.dn, dirty);
+        self.update_mentions(id, &record.entry.members, &[]);
         if self.by_dn.get(&record.entry.dn) == Some(&id) {
             self.by_dn.remove(&record.entry.dn);
         }
@@ -366,7 +379,7 @@
         self.gone.insert(id, record.entry.stamp);
     }
 
-    /// Finds a group's members among the entries of now; a name that leads nowhere is nobody.
+    /// Resolves a group's direct members to known entries. Names of unknown entries are ignored.
     fn set_members(&mut self, id: Id) {
         let Some(record) = self.known.get(&id) else { return };
         let (mut persons, mut groups) = (RoaringBitmap::new(), RoaringBitmap::new());
@@ -387,25 +400,26 @@
         self.known.get(&id).map_or(0, |record| self.closure.count(record.number))
     }
 
-    /// A tenant by its id in hex digits or its name; by its name of before for a while, if no other has that
-    /// now, so that those who ask need not change in the moment of a renaming.
+    /// Finds a tenant by its id in hex digits or by its name. A previous name is valid for
+    /// [`OLD_NAME_SHOWN`] if no other tenant has it, so that clients need not switch at the moment
+    /// of a renaming.
     pub fn find(&self, name: &str, now: i64) -> Option<Id> {
-        let there = |id: &Id| self.index(*id).is_some();
-        let was = |id: &Id| {
+        let is_tenant = |id: &Id| self.index(*id).is_some();
+        let had_name = |id: &Id| {
             let was = self.known.get(id).and_then(|record| record.was.as_ref());
-            there(id) && was.is_some_and(|w| w.0 == name && now < w.1 + OLD_NAME_SHOWN)
+            is_tenant(id) && was.is_some_and(|w| w.0 == name && now < w.1 + OLD_NAME_SHOWN)
         };
-        let by_id = Id::read(name).filter(there);
-        let by_name = || self.by_name.get(name).copied().filter(there);
-        by_id.or_else(by_name).or_else(|| self.old_names.get(name).copied().filter(was))
+        let by_id = Id::read(name).filter(is_tenant);
+        let by_name = || self.by_name.get(name).copied().filter(is_tenant);
+        by_id.or_else(by_name).or_else(|| self.old_names.get(name).copied().filter(had_name))
     }
 
-    /// The name of the tenant under an index, the last known one if it is gone, and its id as text.
+    /// Returns the current or last known name of the tenant with an index, and its id as text.
     pub fn called(&self, index: usize) -> (&str, &str) {
         self.names.get(index).map_or(("", ""), |x| (&x.0, &x.1))
     }
 
-    /// The people in a group or tenant, by login.
+    /// Returns the logins of all persons in a group or tenant, nested groups included.
     pub fn people(&self, group: Id) -> Vec<&str> {
         let Some(g) = self.known.get(&group) else { return Vec::new() };
         let entry =
@@ -413,13 +427,13 @@
         self.closure.persons(g.number).filter_map(entry).collect()
     }
 
-    /// The person with a login.
+    /// Returns the person with a login.
     pub fn login(&self, login: &str) -> Option<Id> {
         self.by_login.get(login).copied()
     }
 
-    /// The index of a tenant, whether it is there, was, or is only named by a machine that runs a task of
-    /// its.
+    /// Returns the index of a tenant, and assigns one if it has none. The tenant may be known,
+    /// removed, or not received yet and only named by a machine that runs one of its tasks.
     pub fn place(&mut self, id: Id) -> usize {
         *self.places.entry(id).or_insert_with(|| {
             self.tenants.push(id);
@@ -428,24 +442,24 @@
         })
     }
 
-    /// The module's index of a tenant that is there.
+    /// Returns the index of a known tenant; `None` if the tenant is not in the directory.
     pub fn index(&self, id: Id) -> Option<usize> {
         self.known.get(&id).filter(|record| matches!(record.entry.kind, EntryKind::Tenant { .. }))?;
         self.places.get(&id).copied()
     }
 
-    /// The tenant under an index, there or not.
+    /// Returns the tenant with an index, whether or not it is in the directory.
     pub fn at(&self, index: usize) -> Option<Id> {
         self.tenants.get(index).copied()
     }
 
-    /// A group or tenant by its distinguished name.
+    /// Returns a group or tenant by its distinguished name.
     pub fn group(&self, dn: &str) -> Option<Id> {
         let id = *self.by_dn.get(dn)?;
         (self.known[&id].entry.kind != EntryKind::Person).then_some(id)
     }
 
-    /// Whether a person is in a group or tenant, or in a group below it.
+    /// Returns whether a person is in a group or tenant, directly or through nested groups.
     pub fn is_member(&self, person: Id, group: Id) -> bool {
         match (self.known.get(&group), self.known.get(&person)) {
             (Some(g), Some(p)) => self.closure.contains(g.number, p.number),
@@ -453,7 +467,7 @@
         }
     }
 
-    /// Whether a tenant or group is below another in the tree of groups, or is it.
+    /// Returns whether a tenant or group is nested in another, directly or not, or is the same.
     pub fn is_below(&self, id: Id, above: Id) -> bool {
         match (self.known.get(&id), self.known.get(&above)) {
             (Some(g), Some(a)) => self.closure.is_below(g.number, a.number),
@@ -461,7 +475,8 @@
         }
     }
 
-    /// Names of the groups through which a person is in a group; empty where he is not.
+    /// Returns the names of the groups on a path by which a person is a member of a group, that
+    /// group first; empty if the person is not a member.
     pub fn why(&self, person: Id, group: Id) -> Vec<String> {
         let (Some(g), Some(p)) = (self.known.get(&group), self.known.get(&person)) else { return Vec::new() };
         let name =
@@ -469,7 +484,7 @@
         self.closure.path(g.number, p.number).into_iter().filter_map(name).collect()
     }
 
-    /// A tenant as it is shown at a time.
+    /// Returns a tenant as shown to operators at `now`; `None` if it is not in the directory.
     pub fn tenant(&self, id: Id, now: i64) -> Option<Tenant> {
         let (record, index) = (self.known.get(&id)?, self.index(id)?);
         let EntryKind::Tenant { share } = record.entry.kind else { return None };
@@ -477,12 +492,12 @@
         Some(Tenant { id, name: record.entry.name.clone(), was, share, members: self.count(id), index })
     }
 
-    /// All tenants that are there, in the order of their indices.
+    /// Returns all tenants of the directory, in the order of their indices.
     pub fn tenants(&self, now: i64) -> impl Iterator<Item = Tenant> + '_ {
         self.tenants.iter().filter_map(move |&id| self.tenant(id, now))
     }
 
-    /// Bytes that the closures take.
+    /// Returns the estimated size of the transitive memberships in bytes.
     pub fn bytes(&self) -> usize {
         self.closure.bytes()
     }
