--- a/tenants/src/change_guard.rs
+++ b/tenants/src/change_guard.rs
@@ -1,182 +1,189 @@
-//! What of a sweep is believed. A sweep that is not complete, or from an older replica, is never read as a
-//! deletion. A sweep in which much is missing at once is held: what it adds counts, what it lacks does not,
-//! until sweeps over some time agree, or an operator says so. No I/O; times are whole microseconds.
+//! Decides which changes of a directory synchronization are accepted. No I/O; times are
+//! microseconds.
 //!
-//! A server lags where it gives an entry older than it is known, or says so itself by its mark
-//! (`contextCSN`). Where it gives no mark and lacks an entry newer than all that it has, it may lag or the
-//! entry may have been deleted: that removal is held as well.
+//! Entries that are missing from an incomplete synchronization, or from one of a lagging replica,
+//! are never treated as deleted. If many entries are missing at once, their removal is held while
+//! the other changes are accepted, until further synchronizations over some time confirm the
+//! removal, or an operator accepts it.
+//!
+//! A server lags if it returns an older version of a known entry, or if its change sequence numbers
+//! (`contextCSN`) are behind. If a server without such numbers lacks an entry that is newer than
+//! all its own, it may lag or the entry may have been deleted: that removal is held as well.
 use crate::{Entry, EntryKind, Id, Mark, Sweep, Tenants};
 use std::collections::BTreeSet;
 
-/// When a removal is held, and what confirms it.
+/// Limits above which a removal is held, and what confirms a held removal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ChangeGuard {
-    /// So many tenants may go in one sweep, or such a share of them (in a hundred), whichever is more.
+    /// Number of tenants, or of persons, that may be missing from one synchronization without their
+    /// removal being held. The greater of this and `percent` applies.
     pub few: usize,
-    /// The share, in a hundred.
+    /// Percentage of the tenants, or of the persons, that may be missing in the same way.
     pub percent: usize,
-    /// A held removal is believed once so many sweeps in a row, over so long, lacked the same.
+    /// Number of consecutive synchronizations that must lack the entries to confirm their removal.
     pub sweeps: u32,
-    /// The least time, in microseconds, from the first of those sweeps to the last.
+    /// Minimum time from the first of those synchronizations to the last, in microseconds.
     pub over_us: i64,
 }
 
-/// The guard where settings say nothing else.
+/// The default limits.
 pub const DEFAULT_CHANGE_GUARD: ChangeGuard =
     ChangeGuard { few: 2, percent: 10, sweeps: 3, over_us: 600_000_000 };
 
-/// A removal that is not believed yet.
+/// A removal that waits for confirmation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HeldChanges {
-    /// The entries that sweeps lack.
+    /// The entries that would be removed.
     pub ids: BTreeSet<Id>,
-    /// When the first of the sweeps in a row lacked them, in microseconds.
+    /// When the first of the consecutive synchronizations lacked the entries, in microseconds.
     pub since: i64,
-    /// How many sweeps in a row lacked them.
+    /// Number of consecutive synchronizations that lacked the entries.
     pub sweeps: u32,
 }
 
-/// What to take in of a sweep.
+/// The changes of a synchronization that are to be applied.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AcceptedChanges {
-    /// Entries that are there.
+    /// Entries to add or update.
     pub entries: Vec<Entry>,
-    /// Entries that were removed.
+    /// Ids of the entries to remove.
     pub gone: Vec<Id>,
-    /// The sweep came from a server that lags behind what was seen before.
+    /// Whether the server lags behind what was received before.
     pub older: bool,
-    /// The server names entries as unchanged that are not known: all of it must be read anew.
+    /// Whether the server reports entries as unchanged that are not known, so that the next
+    /// synchronization with it must be a full one.
     pub unknown: bool,
-    /// An operator's word: entries count however old they are.
+    /// Whether an operator accepted the synchronization, so that its entries replace newer ones.
     pub as_is: bool,
 }
 
-/// Decides what of each sweep is accepted.
+/// Decides which changes of each synchronization are accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ChangeReview {
     held: Option<HeldChanges>,
-    /// The last complete sweep came from a server that lags.
+    /// Whether a server lagged, and no complete and up-to-date synchronization has followed.
     behind: bool,
+    /// Whether an operator has accepted the next complete synchronization.
     accepted: bool,
+    /// The highest change sequence numbers that any server reported.
     mark: Mark,
 }
 
 impl ChangeReview {
-    /// The removal that is held, if one is.
+    /// Returns the removal that waits for confirmation, if any.
     pub fn held(&self) -> Option<&HeldChanges> {
         self.held.as_ref()
     }
 
-    /// Whether the last complete sweep came from a server that lags.
+    /// Returns whether a server lagged, and no complete and up-to-date synchronization has
+    /// followed.
     pub fn is_behind(&self) -> bool {
         self.behind
     }
 
-    /// How far any server ever said that it was.
+    /// Returns the highest change sequence numbers that any server reported.
     pub fn mark(&self) -> &Mark {
         &self.mark
     }
 
-    /// Sets the mark that was stored before a restart.
+    /// Restores the change sequence numbers that were stored before a restart.
     pub fn remember(&mut self, mark: Mark) {
         self.mark = mark;
     }
 
-    /// An operator's word: the next complete sweep is believed as it is, with what it lacks and, where the
-    /// directory was set back to an earlier state, with entries that are older than they were known. False:
-    /// nothing is held and no server lags.
+    /// Records an operator's order to accept the next complete synchronization as it is: its
+    /// removals and, if the directory was restored to an earlier state, entries that are older than
+    /// the known ones. Returns `false` without effect if no removal is held and no server lags.
     pub fn accept(&mut self) -> bool {
         self.accepted = self.held.is_some() || self.behind;
         self.accepted
     }
 
-    /// Whether a sweep proves that its server lags.
-    fn lags(&self, known: &Tenants, sweep: &Sweep) -> bool {
-        let behind = |(from, seen): (&String, &String)| sweep.mark.get(from).is_none_or(|m| m < seen);
+    /// Returns whether a synchronization proves that its server lags.
+    fn lags(&self, known: &Tenants, sync: &Sweep) -> bool {
+        let behind = |(from, seen): (&String, &String)| sync.mark.get(from).is_none_or(|m| m < seen);
         let old = |e: &Entry| known.entry(e.id).is_some_and(|k| e.stamp < k.stamp);
-        !sweep.mark.is_empty() && self.mark.iter().any(behind) || sweep.entries.iter().any(old)
+        !sync.mark.is_empty() && self.mark.iter().any(behind) || sync.entries.iter().any(old)
     }
 
-    /// Decides what of a sweep is accepted, and what is held.
-    pub fn judge(
-        &mut self,
-        now: i64,
-        known: &Tenants,
-        sweep: Sweep,
-        caution: ChangeGuard,
-    ) -> AcceptedChanges {
-        let older = self.lags(known, &sweep);
-        let unknown = sweep.present.iter().any(|&id| known.entry(id).is_none());
-        let mut believed = AcceptedChanges { older, unknown, ..AcceptedChanges::default() };
-        if !sweep.complete || older && !self.accepted {
+    /// Decides which changes of a synchronization are accepted and which removals are held.
+    pub fn judge(&mut self, now: i64, known: &Tenants, sync: Sweep, guard: ChangeGuard) -> AcceptedChanges {
+        let older = self.lags(known, &sync);
+        let unknown = sync.present.iter().any(|&id| known.entry(id).is_none());
+        let mut accepted = AcceptedChanges { older, unknown, ..AcceptedChanges::default() };
+        if !sync.complete || older && !self.accepted {
             self.behind |= older;
-            believed.entries = sweep.entries;
-            return believed;
+            accepted.entries = sync.entries;
+            return accepted;
         }
         self.behind = false;
-        let there: BTreeSet<Id> = sweep.entries.iter().map(|e| e.id).chain(sweep.present).collect();
-        let named = sweep.gone.is_some();
-        let missing: BTreeSet<Id> = match sweep.gone {
+        let present: BTreeSet<Id> = sync.entries.iter().map(|e| e.id).chain(sync.present).collect();
+        let lists_removals = sync.gone.is_some();
+        let missing: BTreeSet<Id> = match sync.gone {
             Some(gone) => {
-                gone.into_iter().filter(|id| known.entry(*id).is_some() && !there.contains(id)).collect()
+                gone.into_iter().filter(|id| known.entry(*id).is_some() && !present.contains(id)).collect()
             }
-            None => known.ids().map(|x| x.0).filter(|id| !there.contains(id)).collect(),
+            None => known.ids().map(|x| x.0).filter(|id| !present.contains(id)).collect(),
         };
-        believed.entries = sweep.entries;
+        accepted.entries = sync.entries;
         if self.accepted {
-            // The mark starts anew: the directory may have been set back.
-            (self.held, self.accepted, self.mark) = (None, false, sweep.mark);
-            (believed.gone, believed.older, believed.as_is) = (missing.into_iter().collect(), false, true);
-            return believed;
+            // The numbers are replaced rather than merged, as a directory that was restored from a
+            // backup starts with lower ones.
+            (self.held, self.accepted, self.mark) = (None, false, sync.mark);
+            (accepted.gone, accepted.older, accepted.as_is) = (missing.into_iter().collect(), false, true);
+            return accepted;
         }
-        let held = if much_is_missing(known, &missing, caution) {
+        let held = if exceeds_limits(known, &missing, guard) {
             missing.clone()
-        } else if sweep.mark.is_empty() && !named {
-            newer_than_all(known, &there, &believed.entries, &missing)
+        } else if sync.mark.is_empty() && !lists_removals {
+            newer_than_all(known, &present, &accepted.entries, &missing)
         } else {
             BTreeSet::new()
         };
-        self.mark.extend(sweep.mark);
-        believed.gone = missing.difference(&held).copied().collect();
+        self.mark.extend(sync.mark);
+        accepted.gone = missing.difference(&held).copied().collect();
         if held.is_empty() {
             self.held = None;
-            return believed;
+            return accepted;
         }
-        // The same removal again, or more of it: the count goes on. Anything that came back starts it anew.
+        // The count continues while all entries of the held removal are still missing, and restarts
+        // once one of them has come back.
         let held = match self.held.take() {
             Some(h) if h.ids.is_subset(&missing) => {
                 HeldChanges { ids: held, since: h.since, sweeps: h.sweeps + 1 }
             }
             _ => HeldChanges { ids: held, since: now, sweeps: 1 },
         };
-        if held.sweeps >= caution.sweeps && now >= held.since + caution.over_us {
-            believed.gone.extend(held.ids);
+        if held.sweeps >= guard.sweeps && now >= held.since + guard.over_us {
+            accepted.gone.extend(held.ids);
         } else {
             self.held = Some(held);
         }
-        believed
+        accepted
     }
 }
 
-/// So many tenants or people are missing at once that it is not believed.
-fn much_is_missing(known: &Tenants, missing: &BTreeSet<Id>, caution: ChangeGuard) -> bool {
-    let much = |is: &dyn Fn(&EntryKind) -> bool| {
-        let of = known.ids().filter(|x| is(&x.1.kind)).count();
-        let went = missing.iter().filter(|&&id| known.entry(id).is_some_and(|e| is(&e.kind))).count();
-        went > caution.few.max(of * caution.percent / 100)
+/// Returns whether more tenants, or more persons, are missing than the guard allows at once.
+fn exceeds_limits(known: &Tenants, missing: &BTreeSet<Id>, guard: ChangeGuard) -> bool {
+    let exceeds = |is: &dyn Fn(&EntryKind) -> bool| {
+        let all = known.ids().filter(|x| is(&x.1.kind)).count();
+        let removed = missing.iter().filter(|&&id| known.entry(id).is_some_and(|e| is(&e.kind))).count();
+        removed > guard.few.max(all * guard.percent / 100)
     };
     !missing.is_empty()
-        && (much(&|w| matches!(w, EntryKind::Tenant { .. })) || much(&|w| *w == EntryKind::Person))
+        && (exceeds(&|kind| matches!(kind, EntryKind::Tenant { .. }))
+            || exceeds(&|kind| *kind == EntryKind::Person))
 }
 
-/// Missing entries that are newer than all that the server has: deleted, or not yet heard of there.
+/// Returns the missing entries that are newer than all entries of the server: they were deleted, or
+/// the server lags and has not received them yet.
 fn newer_than_all(
     known: &Tenants,
-    there: &BTreeSet<Id>,
+    present: &BTreeSet<Id>,
     entries: &[Entry],
     missing: &BTreeSet<Id>,
 ) -> BTreeSet<Id> {
     let stamp = |id: &Id| known.entry(*id).map(|e| &e.stamp);
-    let newest = there.iter().filter_map(stamp).chain(entries.iter().map(|e| &e.stamp)).max();
+    let newest = present.iter().filter_map(stamp).chain(entries.iter().map(|e| &e.stamp)).max();
     missing.iter().copied().filter(|id| stamp(id) > newest).collect()
 }
--- a/tenants/src/sync_schedule.rs
+++ b/tenants/src/sync_schedule.rs
@@ -1,27 +1,29 @@
-//! When the directory is asked, which server of several, and how fresh what is known is. No I/O; times are
-//! whole microseconds. One sweep is under way at a time. Servers are tried in order; one that failed waits,
-//! the longer the oftener, with jitter; one that is much slower than another that works is left for it.
+//! Schedules synchronizations with the servers of a directory, and tracks how fresh the directory
+//! is. No I/O; times are microseconds. One synchronization runs at a time. Servers are tried in
+//! order, a failed one again after an exponential backoff with jitter. A server that is much slower
+//! than another working one is replaced by it.
 use fnv::FnvHasher;
 use std::hash::Hasher;
 
-/// How often the directory is asked, and when what is known counts as stale.
+/// Intervals and limits of synchronizations with the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SyncSchedule {
-    /// From the end of a full sweep to the next.
+    /// Time from the end of a full synchronization to the start of the next, in microseconds.
     pub every_us: i64,
-    /// A sweep that takes longer has failed.
+    /// Timeout of a synchronization, in microseconds.
     pub patience_us: i64,
-    /// What was last heard in full longer ago than this is stale.
+    /// Time after a full synchronization from which on the directory is stale, in microseconds.
     pub fresh_us: i64,
-    /// The wait after failures is this, doubled with each.
+    /// Base of the exponential backoff of a server, in microseconds: the wait after the n-th
+    /// failure in a row is this, doubled n times, less up to half of it as jitter.
     pub first_wait_us: i64,
-    /// The longest wait after failures.
+    /// Maximum backoff, in microseconds.
     pub most_wait_us: i64,
-    /// A server is left for one that takes less than one part in so many of its time.
+    /// How many times as long as another working server a server must take to be replaced by it.
     pub slower: i64,
 }
 
-/// The schedule where settings say nothing else.
+/// The default schedule.
 pub const DEFAULT_SYNC_SCHEDULE: SyncSchedule = SyncSchedule {
     every_us: 30_000_000,
     patience_us: 60_000_000,
@@ -31,163 +33,181 @@
     slower: 4,
 };
 
-/// How far what is known can be relied on.
+/// How up to date the known tenants are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DirectoryState {
-    /// Nothing was ever known.
+    /// No synchronization was ever completed.
     Blind,
-    /// Heard in full lately.
+    /// The last full synchronization is recent enough.
     Fresh,
-    /// The last known tenants stand in.
+    /// The last full synchronization is too long ago; its tenants are still in use.
     Stale,
-    /// Stale, and a server answers again; a full sweep is still to come.
+    /// Stale, and a server responds again, but no full synchronization has been completed since.
     Recovering,
 }
 
-/// How a sweep ended.
+/// How a synchronization ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SyncOutcome {
-    /// Everything came.
+    /// The whole directory was received.
     Full,
-    /// Something came, and it is known not to be all, or the server is an older replica.
+    /// A known part of the directory was received, or the server is a lagging replica.
     Partial,
-    /// Nothing came, or it took too long.
+    /// Nothing was received, or the synchronization timed out.
     Failed,
 }
 
+/// What is known of a server of the directory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Server {
-    fails: u32,
+    /// Number of failures in a row.
+    failures: u32,
+    /// End of the server's backoff, in microseconds.
     not_before: i64,
-    took_us: Option<i64>,
+    /// Moving average of the duration of full synchronizations, in microseconds; `None` before the
+    /// first one.
+    mean_duration_us: Option<i64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct RunningSweep {
+struct RunningSync {
     server: usize,
+    /// When the synchronization began, in microseconds.
     since: i64,
 }
 
-/// Chooses the server to sweep and the time, and knows how fresh the last full sweep is.
+/// Chooses the server and the time of each synchronization, and tracks how fresh the directory is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SyncScheduler {
-    pace: SyncSchedule,
+    schedule: SyncSchedule,
+    /// Seed of the jitter, which should differ between planners.
     seed: u64,
     servers: Vec<Server>,
-    at: usize,
-    under: Option<RunningSweep>,
+    /// Index of the server in use.
+    current: usize,
+    running: Option<RunningSync>,
+    /// End of the last full synchronization, in microseconds.
     full_at: Option<i64>,
+    /// Earliest start of the next synchronization, in microseconds.
     due: i64,
-    answers: bool,
+    /// Whether a server has responded since the last full synchronization and the last failure.
+    responding: bool,
 }
 
 impl SyncScheduler {
-    /// `known_at`: when the snapshot that is remembered was heard in full, if one is.
-    pub fn new(seed: u64, now: i64, servers: usize, known_at: Option<i64>, pace: SyncSchedule) -> Self {
+    /// Creates a scheduler. `known_at`: end of the last full synchronization before a restart, if
+    /// its tenants were restored from a snapshot.
+    pub fn new(seed: u64, now: i64, servers: usize, known_at: Option<i64>, schedule: SyncSchedule) -> Self {
         SyncScheduler {
-            pace,
+            schedule,
             seed,
             servers: vec![Server::default(); servers.max(1)],
-            at: 0,
-            under: None,
+            current: 0,
+            running: None,
             full_at: known_at,
             due: now,
-            answers: false,
+            responding: false,
         }
     }
 
-    /// How far what is known can be relied on at a time.
+    /// Returns how up to date the known tenants are at `now`.
     pub fn state(&self, now: i64) -> DirectoryState {
         match self.full_at {
             None => DirectoryState::Blind,
-            Some(at) if now < at + self.pace.fresh_us => DirectoryState::Fresh,
-            Some(_) if self.answers => DirectoryState::Recovering,
+            Some(at) if now < at + self.schedule.fresh_us => DirectoryState::Fresh,
+            Some(_) if self.responding => DirectoryState::Recovering,
             Some(_) => DirectoryState::Stale,
         }
     }
 
-    /// When all was last heard.
+    /// Returns the end of the last full synchronization, in microseconds.
     pub fn full_at(&self) -> Option<i64> {
         self.full_at
     }
 
-    /// The server to sweep now, if it is time. A sweep that took too long is given up first.
+    /// Starts a synchronization if one is due, and returns the index of its server. A
+    /// synchronization that has timed out counts as failed first.
     pub fn next(&mut self, now: i64) -> Option<usize> {
-        if self.under.is_some_and(|running| now >= running.since + self.pace.patience_us) {
+        if self.running.is_some_and(|running| now >= running.since + self.schedule.patience_us) {
             self.ended(now, SyncOutcome::Failed);
         }
-        if self.under.is_some() || now < self.due {
+        if self.running.is_some() || now < self.due {
             return None;
         }
         let server = self.choose(now)?;
-        self.under = Some(RunningSweep { server, since: now });
+        self.running = Some(RunningSync { server, since: now });
         Some(server)
     }
 
-    /// When `next` has something to do, if nothing else happens.
+    /// Returns when to call `next` again, unless the running synchronization ends before.
     pub fn next_at(&self) -> i64 {
-        match self.under {
-            Some(running) => running.since + self.pace.patience_us,
+        match self.running {
+            Some(running) => running.since + self.schedule.patience_us,
             None => self.due.max(self.servers.iter().map(|s| s.not_before).min().unwrap_or(0)),
         }
     }
 
-    /// The server in use while it works and no other is far faster; else the next in order that may be tried.
+    /// Chooses the server in use while it works and no other is much faster, otherwise the next one
+    /// in order whose backoff is over. `None`: all servers are in backoff.
     fn choose(&mut self, now: i64) -> Option<usize> {
-        let free = |s: &Server| now >= s.not_before;
-        let own = self.servers[self.at].took_us.unwrap_or(0);
-        // A server that was never asked gets its turn once the one in use takes a good part of the patience.
-        let slow = own * self.pace.slower > self.pace.patience_us;
-        let faster = |s: &Server| s.fails == 0 && s.took_us.map_or(slow, |t| t * self.pace.slower < own);
+        let available = |s: &Server| now >= s.not_before;
+        let own = self.servers[self.current].mean_duration_us.unwrap_or(0);
+        // A server without a measured duration is tried once the one in use takes a large part of
+        // the timeout.
+        let slow = own * self.schedule.slower > self.schedule.patience_us;
+        let faster = |s: &Server| {
+            s.failures == 0 && s.mean_duration_us.map_or(slow, |mean| mean * self.schedule.slower < own)
+        };
         if let Some(i) = (0..self.servers.len())
-            .find(|&i| i != self.at && free(&self.servers[i]) && faster(&self.servers[i]))
+            .find(|&i| i != self.current && available(&self.servers[i]) && faster(&self.servers[i]))
         {
-            self.at = i;
-        } else if !free(&self.servers[self.at]) || self.servers[self.at].fails > 0 {
+            self.current = i;
+        } else if !available(&self.servers[self.current]) || self.servers[self.current].failures > 0 {
             let count = self.servers.len();
-            let order = (1..=count).map(|i| (self.at + i) % count);
-            self.at = order.into_iter().find(|&i| free(&self.servers[i]))?;
+            let order = (1..=count).map(|i| (self.current + i) % count);
+            self.current = order.into_iter().find(|&i| available(&self.servers[i]))?;
         }
-        Some(self.at)
+        Some(self.current)
     }
 
-    /// A first page came: the directory answers, though not all is heard.
+    /// Records that the first page of the running synchronization was received.
     pub fn answered(&mut self) {
-        self.answers = true;
+        self.responding = true;
     }
 
-    /// The sweep that is under way ended.
-    pub fn ended(&mut self, now: i64, how: SyncOutcome) {
-        let Some(under) = self.under.take() else { return };
-        let pace = self.pace;
-        let server = &mut self.servers[under.server];
-        match how {
+    /// Records the end of the running synchronization.
+    pub fn ended(&mut self, now: i64, outcome: SyncOutcome) {
+        let Some(running) = self.running.take() else { return };
+        let schedule = self.schedule;
+        let server = &mut self.servers[running.server];
+        match outcome {
             SyncOutcome::Full => {
-                let took = now - under.since;
-                server.took_us = Some(server.took_us.map_or(took, |t| (3 * t + took) / 4));
-                (server.fails, server.not_before) = (0, now);
+                let duration = now - running.since;
+                server.mean_duration_us =
+                    Some(server.mean_duration_us.map_or(duration, |mean| (3 * mean + duration) / 4));
+                (server.failures, server.not_before) = (0, now);
                 self.full_at = Some(now);
-                self.answers = false;
-                self.due = now + pace.every_us;
+                self.responding = false;
+                self.due = now + schedule.every_us;
             }
             SyncOutcome::Partial | SyncOutcome::Failed => {
-                server.fails = server.fails.saturating_add(1);
-                let wait = (pace.first_wait_us << server.fails.min(16)).min(pace.most_wait_us);
+                server.failures = server.failures.saturating_add(1);
+                let wait = (schedule.first_wait_us << server.failures.min(16)).min(schedule.most_wait_us);
                 server.not_before =
-                    now + wait - jitter(self.seed, under.server, server.fails) % (wait / 2).max(1);
-                self.answers = how == SyncOutcome::Partial;
+                    now + wait - jitter(self.seed, running.server, server.failures) % (wait / 2).max(1);
+                self.responding = outcome == SyncOutcome::Partial;
                 self.due = now;
             }
         }
     }
 }
 
-/// A number that differs from planner to planner, server to server and failure to failure, and is always the
-/// same.
-fn jitter(seed: u64, server: usize, fails: u32) -> i64 {
+/// Returns a deterministic pseudo-random number for a planner's seed, a server and a count of
+/// failures, so that planners do not retry at the same time.
+fn jitter(seed: u64, server: usize, failures: u32) -> i64 {
     let mut hasher = FnvHasher::with_key(seed);
     hasher.write_usize(server);
-    hasher.write_u32(fails);
+    hasher.write_u32(failures);
     (hasher.finish() >> 2) as i64
 }
 
