--- a/tenants/benches/closure.rs
+++ b/tenants/benches/closure.rs
@@ -1,53 +1,57 @@
-//! The closure that is mended beside plain sets that are worked out anew: a full load, one change, a look-up.
-//! Members spread over groups nested five deep, ten groups a level, each in two of the level above.
+//! Compares the incremental group closure with sets that are computed from scratch: loading all
+//! members, one change, and a look-up. Members are distributed over groups on five levels of ten
+//! groups, each of which is nested in two groups of the level above.
 use basaltpitch_tenants::group_closure::GroupClosure;
 use roaring::RoaringBitmap;
 use std::collections::HashSet;
 
 const MEMBERS: [u32; 3] = [1_000, 10_000, 100_000];
-const DEEP: u32 = 5;
-const WIDE: u32 = 10;
+/// Number of levels of groups.
+const LEVELS: u32 = 5;
+/// Number of groups on each level.
+const GROUPS_PER_LEVEL: u32 = 10;
 
 fn main() {
-    let plain: usize = plain_closure(&directs(100_000)).iter().map(|s| s.capacity() * 5).sum();
-    println!("bytes at 100,000 members: closure {}, plain sets about {plain}", load(100_000).bytes());
+    let sets: usize = closure_from_scratch(&direct_members(100_000)).iter().map(|s| s.capacity() * 5).sum();
+    println!("bytes at 100,000 members: closure {}, plain sets about {sets}", load(100_000).bytes());
     divan::main();
 }
 
-/// Groups directly below a group of level `l`, column `c`.
-fn below(l: u32, c: u32) -> [u32; 2] {
-    [(l + 1) * WIDE + c, (l + 1) * WIDE + (c + 3) % WIDE]
+/// Returns the groups directly in the group at index `c` of level `l`.
+fn children(l: u32, c: u32) -> [u32; 2] {
+    [(l + 1) * GROUPS_PER_LEVEL + c, (l + 1) * GROUPS_PER_LEVEL + (c + 3) % GROUPS_PER_LEVEL]
 }
 
-fn directs(members: u32) -> Vec<RoaringBitmap> {
-    let mut groups = vec![RoaringBitmap::new(); (DEEP * WIDE) as usize];
+/// Returns the persons directly in each group.
+fn direct_members(members: u32) -> Vec<RoaringBitmap> {
+    let mut groups = vec![RoaringBitmap::new(); (LEVELS * GROUPS_PER_LEVEL) as usize];
     for person in 0..members {
-        groups[(person.wrapping_mul(2_654_435_761) % (DEEP * WIDE)) as usize].insert(person);
+        groups[(person.wrapping_mul(2_654_435_761) % (LEVELS * GROUPS_PER_LEVEL)) as usize].insert(person);
     }
     groups
 }
 
 fn load(members: u32) -> GroupClosure {
     let mut closure = GroupClosure::default();
-    for (g, persons) in directs(members).into_iter().enumerate() {
+    for (g, persons) in direct_members(members).into_iter().enumerate() {
         closure.set_persons(g as u32, persons);
     }
-    for l in 0..DEEP - 1 {
-        for c in 0..WIDE {
-            closure.set_groups(l * WIDE + c, below(l, c).into_iter().collect());
+    for l in 0..LEVELS - 1 {
+        for c in 0..GROUPS_PER_LEVEL {
+            closure.set_groups(l * GROUPS_PER_LEVEL + c, children(l, c).into_iter().collect());
         }
     }
     closure
 }
 
-/// For each group the set of all persons below it, worked out from the bottom.
-fn plain_closure(directs: &[RoaringBitmap]) -> Vec<HashSet<u32>> {
-    let mut all: Vec<HashSet<u32>> = directs.iter().map(|d| d.iter().collect()).collect();
-    for l in (0..DEEP - 1).rev() {
-        for c in 0..WIDE {
-            for b in below(l, c) {
+/// Computes the transitive members of each group, from the lowest level up.
+fn closure_from_scratch(direct: &[RoaringBitmap]) -> Vec<HashSet<u32>> {
+    let mut all: Vec<HashSet<u32>> = direct.iter().map(|d| d.iter().collect()).collect();
+    for l in (0..LEVELS - 1).rev() {
+        for c in 0..GROUPS_PER_LEVEL {
+            for b in children(l, c) {
                 let more = all[b as usize].clone();
-                all[(l * WIDE + c) as usize].extend(more);
+                all[(l * GROUPS_PER_LEVEL + c) as usize].extend(more);
             }
         }
     }
@@ -55,22 +59,22 @@
 }
 
 #[divan::bench(args = MEMBERS, sample_count = 5)]
-fn load_mended(members: u32) -> GroupClosure {
+fn load_incremental(members: u32) -> GroupClosure {
     load(members)
 }
 
 #[divan::bench(args = MEMBERS, sample_count = 5)]
-fn load_plain(bencher: divan::Bencher, members: u32) {
-    let directs = directs(members);
-    bencher.bench(|| plain_closure(&directs));
+fn load_from_scratch(bencher: divan::Bencher, members: u32) {
+    let direct = direct_members(members);
+    bencher.bench(|| closure_from_scratch(&direct));
 }
 
 /// A person joins a group of the lowest level and leaves it again.
 #[divan::bench(args = MEMBERS, sample_count = 50)]
-fn change_mended(bencher: divan::Bencher, members: u32) {
+fn change_incremental(bencher: divan::Bencher, members: u32) {
     let mut closure = load(members);
-    let group = (DEEP - 1) * WIDE + 1;
-    let without = directs(members)[group as usize].clone();
+    let group = (LEVELS - 1) * GROUPS_PER_LEVEL + 1;
+    let without = direct_members(members)[group as usize].clone();
     let mut with = without.clone();
     with.insert(members + 1);
     bencher.bench_local(|| {
@@ -80,33 +84,33 @@
 }
 
 #[divan::bench(args = MEMBERS, sample_count = 5)]
-fn change_plain(bencher: divan::Bencher, members: u32) {
-    let mut directs = directs(members);
-    let group = ((DEEP - 1) * WIDE + 1) as usize;
+fn change_from_scratch(bencher: divan::Bencher, members: u32) {
+    let mut direct = direct_members(members);
+    let group = ((LEVELS - 1) * GROUPS_PER_LEVEL + 1) as usize;
     bencher.bench_local(|| {
-        directs[group].insert(members + 1);
-        divan::black_box(plain_closure(&directs));
-        directs[group].remove(members + 1);
-        plain_closure(&directs)
+        direct[group].insert(members + 1);
+        divan::black_box(closure_from_scratch(&direct));
+        direct[group].remove(members + 1);
+        closure_from_scratch(&direct)
     });
 }
 
 #[divan::bench(args = MEMBERS)]
-fn look_up_mended(bencher: divan::Bencher, members: u32) {
+fn look_up_incremental(bencher: divan::Bencher, members: u32) {
     let closure = load(members);
     let mut n = 0u32;
     bencher.bench_local(|| {
         n = n.wrapping_add(7919);
-        closure.contains(n % WIDE, n % members)
+        closure.contains(n % GROUPS_PER_LEVEL, n % members)
     });
 }
 
 #[divan::bench(args = MEMBERS)]
-fn look_up_plain(bencher: divan::Bencher, members: u32) {
-    let all = plain_closure(&directs(members));
+fn look_up_from_scratch(bencher: divan::Bencher, members: u32) {
+    let all = closure_from_scratch(&direct_members(members));
     let mut n = 0u32;
     bencher.bench_local(|| {
         n = n.wrapping_add(7919);
-        all[(n % WIDE) as usize].contains(&(n % members))
+        all[(n % GROUPS_PER_LEVEL) as usize].contains(&(n % members))
     });
 }
--- a/tenants/tests/every_state.rs
+++ b/tenants/tests/every_state.rs
@@ -1,6 +1,7 @@
-//! Every state that sweeps of two servers can bring about within bounds: servers fail, hang, answer in part,
-//! lag behind, or lose much; entries come and go in the directory. In none does an entry leave for any reason
-//! but that a complete sweep of a server that is not behind lacked it.
+//! Explores all states that synchronizations with two servers can reach within bounds: servers
+//! fail, time out, send a part, lag behind or lose many entries, while entries of the directory
+//! change. Guards against an entry being removed for any other reason than that a complete
+//! synchronization with an up-to-date server lacked it.
 use basaltpitch_tenants::change_guard::{ChangeGuard, ChangeReview};
 use basaltpitch_tenants::sync_schedule::{DirectoryState, SyncOutcome, SyncSchedule, SyncScheduler};
 use basaltpitch_tenants::{Entry, EntryKind, Id, Sweep, Tenants};
@@ -8,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-const PACE: SyncSchedule = SyncSchedule {
+const SCHEDULE: SyncSchedule = SyncSchedule {
     every_us: 10,
     patience_us: 30,
     fresh_us: 25,
@@ -16,30 +17,34 @@
     most_wait_us: 16,
     slower: 4,
 };
-const CAUTION: ChangeGuard = ChangeGuard { few: 1, percent: 0, sweeps: 2, over_us: 12 };
+const GUARD: ChangeGuard = ChangeGuard { few: 1, percent: 0, sweeps: 2, over_us: 12 };
+/// End of the exploration, in microseconds.
 const UNTIL: i64 = 56;
 
 #[derive(Clone, Debug)]
 struct World {
     now: i64,
-    health: SyncScheduler,
-    trust: ChangeReview,
-    ours: Tenants,
-    /// Entries of the directory, and those of the second server, which may lag: ids, and how often something
-    /// changed.
-    there: (BTreeSet<u128>, u32),
+    scheduler: SyncScheduler,
+    review: ChangeReview,
+    tenants: Tenants,
+    /// Server 0, on which changes are made: ids of its entries, and the number of its last change.
+    primary: (BTreeSet<u128>, u32),
+    /// Server 1, a replica that may lag, in the same form.
     replica: (BTreeSet<u128>, u32),
-    under: Option<usize>,
+    /// Server of the running synchronization.
+    running: Option<usize>,
     edits: u8,
-    /// Servers say how far they are; else an entry of the directory's own changes with every change.
+    /// Whether servers report change sequence numbers. If not, entry 0 has a new stamp after each
+    /// change.
     marks: bool,
-    wrong: Option<&'static str>,
+    /// The first check that failed, if any.
+    violation: Option<&'static str>,
 }
 
 impl World {
     fn key(&self) -> impl Hash + Eq + '_ {
-        let ours: Vec<Id> = self.ours.ids().map(|x| x.0).collect();
-        (self.now, &self.health, &self.trust, ours, &self.there, &self.replica, self.under, self.edits)
+        let ids: Vec<Id> = self.tenants.ids().map(|x| x.0).collect();
+        (self.now, &self.scheduler, &self.review, ids, &self.primary, &self.replica, self.running, self.edits)
     }
 }
 
@@ -57,8 +62,9 @@
     }
 }
 
-/// Tenants 1 to 3; entry 0 is the directory's own, which changes with every change.
-fn entries(of: &(BTreeSet<u128>, u32), marks: bool) -> Vec<Entry> {
+/// Returns a server's entries: tenants 1 to 3 as far as present, and entry 0, which stands for the
+/// directory itself.
+fn entries(server: &(BTreeSet<u128>, u32), marks: bool) -> Vec<Entry> {
     let entry = |id: u128, stamp: u32| Entry {
         id: Id(id),
         kind: if id == 0 { EntryKind::Group } else { EntryKind::Tenant { share: 0.3 } },
@@ -67,119 +73,123 @@
         members: Vec::new(),
         stamp: format!("{stamp:04}"),
     };
-    of.0.iter().map(|&id| entry(id, 1)).chain([entry(0, if marks { 1 } else { of.1 })]).collect()
+    server.0.iter().map(|&id| entry(id, 1)).chain([entry(0, if marks { 1 } else { server.1 })]).collect()
 }
 
 impl World {
     fn new(marks: bool) -> Self {
-        let there = (BTreeSet::from([1, 2, 3]), 1);
+        let primary = (BTreeSet::from([1, 2, 3]), 1);
         World {
             now: 0,
-            health: SyncScheduler::new(1, 0, 2, None, PACE),
-            trust: ChangeReview::default(),
-            ours: Tenants::default(),
-            replica: there.clone(),
-            there,
-            under: None,
+            scheduler: SyncScheduler::new(1, 0, 2, None, SCHEDULE),
+            review: ChangeReview::default(),
+            tenants: Tenants::default(),
+            replica: primary.clone(),
+            primary,
+            running: None,
             edits: 0,
             marks,
-            wrong: None,
+            violation: None,
         }
     }
 
-    fn sweep_ends(&mut self, how: SyncOutcome, only: usize) {
-        let Some(server) = self.under.take() else { return };
-        let source = if server == 0 { self.there.clone() } else { self.replica.clone() };
-        let mut how = how;
-        if how != SyncOutcome::Failed {
+    /// Ends the running synchronization. A partial one receives the first `count` entries.
+    fn sync_ended(&mut self, outcome: SyncOutcome, count: usize) {
+        let Some(server) = self.running.take() else { return };
+        let source = if server == 0 { self.primary.clone() } else { self.replica.clone() };
+        let mut outcome = outcome;
+        if outcome != SyncOutcome::Failed {
             let mut all = entries(&source, self.marks);
-            if how == SyncOutcome::Partial {
-                all.truncate(only);
+            if outcome == SyncOutcome::Partial {
+                all.truncate(count);
             }
-            let before: BTreeSet<Id> = self.ours.ids().map(|x| x.0).collect();
-            let mut sweep = Sweep::of(all, how == SyncOutcome::Full);
+            let before: BTreeSet<Id> = self.tenants.ids().map(|x| x.0).collect();
+            let mut sync = Sweep::of(all, outcome == SyncOutcome::Full);
             if self.marks {
-                sweep.mark.insert("001".into(), format!("{:04}", source.1));
+                sync.mark.insert("001".into(), format!("{:04}", source.1));
             }
-            let believed = self.trust.judge(self.now, &self.ours, sweep, CAUTION);
-            if believed.older {
-                how = SyncOutcome::Partial;
+            let accepted = self.review.judge(self.now, &self.tenants, sync, GUARD);
+            if accepted.older {
+                outcome = SyncOutcome::Partial;
             }
-            let many = before.iter().filter(|id| id.0 > 0 && !source.0.contains(&id.0)).count() > CAUTION.few;
-            self.ours.take(self.now, believed.entries, &believed.gone);
-            let after: BTreeSet<Id> = self.ours.ids().map(|x| x.0).collect();
+            let many = before.iter().filter(|id| id.0 > 0 && !source.0.contains(&id.0)).count() > GUARD.few;
+            self.tenants.take(self.now, accepted.entries, &accepted.gone);
+            let after: BTreeSet<Id> = self.tenants.ids().map(|x| x.0).collect();
             for id in before.difference(&after) {
-                if how != SyncOutcome::Full {
-                    self.wrong = Some("an entry left by a partial answer or an older replica");
+                if outcome != SyncOutcome::Full {
+                    self.violation =
+                        Some("an entry was removed by a partial synchronization or a lagging replica");
                 }
                 if source.0.contains(&id.0) {
-                    self.wrong = Some("an entry left that the directory has");
+                    self.violation = Some("an entry was removed that the server has");
                 }
-                if many && believed.gone.len() > 1 && self.now < CAUTION.over_us {
-                    self.wrong = Some("many entries left before that was confirmed");
+                if many && accepted.gone.len() > 1 && self.now < GUARD.over_us {
+                    self.violation = Some("many entries were removed before the removal was confirmed");
                 }
             }
         }
-        self.health.ended(self.now, how);
+        self.scheduler.ended(self.now, outcome);
     }
 
+    /// Returns the states that follow by one step.
     fn next(&self) -> Vec<World> {
-        let mut all = Vec::new();
-        let mut with = |change: &dyn Fn(&mut World)| {
+        let mut successors = Vec::new();
+        let mut add = |change: &dyn Fn(&mut World)| {
             let mut next = self.clone();
             change(&mut next);
-            all.push(next);
+            successors.push(next);
         };
         if self.now < UNTIL {
-            with(&|w| {
+            add(&|w| {
                 w.now += 8;
-                if let Some(server) = w.health.next(w.now) {
-                    w.under = Some(server);
+                if let Some(server) = w.scheduler.next(w.now) {
+                    w.running = Some(server);
                 }
             });
         }
-        if self.under.is_some() {
-            with(&|w| w.health.answered());
-            with(&|w| w.sweep_ends(SyncOutcome::Full, 0));
-            with(&|w| w.sweep_ends(SyncOutcome::Partial, 1));
-            with(&|w| w.sweep_ends(SyncOutcome::Failed, 0));
+        if self.running.is_some() {
+            add(&|w| w.scheduler.answered());
+            add(&|w| w.sync_ended(SyncOutcome::Full, 0));
+            add(&|w| w.sync_ended(SyncOutcome::Partial, 1));
+            add(&|w| w.sync_ended(SyncOutcome::Failed, 0));
         }
         if self.edits < 2 {
-            with(&|w| {
+            add(&|w| {
                 w.edits += 1;
-                w.there.0.pop_first();
-                w.there.1 += 1;
+                w.primary.0.pop_first();
+                w.primary.1 += 1;
             });
-            with(&|w| {
+            add(&|w| {
                 w.edits += 1;
-                w.there.0.clear();
-                w.there.1 += 1;
+                w.primary.0.clear();
+                w.primary.1 += 1;
             });
         }
-        if self.replica != self.there {
-            with(&|w| w.replica = w.there.clone());
+        if self.replica != self.primary {
+            add(&|w| w.replica = w.primary.clone());
         }
-        all
+        successors
     }
 }
 
 #[test]
-fn nothing_leaves_by_a_partial_answer() {
-    [false, true].into_iter().for_each(every_state);
+fn entries_are_removed_only_by_complete_synchronizations_with_up_to_date_servers() {
+    [false, true].into_iter().for_each(explore_states);
 }
 
-fn every_state(marks: bool) {
-    let (mut seen, mut states) = (0usize, BTreeSet::new());
+fn explore_states(marks: bool) {
+    let (mut explored, mut states) = (0usize, BTreeSet::new());
     for world in bfs_reach(World::new(marks), World::next) {
-        seen += 1;
-        assert_eq!(world.wrong, None, "state {seen}: {world:#?}");
-        states.insert(format!("{:?}", world.health.state(world.now)));
-        let known = world.ours.ids().next().is_some();
-        // A partial answer can make entries known before all was heard: that is still blind, and said so.
+        explored += 1;
+        assert_eq!(world.violation, None, "state {explored}: {world:#?}");
+        states.insert(format!("{:?}", world.scheduler.state(world.now)));
+        let known = world.tenants.ids().next().is_some();
+        // A partial synchronization can add entries before the first full one: the state stays
+        // `Blind`.
         assert!(
             known
                 || matches!(
-                    world.health.state(world.now),
+                    world.scheduler.state(world.now),
                     DirectoryState::Blind
                         | DirectoryState::Fresh
                         | DirectoryState::Stale
@@ -187,6 +197,6 @@
                 )
         );
     }
-    println!("{seen} states");
+    println!("{explored} states");
     assert_eq!(states.into_iter().collect::<Vec<_>>(), ["Blind", "Fresh", "Recovering", "Stale"]);
 }
--- a/tenants/tests/golden_memory.rs
+++ b/tenants/tests/golden_memory.rs
@@ -1,12 +1,13 @@
-//! What is remembered of a directory over a restart, as an earlier build wrote it: `golden/memory.json` holds
-//! the bytes. The file is never edited; planners in service find such bytes in their state folder.
+//! Compatibility of the tenant snapshot: `golden/memory.json` was written by an earlier build, and
+//! planners in service have such snapshots in their state directory. The file is never edited.
 use basaltpitch_tenants::change_guard::DEFAULT_CHANGE_GUARD;
 use basaltpitch_tenants::sync_schedule::DEFAULT_SYNC_SCHEDULE;
 use basaltpitch_tenants::tenant_directory::{TenantDirectory, FORMAT};
 use basaltpitch_tenants::{Entry, EntryKind, Id, Sweep};
 
-/// When all was last heard, and a time at which it is asked of.
-const HEARD_AT: i64 = 90_000_000;
+/// End of the last full synchronization, in microseconds.
+const SYNCED_AT: i64 = 90_000_000;
+/// Time of the queries, in microseconds.
 const NOW: i64 = 100_000_000;
 
 fn golden() -> Vec<u8> {
@@ -14,25 +15,25 @@
     std::fs::read(path).expect("golden/memory.json")
 }
 
-fn keeper(remembered: Option<(i64, &[u8])>) -> TenantDirectory {
+fn new_directory(remembered: Option<(i64, &[u8])>) -> TenantDirectory {
     let servers = ["ldap://one:389".to_owned(), "ldap://two:389".to_owned()];
     TenantDirectory::new(
         7,
-        HEARD_AT - 60_000_000,
+        SYNCED_AT - 60_000_000,
         &servers,
         remembered,
         DEFAULT_SYNC_SCHEDULE,
         DEFAULT_CHANGE_GUARD,
     )
-    .expect("bytes that are read")
+    .expect("the snapshot can be decoded")
 }
 
-fn entry(id: u128, what: EntryKind, name: &str, members: &[&str], day: u32) -> Entry {
+fn entry(id: u128, kind: EntryKind, name: &str, members: &[&str], day: u32) -> Entry {
     let dn = format!("cn={name},dc=example");
     let members = members.iter().map(|member| format!("cn={member},dc=example")).collect();
     Entry {
         id: Id(id << 64 | id),
-        kind: what,
+        kind,
         name: name.into(),
         dn,
         members,
@@ -40,7 +41,7 @@
     }
 }
 
-fn first() -> Vec<Entry> {
+fn first_entries() -> Vec<Entry> {
     vec![
         entry(1, EntryKind::Person, "asha", &[], 1),
         entry(2, EntryKind::Person, "ravi", &[], 1),
@@ -50,61 +51,62 @@
     ]
 }
 
-/// One whole sweep that ends at this time.
-fn swept(keeper: &mut TenantDirectory, at: i64, entries: Vec<Entry>) {
-    keeper.next(at - 1000).expect("a server to sweep");
-    keeper.answered();
-    let mut sweep = Sweep::of(entries, true);
-    sweep.mark.insert("001".into(), "20261103120000.000000Z#000000#001#000000".into());
-    sweep.cookie = Some(b"rid=000,csn=1\xff".to_vec());
-    keeper.swept(at, Some(sweep));
+/// Runs a full synchronization that ends at `at`.
+fn sync(directory: &mut TenantDirectory, at: i64, entries: Vec<Entry>) {
+    directory.next(at - 1000).expect("a synchronization is due");
+    directory.answered();
+    let mut sync = Sweep::of(entries, true);
+    sync.mark.insert("001".into(), "20261103120000.000000Z#000000#001#000000".into());
+    sync.cookie = Some(b"rid=000,csn=1\xff".to_vec());
+    directory.swept(at, Some(sync));
 }
 
-/// Two sweeps: in the second a tenant has another name, and another tenant is gone.
-fn learnt() -> TenantDirectory {
-    let mut keeper = keeper(None);
-    swept(&mut keeper, HEARD_AT - 50_000_000, first());
-    let mut entries = first();
+/// Returns a directory after two synchronizations, of which the second renames one tenant and
+/// removes another.
+fn synced_directory() -> TenantDirectory {
+    let mut directory = new_directory(None);
+    sync(&mut directory, SYNCED_AT - 50_000_000, first_entries());
+    let mut entries = first_entries();
     entries[4] = entry(20, EntryKind::Tenant { share: 0.75 }, "kitchen", &["asha", "cooks"], 4);
     entries.remove(3);
-    swept(&mut keeper, HEARD_AT, entries);
-    keeper
+    sync(&mut directory, SYNCED_AT, entries);
+    directory
 }
 
 #[test]
-fn the_same_sweeps_are_remembered_in_the_same_bytes() {
-    let (at, bytes) = learnt().memory().expect("all was heard");
-    assert_eq!(at, HEARD_AT);
+fn encodes_snapshot_as_the_golden_file() {
+    let (at, bytes) = synced_directory().memory().expect("a full synchronization was completed");
+    assert_eq!(at, SYNCED_AT);
     assert_eq!(String::from_utf8(bytes), String::from_utf8(golden()));
 }
 
 #[test]
-fn what_is_read_back_is_written_again_in_the_same_bytes() {
+fn restored_snapshot_is_encoded_in_the_same_bytes() {
     let bytes = golden();
-    let (at, again) = keeper(Some((HEARD_AT, &bytes))).memory().expect("it was remembered");
-    assert_eq!(at, HEARD_AT);
-    assert_eq!(String::from_utf8(again), String::from_utf8(bytes));
+    let (at, encoded) = new_directory(Some((SYNCED_AT, &bytes))).memory().expect("the snapshot was restored");
+    assert_eq!(at, SYNCED_AT);
+    assert_eq!(String::from_utf8(encoded), String::from_utf8(bytes));
 }
 
 #[test]
-fn the_tenants_that_were_remembered_are_there() {
+fn restores_tenants_names_members_and_indices_from_the_golden_file() {
     let bytes = golden();
-    let keeper = keeper(Some((HEARD_AT, &bytes)));
-    let known = keeper.tenants();
+    let directory = new_directory(Some((SYNCED_AT, &bytes)));
+    let known = directory.tenants();
     let tenants: Vec<String> = known
         .tenants(NOW)
         .map(|t| format!("{} {} {:?} {} {} {}", t.id.0, t.name, t.was, t.share, t.members, t.index))
         .collect();
     let id = 20u128 << 64 | 20;
     assert_eq!(tenants, [format!("{id} kitchen Some(\"orders\") 0.75 2 1")]);
-    assert_eq!(known.find("orders", NOW), Some(Id(id)), "its old name leads to it");
+    assert_eq!(known.find("orders", NOW), Some(Id(id)), "the old name is still valid");
     assert_eq!(known.people(Id(id)), ["asha", "ravi"]);
     assert_eq!(known.why(known.login("ravi").expect("a person"), Id(id)), ["kitchen", "cooks"]);
-    assert_eq!(known.at(0), Some(Id(21u128 << 64 | 21)), "an index of one that is gone is not given away");
+    assert_eq!(known.at(0), Some(Id(21u128 << 64 | 21)), "the index of a removed tenant is not reused");
 }
 
-/// The store refuses a snapshot of another format, so this number is on the disk too.
+/// The store rejects a snapshot of any other format, so this number is part of the stored data.
 #[test]
-fn the_format_is_the_one_under_which_it_was_kept() {
+fn snapshot_format_number_is_unchanged() {
     assert_eq!(FORMAT, 2);
 }
