--- a/tenants/src/sync_schedule.rs
+++ b/tenants/src/sync_schedule.rs
@@ -66,7 +66,7 @@
     not_before: i64,
     /// Moving average of the duration of full synchronizations, in microseconds; `None` before the
     /// first one.
-    mean_duration_us: Option<i64>,
+    mean_us: Option<i64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -151,13 +151,12 @@
     /// in order whose backoff is over. `None`: all servers are in backoff.
     fn choose(&mut self, now: i64) -> Option<usize> {
         let available = |s: &Server| now >= s.not_before;
-        let own = self.servers[self.current].mean_duration_us.unwrap_or(0);
+        let own = self.servers[self.current].mean_us.unwrap_or(0);
         // A server without a measured duration is tried once the one in use takes a large part of
         // the timeout.
         let slow = own * self.schedule.slower > self.schedule.patience_us;
-        let faster = |s: &Server| {
-            s.failures == 0 && s.mean_duration_us.map_or(slow, |mean| mean * self.schedule.slower < own)
-        };
+        let faster =
+            |s: &Server| s.failures == 0 && s.mean_us.map_or(slow, |t| t * self.schedule.slower < own);
         if let Some(i) = (0..self.servers.len())
             .find(|&i| i != self.current && available(&self.servers[i]) && faster(&self.servers[i]))
         {
@@ -183,8 +182,7 @@
         match outcome {
             SyncOutcome::Full => {
                 let duration = now - running.since;
-                server.mean_duration_us =
-                    Some(server.mean_duration_us.map_or(duration, |mean| (3 * mean + duration) / 4));
+                server.mean_us = Some(server.mean_us.map_or(duration, |mean| (3 * mean + duration) / 4));
                 (server.failures, server.not_before) = (0, now);
                 self.full_at = Some(now);
                 self.responding = false;
--- a/tenants/src/sync_schedule/tests.rs
+++ b/tenants/src/sync_schedule/tests.rs
@@ -25,7 +25,7 @@
     assert_eq!(scheduler.next(SECOND), Some(1));
     scheduler.ended(2 * SECOND, SyncOutcome::Full);
     // Server 0 works again and took a tenth of the time that server 1 takes.
-    scheduler.servers[0] = Server { mean_duration_us: Some(SECOND / 10), ..Server::default() };
+    scheduler.servers[0] = Server { mean_us: Some(SECOND / 10), ..Server::default() };
     assert_eq!(scheduler.next(40 * SECOND), Some(0));
 }
 
--- a/tenants/tests/outage.rs
+++ b/tenants/tests/outage.rs
@@ -141,7 +141,7 @@
 
 #[test]
 fn rejects_snapshot_that_is_not_json_with_the_expected_format() {
-    let error = TenantDirectory::new(
+    let message = TenantDirectory::new(
         1,
         0,
         &server_names(1),
@@ -153,8 +153,8 @@
     .unwrap()
     .to_string();
     assert!(
-        error.starts_with("tenant snapshot: found")
-            && error.ends_with("expected directory entries of format 2"),
-        "{error}"
+        message.starts_with("tenant snapshot: found")
+            && message.ends_with("expected directory entries of format 2"),
+        "{message}"
     );
 }
