--- a/constraints/tests/reading.rs
+++ b/constraints/tests/reading.rs
@@ -175,9 +175,9 @@
     );
 }
 
-/// A zone with running tasks becomes unavailable and available again, twice. Guards against attempts
-/// that are counted twice or lost on the way, and checks that the skew is measured against the
-/// unavailable zone only with `gone: "keeps"`.
+/// A zone with running tasks becomes unavailable and available again, twice. Guards against
+/// attempts that are counted twice or lost on the way, and checks that the skew is measured against
+/// the unavailable zone only with `gone: "keeps"`.
 #[test]
 fn spread_counts_survive_repeated_zone_outages() {
     for (gone, allowed_in_outage) in [("live", true), ("keeps", false)] {
@@ -228,8 +228,8 @@
     }
 }
 
-/// Many services come and go. Guards against groups that are never dropped, and against wrong counts
-/// of a running attempt whose group was dropped and is created again.
+/// Many services come and go. Guards against groups that are never dropped, and against wrong
+/// counts of a running attempt whose group was dropped and is created again.
 #[test]
 fn drops_idle_groups_and_keeps_running_attempts_counted() {
     let text = "clauses: [{name: \"s\", spread: {over: \"machine\", most: 1}}]\n";
--- a/invariants/tests/forged_traffic.rs
+++ b/invariants/tests/forged_traffic.rs
@@ -388,8 +388,8 @@
 
 #[test]
 fn invariant_11_reports_placed_low_priority_while_high_priority_is_declined() {
-    // Time between requests, the reason for declining those of the framework `dear`, the index of the
-    // one that is placed (if any), and the invariants violated.
+    // Time between requests, the reason for declining those of the framework `dear`, the index of
+    // the one that is placed (if any), and the invariants violated.
     let cases = [
         (SECOND / 4, "room", None, vec![11]),
         (SECOND / 4, "room", Some(7), vec![]),
@@ -440,8 +440,8 @@
 
 #[test]
 fn invariant_8_reports_too_many_drained_machines_and_machines_drained_twice() {
-    // Machines, each with what happens to it: it drains (on), accepts tasks again (off), or restarts
-    // (anew).
+    // Machines, each with what happens to it: it drains (on), accepts tasks again (off), or
+    // restarts (anew).
     let cases = [
         (vec![("m0", "on"), ("m0", "on"), ("m0", "off"), ("m2", "on")], vec![]),
         (vec![("m0", "on"), ("m2", "on")], vec![8]),
