--- a/ldap/src/entry.rs
+++ b/ldap/src/entry.rs
@@ -177,7 +177,7 @@
     fn stamp(&self, names: &AttributeNames) -> Result<EntryStamp, InvalidEntry> {
         let text = self.required(&names.id)?;
         let id =
-            Id::read(text).ok_or_else(|| self.invalid(&names.id, format!("{text:?}"), "32 hex digits"))?;
+            Id::parse(text).ok_or_else(|| self.invalid(&names.id, format!("{text:?}"), "32 hex digits"))?;
         let stamp = self.required(&names.stamp)?;
         if !is_stamp(stamp) {
             let expected = "a time such as 20261201134500Z";
--- a/ldap/src/lib.rs
+++ b/ldap/src/lib.rs
@@ -15,7 +15,7 @@
 pub use session::filter_of_ids;
 pub use settings::{read_settings, DirectorySettings};
 
-use basaltpitch_tenants::Sweep;
+use basaltpitch_tenants::DirectoryUpdate;
 use ldap3::{Ldap, LdapConnAsync, LdapConnSettings};
 use session::DirectorySession;
 use std::collections::HashMap;
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SyncResult {
     /// The entries, and whether they are all.
-    pub sweep: Sweep,
+    pub sweep: DirectoryUpdate,
     /// Why it is not complete, where it is not; one text a cause.
     pub problems: Vec<String>,
     /// What this server has now, for the next sync.
--- a/ldap/src/session.rs
+++ b/ldap/src/session.rs
@@ -248,7 +248,7 @@
         Some(done) => {
             result.sweep.cookie = done.cookie;
             // Deletions were named, and all else is as it was; or all that is there was named.
-            result.sweep.gone = done.refresh_deletes.then(|| deleted.into_iter().collect());
+            result.sweep.deleted = done.refresh_deletes.then(|| deleted.into_iter().collect());
         }
         None => result.add_problem(SyncProblem::MissingSyncDone),
     }
--- a/ldap/src/settings.rs
+++ b/ldap/src/settings.rs
@@ -196,19 +196,19 @@
                 place_stale: self.flag("place_stale"),
             },
             pace: SyncSchedule {
-                every_us: self.duration_us("every"),
+                interval_us: self.duration_us("every"),
                 // A sync is many pages, each of which may take its timeout.
-                patience_us: self.duration_us("whole"),
-                fresh_us: self.duration_us("fresh"),
-                first_wait_us: self.duration_us("first_wait"),
-                most_wait_us: self.duration_us("most_wait"),
-                slower: self.count("slower") as i64,
+                timeout_us: self.duration_us("whole"),
+                stale_after_us: self.duration_us("fresh"),
+                initial_backoff_us: self.duration_us("first_wait"),
+                max_backoff_us: self.duration_us("most_wait"),
+                slowdown_limit: self.count("slower") as i64,
             },
             caution: ChangeGuard {
-                few: self.count("caution.few"),
-                percent: self.count("caution.percent"),
-                sweeps: self.count("caution.sweeps") as u32,
-                over_us: self.duration_us("caution.over"),
+                max_removed_count: self.count("caution.few"),
+                max_removed_percent: self.count("caution.percent"),
+                confirming_syncs: self.count("caution.sweeps") as u32,
+                confirming_time_us: self.duration_us("caution.over"),
             },
         }
     }
--- a/ldap/tests/over_a_restart.rs
+++ b/ldap/tests/over_a_restart.rs
@@ -6,7 +6,7 @@
 use basaltpitch_tenants::authorization::{AccessPolicy, Operation};
 use basaltpitch_tenants::change_guard::DEFAULT_CHANGE_GUARD;
 use basaltpitch_tenants::sync_schedule::{DirectoryState, DEFAULT_SYNC_SCHEDULE};
-use basaltpitch_tenants::tenant_directory::{TenantDirectory, FORMAT};
+use basaltpitch_tenants::tenant_directory::{TenantDirectory, SNAPSHOT_FORMAT};
 use basaltpitch_testbed::ldap_server::{self, ldap_entry, DirectoryFault};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -71,15 +71,15 @@
                 TenantDirectory::new(1, 0, &names(1), None, DEFAULT_SYNC_SCHEDULE, DEFAULT_CHANGE_GUARD)
                     .unwrap();
             assert_eq!(k.next(0), Some(0));
-            k.swept(S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
-            assert!(k.authorize(S, &terms, "asha", asks).may);
-            let (at, bytes) = k.memory().unwrap();
-            store.put("tenants", FORMAT, at, &bytes).unwrap();
+            k.sync_ended(S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
+            assert!(k.authorize(S, &terms, "asha", asks).allowed);
+            let (at, bytes) = k.snapshot().unwrap();
+            store.put("tenants", SNAPSHOT_FORMAT, at, &bytes).unwrap();
         }
         there.fault.set(DirectoryFault::Stalls);
         let (store, found) = SnapshotStore::open(&path).unwrap();
         assert_eq!(found, OpenOutcome::Opened);
-        let kept = store.get("tenants", FORMAT).unwrap().unwrap();
+        let kept = store.get("tenants", SNAPSHOT_FORMAT).unwrap().unwrap();
         let mut k = TenantDirectory::new(
             2,
             400 * S,
@@ -90,14 +90,14 @@
         )
         .unwrap();
         assert_eq!(k.next(400 * S), Some(0));
-        k.swept(401 * S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
+        k.sync_ended(401 * S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
         let r = k.authorize(401 * S, &terms, "asha", asks);
-        assert_eq!((r.may, r.stale, k.state(401 * S)), (true, true, DirectoryState::Stale));
+        assert_eq!((r.allowed, r.stale, k.state(401 * S)), (true, true, DirectoryState::Stale));
         there.fault.set(DirectoryFault::None);
         let at = k.next_at();
         assert_eq!(k.next(at), Some(0));
         assert_eq!(
-            k.swept(at, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep)),
+            k.sync_ended(at, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep)),
             [],
             "nothing changed"
         );
--- a/ldap/tests/settings.rs
+++ b/ldap/tests/settings.rs
@@ -44,12 +44,12 @@
                     place_stale: true,
                 },
                 SyncSchedule {
-                    every_us: 30000000,
-                    patience_us: 60000000,
-                    fresh_us: 120000000,
-                    first_wait_us: 1000000,
-                    most_wait_us: 60000000,
-                    slower: 4,
+                    interval_us: 30000000,
+                    timeout_us: 60000000,
+                    stale_after_us: 120000000,
+                    initial_backoff_us: 1000000,
+                    max_backoff_us: 60000000,
+                    slowdown_limit: 4,
                 },
                 Some(
                     "contextCSN",
--- a/ldap/tests/sweeps.rs
+++ b/ldap/tests/sweeps.rs
@@ -83,11 +83,11 @@
         assert_eq!((swept.sweep.entries.len(), swept.problems.len(), swept.sweep.complete), (44, 0, true));
         assert_eq!(there.searches.get(), 7);
         let (mut ours, mut trust) = (Tenants::default(), ChangeReview::default());
-        let believed = trust.judge(0, &ours, swept.sweep, DEFAULT_CHANGE_GUARD);
-        ours.take(0, believed.entries, &believed.gone);
+        let believed = trust.review(0, &ours, swept.sweep, DEFAULT_CHANGE_GUARD);
+        ours.apply(0, believed.entries, &believed.removed);
         let team = ours.find("team 2", 0).unwrap();
         assert_eq!(ours.tenant(team, 0).unwrap().members, 10);
-        assert!(ours.is_member(ours.login("p25").unwrap(), team));
+        assert!(ours.is_member(ours.person("p25").unwrap(), team));
     });
 }
 
@@ -99,8 +99,8 @@
         let (there, source) = begin("cut").await;
         let (mut ours, mut trust) = (Tenants::default(), ChangeReview::default());
         let mut take = |swept: SyncResult| {
-            let believed = trust.judge(0, &ours, swept.sweep, DEFAULT_CHANGE_GUARD);
-            ours.take(0, believed.entries, &believed.gone);
+            let believed = trust.review(0, &ours, swept.sweep, DEFAULT_CHANGE_GUARD);
+            ours.apply(0, believed.entries, &believed.removed);
             ours.tenants(0).count()
         };
         assert_eq!(take(sync(&source, 0, SyncState::default(), || ()).await.unwrap()), 4);
--- a/ldap/tests/ways.rs
+++ b/ldap/tests/ways.rs
@@ -19,14 +19,19 @@
 
 const S: i64 = 1_000_000;
 const PACE: SyncSchedule = SyncSchedule {
-    every_us: S,
-    patience_us: 10 * S,
-    fresh_us: 5 * S,
-    first_wait_us: 1,
-    most_wait_us: 1,
-    slower: 4,
+    interval_us: S,
+    timeout_us: 10 * S,
+    stale_after_us: 5 * S,
+    initial_backoff_us: 1,
+    max_backoff_us: 1,
+    slowdown_limit: 4,
+};
+const BOLD: ChangeGuard = ChangeGuard {
+    max_removed_count: 1000,
+    max_removed_percent: 100,
+    confirming_syncs: 1,
+    confirming_time_us: 0,
 };
-const BOLD: ChangeGuard = ChangeGuard { few: 1000, percent: 100, sweeps: 1, over_us: 0 };
 
 fn on_sockets(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -138,23 +143,24 @@
     async fn sweep(&mut self, source: &LdapSource) -> Result<(), SyncError> {
         self.now = self.keeper.next_at().max(self.now + 1);
         let server = self.keeper.next(self.now).expect("time for a sweep");
-        let seen = if self.keeper.whole() { SeenEntries::default() } else { self.seen[server].clone() };
+        let seen =
+            if self.keeper.needs_full_sync() { SeenEntries::default() } else { self.seen[server].clone() };
         let before = SyncState { seen, cookie: self.keeper.cookie() };
         match sync(source, server, before, || ()).await {
             Ok(swept) => {
                 self.seen[server] = swept.seen;
-                self.keeper.swept(self.now + 1, Some(swept.sweep));
+                self.keeper.sync_ended(self.now + 1, Some(swept.sweep));
                 Ok(())
             }
             Err(e) => {
-                self.keeper.swept(self.now + 1, None);
+                self.keeper.sync_ended(self.now + 1, None);
                 Err(e)
             }
         }
     }
 
     fn entries(&self) -> BTreeMap<Id, Entry> {
-        self.keeper.tenants().ids().map(|(id, e)| (id, e.clone())).collect()
+        self.keeper.tenants().entries().map(|(id, e)| (id, e.clone())).collect()
     }
 }
 
@@ -226,7 +232,7 @@
         let (mut reference, mut ours) = (There::new(), Ours::new(&source));
         *there.entries.borrow_mut() = reference.laid();
         ours.sweep(&source).await.unwrap();
-        let (at, kept) = ours.keeper.memory().unwrap();
+        let (at, kept) = ours.keeper.snapshot().unwrap();
         reference.all.remove(&3);
         reference.all.get_mut(&0).unwrap().0 = 9;
         *there.entries.borrow_mut() = reference.laid();
@@ -239,7 +245,7 @@
         // Another server under the same number does not get it.
         let other = vec!["ldap://other".to_owned()];
         let mut k = TenantDirectory::new(2, at + 1, &other, Some((at, &kept)), PACE, BOLD).unwrap();
-        assert_eq!((k.next(at + 1), k.cookie(), k.whole()), (Some(0), None, true));
+        assert_eq!((k.next(at + 1), k.cookie(), k.needs_full_sync()), (Some(0), None, true));
     });
 }
 
@@ -268,7 +274,7 @@
                 assert!(!whole, "byte {most} of {all}, synchronised: {sync}");
                 ours.now = ours.keeper.next_at().max(ours.now + 1);
                 ours.keeper.next(ours.now).unwrap();
-                ours.keeper.swept(ours.now, swept.ok().map(|s| s.sweep));
+                ours.keeper.sync_ended(ours.now, swept.ok().map(|s| s.sweep));
                 assert_eq!(ours.entries(), want, "byte {most} of {all}, synchronised: {sync}");
             }
         }
--- a/planner/benches/asked.rs
+++ b/planner/benches/asked.rs
@@ -5,7 +5,7 @@
 use basaltpitch_tenants::authorization::AccessPolicy;
 use basaltpitch_tenants::change_guard::DEFAULT_CHANGE_GUARD;
 use basaltpitch_tenants::sync_schedule::DEFAULT_SYNC_SCHEDULE;
-use basaltpitch_tenants::{Entry, EntryKind, Id, Sweep};
+use basaltpitch_tenants::{DirectoryUpdate, Entry, EntryKind, Id};
 use divan::{black_box, Bencher};
 
 const TENANTS: usize = 100;
@@ -43,7 +43,7 @@
     };
     let mut learnt = DirectoryAccess::new(1, 0, ways, None).expect("nothing is remembered");
     let task = learnt.next(0).expect("a first sweep");
-    learnt.swept(1, task.number, Some(Sweep::of(all, true)), vec![]);
+    learnt.swept(1, task.number, Some(DirectoryUpdate::new(all, true)), vec![]);
     TenantAccess::Directory(Box::new(learnt))
 }
 
--- a/planner/src/service/tenant_snapshots.rs
+++ b/planner/src/service/tenant_snapshots.rs
@@ -2,7 +2,7 @@
 use crate::tenant_access::{DirectoryAccess, DirectoryOptions};
 use basaltpitch_ldap::DirectorySettings;
 use basaltpitch_snapshot_store::SnapshotStore;
-use basaltpitch_tenants::tenant_directory::FORMAT;
+use basaltpitch_tenants::tenant_directory::SNAPSHOT_FORMAT;
 use std::sync::mpsc::{sync_channel, SyncSender};
 
 /// Names of stored snapshots: all tenants, and when they were last read in full.
@@ -25,10 +25,12 @@
     std::thread::spawn(move || {
         for TenantSnapshot { last_full_sync_us, tenants } in inbox {
             let stored = match tenants {
-                Some(tenants) => store.put(TENANTS, FORMAT, last_full_sync_us, &tenants),
+                Some(tenants) => store.put(TENANTS, SNAPSHOT_FORMAT, last_full_sync_us, &tenants),
                 None => Ok(()),
             };
-            if let Err(e) = stored.and_then(|()| store.put(LAST_FULL_SYNC, FORMAT, last_full_sync_us, &[])) {
+            if let Err(e) =
+                stored.and_then(|()| store.put(LAST_FULL_SYNC, SNAPSHOT_FORMAT, last_full_sync_us, &[]))
+            {
                 tracing::error!(error = %e, "tenants cannot be remembered; the planner serves on");
             }
         }
@@ -40,7 +42,7 @@
 /// logged and left out.
 fn load(store: &SnapshotStore) -> Option<(i64, Vec<u8>)> {
     let get = |name| {
-        store.get(name, FORMAT).unwrap_or_else(|e| {
+        store.get(name, SNAPSHOT_FORMAT).unwrap_or_else(|e| {
             tracing::error!(error = %e, "what is remembered of tenants cannot be read; beginning without it");
             None
         })
--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -36,7 +36,7 @@
     Attempt, AttemptEnd, AttemptId, AttemptState, InventoryEntry, Ledger, LedgerAction, LedgerConfig,
     LifecycleEvent, RejectReason, Rejection, Request, RequestOutcome, RequestPhase, TaskRecord,
 };
-use basaltpitch_tenants::{Change, Sweep};
+use basaltpitch_tenants::{Change, DirectoryUpdate};
 use basaltpitch_zone_failover::ZonePhase;
 use names::{index_of_name, InstallationNames};
 use serde_json::{json, Value};
--- a/planner/src/state/tenants.rs
+++ b/planner/src/state/tenants.rs
@@ -24,7 +24,13 @@
     }
 
     /// A sweep ended, `None` where it brought nothing; `lacks` says why it is not all.
-    pub fn directory_synced(&mut self, now: i64, number: u64, sweep: Option<Sweep>, lacks: Vec<String>) {
+    pub fn directory_synced(
+        &mut self,
+        now: i64,
+        number: u64,
+        sweep: Option<DirectoryUpdate>,
+        lacks: Vec<String>,
+    ) {
         self.set_clock(now);
         let Some(learnt) = self.tenancy.learnt() else { return };
         let before = learnt.full_at();
@@ -33,18 +39,18 @@
         let mut shares = Vec::new();
         for change in &changes {
             match change {
-                Change::Came { id, name } => {
+                Change::Added { id, name } => {
                     tracing::info!(tenant = name, id = %id, "a tenant came");
                     shares.extend(learnt.share(*id));
                 }
                 Change::Renamed { id, from, to } => {
                     tracing::info!(tenant = to, was = from, id = %id, "a tenant has another name")
                 }
-                Change::Went { id, name } => tracing::info!(tenant = name, id = %id, "a tenant went"),
-                Change::Members { name, count, .. } => {
+                Change::Removed { id, name } => tracing::info!(tenant = name, id = %id, "a tenant went"),
+                Change::MemberCountChanged { name, count, .. } => {
                     tracing::info!(tenant = name, members = count, "a tenant has other members")
                 }
-                Change::Share { id, name, from, to } => {
+                Change::ShareChanged { id, name, from, to } => {
                     tracing::info!(tenant = name, share = to, was = from, "a tenant has another share");
                     shares.extend(learnt.share(*id));
                 }
--- a/planner/src/tenant_access.rs
+++ b/planner/src/tenant_access.rs
@@ -9,7 +9,7 @@
 use basaltpitch_tenants::change_guard::ChangeGuard;
 use basaltpitch_tenants::sync_schedule::{DirectoryState, SyncSchedule};
 use basaltpitch_tenants::tenant_directory::TenantDirectory;
-use basaltpitch_tenants::{Change, EntryKind, Id, Sweep};
+use basaltpitch_tenants::{Change, DirectoryUpdate, EntryKind, Id};
 use serde_json::{json, Value};
 
 /// How a planner learns from a directory.
@@ -102,7 +102,7 @@
     pub fn next(&mut self, now: i64) -> Option<SweepTask> {
         let server = self.directory.next(now)?;
         self.sweeps += 1;
-        let (whole, cookie) = (self.directory.whole(), self.directory.cookie());
+        let (whole, cookie) = (self.directory.needs_full_sync(), self.directory.cookie());
         self.under = Some(SweepTask { server, number: self.sweeps, whole, cookie });
         self.under.clone()
     }
@@ -114,7 +114,7 @@
     /// A first page of a sweep came.
     pub fn answered(&mut self, number: u64) {
         if self.is_under_way(number) {
-            self.directory.answered();
+            self.directory.first_page_received();
         }
     }
 
@@ -124,7 +124,7 @@
         &mut self,
         now: i64,
         number: u64,
-        sweep: Option<Sweep>,
+        sweep: Option<DirectoryUpdate>,
         lacks: Vec<String>,
     ) -> Option<Vec<Change>> {
         let task = self.under.take_if(|u| u.number == number)?;
@@ -136,13 +136,13 @@
                 tracing::warn!(server, why = now.join("; "), "a server of the directory gives less than all")
             }
         }
-        Some(self.directory.swept(now, sweep))
+        Some(self.directory.sync_ended(now, sweep))
     }
 
     /// Says each state of the directory once.
     pub fn say(&mut self, now: i64) {
         let age_s = self.directory.full_at().map(|at| (now - at) / 1_000_000);
-        match self.directory.new_state(now) {
+        match self.directory.state_change(now) {
             Some(DirectoryState::Blind) => {
                 tracing::warn!(
                     placed = self.options.terms.place_blind,
@@ -160,7 +160,7 @@
             Some(DirectoryState::Fresh) => tracing::info!("the directory is heard in full"),
             None => {}
         }
-        let held = self.directory.held().map_or(0, |h| h.ids.len());
+        let held = self.directory.held_removal().map_or(0, |h| h.ids.len());
         if (held > 0) != std::mem::replace(&mut self.said_held, held > 0) {
             if held > 0 {
                 let tenants = self.held_tenants();
@@ -181,14 +181,14 @@
             let e = known.entry(*id).filter(|e| matches!(e.kind, EntryKind::Tenant { .. }))?;
             Some(e.name.clone())
         };
-        self.directory.held().into_iter().flat_map(|h| &h.ids).filter_map(name).collect()
+        self.directory.held_removal().into_iter().flat_map(|h| &h.ids).filter_map(name).collect()
     }
 
     /// What to remember, if it is not what was remembered last.
     pub fn memory_if_new(&mut self) -> Option<(i64, Vec<u8>)> {
-        let edits = Some(self.directory.edits());
+        let edits = Some(self.directory.revision());
         (self.remembered != edits).then(|| self.remembered = edits)?;
-        self.directory.memory()
+        self.directory.snapshot()
     }
 
     /// The last snapshot was not stored: it is to be given again.
@@ -221,11 +221,11 @@
         let decision = self.authorize(now, login, Operation::See { tenant });
         let words = decision.basis.description();
         let no = || format!("found login {login:?}: {words}; expected a member, an auditor or an operator");
-        decision.may.then_some(()).ok_or_else(no)
+        decision.allowed.then_some(()).ok_or_else(no)
     }
 
     fn refusal(&self, now: i64, decision: AuthorizationDecision) -> Option<(RejectReason, i64)> {
-        (!decision.may).then(|| {
+        (!decision.allowed).then(|| {
             (RejectReason::NotAllowed(decision.basis.description()), self.directory.retry_after_us(now))
         })
     }
@@ -239,7 +239,7 @@
             known.find(about, now).ok_or_else(none)
         };
         let row = |t: basaltpitch_tenants::Tenant| {
-            json!({"tenant": t.name, "was": t.was, "id": t.id.to_string(), "share": t.share,
+            json!({"tenant": t.name, "was": t.previous_name, "id": t.id.to_string(), "share": t.share,
                    "members": t.members, "index": t.index, "stale_ms": self.stale_ms(now)})
         };
         Ok(match what {
@@ -248,8 +248,8 @@
             "members" => {
                 let id = find()?;
                 self.may_see(now, login, Some(id)).map_err(|e| format!("{what}: {e}"))?;
-                let way = |login: &str| known.login(login).map(|p| known.why(p, id)).unwrap_or_default();
-                let people = known.people(id);
+                let way = |login: &str| known.person(login).map(|p| known.path(p, id)).unwrap_or_default();
+                let people = known.member_logins(id);
                 people.iter().map(|login| json!({"login": login, "by": way(login)})).collect()
             }
             "why" => {
@@ -257,8 +257,8 @@
                     .split_once(' ')
                     .ok_or_else(|| format!("why: found {about:?}; expected a login, a blank and a tenant"))?;
                 let decision = self.authorize(now, person, Operation::Submit { tenant });
-                let way = known.login(person).zip(known.find(tenant, now)).map(|(p, t)| known.why(p, t));
-                json!({"login": person, "tenant": tenant, "may_submit": decision.may,
+                let way = known.person(person).zip(known.find(tenant, now)).map(|(p, t)| known.path(p, t));
+                json!({"login": person, "tenant": tenant, "may_submit": decision.allowed,
                        "why": decision.basis.description(), "by": way.unwrap_or_default(),
                        "stale_ms": self.stale_ms(now)})
             }
@@ -282,7 +282,7 @@
 
     fn state(&self, now: i64) -> Value {
         let known = self.directory.tenants();
-        let count = |is: fn(&EntryKind) -> bool| known.ids().filter(|x| is(&x.1.kind)).count();
+        let count = |is: fn(&EntryKind) -> bool| known.entries().filter(|x| is(&x.1.kind)).count();
         let state = match self.directory.state(now) {
             DirectoryState::Blind => "blind",
             DirectoryState::Fresh => "fresh",
@@ -295,8 +295,8 @@
             DirectoryState::Fresh => true,
             DirectoryState::Stale | DirectoryState::Recovering => terms.place_stale,
         };
-        let held = self.directory.held().map(|h| {
-            json!({"entries": h.ids.len(), "tenants": self.held_tenants(), "sweeps": h.sweeps,
+        let held = self.directory.held_removal().map(|h| {
+            json!({"entries": h.ids.len(), "tenants": self.held_tenants(), "sweeps": h.syncs,
                    "since_ms": (now - h.since) / 1000})
         });
         json!({
@@ -340,7 +340,7 @@
                 let decision = access.authorize(now, login, Operation::Submit { tenant });
                 let known = access.directory.tenants();
                 let found = || known.find(tenant, now).and_then(|id| known.index(id));
-                let place = decision.may.then(found).flatten();
+                let place = decision.allowed.then(found).flatten();
                 let stale_us = if decision.stale { access.directory.stale_us(now) } else { 0 };
                 Ok(AccessDecision { tenant: place, stale_us, refused: access.refusal(now, decision) })
             }
@@ -352,7 +352,7 @@
         match self {
             TenantAccess::Listed(names) => names.iter().position(|n| n == name),
             // By its id alone: its name may be another's by now.
-            TenantAccess::Directory(access) => Id::read(id).map(|id| access.directory.place(id)),
+            TenantAccess::Directory(access) => Id::parse(id).map(|id| access.directory.index_or_assign(id)),
         }
     }
 
@@ -361,7 +361,7 @@
         match self {
             TenantAccess::Listed(names) => (names[tenant].clone(), String::new()),
             TenantAccess::Directory(access) => {
-                let (name, id) = access.directory.tenants().called(tenant);
+                let (name, id) = access.directory.tenants().name_and_id(tenant);
                 (name.to_owned(), id.to_owned())
             }
         }
@@ -373,7 +373,7 @@
             TenantAccess::Listed(_) => None,
             TenantAccess::Directory(access) => {
                 let known = access.directory.tenants();
-                known.at(tenant).and_then(|id| known.tenant(id, now)).and_then(|t| t.was)
+                known.id_at(tenant).and_then(|id| known.tenant(id, now)).and_then(|t| t.previous_name)
             }
         }
     }
@@ -383,7 +383,7 @@
         match self {
             TenantAccess::Listed(_) => true,
             TenantAccess::Directory(access) => {
-                let tenant = tenant.and_then(|t| access.directory.tenants().at(t));
+                let tenant = tenant.and_then(|t| access.directory.tenants().id_at(t));
                 access.may_see(now, login, tenant).is_ok()
             }
         }
@@ -399,7 +399,7 @@
     pub fn operates(&self, now: i64, login: &str, what: &str) -> Result<(), String> {
         let TenantAccess::Directory(access) = self else { return Ok(()) };
         match access.authorize(now, login, Operation::Drain) {
-            AuthorizationDecision { may: true, .. } => Ok(()),
+            AuthorizationDecision { allowed: true, .. } => Ok(()),
             AuthorizationDecision { basis: why, stale, .. } => {
                 let old = if stale && why != AuthorizationBasis::NothingKnown {
                     " (the directory is not heard now)"
--- a/planner/tests/tenants.rs
+++ b/planner/tests/tenants.rs
@@ -8,7 +8,7 @@
 use basaltpitch_tenants::authorization::AccessPolicy;
 use basaltpitch_tenants::change_guard::DEFAULT_CHANGE_GUARD;
 use basaltpitch_tenants::sync_schedule::DEFAULT_SYNC_SCHEDULE;
-use basaltpitch_tenants::{Entry, EntryKind, Id, Sweep};
+use basaltpitch_tenants::{DirectoryUpdate, Entry, EntryKind, Id};
 use net::{Net, BIG, SMALL};
 use serde_json::Value;
 
@@ -70,7 +70,7 @@
             self.net.pass(S);
             self.net.flow(5);
             for task in std::mem::take(&mut self.net.sweeps) {
-                let sweep = self.there.clone().map(|e| Sweep::of(e, true));
+                let sweep = self.there.clone().map(|e| DirectoryUpdate::new(e, true));
                 let lacks = if sweep.is_some() { vec![] } else { vec!["no connection".to_owned()] };
                 self.net.core.directory_synced(self.net.now, task.number, sweep, lacks);
                 self.net.pass(0);
--- a/tenants/src/authorization.rs
+++ b/tenants/src/authorization.rs
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AuthorizationDecision {
     /// Whether the operation is allowed.
-    pub may: bool,
+    pub allowed: bool,
     /// The reason for the decision.
     pub basis: AuthorizationBasis,
     /// Whether the decision was made on a directory that was not fresh.
@@ -105,24 +105,26 @@
     operation: Operation,
 ) -> AuthorizationDecision {
     let stale = state != DirectoryState::Fresh;
-    let decision = |may, basis| AuthorizationDecision { may, basis, stale };
+    let decision = |allowed, basis| AuthorizationDecision { allowed, basis, stale };
     let submits = matches!(operation, Operation::Submit { .. });
     if !submits && !login.is_empty() && policy.always.iter().any(|l| l == login) {
-        return AuthorizationDecision { may: true, basis: AuthorizationBasis::Always, stale: false };
+        return AuthorizationDecision { allowed: true, basis: AuthorizationBasis::Always, stale: false };
     }
     if state == DirectoryState::Blind {
-        let may = submits && policy.place_blind;
+        let allowed = submits && policy.place_blind;
         return decision(
-            may,
-            if may { AuthorizationBasis::PlacedBlind } else { AuthorizationBasis::NothingKnown },
+            allowed,
+            if allowed { AuthorizationBasis::PlacedBlind } else { AuthorizationBasis::NothingKnown },
         );
     }
     if stale && submits && !policy.place_stale {
         return decision(false, AuthorizationBasis::TooStale);
     }
-    let Some(person) = known.login(login) else { return decision(false, AuthorizationBasis::NoSuchPerson) };
+    let Some(person) = known.person(login) else {
+        return decision(false, AuthorizationBasis::NoSuchPerson);
+    };
     let is_in_any = |groups: &[String]| {
-        groups.iter().any(|dn| known.group(dn).is_some_and(|group| known.is_member(person, group)))
+        groups.iter().any(|dn| known.group_by_dn(dn).is_some_and(|group| known.is_member(person, group)))
     };
     let is_member = |tenant: Id| known.is_member(person, tenant);
     match operation {
--- a/tenants/src/change_guard.rs
+++ b/tenants/src/change_guard.rs
@@ -9,36 +9,40 @@
 //! A server lags if it returns an older version of a known entry, or if its change sequence numbers
 //! (`contextCSN`) are behind. If a server without such numbers lacks an entry that is newer than
 //! all its own, it may lag or the entry may have been deleted: that removal is held as well.
-use crate::{Entry, EntryKind, Id, Mark, Sweep, Tenants};
+use crate::{DirectoryUpdate, Entry, EntryKind, Id, Mark, Tenants};
 use std::collections::BTreeSet;
 
 /// Limits above which a removal is held, and what confirms a held removal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ChangeGuard {
     /// Number of tenants, or of persons, that may be missing from one synchronization without their
-    /// removal being held. The greater of this and `percent` applies.
-    pub few: usize,
+    /// removal being held. The greater of this and `max_removed_percent` applies.
+    pub max_removed_count: usize,
     /// Percentage of the tenants, or of the persons, that may be missing in the same way.
-    pub percent: usize,
+    pub max_removed_percent: usize,
     /// Number of consecutive synchronizations that must lack the entries to confirm their removal.
-    pub sweeps: u32,
+    pub confirming_syncs: u32,
     /// Minimum time from the first of those synchronizations to the last, in microseconds.
-    pub over_us: i64,
+    pub confirming_time_us: i64,
 }
 
 /// The default limits.
-pub const DEFAULT_CHANGE_GUARD: ChangeGuard =
-    ChangeGuard { few: 2, percent: 10, sweeps: 3, over_us: 600_000_000 };
+pub const DEFAULT_CHANGE_GUARD: ChangeGuard = ChangeGuard {
+    max_removed_count: 2,
+    max_removed_percent: 10,
+    confirming_syncs: 3,
+    confirming_time_us: 600_000_000,
+};
 
 /// A removal that waits for confirmation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct HeldChanges {
+pub struct HeldRemoval {
     /// The entries that would be removed.
     pub ids: BTreeSet<Id>,
     /// When the first of the consecutive synchronizations lacked the entries, in microseconds.
     pub since: i64,
     /// Number of consecutive synchronizations that lacked the entries.
-    pub sweeps: u32,
+    pub syncs: u32,
 }
 
 /// The changes of a synchronization that are to be applied.
@@ -47,20 +51,20 @@
     /// Entries to add or update.
     pub entries: Vec<Entry>,
     /// Ids of the entries to remove.
-    pub gone: Vec<Id>,
+    pub removed: Vec<Id>,
     /// Whether the server lags behind what was received before.
-    pub older: bool,
+    pub server_lags: bool,
     /// Whether the server reports entries as unchanged that are not known, so that the next
     /// synchronization with it must be a full one.
-    pub unknown: bool,
+    pub has_unknown_entries: bool,
     /// Whether an operator accepted the synchronization, so that its entries replace newer ones.
-    pub as_is: bool,
+    pub forced: bool,
 }
 
 /// Decides which changes of each synchronization are accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ChangeReview {
-    held: Option<HeldChanges>,
+    held: Option<HeldRemoval>,
     /// Whether a server lagged, and no complete and up-to-date synchronization has followed.
     behind: bool,
     /// Whether an operator has accepted the next complete synchronization.
@@ -71,7 +75,7 @@
 
 impl ChangeReview {
     /// Returns the removal that waits for confirmation, if any.
-    pub fn held(&self) -> Option<&HeldChanges> {
+    pub fn held_removal(&self) -> Option<&HeldRemoval> {
         self.held.as_ref()
     }
 
@@ -87,7 +91,7 @@
     }
 
     /// Restores the change sequence numbers that were stored before a restart.
-    pub fn remember(&mut self, mark: Mark) {
+    pub fn restore_mark(&mut self, mark: Mark) {
         self.mark = mark;
     }
 
@@ -100,37 +104,44 @@
     }
 
     /// Returns whether a synchronization proves that its server lags.
-    fn lags(&self, known: &Tenants, sync: &Sweep) -> bool {
+    fn lags(&self, known: &Tenants, sync: &DirectoryUpdate) -> bool {
         let behind = |(from, seen): (&String, &String)| sync.mark.get(from).is_none_or(|m| m < seen);
         let old = |e: &Entry| known.entry(e.id).is_some_and(|k| e.stamp < k.stamp);
         !sync.mark.is_empty() && self.mark.iter().any(behind) || sync.entries.iter().any(old)
     }
 
     /// Decides which changes of a synchronization are accepted and which removals are held.
-    pub fn judge(&mut self, now: i64, known: &Tenants, sync: Sweep, guard: ChangeGuard) -> AcceptedChanges {
-        let older = self.lags(known, &sync);
-        let unknown = sync.present.iter().any(|&id| known.entry(id).is_none());
-        let mut accepted = AcceptedChanges { older, unknown, ..AcceptedChanges::default() };
-        if !sync.complete || older && !self.accepted {
-            self.behind |= older;
+    pub fn review(
+        &mut self,
+        now: i64,
+        known: &Tenants,
+        sync: DirectoryUpdate,
+        guard: ChangeGuard,
+    ) -> AcceptedChanges {
+        let server_lags = self.lags(known, &sync);
+        let has_unknown_entries = sync.present.iter().any(|&id| known.entry(id).is_none());
+        let mut accepted = AcceptedChanges { server_lags, has_unknown_entries, ..AcceptedChanges::default() };
+        if !sync.complete || server_lags && !self.accepted {
+            self.behind |= server_lags;
             accepted.entries = sync.entries;
             return accepted;
         }
         self.behind = false;
         let present: BTreeSet<Id> = sync.entries.iter().map(|e| e.id).chain(sync.present).collect();
-        let lists_removals = sync.gone.is_some();
-        let missing: BTreeSet<Id> = match sync.gone {
+        let lists_removals = sync.deleted.is_some();
+        let missing: BTreeSet<Id> = match sync.deleted {
             Some(gone) => {
                 gone.into_iter().filter(|id| known.entry(*id).is_some() && !present.contains(id)).collect()
             }
-            None => known.ids().map(|x| x.0).filter(|id| !present.contains(id)).collect(),
+            None => known.entries().map(|x| x.0).filter(|id| !present.contains(id)).collect(),
         };
         accepted.entries = sync.entries;
         if self.accepted {
             // The numbers are replaced rather than merged, as a directory that was restored from a
             // backup starts with lower ones.
             (self.held, self.accepted, self.mark) = (None, false, sync.mark);
-            (accepted.gone, accepted.older, accepted.as_is) = (missing.into_iter().collect(), false, true);
+            (accepted.removed, accepted.server_lags, accepted.forced) =
+                (missing.into_iter().collect(), false, true);
             return accepted;
         }
         let held = if exceeds_limits(known, &missing, guard) {
@@ -141,7 +152,7 @@
             BTreeSet::new()
         };
         self.mark.extend(sync.mark);
-        accepted.gone = missing.difference(&held).copied().collect();
+        accepted.removed = missing.difference(&held).copied().collect();
         if held.is_empty() {
             self.held = None;
             return accepted;
@@ -150,12 +161,12 @@
         // once one of them has come back.
         let held = match self.held.take() {
             Some(h) if h.ids.is_subset(&missing) => {
-                HeldChanges { ids: held, since: h.since, sweeps: h.sweeps + 1 }
+                HeldRemoval { ids: held, since: h.since, syncs: h.syncs + 1 }
             }
-            _ => HeldChanges { ids: held, since: now, sweeps: 1 },
+            _ => HeldRemoval { ids: held, since: now, syncs: 1 },
         };
-        if held.sweeps >= guard.sweeps && now >= held.since + guard.over_us {
-            accepted.gone.extend(held.ids);
+        if held.syncs >= guard.confirming_syncs && now >= held.since + guard.confirming_time_us {
+            accepted.removed.extend(held.ids);
         } else {
             self.held = Some(held);
         }
@@ -166,9 +177,9 @@
 /// Returns whether more tenants, or more persons, are missing than the guard allows at once.
 fn exceeds_limits(known: &Tenants, missing: &BTreeSet<Id>, guard: ChangeGuard) -> bool {
     let exceeds = |is: &dyn Fn(&EntryKind) -> bool| {
-        let all = known.ids().filter(|x| is(&x.1.kind)).count();
+        let all = known.entries().filter(|x| is(&x.1.kind)).count();
         let removed = missing.iter().filter(|&&id| known.entry(id).is_some_and(|e| is(&e.kind))).count();
-        removed > guard.few.max(all * guard.percent / 100)
+        removed > guard.max_removed_count.max(all * guard.max_removed_percent / 100)
     };
     !missing.is_empty()
         && (exceeds(&|kind| matches!(kind, EntryKind::Tenant { .. }))
--- a/tenants/src/lib.rs
+++ b/tenants/src/lib.rs
@@ -28,7 +28,7 @@
 
 impl Id {
     /// Parses 32 hex digits, with or without dashes. `None`: the text is not an id.
-    pub fn read(text: &str) -> Option<Id> {
+    pub fn parse(text: &str) -> Option<Id> {
         // Called with the tenant's name of every request: the length excludes most names cheaply.
         if !matches!(text.len(), 32..=36) {
             return None;
@@ -92,7 +92,7 @@
 
 /// The result of a synchronization with one server.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sweep {
+pub struct DirectoryUpdate {
     /// Entries that were received.
     pub entries: Vec<Entry>,
     /// Ids of entries that the server reports as unchanged since an earlier synchronization.
@@ -104,15 +104,15 @@
     pub mark: Mark,
     /// Ids of entries that the server reports as deleted; all other known entries are unchanged.
     /// `None`: the server reports no deletions, and entries that were not received are deleted.
-    pub gone: Option<Vec<Id>>,
+    pub deleted: Option<Vec<Id>>,
     /// The cookie with which the server can send only the changes that follow.
     pub cookie: Option<Vec<u8>>,
 }
 
-impl Sweep {
+impl DirectoryUpdate {
     /// Creates the result of a synchronization that reads all entries.
-    pub fn of(entries: Vec<Entry>, complete: bool) -> Self {
-        Sweep { entries, complete, ..Sweep::default() }
+    pub fn new(entries: Vec<Entry>, complete: bool) -> Self {
+        DirectoryUpdate { entries, complete, ..DirectoryUpdate::default() }
     }
 }
 
@@ -120,7 +120,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A tenant was added.
-    Came {
+    Added {
         /// The tenant's id.
         id: Id,
         /// The tenant's name.
@@ -136,14 +136,14 @@
         to: String,
     },
     /// A tenant was removed.
-    Went {
+    Removed {
         /// The tenant's id.
         id: Id,
         /// The tenant's last name.
         name: String,
     },
     /// The number of a tenant's members changed.
-    Members {
+    MemberCountChanged {
         /// The tenant's id.
         id: Id,
         /// The tenant's name.
@@ -152,7 +152,7 @@
         count: u64,
     },
     /// A tenant's share of the fleet changed.
-    Share {
+    ShareChanged {
         /// The tenant's id.
         id: Id,
         /// The tenant's name.
@@ -175,7 +175,7 @@
 }
 
 /// How long a renamed tenant's old name stays valid beside the new one, in microseconds.
-pub const OLD_NAME_SHOWN: i64 = 86_400_000_000;
+pub const OLD_NAME_VALID_US: i64 = 86_400_000_000;
 
 /// A tenant as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
@@ -184,8 +184,8 @@
     pub id: Id,
     /// The current name.
     pub name: String,
-    /// The previous name, for [`OLD_NAME_SHOWN`] after a renaming.
-    pub was: Option<String>,
+    /// The previous name, for [`OLD_NAME_VALID_US`] after a renaming.
+    pub previous_name: Option<String>,
     /// The tenant's share of the fleet, from 0 to 1.
     pub share: f64,
     /// Number of persons in the tenant and in its nested groups.
@@ -226,7 +226,7 @@
 
 impl Tenants {
     /// Returns the number of changes to entries so far.
-    pub fn edits(&self) -> u64 {
+    pub fn revision(&self) -> u64 {
         self.edits
     }
 
@@ -236,18 +236,24 @@
     }
 
     /// Returns all entries, in the order of their ids.
-    pub fn ids(&self) -> impl Iterator<Item = (Id, &Entry)> {
+    pub fn entries(&self) -> impl Iterator<Item = (Id, &Entry)> {
         self.known.iter().map(|(id, record)| (*id, &record.entry))
     }
 
     /// Applies the changes that `change_guard` accepted: entries to add or update, and ids to
     /// remove. An entry that is older than its known version is ignored.
-    pub fn take(&mut self, now: i64, entries: Vec<Entry>, gone: &[Id]) -> Vec<Change> {
-        self.apply(now, entries, gone, false)
+    pub fn apply(&mut self, now: i64, entries: Vec<Entry>, gone: &[Id]) -> Vec<Change> {
+        self.apply_accepted(now, entries, gone, false)
     }
 
     /// Applies accepted changes; with `as_is`, older entries replace newer versions of them.
-    pub(crate) fn apply(&mut self, now: i64, entries: Vec<Entry>, gone: &[Id], as_is: bool) -> Vec<Change> {
+    pub(crate) fn apply_accepted(
+        &mut self,
+        now: i64,
+        entries: Vec<Entry>,
+        gone: &[Id],
+        as_is: bool,
+    ) -> Vec<Change> {
         let mut changes = Vec::new();
         let before: Vec<(Id, u64)> = self.tenants.iter().map(|&t| (t, self.count(t))).collect();
         // Groups whose direct members must be resolved again.
@@ -268,7 +274,11 @@
         }
         for (id, count) in before {
             let Some(record) = self.known.get(&id).filter(|_| self.count(id) != count) else { continue };
-            changes.push(Change::Members { id, name: record.entry.name.clone(), count: self.count(id) });
+            changes.push(Change::MemberCountChanged {
+                id,
+                name: record.entry.name.clone(),
+                count: self.count(id),
+            });
         }
         changes
     }
@@ -322,10 +332,10 @@
             dirty.insert(id);
         }
         if let EntryKind::Tenant { share } = entry.kind {
-            let index = self.place(id);
+            let index = self.index_or_assign(id);
             self.names[index].0.clone_from(&entry.name);
             match &old {
-                None => changes.push(Change::Came { id, name: entry.name.clone() }),
+                None => changes.push(Change::Added { id, name: entry.name.clone() }),
                 Some(record) => {
                     if record.entry.name != entry.name {
                         was = Some((record.entry.name.clone(), now));
@@ -335,7 +345,12 @@
                     }
                     if let EntryKind::Tenant { share: from } = record.entry.kind {
                         if from != share {
-                            changes.push(Change::Share { id, name: entry.name.clone(), from, to: share });
+                            changes.push(Change::ShareChanged {
+                                id,
+                                name: entry.name.clone(),
+                                from,
+                                to: share,
+                            });
                         }
                     }
                 }
@@ -374,7 +389,7 @@
             self.groups.release(record.number as usize);
         }
         if matches!(record.entry.kind, EntryKind::Tenant { .. }) {
-            changes.push(Change::Went { id, name: record.entry.name.clone() });
+            changes.push(Change::Removed { id, name: record.entry.name.clone() });
         }
         self.gone.insert(id, record.entry.stamp);
     }
@@ -401,26 +416,26 @@
     }
 
     /// Finds a tenant by its id in hex digits or by its name. A previous name is valid for
-    /// [`OLD_NAME_SHOWN`] if no other tenant has it, so that clients need not switch at the moment
+    /// [`OLD_NAME_VALID_US`] if no other tenant has it, so that clients need not switch at the moment
     /// of a renaming.
     pub fn find(&self, name: &str, now: i64) -> Option<Id> {
         let is_tenant = |id: &Id| self.index(*id).is_some();
         let had_name = |id: &Id| {
             let was = self.known.get(id).and_then(|record| record.was.as_ref());
-            is_tenant(id) && was.is_some_and(|w| w.0 == name && now < w.1 + OLD_NAME_SHOWN)
+            is_tenant(id) && was.is_some_and(|w| w.0 == name && now < w.1 + OLD_NAME_VALID_US)
         };
-        let by_id = Id::read(name).filter(is_tenant);
+        let by_id = Id::parse(name).filter(is_tenant);
         let by_name = || self.by_name.get(name).copied().filter(is_tenant);
         by_id.or_else(by_name).or_else(|| self.old_names.get(name).copied().filter(had_name))
     }
 
     /// Returns the current or last known name of the tenant with an index, and its id as text.
-    pub fn called(&self, index: usize) -> (&str, &str) {
+    pub fn name_and_id(&self, index: usize) -> (&str, &str) {
         self.names.get(index).map_or(("", ""), |x| (&x.0, &x.1))
     }
 
     /// Returns the logins of all persons in a group or tenant, nested groups included.
-    pub fn people(&self, group: Id) -> Vec<&str> {
+    pub fn member_logins(&self, group: Id) -> Vec<&str> {
         let Some(g) = self.known.get(&group) else { return Vec::new() };
         let entry =
             |n: u32| self.known.get(self.persons.id(n as usize)).map(|record| record.entry.name.as_str());
@@ -428,13 +443,13 @@
     }
 
     /// Returns the person with a login.
-    pub fn login(&self, login: &str) -> Option<Id> {
+    pub fn person(&self, login: &str) -> Option<Id> {
         self.by_login.get(login).copied()
     }
 
     /// Returns the index of a tenant, and assigns one if it has none. The tenant may be known,
     /// removed, or not received yet and only named by a machine that runs one of its tasks.
-    pub fn place(&mut self, id: Id) -> usize {
+    pub fn index_or_assign(&mut self, id: Id) -> usize {
         *self.places.entry(id).or_insert_with(|| {
             self.tenants.push(id);
             self.names.push((String::new(), id.to_string()));
@@ -449,12 +464,12 @@
     }
 
     /// Returns the tenant with an index, whether or not it is in the directory.
-    pub fn at(&self, index: usize) -> Option<Id> {
+    pub fn id_at(&self, index: usize) -> Option<Id> {
         self.tenants.get(index).copied()
     }
 
     /// Returns a group or tenant by its distinguished name.
-    pub fn group(&self, dn: &str) -> Option<Id> {
+    pub fn group_by_dn(&self, dn: &str) -> Option<Id> {
         let id = *self.by_dn.get(dn)?;
         (self.known[&id].entry.kind != EntryKind::Person).then_some(id)
     }
@@ -477,7 +492,7 @@
 
     /// Returns the names of the groups on a path by which a person is a member of a group, that
     /// group first; empty if the person is not a member.
-    pub fn why(&self, person: Id, group: Id) -> Vec<String> {
+    pub fn path(&self, person: Id, group: Id) -> Vec<String> {
         let (Some(g), Some(p)) = (self.known.get(&group), self.known.get(&person)) else { return Vec::new() };
         let name =
             |n: u32| self.known.get(self.groups.id(n as usize)).map(|record| record.entry.name.clone());
@@ -488,8 +503,16 @@
     pub fn tenant(&self, id: Id, now: i64) -> Option<Tenant> {
         let (record, index) = (self.known.get(&id)?, self.index(id)?);
         let EntryKind::Tenant { share } = record.entry.kind else { return None };
-        let was = record.was.as_ref().filter(|w| now < w.1 + OLD_NAME_SHOWN).map(|w| w.0.clone());
-        Some(Tenant { id, name: record.entry.name.clone(), was, share, members: self.count(id), index })
+        let previous_name =
+            record.was.as_ref().filter(|w| now < w.1 + OLD_NAME_VALID_US).map(|w| w.0.clone());
+        Some(Tenant {
+            id,
+            name: record.entry.name.clone(),
+            previous_name,
+            share,
+            members: self.count(id),
+            index,
+        })
     }
 
     /// Returns all tenants of the directory, in the order of their indices.
--- a/tenants/src/sync_schedule.rs
+++ b/tenants/src/sync_schedule.rs
@@ -1,6 +1,6 @@
 //! Schedules synchronizations with the servers of a directory, and tracks how fresh the directory
 //! is. No I/O; times are microseconds. One synchronization runs at a time. Servers are tried in
-//! order, a failed one again after an exponential backoff with jitter. A server that is much slower
+//! order, a failed one again after an exponential backoff with jitter. A server that is much slowdown_limit
 //! than another working one is replaced by it.
 use fnv::FnvHasher;
 use std::hash::Hasher;
@@ -9,28 +9,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SyncSchedule {
     /// Time from the end of a full synchronization to the start of the next, in microseconds.
-    pub every_us: i64,
+    pub interval_us: i64,
     /// Timeout of a synchronization, in microseconds.
-    pub patience_us: i64,
+    pub timeout_us: i64,
     /// Time after a full synchronization from which on the directory is stale, in microseconds.
-    pub fresh_us: i64,
+    pub stale_after_us: i64,
     /// Base of the exponential backoff of a server, in microseconds: the wait after the n-th
     /// failure in a row is this, doubled n times, less up to half of it as jitter.
-    pub first_wait_us: i64,
+    pub initial_backoff_us: i64,
     /// Maximum backoff, in microseconds.
-    pub most_wait_us: i64,
+    pub max_backoff_us: i64,
     /// How many times as long as another working server a server must take to be replaced by it.
-    pub slower: i64,
+    pub slowdown_limit: i64,
 }
 
 /// The default schedule.
 pub const DEFAULT_SYNC_SCHEDULE: SyncSchedule = SyncSchedule {
-    every_us: 30_000_000,
-    patience_us: 60_000_000,
-    fresh_us: 120_000_000,
-    first_wait_us: 1_000_000,
-    most_wait_us: 60_000_000,
-    slower: 4,
+    interval_us: 30_000_000,
+    timeout_us: 60_000_000,
+    stale_after_us: 120_000_000,
+    initial_backoff_us: 1_000_000,
+    max_backoff_us: 60_000_000,
+    slowdown_limit: 4,
 };
 
 /// How up to date the known tenants are.
@@ -114,7 +114,7 @@
     pub fn state(&self, now: i64) -> DirectoryState {
         match self.full_at {
             None => DirectoryState::Blind,
-            Some(at) if now < at + self.schedule.fresh_us => DirectoryState::Fresh,
+            Some(at) if now < at + self.schedule.stale_after_us => DirectoryState::Fresh,
             Some(_) if self.responding => DirectoryState::Recovering,
             Some(_) => DirectoryState::Stale,
         }
@@ -128,7 +128,7 @@
     /// Starts a synchronization if one is due, and returns the index of its server. A
     /// synchronization that has timed out counts as failed first.
     pub fn next(&mut self, now: i64) -> Option<usize> {
-        if self.running.is_some_and(|running| now >= running.since + self.schedule.patience_us) {
+        if self.running.is_some_and(|running| now >= running.since + self.schedule.timeout_us) {
             self.ended(now, SyncOutcome::Failed);
         }
         if self.running.is_some() || now < self.due {
@@ -142,7 +142,7 @@
     /// Returns when to call `next` again, unless the running synchronization ends before.
     pub fn next_at(&self) -> i64 {
         match self.running {
-            Some(running) => running.since + self.schedule.patience_us,
+            Some(running) => running.since + self.schedule.timeout_us,
             None => self.due.max(self.servers.iter().map(|s| s.not_before).min().unwrap_or(0)),
         }
     }
@@ -154,9 +154,10 @@
         let own = self.servers[self.current].mean_us.unwrap_or(0);
         // A server without a measured duration is tried once the one in use takes a large part of
         // the timeout.
-        let slow = own * self.schedule.slower > self.schedule.patience_us;
-        let faster =
-            |s: &Server| s.failures == 0 && s.mean_us.map_or(slow, |t| t * self.schedule.slower < own);
+        let slow = own * self.schedule.slowdown_limit > self.schedule.timeout_us;
+        let faster = |s: &Server| {
+            s.failures == 0 && s.mean_us.map_or(slow, |t| t * self.schedule.slowdown_limit < own)
+        };
         if let Some(i) = (0..self.servers.len())
             .find(|&i| i != self.current && available(&self.servers[i]) && faster(&self.servers[i]))
         {
@@ -170,7 +171,7 @@
     }
 
     /// Records that the first page of the running synchronization was received.
-    pub fn answered(&mut self) {
+    pub fn first_page_received(&mut self) {
         self.responding = true;
     }
 
@@ -186,11 +187,12 @@
                 (server.failures, server.not_before) = (0, now);
                 self.full_at = Some(now);
                 self.responding = false;
-                self.due = now + schedule.every_us;
+                self.due = now + schedule.interval_us;
             }
             SyncOutcome::Partial | SyncOutcome::Failed => {
                 server.failures = server.failures.saturating_add(1);
-                let wait = (schedule.first_wait_us << server.failures.min(16)).min(schedule.most_wait_us);
+                let wait =
+                    (schedule.initial_backoff_us << server.failures.min(16)).min(schedule.max_backoff_us);
                 server.not_before =
                     now + wait - jitter(self.seed, running.server, server.failures) % (wait / 2).max(1);
                 self.responding = outcome == SyncOutcome::Partial;
--- a/tenants/src/sync_schedule/tests.rs
+++ b/tenants/src/sync_schedule/tests.rs
@@ -34,7 +34,7 @@
     let mut scheduler = SyncScheduler::new(1, 0, 1, Some(-200 * SECOND), DEFAULT_SYNC_SCHEDULE);
     assert_eq!(scheduler.state(0), DirectoryState::Stale, "an old snapshot, restored after a restart");
     assert_eq!(scheduler.next(0), Some(0));
-    scheduler.answered();
+    scheduler.first_page_received();
     assert_eq!(scheduler.state(1), DirectoryState::Recovering);
     scheduler.ended(2, SyncOutcome::Partial);
     assert_eq!(scheduler.state(2), DirectoryState::Recovering, "only a part was received");
@@ -42,7 +42,7 @@
     assert_eq!(scheduler.next(at), Some(0));
     scheduler.ended(at, SyncOutcome::Full);
     assert_eq!(
-        (scheduler.state(at), scheduler.state(at + DEFAULT_SYNC_SCHEDULE.fresh_us)),
+        (scheduler.state(at), scheduler.state(at + DEFAULT_SYNC_SCHEDULE.stale_after_us)),
         (DirectoryState::Fresh, DirectoryState::Stale)
     );
 }
@@ -51,6 +51,6 @@
 fn fails_a_synchronization_that_times_out_and_tries_the_next_server() {
     let mut scheduler = SyncScheduler::new(1, 0, 2, None, DEFAULT_SYNC_SCHEDULE);
     assert_eq!(scheduler.next(0), Some(0));
-    assert_eq!(scheduler.next_at(), DEFAULT_SYNC_SCHEDULE.patience_us);
-    assert_eq!(scheduler.next(DEFAULT_SYNC_SCHEDULE.patience_us), Some(1));
+    assert_eq!(scheduler.next_at(), DEFAULT_SYNC_SCHEDULE.timeout_us);
+    assert_eq!(scheduler.next(DEFAULT_SYNC_SCHEDULE.timeout_us), Some(1));
 }
--- a/tenants/src/tenant_directory.rs
+++ b/tenants/src/tenant_directory.rs
@@ -2,13 +2,13 @@
 //! synchronizations, and the snapshot that survives a restart. No I/O: the caller synchronizes with
 //! the server that [`TenantDirectory::next`] returns and passes in the result.
 use crate::authorization::{authorize, AccessPolicy, AuthorizationDecision, Operation};
-use crate::change_guard::{ChangeGuard, ChangeReview, HeldChanges};
+use crate::change_guard::{ChangeGuard, ChangeReview, HeldRemoval};
 use crate::sync_schedule::{DirectoryState, SyncOutcome, SyncSchedule, SyncScheduler};
-use crate::{Change, Entry, Id, Mark, Sweep, Tenants};
+use crate::{Change, DirectoryUpdate, Entry, Id, Mark, Tenants};
 use serde::{Deserialize, Serialize};
 
 /// Version of the snapshot's format.
-pub const FORMAT: u32 = 2;
+pub const SNAPSHOT_FORMAT: u32 = 2;
 
 /// The state that survives a restart of the planner.
 #[derive(Serialize, Deserialize)]
@@ -27,7 +27,7 @@
 
 /// A stored snapshot could not be decoded.
 #[derive(Debug, thiserror::Error)]
-#[error("tenant snapshot: found {found}; expected directory entries of format {FORMAT}")]
+#[error("tenant snapshot: found {found}; expected directory entries of format {SNAPSHOT_FORMAT}")]
 pub struct InvalidSnapshot {
     /// The decoder's error, with its location in the JSON.
     found: serde_json::Error,
@@ -39,7 +39,7 @@
     review: ChangeReview,
     scheduler: SyncScheduler,
     guard: ChangeGuard,
-    /// The state that `new_state` returned last.
+    /// The state that `state_change` returned last.
     reported_state: Option<DirectoryState>,
     /// By server: number of incremental synchronizations since the last full one; `None`: the next
     /// synchronization must be a full one.
@@ -56,7 +56,7 @@
 const FULL_SYNC_EVERY: u32 = 40;
 
 impl TenantDirectory {
-    /// Creates a directory. `remembered`: a snapshot that [`memory`](Self::memory) returned, with
+    /// Creates a directory. `remembered`: a snapshot that [`snapshot`](Self::snapshot) returned, with
     /// its time. Fails if the snapshot cannot be decoded; callers then start without it.
     pub fn new(
         seed: u64,
@@ -72,16 +72,16 @@
             let snapshot: DirectorySnapshot =
                 serde_json::from_slice(bytes).map_err(|found| InvalidSnapshot { found })?;
             snapshot.order.into_iter().for_each(|id| {
-                known.place(id);
+                known.index_or_assign(id);
             });
-            known.take(at, snapshot.entries, &[]);
+            known.apply(at, snapshot.entries, &[]);
             for (id, name, at) in snapshot.was {
                 if let Some(record) = known.known.get_mut(&id) {
                     known.old_names.insert(name.clone(), id);
                     record.was = Some((name, at));
                 }
             }
-            review.remember(snapshot.mark);
+            review.restore_mark(snapshot.mark);
             for (name, cookie) in snapshot.cookies {
                 if let Some(server) = servers.iter_mut().find(|s| s.0 == name) {
                     server.1 = Some(cookie);
@@ -104,9 +104,9 @@
 
     /// Returns a snapshot to store, with the time of the last full synchronization; `None` before
     /// the first one.
-    pub fn memory(&self) -> Option<(i64, Vec<u8>)> {
+    pub fn snapshot(&self) -> Option<(i64, Vec<u8>)> {
         let at = self.scheduler.full_at()?;
-        let entries = self.known.ids().map(|x| x.1.clone()).collect();
+        let entries = self.known.entries().map(|x| x.1.clone()).collect();
         let was = self.known.known.iter().filter_map(|(id, record)| {
             let (name, at) = record.was.clone()?;
             Some((*id, name, at))
@@ -129,7 +129,7 @@
 
     /// Returns whether the running synchronization must be a full one rather than an incremental
     /// one.
-    pub fn whole(&self) -> bool {
+    pub fn needs_full_sync(&self) -> bool {
         self.running.is_none_or(|s| self.since_full[s].is_none_or(|n| n >= FULL_SYNC_EVERY))
     }
 
@@ -139,36 +139,36 @@
     }
 
     /// Records that the first page of the running synchronization was received.
-    pub fn answered(&mut self) {
-        self.scheduler.answered();
+    pub fn first_page_received(&mut self) {
+        self.scheduler.first_page_received();
     }
 
     /// Returns the cookie for the running synchronization; `None` if it must be a full one.
     pub fn cookie(&self) -> Option<Vec<u8>> {
-        self.running.filter(|_| !self.whole()).and_then(|s| self.servers[s].1.clone())
+        self.running.filter(|_| !self.needs_full_sync()).and_then(|s| self.servers[s].1.clone())
     }
 
     /// Records the end of the running synchronization and applies the accepted changes. `None`: the
     /// synchronization failed.
-    pub fn swept(&mut self, now: i64, sync: Option<Sweep>) -> Vec<Change> {
+    pub fn sync_ended(&mut self, now: i64, sync: Option<DirectoryUpdate>) -> Vec<Change> {
         let Some(sync) = sync else {
             self.running = None;
             self.scheduler.ended(now, SyncOutcome::Failed);
             return Vec::new();
         };
-        let (complete, whole) = (sync.complete, self.whole());
+        let (complete, whole) = (sync.complete, self.needs_full_sync());
         let cookie = sync.cookie.clone();
-        let accepted = self.review.judge(now, &self.known, sync, self.guard);
-        let full = complete && !accepted.older && !accepted.unknown;
+        let accepted = self.review.review(now, &self.known, sync, self.guard);
+        let full = complete && !accepted.server_lags && !accepted.has_unknown_entries;
         if let Some(server) = self.running.take() {
             let since = if whole { 0 } else { self.since_full[server].unwrap_or(0) + 1 };
             // While a removal is held, synchronizations must be full: an incremental one would not
             // report the removal again, so that it could never be confirmed.
-            let incremental_next = full && self.review.held().is_none();
+            let incremental_next = full && self.review.held_removal().is_none();
             self.since_full[server] = incremental_next.then_some(since);
             self.servers[server].1 = cookie.filter(|_| incremental_next);
         }
-        let changes = self.known.apply(now, accepted.entries, &accepted.gone, accepted.as_is);
+        let changes = self.known.apply_accepted(now, accepted.entries, &accepted.removed, accepted.forced);
         self.scheduler.ended(now, if full { SyncOutcome::Full } else { SyncOutcome::Partial });
         changes
     }
@@ -196,7 +196,7 @@
     }
 
     /// Returns the state if it has changed since the last call, for the log.
-    pub fn new_state(&mut self, now: i64) -> Option<DirectoryState> {
+    pub fn state_change(&mut self, now: i64) -> Option<DirectoryState> {
         let state = self.state(now);
         (self.reported_state.replace(state) != Some(state)).then_some(state)
     }
@@ -218,8 +218,8 @@
     }
 
     /// Returns the removal that waits for confirmation, if any.
-    pub fn held(&self) -> Option<&HeldChanges> {
-        self.review.held()
+    pub fn held_removal(&self) -> Option<&HeldRemoval> {
+        self.review.held_removal()
     }
 
     /// Returns whether a server lagged, and no complete and up-to-date synchronization has
@@ -229,8 +229,8 @@
     }
 
     /// Returns the number of changes to entries so far, to detect that a new snapshot is needed.
-    pub fn edits(&self) -> u64 {
-        self.known.edits()
+    pub fn revision(&self) -> u64 {
+        self.known.revision()
     }
 
     /// Returns the end of the last full synchronization, in microseconds.
@@ -239,9 +239,9 @@
     }
 
     /// Returns the index of a tenant that a machine names, and assigns one if needed; see
-    /// [`Tenants::place`].
-    pub fn place(&mut self, id: Id) -> usize {
-        self.known.place(id)
+    /// [`Tenants::index_or_assign`].
+    pub fn index_or_assign(&mut self, id: Id) -> usize {
+        self.known.index_or_assign(id)
     }
 
     /// Records an operator's order to accept the next complete synchronization as it is, which will
--- a/tenants/tests/directory.rs
+++ b/tenants/tests/directory.rs
@@ -3,7 +3,7 @@
 use basaltpitch_tenants::authorization::{authorize, AccessPolicy, AuthorizationBasis, Operation};
 use basaltpitch_tenants::change_guard::{ChangeGuard, ChangeReview};
 use basaltpitch_tenants::sync_schedule::DirectoryState;
-use basaltpitch_tenants::{Change, Entry, EntryKind, Id, Sweep, Tenants, OLD_NAME_SHOWN};
+use basaltpitch_tenants::{Change, DirectoryUpdate, Entry, EntryKind, Id, Tenants, OLD_NAME_VALID_US};
 use expect_test::expect;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,7 +39,7 @@
         tenant(20, "orders", &["cooks"], 1),
         tenant(21, "stores", &["meera", "asha"], 1),
     ];
-    tenants.take(0, entries, &[]);
+    tenants.apply(0, entries, &[]);
     tenants
 }
 
@@ -54,20 +54,20 @@
     let tenants = example_directory();
     assert_eq!(members(&tenants, "orders"), ["asha", "ravi"]);
     assert_eq!(members(&tenants, "stores"), ["asha", "meera"]);
-    assert_eq!(tenants.why(Id(2), Id(20)), ["orders", "cooks", "night"]);
-    assert_eq!(tenants.why(Id(3), Id(20)), [] as [&str; 0]);
+    assert_eq!(tenants.path(Id(2), Id(20)), ["orders", "cooks", "night"]);
+    assert_eq!(tenants.path(Id(3), Id(20)), [] as [&str; 0]);
 }
 
 #[test]
 fn renamed_tenant_keeps_its_index_and_is_found_by_its_old_name_until_it_expires() {
     let mut tenants = example_directory();
     let index = tenants.index(Id(20));
-    let changes = tenants.take(1000, vec![tenant(20, "kitchen", &["cooks"], 2)], &[]);
+    let changes = tenants.apply(1000, vec![tenant(20, "kitchen", &["cooks"], 2)], &[]);
     assert_eq!(changes, [Change::Renamed { id: Id(20), from: "orders".into(), to: "kitchen".into() }]);
-    assert_eq!((tenants.find("orders", 1000 + OLD_NAME_SHOWN), tenants.index(Id(20))), (None, index));
+    assert_eq!((tenants.find("orders", 1000 + OLD_NAME_VALID_US), tenants.index(Id(20))), (None, index));
     assert_eq!(tenants.find("orders", 2000), Some(Id(20)), "the old name is still valid");
-    assert_eq!(tenants.tenant(Id(20), 2000).unwrap().was.as_deref(), Some("orders"));
-    assert_eq!(tenants.tenant(Id(20), 1000 + OLD_NAME_SHOWN).unwrap().was, None);
+    assert_eq!(tenants.tenant(Id(20), 2000).unwrap().previous_name.as_deref(), Some("orders"));
+    assert_eq!(tenants.tenant(Id(20), 1000 + OLD_NAME_VALID_US).unwrap().previous_name, None);
 }
 
 /// One synchronization renames a tenant and creates another one under the old name, with the
@@ -80,7 +80,7 @@
         if swapped {
             entries.reverse();
         }
-        tenants.take(1000, entries, &[]);
+        tenants.apply(1000, entries, &[]);
         assert_eq!(
             (tenants.find("orders", 0), tenants.find("kitchen", 0)),
             (Some(Id(30)), Some(Id(20))),
@@ -95,11 +95,11 @@
 #[test]
 fn resolves_nested_tenants_and_members_listed_by_an_old_distinguished_name() {
     let mut tenants = example_directory();
-    tenants.take(1, vec![tenant(21, "stores", &["meera", "asha", "orders"], 2)], &[]);
+    tenants.apply(1, vec![tenant(21, "stores", &["meera", "asha", "orders"], 2)], &[]);
     assert_eq!(members(&tenants, "stores"), ["asha", "ravi", "meera"]);
     assert!(tenants.is_below(Id(20), Id(21)) && !tenants.is_below(Id(21), Id(20)));
     // The directory has renamed the group, but the tenant still lists it by its old name.
-    tenants.take(2, vec![group(10, "chefs", &["asha", "night"], 3)], &[]);
+    tenants.apply(2, vec![group(10, "chefs", &["asha", "night"], 3)], &[]);
     assert_eq!(members(&tenants, "orders"), ["asha", "ravi"]);
 }
 
@@ -107,14 +107,14 @@
 fn ignores_entries_older_than_a_removal_or_the_known_version() {
     let mut tenants = example_directory();
     let index = tenants.index(Id(20));
-    tenants.take(1, vec![group(12, "keepers", &["meera"], 5)], &[]);
-    tenants.take(2, vec![], &[Id(20)]);
+    tenants.apply(1, vec![group(12, "keepers", &["meera"], 5)], &[]);
+    tenants.apply(2, vec![], &[Id(20)]);
     assert_eq!((tenants.find("orders", 0), tenants.index(Id(20))), (None, None));
-    tenants.take(3, vec![tenant(20, "orders", &["meera"], 0)], &[]);
+    tenants.apply(3, vec![tenant(20, "orders", &["meera"], 0)], &[]);
     assert_eq!(tenants.find("orders", 0), None, "older than the removed entry");
-    tenants.take(4, vec![tenant(20, "orders", &["meera"], 6)], &[]);
+    tenants.apply(4, vec![tenant(20, "orders", &["meera"], 6)], &[]);
     assert_eq!((members(&tenants, "orders"), tenants.index(Id(20))), (vec!["meera"], index));
-    tenants.take(5, vec![tenant(20, "orders", &["asha"], 4)], &[]);
+    tenants.apply(5, vec![tenant(20, "orders", &["asha"], 4)], &[]);
     assert_eq!(members(&tenants, "orders"), ["meera"], "older than the known entry");
 }
 
@@ -136,7 +136,7 @@
             let decision = authorize(&tenants, 0, DirectoryState::Fresh, &policy, login, operation);
             table += &format!(
                 "{login:7} {name:21} {:4} {}\n",
-                if decision.may { "yes" } else { "no" },
+                if decision.allowed { "yes" } else { "no" },
                 decision.basis.description()
             );
         }
@@ -174,7 +174,7 @@
         let policy = AccessPolicy { place_stale: place, place_blind: place, ..AccessPolicy::default() };
         for state in [DirectoryState::Stale, DirectoryState::Recovering] {
             let decision = authorize(&tenants, 0, state, &policy, "asha", submit);
-            assert_eq!((decision.may, decision.stale), (place, true), "{state:?}");
+            assert_eq!((decision.allowed, decision.stale), (place, true), "{state:?}");
             assert!(
                 authorize(
                     &tenants,
@@ -184,12 +184,12 @@
                     "asha",
                     Operation::See { tenant: tenants.find("orders", 0) }
                 )
-                .may,
+                .allowed,
                 "members may see tasks in any case"
             );
         }
         let decision = authorize(&Tenants::default(), 0, DirectoryState::Blind, &policy, "asha", submit);
-        assert_eq!((decision.may, decision.stale), (place, true));
+        assert_eq!((decision.allowed, decision.stale), (place, true));
         assert_eq!(
             authorize(&tenants, 0, DirectoryState::Blind, &policy, "asha", Operation::Drain).basis,
             AuthorizationBasis::NothingKnown
@@ -199,95 +199,103 @@
             authorize(&tenants, 0, DirectoryState::Blind, &policy, "watch", Operation::Drain).basis,
             AuthorizationBasis::Always
         );
-        assert_eq!(authorize(&tenants, 0, DirectoryState::Blind, &policy, "watch", submit).may, place);
+        assert_eq!(authorize(&tenants, 0, DirectoryState::Blind, &policy, "watch", submit).allowed, place);
     }
 }
 
-const QUICK_GUARD: ChangeGuard = ChangeGuard { few: 1, percent: 10, sweeps: 3, over_us: 100 };
+const QUICK_GUARD: ChangeGuard = ChangeGuard {
+    max_removed_count: 1,
+    max_removed_percent: 10,
+    confirming_syncs: 3,
+    confirming_time_us: 100,
+};
 
-fn sync_result(entries: Vec<Entry>, complete: bool) -> Sweep {
-    Sweep::of(entries, complete)
+fn update(entries: Vec<Entry>, complete: bool) -> DirectoryUpdate {
+    DirectoryUpdate::new(entries, complete)
 }
 
 #[test]
 fn holds_removal_of_many_tenants_until_confirmed_or_accepted() {
     let (tenants, mut review) = (example_directory(), ChangeReview::default());
-    let mut rest: Vec<Entry> =
-        tenants.ids().map(|x| x.1.clone()).filter(|e| !matches!(e.kind, EntryKind::Tenant { .. })).collect();
+    let mut rest: Vec<Entry> = tenants
+        .entries()
+        .map(|x| x.1.clone())
+        .filter(|e| !matches!(e.kind, EntryKind::Tenant { .. }))
+        .collect();
     rest.push(person(9, "late"));
     rest.last_mut().unwrap().stamp = format!("2026{:010}Z", 9);
     for (at, syncs) in [(0, 1), (50, 2), (99, 3)] {
         assert_eq!(
-            review.judge(at, &tenants, sync_result(rest.clone(), true), QUICK_GUARD).gone,
+            review.review(at, &tenants, update(rest.clone(), true), QUICK_GUARD).removed,
             [],
             "synchronization {syncs}"
         );
-        assert_eq!(review.held().unwrap().sweeps, syncs);
+        assert_eq!(review.held_removal().unwrap().syncs, syncs);
     }
     assert_eq!(
-        review.judge(100, &tenants, sync_result(rest.clone(), true), QUICK_GUARD).gone,
+        review.review(100, &tenants, update(rest.clone(), true), QUICK_GUARD).removed,
         [Id(20), Id(21)]
     );
-    assert_eq!(review.held(), None);
+    assert_eq!(review.held_removal(), None);
     // An operator's order takes effect without further confirmation.
-    review.judge(0, &tenants, sync_result(rest.clone(), true), QUICK_GUARD);
+    review.review(0, &tenants, update(rest.clone(), true), QUICK_GUARD);
     assert!(review.accept());
-    assert_eq!(review.judge(1, &tenants, sync_result(rest, true), QUICK_GUARD).gone, [Id(20), Id(21)]);
+    assert_eq!(review.review(1, &tenants, update(rest, true), QUICK_GUARD).removed, [Id(20), Id(21)]);
     assert!(!review.accept(), "no removal is held");
 }
 
 #[test]
 fn drops_held_removal_when_the_entries_are_back() {
     let (tenants, mut review) = (example_directory(), ChangeReview::default());
-    let all: Vec<Entry> = tenants.ids().map(|x| x.1.clone()).collect();
+    let all: Vec<Entry> = tenants.entries().map(|x| x.1.clone()).collect();
     let rest: Vec<Entry> =
         all.iter().filter(|e| !matches!(e.kind, EntryKind::Tenant { .. })).cloned().collect();
-    review.judge(0, &tenants, sync_result(rest.clone(), true), QUICK_GUARD);
-    review.judge(50, &tenants, sync_result(all, true), QUICK_GUARD);
-    assert_eq!(review.held(), None);
-    assert_eq!(review.judge(200, &tenants, sync_result(rest, true), QUICK_GUARD).gone, []);
+    review.review(0, &tenants, update(rest.clone(), true), QUICK_GUARD);
+    review.review(50, &tenants, update(all, true), QUICK_GUARD);
+    assert_eq!(review.held_removal(), None);
+    assert_eq!(review.review(200, &tenants, update(rest, true), QUICK_GUARD).removed, []);
 }
 
 #[test]
 fn holds_removal_of_the_newest_entry_unless_sequence_numbers_prove_it() {
     let (tenants, mut review) = (example_directory(), ChangeReview::default());
-    let mut all: Vec<Entry> = tenants.ids().map(|x| x.1.clone()).collect();
+    let mut all: Vec<Entry> = tenants.entries().map(|x| x.1.clone()).collect();
     let newest = all.iter().map(|e| e.stamp.clone()).max().unwrap();
     all[0].stamp = format!("{newest}Z");
     let id = all[0].id;
     let mut tenants = tenants;
-    tenants.take(0, vec![all[0].clone()], &[]);
+    tenants.apply(0, vec![all[0].clone()], &[]);
     let rest = all.split_off(1);
     // Without sequence numbers the removal is held until it is confirmed.
-    assert_eq!(review.judge(0, &tenants, sync_result(rest.clone(), true), QUICK_GUARD).gone, []);
-    assert_eq!(review.held().unwrap().ids, [id].into());
-    review.judge(50, &tenants, sync_result(rest.clone(), true), QUICK_GUARD);
-    assert_eq!(review.judge(100, &tenants, sync_result(rest.clone(), true), QUICK_GUARD).gone, [id]);
+    assert_eq!(review.review(0, &tenants, update(rest.clone(), true), QUICK_GUARD).removed, []);
+    assert_eq!(review.held_removal().unwrap().ids, [id].into());
+    review.review(50, &tenants, update(rest.clone(), true), QUICK_GUARD);
+    assert_eq!(review.review(100, &tenants, update(rest.clone(), true), QUICK_GUARD).removed, [id]);
     // With sequence numbers a lagging server and a removal are told apart at once.
     let marked = |n: &str| {
         let mark = [("001".to_owned(), n.to_owned())].into();
-        Sweep { mark, ..sync_result(rest.clone(), true) }
+        DirectoryUpdate { mark, ..update(rest.clone(), true) }
     };
     let mut review = ChangeReview::default();
-    review.judge(0, &tenants, Sweep { mark: marked("5").mark, ..sync_result(all, false) }, QUICK_GUARD);
-    review.remember(marked("5").mark);
-    let lagging = review.judge(1, &tenants, marked("4"), QUICK_GUARD);
-    assert!(lagging.older && lagging.gone.is_empty() && review.is_behind());
-    assert_eq!(review.judge(2, &tenants, marked("6"), QUICK_GUARD).gone, [id]);
+    review.review(0, &tenants, DirectoryUpdate { mark: marked("5").mark, ..update(all, false) }, QUICK_GUARD);
+    review.restore_mark(marked("5").mark);
+    let lagging = review.review(1, &tenants, marked("4"), QUICK_GUARD);
+    assert!(lagging.server_lags && lagging.removed.is_empty() && review.is_behind());
+    assert_eq!(review.review(2, &tenants, marked("6"), QUICK_GUARD).removed, [id]);
 }
 
 #[test]
 fn accepts_a_directory_restored_to_an_earlier_state_only_on_an_operators_order() {
     let (mut tenants, mut review) = (example_directory(), ChangeReview::default());
-    let all: Vec<Entry> = tenants.ids().map(|x| x.1.clone()).collect();
+    let all: Vec<Entry> = tenants.entries().map(|x| x.1.clone()).collect();
     let later: Vec<Entry> = all.iter().cloned().map(|e| Entry { stamp: "2027".into(), ..e }).collect();
-    tenants.take(0, later, &[]);
+    tenants.apply(0, later, &[]);
     for now in [1, 1_000, 1_000_000] {
-        assert!(review.judge(now, &tenants, sync_result(all.clone(), true), QUICK_GUARD).older);
+        assert!(review.review(now, &tenants, update(all.clone(), true), QUICK_GUARD).server_lags);
     }
     assert!(review.accept());
-    let accepted = review.judge(2_000_000, &tenants, sync_result(all, true), QUICK_GUARD);
-    assert!(accepted.as_is && !accepted.older && !review.is_behind());
+    let accepted = review.review(2_000_000, &tenants, update(all, true), QUICK_GUARD);
+    assert!(accepted.forced && !accepted.server_lags && !review.is_behind());
 }
 
 /// A change of the reference directory, or a synchronization with it.
@@ -380,7 +388,7 @@
     #[test]
     fn full_synchronization_matches_reference_and_partial_one_removes_nothing(edits in proptest::collection::vec(edit(), 1..60)) {
         let (mut reference, mut tested, mut review) = (Reference::new(), Tenants::default(), ChangeReview::default());
-        let permissive = ChangeGuard { few: 100, percent: 100, sweeps: 1, over_us: 0 };
+        let permissive = ChangeGuard { max_removed_count: 100, max_removed_percent: 100, confirming_syncs: 1, confirming_time_us: 0 };
         for (now, edit) in edits.into_iter().chain([Edit::FullSync]).enumerate() {
             let now = now as i64;
             match edit {
@@ -406,18 +414,18 @@
                 }
                 Edit::PartialSync(n) => {
                     let entries: Vec<Entry> = reference.all().into_iter().take(n as usize).collect();
-                    let before: BTreeSet<Id> = tested.ids().map(|x| x.0).collect();
-                    let accepted = review.judge(now, &tested, Sweep::of(entries, false), permissive);
-                    prop_assert!(accepted.gone.is_empty());
-                    tested.take(now, accepted.entries, &accepted.gone);
-                    let after: BTreeSet<Id> = tested.ids().map(|x| x.0).collect();
+                    let before: BTreeSet<Id> = tested.entries().map(|x| x.0).collect();
+                    let accepted = review.review(now, &tested, DirectoryUpdate::new(entries, false), permissive);
+                    prop_assert!(accepted.removed.is_empty());
+                    tested.apply(now, accepted.entries, &accepted.removed);
+                    let after: BTreeSet<Id> = tested.entries().map(|x| x.0).collect();
                     prop_assert!(before.is_subset(&after));
                 }
                 Edit::FullSync => {
-                    let accepted = review.judge(now, &tested, Sweep::of(reference.all(), true), permissive);
-                    prop_assert!(!accepted.older);
-                    tested.take(now, accepted.entries, &accepted.gone);
-                    let ids: BTreeSet<u128> = tested.ids().map(|x| x.0 .0).collect();
+                    let accepted = review.review(now, &tested, DirectoryUpdate::new(reference.all(), true), permissive);
+                    prop_assert!(!accepted.server_lags);
+                    tested.apply(now, accepted.entries, &accepted.removed);
+                    let ids: BTreeSet<u128> = tested.entries().map(|x| x.0 .0).collect();
                     prop_assert_eq!(&ids, &reference.entries.keys().map(|&e| u128::from(e)).collect::<BTreeSet<_>>());
                     for g in (0..8).filter(|g| reference.entries.contains_key(g)) {
                         for p in (8..16).filter(|p| reference.entries.contains_key(p)) {
--- a/tenants/tests/every_state.rs
+++ b/tenants/tests/every_state.rs
@@ -4,20 +4,21 @@
 //! synchronization with an up-to-date server lacked it.
 use basaltpitch_tenants::change_guard::{ChangeGuard, ChangeReview};
 use basaltpitch_tenants::sync_schedule::{DirectoryState, SyncOutcome, SyncSchedule, SyncScheduler};
-use basaltpitch_tenants::{Entry, EntryKind, Id, Sweep, Tenants};
+use basaltpitch_tenants::{DirectoryUpdate, Entry, EntryKind, Id, Tenants};
 use pathfinding::prelude::bfs_reach;
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
 const SCHEDULE: SyncSchedule = SyncSchedule {
-    every_us: 10,
-    patience_us: 30,
-    fresh_us: 25,
-    first_wait_us: 4,
-    most_wait_us: 16,
-    slower: 4,
+    interval_us: 10,
+    timeout_us: 30,
+    stale_after_us: 25,
+    initial_backoff_us: 4,
+    max_backoff_us: 16,
+    slowdown_limit: 4,
 };
-const GUARD: ChangeGuard = ChangeGuard { few: 1, percent: 0, sweeps: 2, over_us: 12 };
+const GUARD: ChangeGuard =
+    ChangeGuard { max_removed_count: 1, max_removed_percent: 0, confirming_syncs: 2, confirming_time_us: 12 };
 /// End of the exploration, in microseconds.
 const UNTIL: i64 = 56;
 
@@ -43,7 +44,7 @@
 
 impl World {
     fn key(&self) -> impl Hash + Eq + '_ {
-        let ids: Vec<Id> = self.tenants.ids().map(|x| x.0).collect();
+        let ids: Vec<Id> = self.tenants.entries().map(|x| x.0).collect();
         (self.now, &self.scheduler, &self.review, ids, &self.primary, &self.replica, self.running, self.edits)
     }
 }
@@ -103,18 +104,19 @@
             if outcome == SyncOutcome::Partial {
                 all.truncate(count);
             }
-            let before: BTreeSet<Id> = self.tenants.ids().map(|x| x.0).collect();
-            let mut sync = Sweep::of(all, outcome == SyncOutcome::Full);
+            let before: BTreeSet<Id> = self.tenants.entries().map(|x| x.0).collect();
+            let mut sync = DirectoryUpdate::new(all, outcome == SyncOutcome::Full);
             if self.marks {
                 sync.mark.insert("001".into(), format!("{:04}", source.1));
             }
-            let accepted = self.review.judge(self.now, &self.tenants, sync, GUARD);
-            if accepted.older {
+            let accepted = self.review.review(self.now, &self.tenants, sync, GUARD);
+            if accepted.server_lags {
                 outcome = SyncOutcome::Partial;
             }
-            let many = before.iter().filter(|id| id.0 > 0 && !source.0.contains(&id.0)).count() > GUARD.few;
-            self.tenants.take(self.now, accepted.entries, &accepted.gone);
-            let after: BTreeSet<Id> = self.tenants.ids().map(|x| x.0).collect();
+            let many = before.iter().filter(|id| id.0 > 0 && !source.0.contains(&id.0)).count()
+                > GUARD.max_removed_count;
+            self.tenants.apply(self.now, accepted.entries, &accepted.removed);
+            let after: BTreeSet<Id> = self.tenants.entries().map(|x| x.0).collect();
             for id in before.difference(&after) {
                 if outcome != SyncOutcome::Full {
                     self.violation =
@@ -123,7 +125,7 @@
                 if source.0.contains(&id.0) {
                     self.violation = Some("an entry was removed that the server has");
                 }
-                if many && accepted.gone.len() > 1 && self.now < GUARD.over_us {
+                if many && accepted.removed.len() > 1 && self.now < GUARD.confirming_time_us {
                     self.violation = Some("many entries were removed before the removal was confirmed");
                 }
             }
@@ -148,7 +150,7 @@
             });
         }
         if self.running.is_some() {
-            add(&|w| w.scheduler.answered());
+            add(&|w| w.scheduler.first_page_received());
             add(&|w| w.sync_ended(SyncOutcome::Full, 0));
             add(&|w| w.sync_ended(SyncOutcome::Partial, 1));
             add(&|w| w.sync_ended(SyncOutcome::Failed, 0));
@@ -183,7 +185,7 @@
         explored += 1;
         assert_eq!(world.violation, None, "state {explored}: {world:#?}");
         states.insert(format!("{:?}", world.scheduler.state(world.now)));
-        let known = world.tenants.ids().next().is_some();
+        let known = world.tenants.entries().next().is_some();
         // A partial synchronization can add entries before the first full one: the state stays
         // `Blind`.
         assert!(
--- a/tenants/tests/golden_memory.rs
+++ b/tenants/tests/golden_memory.rs
@@ -2,8 +2,8 @@
 //! planners in service have such snapshots in their state directory. The file is never edited.
 use basaltpitch_tenants::change_guard::DEFAULT_CHANGE_GUARD;
 use basaltpitch_tenants::sync_schedule::DEFAULT_SYNC_SCHEDULE;
-use basaltpitch_tenants::tenant_directory::{TenantDirectory, FORMAT};
-use basaltpitch_tenants::{Entry, EntryKind, Id, Sweep};
+use basaltpitch_tenants::tenant_directory::{TenantDirectory, SNAPSHOT_FORMAT};
+use basaltpitch_tenants::{DirectoryUpdate, Entry, EntryKind, Id};
 
 /// End of the last full synchronization, in microseconds.
 const SYNCED_AT: i64 = 90_000_000;
@@ -54,11 +54,11 @@
 /// Runs a full synchronization that ends at `at`.
 fn sync(directory: &mut TenantDirectory, at: i64, entries: Vec<Entry>) {
     directory.next(at - 1000).expect("a synchronization is due");
-    directory.answered();
-    let mut sync = Sweep::of(entries, true);
+    directory.first_page_received();
+    let mut sync = DirectoryUpdate::new(entries, true);
     sync.mark.insert("001".into(), "20261103120000.000000Z#000000#001#000000".into());
     sync.cookie = Some(b"rid=000,csn=1\xff".to_vec());
-    directory.swept(at, Some(sync));
+    directory.sync_ended(at, Some(sync));
 }
 
 /// Returns a directory after two synchronizations, of which the second renames one tenant and
@@ -75,7 +75,7 @@
 
 #[test]
 fn encodes_snapshot_as_the_golden_file() {
-    let (at, bytes) = synced_directory().memory().expect("a full synchronization was completed");
+    let (at, bytes) = synced_directory().snapshot().expect("a full synchronization was completed");
     assert_eq!(at, SYNCED_AT);
     assert_eq!(String::from_utf8(bytes), String::from_utf8(golden()));
 }
@@ -83,7 +83,8 @@
 #[test]
 fn restored_snapshot_is_encoded_in_the_same_bytes() {
     let bytes = golden();
-    let (at, encoded) = new_directory(Some((SYNCED_AT, &bytes))).memory().expect("the snapshot was restored");
+    let (at, encoded) =
+        new_directory(Some((SYNCED_AT, &bytes))).snapshot().expect("the snapshot was restored");
     assert_eq!(at, SYNCED_AT);
     assert_eq!(String::from_utf8(encoded), String::from_utf8(bytes));
 }
@@ -95,18 +96,18 @@
     let known = directory.tenants();
     let tenants: Vec<String> = known
         .tenants(NOW)
-        .map(|t| format!("{} {} {:?} {} {} {}", t.id.0, t.name, t.was, t.share, t.members, t.index))
+        .map(|t| format!("{} {} {:?} {} {} {}", t.id.0, t.name, t.previous_name, t.share, t.members, t.index))
         .collect();
     let id = 20u128 << 64 | 20;
     assert_eq!(tenants, [format!("{id} kitchen Some(\"orders\") 0.75 2 1")]);
     assert_eq!(known.find("orders", NOW), Some(Id(id)), "the old name is still valid");
-    assert_eq!(known.people(Id(id)), ["asha", "ravi"]);
-    assert_eq!(known.why(known.login("ravi").expect("a person"), Id(id)), ["kitchen", "cooks"]);
-    assert_eq!(known.at(0), Some(Id(21u128 << 64 | 21)), "the index of a removed tenant is not reused");
+    assert_eq!(known.member_logins(Id(id)), ["asha", "ravi"]);
+    assert_eq!(known.path(known.person("ravi").expect("a person"), Id(id)), ["kitchen", "cooks"]);
+    assert_eq!(known.id_at(0), Some(Id(21u128 << 64 | 21)), "the index of a removed tenant is not reused");
 }
 
 /// The store rejects a snapshot of any other format, so this number is part of the stored data.
 #[test]
 fn snapshot_format_number_is_unchanged() {
-    assert_eq!(FORMAT, 2);
+    assert_eq!(SNAPSHOT_FORMAT, 2);
 }
--- a/tenants/tests/outage.rs
+++ b/tenants/tests/outage.rs
@@ -4,7 +4,7 @@
 use basaltpitch_tenants::change_guard::DEFAULT_CHANGE_GUARD;
 use basaltpitch_tenants::sync_schedule::{DirectoryState, DEFAULT_SYNC_SCHEDULE};
 use basaltpitch_tenants::tenant_directory::TenantDirectory;
-use basaltpitch_tenants::{Change, Entry, EntryKind, Id, Sweep};
+use basaltpitch_tenants::{Change, DirectoryUpdate, Entry, EntryKind, Id};
 
 const SECOND: i64 = 1_000_000;
 
@@ -38,8 +38,8 @@
     ]
 }
 
-fn full_sync(entries: Vec<Entry>) -> Option<Sweep> {
-    Some(Sweep::of(entries, true))
+fn full_sync(entries: Vec<Entry>) -> Option<DirectoryUpdate> {
+    Some(DirectoryUpdate::new(entries, true))
 }
 
 /// Runs all synchronizations that are due from `from` to `until`, each with the result that `sync`
@@ -48,12 +48,12 @@
     directory: &mut TenantDirectory,
     from: i64,
     until: i64,
-    sync: impl Fn() -> Option<Sweep>,
+    sync: impl Fn() -> Option<DirectoryUpdate>,
 ) -> Vec<Change> {
     let (mut now, mut changes) = (from, Vec::new());
     while now < until {
         if directory.next(now).is_some() {
-            changes.extend(directory.swept(now, sync()));
+            changes.extend(directory.sync_ended(now, sync()));
         }
         now = directory.next_at().max(now + 1);
     }
@@ -65,13 +65,13 @@
     let policy = AccessPolicy { place_stale: true, ..AccessPolicy::default() };
     let submit = |directory: &TenantDirectory, now, login: &str, tenant: &str| {
         let decision = directory.authorize(now, &policy, login, Operation::Submit { tenant });
-        (decision.may, decision.stale)
+        (decision.allowed, decision.stale)
     };
     let mut directory =
         TenantDirectory::new(1, 0, &server_names(2), None, DEFAULT_SYNC_SCHEDULE, DEFAULT_CHANGE_GUARD)
             .unwrap();
     assert_eq!(
-        (directory.new_state(0), submit(&directory, 0, "asha", "orders")),
+        (directory.state_change(0), submit(&directory, 0, "asha", "orders")),
         (Some(DirectoryState::Blind), (false, true))
     );
     assert_eq!(
@@ -80,17 +80,17 @@
         "two tenants are added, each reported once"
     );
     assert_eq!(
-        (directory.new_state(60 * SECOND), directory.new_state(60 * SECOND)),
+        (directory.state_change(60 * SECOND), directory.state_change(60 * SECOND)),
         (Some(DirectoryState::Fresh), None),
         "a new state is reported once"
     );
     assert_eq!(submit(&directory, 60 * SECOND, "asha", "orders"), (true, false));
-    let (index, remembered) = (directory.tenants().index(Id(11)), directory.memory().unwrap());
+    let (index, remembered) = (directory.tenants().index(Id(11)), directory.snapshot().unwrap());
 
     // The directory is unavailable for ten minutes: its tenants stay known, and decisions are
     // marked as stale.
     assert_eq!(run(&mut directory, 60 * SECOND, 300 * SECOND, || None), []);
-    assert_eq!(directory.new_state(300 * SECOND), Some(DirectoryState::Stale));
+    assert_eq!(directory.state_change(300 * SECOND), Some(DirectoryState::Stale));
     assert_eq!(submit(&directory, 300 * SECOND, "asha", "orders"), (true, true));
 
     // The planner restarts during the outage: the snapshot restores the tenants and their indices.
@@ -104,7 +104,7 @@
     )
     .unwrap();
     assert_eq!(
-        (directory.new_state(301 * SECOND), directory.tenants().index(Id(11))),
+        (directory.state_change(301 * SECOND), directory.tenants().index(Id(11))),
         (Some(DirectoryState::Stale), index)
     );
     assert_eq!(run(&mut directory, 301 * SECOND, 600 * SECOND, || None), []);
@@ -116,10 +116,10 @@
     );
 
     // The directory sends a part of its entries first, which must not remove the others.
-    let part = || Some(Sweep::of(entries_after_outage()[..1].to_vec(), false));
+    let part = || Some(DirectoryUpdate::new(entries_after_outage()[..1].to_vec(), false));
     assert_eq!(run(&mut directory, 600 * SECOND, 640 * SECOND, part), []);
     assert_eq!(
-        (directory.new_state(640 * SECOND), directory.tenants().tenants(0).count()),
+        (directory.state_change(640 * SECOND), directory.tenants().tenants(0).count()),
         (Some(DirectoryState::Recovering), 2)
     );
     let changes = run(&mut directory, 700 * SECOND, 900 * SECOND, || full_sync(entries_after_outage()));
@@ -128,12 +128,12 @@
         changes,
         [
             Change::Renamed { id: Id(10), from: name("orders"), to: name("kitchen") },
-            Change::Share { id: Id(11), name: name("stores"), from: 0.5, to: 0.4 },
-            Change::Members { id: Id(10), name: name("kitchen"), count: 2 },
+            Change::ShareChanged { id: Id(11), name: name("stores"), from: 0.5, to: 0.4 },
+            Change::MemberCountChanged { id: Id(10), name: name("kitchen"), count: 2 },
         ]
     );
     assert_eq!(
-        (directory.new_state(900 * SECOND), submit(&directory, 900 * SECOND, "meera", "kitchen")),
+        (directory.state_change(900 * SECOND), submit(&directory, 900 * SECOND, "meera", "kitchen")),
         (Some(DirectoryState::Fresh), (true, false))
     );
     assert_eq!(directory.tenants().index(Id(11)), index);
