--- a/ldap/src/settings.rs
+++ b/ldap/src/settings.rs
@@ -202,7 +202,7 @@
                 stale_after_us: self.duration_us("fresh"),
                 initial_backoff_us: self.duration_us("first_wait"),
                 max_backoff_us: self.duration_us("most_wait"),
-                slowdown_limit: self.count("slower") as i64,
+                max_slowdown: self.count("slower") as i64,
             },
             caution: ChangeGuard {
                 max_removed_count: self.count("caution.few"),
--- a/ldap/tests/settings.rs
+++ b/ldap/tests/settings.rs
@@ -49,7 +49,7 @@
                     stale_after_us: 120000000,
                     initial_backoff_us: 1000000,
                     max_backoff_us: 60000000,
-                    slowdown_limit: 4,
+                    max_slowdown: 4,
                 },
                 Some(
                     "contextCSN",
--- a/ldap/tests/ways.rs
+++ b/ldap/tests/ways.rs
@@ -24,7 +24,7 @@
     stale_after_us: 5 * S,
     initial_backoff_us: 1,
     max_backoff_us: 1,
-    slowdown_limit: 4,
+    max_slowdown: 4,
 };
 const BOLD: ChangeGuard = ChangeGuard {
     max_removed_count: 1000,
--- a/tenants/src/authorization.rs
+++ b/tenants/src/authorization.rs
@@ -120,13 +120,11 @@
     if stale && submits && !policy.place_stale {
         return decision(false, AuthorizationBasis::TooStale);
     }
-    let Some(person) = known.person(login) else {
-        return decision(false, AuthorizationBasis::NoSuchPerson);
-    };
+    let Some(user) = known.person(login) else { return decision(false, AuthorizationBasis::NoSuchPerson) };
     let is_in_any = |groups: &[String]| {
-        groups.iter().any(|dn| known.group_by_dn(dn).is_some_and(|group| known.is_member(person, group)))
+        groups.iter().any(|dn| known.group_by_dn(dn).is_some_and(|g| known.is_member(user, g)))
     };
-    let is_member = |tenant: Id| known.is_member(person, tenant);
+    let is_member = |tenant: Id| known.is_member(user, tenant);
     match operation {
         Operation::Submit { tenant } => match known.find(tenant, now) {
             None => decision(false, AuthorizationBasis::NoSuchTenant),
--- a/tenants/src/lib.rs
+++ b/tenants/src/lib.rs
@@ -416,8 +416,8 @@
     }
 
     /// Finds a tenant by its id in hex digits or by its name. A previous name is valid for
-    /// [`OLD_NAME_VALID_US`] if no other tenant has it, so that clients need not switch at the moment
-    /// of a renaming.
+    /// [`OLD_NAME_VALID_US`] if no other tenant has it, so that clients need not switch at the
+    /// moment of a renaming.
     pub fn find(&self, name: &str, now: i64) -> Option<Id> {
         let is_tenant = |id: &Id| self.index(*id).is_some();
         let had_name = |id: &Id| {
--- a/tenants/src/sync_schedule.rs
+++ b/tenants/src/sync_schedule.rs
@@ -1,6 +1,6 @@
 //! Schedules synchronizations with the servers of a directory, and tracks how fresh the directory
 //! is. No I/O; times are microseconds. One synchronization runs at a time. Servers are tried in
-//! order, a failed one again after an exponential backoff with jitter. A server that is much slowdown_limit
+//! order, a failed one again after an exponential backoff with jitter. A server that is much slower
 //! than another working one is replaced by it.
 use fnv::FnvHasher;
 use std::hash::Hasher;
@@ -20,7 +20,7 @@
     /// Maximum backoff, in microseconds.
     pub max_backoff_us: i64,
     /// How many times as long as another working server a server must take to be replaced by it.
-    pub slowdown_limit: i64,
+    pub max_slowdown: i64,
 }
 
 /// The default schedule.
@@ -30,7 +30,7 @@
     stale_after_us: 120_000_000,
     initial_backoff_us: 1_000_000,
     max_backoff_us: 60_000_000,
-    slowdown_limit: 4,
+    max_slowdown: 4,
 };
 
 /// How up to date the known tenants are.
@@ -154,10 +154,9 @@
         let own = self.servers[self.current].mean_us.unwrap_or(0);
         // A server without a measured duration is tried once the one in use takes a large part of
         // the timeout.
-        let slow = own * self.schedule.slowdown_limit > self.schedule.timeout_us;
-        let faster = |s: &Server| {
-            s.failures == 0 && s.mean_us.map_or(slow, |t| t * self.schedule.slowdown_limit < own)
-        };
+        let slow = own * self.schedule.max_slowdown > self.schedule.timeout_us;
+        let faster =
+            |s: &Server| s.failures == 0 && s.mean_us.map_or(slow, |t| t * self.schedule.max_slowdown < own);
         if let Some(i) = (0..self.servers.len())
             .find(|&i| i != self.current && available(&self.servers[i]) && faster(&self.servers[i]))
         {
--- a/tenants/src/tenant_directory.rs
+++ b/tenants/src/tenant_directory.rs
@@ -56,8 +56,8 @@
 const FULL_SYNC_EVERY: u32 = 40;
 
 impl TenantDirectory {
-    /// Creates a directory. `remembered`: a snapshot that [`snapshot`](Self::snapshot) returned, with
-    /// its time. Fails if the snapshot cannot be decoded; callers then start without it.
+    /// Creates a directory. `remembered`: a snapshot that [`snapshot`](Self::snapshot) returned,
+    /// with its time. Fails if the snapshot cannot be decoded; callers then start without it.
     pub fn new(
         seed: u64,
         now: i64,
--- a/tenants/tests/every_state.rs
+++ b/tenants/tests/every_state.rs
@@ -15,7 +15,7 @@
     stale_after_us: 25,
     initial_backoff_us: 4,
     max_backoff_us: 16,
-    slowdown_limit: 4,
+    max_slowdown: 4,
 };
 const GUARD: ChangeGuard =
     ChangeGuard { max_removed_count: 1, max_removed_percent: 0, confirming_syncs: 2, confirming_time_us: 12 };
