--- a/constraints/benches/decision.rs
+++ b/constraints/benches/decision.rs
@@ -43,22 +43,22 @@
         3 => Rule::Spread {
             over: TopologyLevel::Rack,
             by: SpreadGrouping::Service,
-            most: Some(3),
+            max: Some(3),
             skew: None,
-            gone: UnavailableDomains::Ignored,
+            unavailable: UnavailableDomains::Ignored,
         },
         _ => Rule::Spread {
             over: TopologyLevel::Machine,
             by: SpreadGrouping::All,
-            most: Some(4),
+            max: Some(4),
             skew: None,
-            gone: UnavailableDomains::Ignored,
+            unavailable: UnavailableDomains::Ignored,
         },
     };
     let constraint = |i: usize| Constraint {
         name: format!("c{i}"),
         at: Default::default(),
-        of: of(i / 5 % frameworks),
+        scope: of(i / 5 % frameworks),
         preference_rank: None,
         rule: rule(i),
     };
@@ -122,16 +122,17 @@
             machines.flat_map(|m| &self.tasks[m]).filter(|task| counted(task)).count() as u32
         };
         self.constraints.iter().all(|c| match &c.rule {
-            Rule::In(selector) => !c.of.matches(t) || selector.names(own),
-            Rule::NotIn(selector) => !c.of.matches(t) || !selector.names(own),
+            Rule::In(selector) => !c.scope.matches(t) || selector.selects(own),
+            Rule::NotIn(selector) => !c.scope.matches(t) || !selector.selects(own),
             Rule::Apart(scope, level) => {
-                let conflicts = c.of.matches(t) && count(*level, &|other| scope.matches(other)) > 0;
-                let conflicts_back = scope.matches(t) && count(*level, &|other| c.of.matches(other)) > 0;
+                let conflicts = c.scope.matches(t) && count(*level, &|other| scope.matches(other)) > 0;
+                let conflicts_back = scope.matches(t) && count(*level, &|other| c.scope.matches(other)) > 0;
                 !conflicts && !conflicts_back
             }
-            Rule::Spread { over, by, most: Some(most), .. } if c.of.matches(t) => {
-                count(*over, &|o| c.of.matches(o) && (*by == SpreadGrouping::All || o.service == t.service))
-                    < *most
+            Rule::Spread { over, by, max: Some(max), .. } if c.scope.matches(t) => {
+                count(*over, &|o| {
+                    c.scope.matches(o) && (*by == SpreadGrouping::All || o.service == t.service)
+                }) < *max
             }
             _ => true,
         })
@@ -167,7 +168,7 @@
     let mut all = constraints(size.1);
     let machines: Vec<MachineAttributes> = (0..size.0).map(machine).collect();
     let at = all.len() / 2;
-    all[at].of = Scope { framework: Some("f0".into()), ..Scope::default() };
+    all[at].scope = Scope { framework: Some("f0".into()), ..Scope::default() };
     all[at].rule = Rule::NotIn(MachineSelector { labels: vec!["ssd".into()], ..MachineSelector::default() });
     let task = task(0, 3);
     bencher.bench_local(|| {
--- a/constraints/src/conflict.rs
+++ b/constraints/src/conflict.rs
@@ -59,8 +59,8 @@
     ) -> Option<bool> {
         let constraints = self.constraints;
         let binds = |constraint: &Constraint| match selector {
-            TaskSelector::Task(task) => constraint.of.matches(task),
-            TaskSelector::AnyOf(scope) => constraint.of.covers(scope),
+            TaskSelector::Task(task) => constraint.scope.matches(task),
+            TaskSelector::AnyOf(scope) => constraint.scope.covers(scope),
         };
         for &c in subset {
             let constraint = &constraints[c];
@@ -69,8 +69,8 @@
             }
             self.steps = self.steps.checked_sub(1)?;
             let met = match &constraint.rule {
-                Rule::In(machines) => machines.names(self.fleet[machine]),
-                Rule::NotIn(machines) => !machines.names(self.fleet[machine]),
+                Rule::In(machines) => machines.selects(self.fleet[machine]),
+                Rule::NotIn(machines) => !machines.selects(self.fleet[machine]),
                 Rule::With(others, level) => {
                     let itself = match selector {
                         TaskSelector::Task(task) => others.matches(task),
@@ -104,7 +104,7 @@
         let constraints = self.constraints;
         let apart = subset.iter().filter_map(|&c| {
             let Rule::Apart(from, far) = &constraints[c].rule else { return None };
-            let of = &constraints[c].of;
+            let of = &constraints[c].scope;
             let applies = match selector {
                 TaskSelector::Task(task) => {
                     of.matches(task) && from.covers(others) || from.matches(task) && of.covers(others)
@@ -156,7 +156,7 @@
         for (c, constraint) in constraints.iter().enumerate().filter(|x| x.1.is_hard()) {
             let concerns = |s: &Scope| s.matches(task) || companions.iter().any(|x| s.covers(x));
             let apart = matches!(&constraint.rule, Rule::Apart(from, _) if concerns(from));
-            if (concerns(&constraint.of) || apart) && set.insert(c) {
+            if (concerns(&constraint.scope) || apart) && set.insert(c) {
                 if let Rule::With(others, _) = &constraint.rule {
                     companions.push(others);
                 }
--- a/constraints/src/lib.rs
+++ b/constraints/src/lib.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns whether some task could be selected by both scopes.
-    pub fn meets(&self, other: &Scope) -> bool {
+    pub fn overlaps(&self, other: &Scope) -> bool {
         let compatible = |a: &Option<String>, b: &Option<String>| a.is_none() || b.is_none() || a == b;
         let key = match (&self.task, &other.task) {
             (Some(a), Some(b)) => a.starts_with(b.as_str()) || b.starts_with(a.as_str()),
@@ -124,7 +124,7 @@
 
 impl MachineSelector {
     /// Returns whether the selector selects a machine.
-    pub fn names(&self, machine: &MachineAttributes) -> bool {
+    pub fn selects(&self, machine: &MachineAttributes) -> bool {
         let accepts =
             |list: &[String], actual: &str| list.is_empty() || list.iter().any(|name| name == actual);
         accepts(&self.kinds, &machine.kind)
@@ -177,12 +177,14 @@
         /// Which tasks are counted together.
         by: SpreadGrouping,
         /// The maximum number of tasks in one domain; `None` sets no maximum.
-        most: Option<u32>,
+        #[serde(rename = "most")]
+        max: Option<u32>,
         /// The maximum by which a domain's count may exceed that of the domain with the fewest
         /// tasks; `None` sets no maximum.
         skew: Option<u32>,
         /// Whether domains without a ready machine count as the domain with the fewest tasks.
-        gone: UnavailableDomains,
+        #[serde(rename = "gone")]
+        unavailable: UnavailableDomains,
     },
 }
 
@@ -196,7 +198,8 @@
     #[serde(skip)]
     pub at: Span,
     /// The tasks that the constraint applies to.
-    pub of: Scope,
+    #[serde(rename = "of")]
+    pub scope: Scope,
     /// `None` for a hard constraint. For a preference, its rank: a higher rank takes precedence.
     /// Serialized as `wish`.
     #[serde(rename = "wish")]
--- a/constraints/src/parse.rs
+++ b/constraints/src/parse.rs
@@ -96,8 +96,8 @@
             "apart" => Rule::Apart(self.scope(rule), level(rule, "within")),
             _ => {
                 let count = |field: &str| rule.number(field).map(|n| n as u32);
-                let (most, skew) = (count("most"), count("skew"));
-                if most.is_none() && skew.is_none() {
+                let (max, skew) = (count("most"), count("skew"));
+                if max.is_none() && skew.is_none() {
                     let message =
                         format!("{name}: found a spread without a limit; expected most, skew or both");
                     self.errors.push(ConfigError::new(rule.at, message));
@@ -107,12 +107,12 @@
                 } else {
                     SpreadGrouping::Service
                 };
-                let gone = if rule.text("gone") == Some("keeps") {
+                let unavailable = if rule.text("gone") == Some("keeps") {
                     UnavailableDomains::Counted
                 } else {
                     UnavailableDomains::Ignored
                 };
-                Rule::Spread { over: level(rule, "over"), by, most, skew, gone }
+                Rule::Spread { over: level(rule, "over"), by, max, skew, unavailable }
             }
         })
     }
@@ -146,10 +146,10 @@
     let mut constraints = Vec::new();
     for record in configuration.list("clauses") {
         let name = record.text("name").unwrap_or("").to_owned();
-        let of = record.get("of").map(|scope| parser.scope(scope)).unwrap_or_default();
+        let scope = record.get("of").map(|field| parser.scope(field)).unwrap_or_default();
         let preference_rank = (record.text("how") == Some("prefer")).then(|| number(record, "rank"));
         let Some(rule) = parser.rule(record, &name) else { continue };
-        constraints.push(Constraint { name, at: record.at, of, preference_rank, rule });
+        constraints.push(Constraint { name, at: record.at, scope, preference_rank, rule });
     }
     let mut errors = parser.errors;
     if errors.is_empty() {
@@ -175,7 +175,7 @@
             // The check is not symmetric: it compares the constraint with the narrower scope to the
             // one with the wider scope.
             for (a, b) in [(a, b), (b, a)] {
-                if a.is_hard() && b.is_hard() && b.of.covers(&a.of) {
+                if a.is_hard() && b.is_hard() && b.scope.covers(&a.scope) {
                     if let Some(contradiction) = contradiction(&a.rule, &b.rule, a) {
                         let message = format!(
                             "{}: found {contradiction}; expected constraints that can hold together",
@@ -233,9 +233,9 @@
         {
             Some("tasks that its tasks must run both with and apart from".into())
         }
-        (Rule::With(a, near), Rule::Spread { over, most: Some(1), by: SpreadGrouping::All, .. })
-        | (Rule::Spread { over, most: Some(1), by: SpreadGrouping::All, .. }, Rule::With(a, near))
-            if of.of.covers(a) && over >= near =>
+        (Rule::With(a, near), Rule::Spread { over, max: Some(1), by: SpreadGrouping::All, .. })
+        | (Rule::Spread { over, max: Some(1), by: SpreadGrouping::All, .. }, Rule::With(a, near))
+            if of.scope.covers(a) && over >= near =>
         {
             Some("tasks that its tasks must run with, in domains limited to one task".into())
         }
@@ -259,14 +259,14 @@
         (Rule::With(a, near), Rule::With(b, far)) => b.covers(a) && far >= near && a.covers(b),
         (Rule::Apart(a, far), Rule::Apart(b, near)) => a.covers(b) && far >= near,
         (
-            Rule::Spread { over: o, by: b, most: m, skew: s, gone: g },
-            Rule::Spread { over, by, most, skew, gone },
+            Rule::Spread { over: o, by: b, max: m, skew: s, unavailable: g },
+            Rule::Spread { over, by, max, skew, unavailable },
         ) => {
             let tighter = |a: &Option<u32>, b: &Option<u32>| b.is_none() || (a.is_some() && a <= b);
             // Counting more tasks makes a maximum stricter, but changes a skew in either direction.
             // Skews are comparable only for equal scopes.
-            let comparable = first.of == second.of || skew.is_none();
-            (o, b, g) == (over, by, gone) && tighter(m, most) && tighter(s, skew) && comparable
+            let comparable = first.scope == second.scope || skew.is_none();
+            (o, b, g) == (over, by, unavailable) && tighter(m, max) && tighter(s, skew) && comparable
         }
         _ => false,
     }
@@ -280,7 +280,7 @@
         .filter(|c| c.is_hard())
         .filter_map(|c| match &c.rule {
             // Tasks that are in the affinity's own scope may be placed first.
-            Rule::With(other, _) if !other.covers(&c.of) => Some((c, other)),
+            Rule::With(other, _) if !other.covers(&c.scope) => Some((c, other)),
             _ => None,
         })
         .collect();
@@ -288,7 +288,7 @@
     for (i, &(first, _)) in dependencies.iter().enumerate() {
         // Follows constraints that apply to all tasks which the constraint before depends on.
         let (mut path, mut at) = (vec![i], i);
-        while let Some(next) = dependencies.iter().position(|d| d.0.of.covers(dependencies[at].1)) {
+        while let Some(next) = dependencies.iter().position(|d| d.0.scope.covers(dependencies[at].1)) {
             if let Some(begin) = path.iter().position(|&d| d == next) {
                 // Each cycle is reported once, at its first constraint in the files.
                 if path[begin..].iter().min() == Some(&i) && begin == 0 {
--- a/constraints/src/state/counts.rs
+++ b/constraints/src/state/counts.rs
@@ -113,15 +113,15 @@
             entry.by_domain.get(known.domains[level_index(entry.level)]).copied().unwrap_or(0)
         };
         match &entry.test {
-            BoundRule::Selector { selector, inside } => selector.names(&known.attributes) != *inside,
+            BoundRule::Selector { selector, inside } => selector.selects(&known.attributes) != *inside,
             BoundRule::With { counts, may_be_first } if self.counts[*counts].total == 0 => !may_be_first,
             BoundRule::With { counts, .. } => {
                 let entry = &self.counts[*counts];
                 entry.reachable.get(known.domains[level_index(entry.level)]).is_none_or(|n| *n == 0)
             }
             BoundRule::Apart { counts } => count_in_domain(*counts) > 0,
-            BoundRule::Spread { counts, most, skew, .. } => {
-                most.is_some_and(|most| count_in_domain(*counts) >= most)
+            BoundRule::Spread { counts, max, skew, .. } => {
+                max.is_some_and(|max| count_in_domain(*counts) >= max)
                     || skew.is_some_and(|skew| count_in_domain(*counts) + 1 > entry.fewest + skew)
             }
         }
--- a/constraints/src/state/groups.rs
+++ b/constraints/src/state/groups.rs
@@ -79,7 +79,7 @@
     pub(super) fn find_group(&mut self, task: &TaskAttributes) -> usize {
         let constraints = self.constraints.clone();
         let applicable: Vec<usize> =
-            (0..constraints.len()).filter(|&c| constraints[c].of.matches(task)).collect();
+            (0..constraints.len()).filter(|&c| constraints[c].scope.matches(task)).collect();
         let is_selector = |c: &usize| {
             constraints[*c].is_hard() && matches!(constraints[*c].rule, Rule::In(_) | Rule::NotIn(_))
         };
@@ -128,7 +128,7 @@
         selectors: &[usize],
     ) -> Vec<BoundRule> {
         let mut tests = Vec::new();
-        let binds = constraint.of.matches(task);
+        let binds = constraint.scope.matches(task);
         match &constraint.rule {
             Rule::In(selector) if binds => {
                 tests.push(BoundRule::Selector { selector: selector.clone(), inside: true })
@@ -146,15 +146,21 @@
                 }
                 // Anti-affinity is symmetric: tasks of the scope stay out of the domains that run
                 // tasks the constraint applies to.
-                if scope.matches(task) && constraint.of != *scope {
-                    tests.push(BoundRule::Apart { counts: self.counts_for(&constraint.of, None, *level) });
+                if scope.matches(task) && constraint.scope != *scope {
+                    tests.push(BoundRule::Apart { counts: self.counts_for(&constraint.scope, None, *level) });
                 }
             }
-            Rule::Spread { over, by, most, skew, gone } if binds => {
+            Rule::Spread { over, by, max, skew, unavailable } if binds => {
                 let service = (*by == SpreadGrouping::Service).then_some(task.service);
-                let counts = self.counts_for(&constraint.of, service, *over);
+                let counts = self.counts_for(&constraint.scope, service, *over);
                 let selectors = if skew.is_some() { selectors.to_vec() } else { Vec::new() };
-                tests.push(BoundRule::Spread { counts, most: *most, skew: *skew, gone: *gone, selectors });
+                tests.push(BoundRule::Spread {
+                    counts,
+                    max: *max,
+                    skew: *skew,
+                    unavailable: *unavailable,
+                    selectors,
+                });
             }
             _ => {}
         }
--- a/constraints/src/state/machines.rs
+++ b/constraints/src/state/machines.rs
@@ -90,19 +90,20 @@
     /// Re-evaluates whether a machine makes its domain eligible as the domain with the fewest tasks
     /// of a spread. Returns whether a domain became eligible or ceased to be.
     pub(super) fn recount_domain(&mut self, constraint: usize, machine: usize) -> bool {
-        let BoundRule::Spread { counts, skew: Some(_), gone, selectors, .. } = &self.bound[constraint].test
+        let BoundRule::Spread { counts, skew: Some(_), unavailable, selectors, .. } =
+            &self.bound[constraint].test
         else {
             return false;
         };
         let Some(known) = &self.machines[machine] else { return false };
         let level = level_index(self.counts[*counts].level);
         let selected = selectors.iter().all(|&c| match &self.constraints[c].rule {
-            Rule::In(selector) => selector.names(&known.attributes),
-            Rule::NotIn(selector) => !selector.names(&known.attributes),
+            Rule::In(selector) => selector.selects(&known.attributes),
+            Rule::NotIn(selector) => !selector.selects(&known.attributes),
             _ => true,
         });
         let counted =
-            selected && (known.state == MachineState::Ready || *gone == UnavailableDomains::Counted);
+            selected && (known.state == MachineState::Ready || *unavailable == UnavailableDomains::Counted);
         let domain = known.domains[level];
         let entry = &mut self.bound[constraint];
         if entry.counted_machines.len() <= domain {
--- a/constraints/src/state/mod.rs
+++ b/constraints/src/state/mod.rs
@@ -89,9 +89,9 @@
     },
     Spread {
         counts: usize,
-        most: Option<u32>,
+        max: Option<u32>,
         skew: Option<u32>,
-        gone: UnavailableDomains,
+        unavailable: UnavailableDomains,
         /// With a skew: the hard constraints that restrict the tasks to machines by attributes. A
         /// domain without such a machine does not count as the one with the fewest tasks.
         selectors: Vec<usize>,
@@ -180,7 +180,7 @@
     pub fn new(constraints: Vec<Constraint>) -> Self {
         let uses_key = |scope: &Scope| scope.task.is_some();
         let by_key = constraints.iter().any(|constraint| {
-            uses_key(&constraint.of)
+            uses_key(&constraint.scope)
                 || matches!(&constraint.rule, Rule::With(scope, _) | Rule::Apart(scope, _) if uses_key(scope))
         });
         let mut state = ConstraintState {
@@ -210,10 +210,10 @@
                 }
                 Rule::Apart(scope, level) => {
                     state.counts_for(scope, None, *level);
-                    state.counts_for(&constraint.of, None, *level);
+                    state.counts_for(&constraint.scope, None, *level);
                 }
                 Rule::Spread { over, by: SpreadGrouping::All, .. } => {
-                    state.counts_for(&constraint.of, None, *over);
+                    state.counts_for(&constraint.scope, None, *over);
                 }
                 _ => {}
             }
--- a/constraints/tests/plain.rs
+++ b/constraints/tests/plain.rs
@@ -47,25 +47,20 @@
 fn rule() -> impl Strategy<Value = Rule> {
     let limit = || proptest::option::of(1u32..3);
     let by = prop_oneof![Just(SpreadGrouping::Service), Just(SpreadGrouping::All)];
-    let gone = prop_oneof![Just(UnavailableDomains::Ignored), Just(UnavailableDomains::Counted)];
+    let unavailable = prop_oneof![Just(UnavailableDomains::Ignored), Just(UnavailableDomains::Counted)];
     prop_oneof![
         selector().prop_map(Rule::In),
         selector().prop_map(Rule::NotIn),
         (scope(), level()).prop_map(|(scope, level)| Rule::With(scope, level)),
         (scope(), level()).prop_map(|(scope, level)| Rule::Apart(scope, level)),
-        (level(), by, limit(), limit(), gone).prop_map(|(over, by, most, skew, gone)| Rule::Spread {
-            over,
-            by,
-            most,
-            skew,
-            gone
-        }),
+        (level(), by, limit(), limit(), unavailable)
+            .prop_map(|(over, by, max, skew, unavailable)| Rule::Spread { over, by, max, skew, unavailable }),
     ]
 }
 
 fn constraint() -> impl Strategy<Value = Constraint> {
-    (scope(), proptest::option::weighted(0.3, 1u32..4), rule()).prop_map(|(of, preference_rank, rule)| {
-        Constraint { name: String::new(), at: Default::default(), of, preference_rank, rule }
+    (scope(), proptest::option::weighted(0.3, 1u32..4), rule()).prop_map(|(scope, preference_rank, rule)| {
+        Constraint { name: String::new(), at: Default::default(), scope, preference_rank, rule }
     })
 }
 
@@ -108,10 +103,10 @@
 
     fn satisfies(&self, all: &[Constraint], c: &Constraint, task: &TaskAttributes, machine: usize) -> bool {
         let attributes = &self.machines[machine].0;
-        let applies = c.of.matches(task);
+        let applies = c.scope.matches(task);
         match &c.rule {
-            Rule::In(selector) => !applies || selector.names(attributes),
-            Rule::NotIn(selector) => !applies || !selector.names(attributes),
+            Rule::In(selector) => !applies || selector.selects(attributes),
+            Rule::NotIn(selector) => !applies || !selector.selects(attributes),
             Rule::With(scope, level) => {
                 let reachable = |at: &usize| self.machines[*at].1 != MachineState::Far;
                 let companions =
@@ -122,24 +117,24 @@
             Rule::Apart(scope, level) => {
                 let conflicts = applies && self.count(machine, *level, |other| scope.matches(other)) > 0;
                 let conflicts_back =
-                    scope.matches(task) && self.count(machine, *level, |other| c.of.matches(other)) > 0;
+                    scope.matches(task) && self.count(machine, *level, |other| c.scope.matches(other)) > 0;
                 !conflicts && !conflicts_back
             }
-            Rule::Spread { over, by, most, skew, gone } => {
+            Rule::Spread { over, by, max, skew, unavailable } => {
                 let counted = |other: &TaskAttributes| {
-                    c.of.matches(other) && (*by == SpreadGrouping::All || other.service == task.service)
+                    c.scope.matches(other) && (*by == SpreadGrouping::All || other.service == task.service)
                 };
                 let count = self.count(machine, *over, counted);
                 let selected = |other: usize| {
-                    all.iter().filter(|c| c.is_hard() && c.of.matches(task)).all(|c| match &c.rule {
-                        Rule::In(selector) => selector.names(&self.machines[other].0),
-                        Rule::NotIn(selector) => !selector.names(&self.machines[other].0),
+                    all.iter().filter(|c| c.is_hard() && c.scope.matches(task)).all(|c| match &c.rule {
+                        Rule::In(selector) => selector.selects(&self.machines[other].0),
+                        Rule::NotIn(selector) => !selector.selects(&self.machines[other].0),
                         _ => true,
                     })
                 };
                 let eligible = |other: &usize| {
                     selected(*other)
-                        && (*gone == UnavailableDomains::Counted
+                        && (*unavailable == UnavailableDomains::Counted
                             || self.machines[*other].1 == MachineState::Ready)
                 };
                 let fewest = (0..self.machines.len())
@@ -148,7 +143,7 @@
                     .min()
                     .unwrap_or(0);
                 !applies
-                    || (most.is_none_or(|most| count < most) && skew.is_none_or(|skew| count < fewest + skew))
+                    || (max.is_none_or(|max| count < max) && skew.is_none_or(|skew| count < fewest + skew))
             }
         }
     }
@@ -233,7 +228,7 @@
                     // With a single preference that is not an anti-affinity, the score is 1 if the
                     // machine satisfies it and 0 otherwise.
                     let mut soft: Vec<&Constraint> = constraints.iter().filter(|c| !c.is_hard()).collect();
-                    soft.retain(|c| c.of.matches(task) || matches!(&c.rule, Rule::Apart(s, _) if s.matches(task)));
+                    soft.retain(|c| c.scope.matches(task) || matches!(&c.rule, Rule::Apart(s, _) if s.matches(task)));
                     if soft.len() == 1 && !matches!(soft[0].rule, Rule::Apart(..)) {
                         prop_assert_eq!(
                             tested.preference_score(group, m), u64::from(reference.satisfies(&constraints, soft[0], task, m))
@@ -251,8 +246,8 @@
 fn possible(constraints: &[&Constraint], fleet: &[MachineAttributes], task: &TaskAttributes) -> bool {
     let selected = |applies: &dyn Fn(&Constraint) -> bool, m: usize| {
         constraints.iter().filter(|c| applies(c)).all(|c| match &c.rule {
-            Rule::In(selector) => selector.names(&fleet[m]),
-            Rule::NotIn(selector) => !selector.names(&fleet[m]),
+            Rule::In(selector) => selector.selects(&fleet[m]),
+            Rule::NotIn(selector) => !selector.selects(&fleet[m]),
             _ => true,
         })
     };
@@ -262,20 +257,20 @@
         TopologyLevel::Zone => fleet[a].zone == fleet[b].zone,
     };
     (0..fleet.len()).any(|m| {
-        selected(&|c| c.of.matches(task), m)
-            && constraints.iter().filter(|c| c.of.matches(task)).all(|c| {
+        selected(&|c| c.scope.matches(task), m)
+            && constraints.iter().filter(|c| c.scope.matches(task)).all(|c| {
                 let Rule::With(scope, level) = &c.rule else { return true };
                 scope.matches(task)
                     || (0..fleet.len()).any(|n| {
                         let apart = constraints.iter().any(|c| match &c.rule {
                             Rule::Apart(from, far) => {
-                                let applies = c.of.matches(task) && from.covers(scope)
-                                    || from.matches(task) && c.of.covers(scope);
+                                let applies = c.scope.matches(task) && from.covers(scope)
+                                    || from.matches(task) && c.scope.covers(scope);
                                 applies && near(m, n, *far)
                             }
                             _ => false,
                         });
-                        near(m, n, *level) && !apart && selected(&|c| c.of.covers(scope), n)
+                        near(m, n, *level) && !apart && selected(&|c| c.scope.covers(scope), n)
                     })
             })
     })
@@ -295,7 +290,7 @@
         let constraints: Vec<Constraint> =
             constraints.into_iter().map(|c| Constraint { preference_rank: None, ..c }).collect();
         let has_affinity =
-            |c: &Constraint, scope: &Scope| matches!(c.rule, Rule::With(..)) && c.of.covers(scope);
+            |c: &Constraint, scope: &Scope| matches!(c.rule, Rule::With(..)) && c.scope.covers(scope);
         let is_nested = |c: &Constraint| match &c.rule {
             Rule::With(scope, _) => constraints.iter().any(|other| has_affinity(other, scope)),
             _ => false,
@@ -322,7 +317,7 @@
     let in_zone = |zone: &str| Constraint {
         name: zone.into(),
         at: Default::default(),
-        of: Scope::default(),
+        scope: Scope::default(),
         preference_rank: None,
         rule: Rule::In(MachineSelector { zones: vec![zone.into()], ..MachineSelector::default() }),
     };
--- a/constraints/tests/reading.rs
+++ b/constraints/tests/reading.rs
@@ -35,17 +35,17 @@
         Rule::NotIn(selector) => format!("NotIn({})", machines(selector)),
         Rule::With(scope, level) => format!("With({scope:?}, {})", within(level)),
         Rule::Apart(scope, level) => format!("Apart({scope:?}, {})", within(level)),
-        Rule::Spread { over, by, most, skew, gone } => {
+        Rule::Spread { over, by, max, skew, unavailable } => {
             let by = match by {
                 SpreadGrouping::Service => "Service",
                 SpreadGrouping::All => "All",
             };
-            let gone = match gone {
+            let unavailable = match unavailable {
                 UnavailableDomains::Ignored => "Live",
                 UnavailableDomains::Counted => "Keeps",
             };
             let over = within(over);
-            format!("Spread {{ over: {over}, by: {by}, most: {most:?}, skew: {skew:?}, gone: {gone} }}")
+            format!("Spread {{ over: {over}, by: {by}, most: {max:?}, skew: {skew:?}, gone: {unavailable} }}")
         }
     }
 }
@@ -57,7 +57,7 @@
     match load_texts(&[("site.rec", SITE), ("clauses.rec", file)]) {
         Ok(site) => match parse(&site.all) {
             Ok(parsed) => {
-                parsed.iter().map(|c| format!("{}: {:?} {}\n", c.name, c.of, describe(&c.rule))).collect()
+                parsed.iter().map(|c| format!("{}: {:?} {}\n", c.name, c.scope, describe(&c.rule))).collect()
             }
             Err(errors) => errors.iter().map(|e| format!("{}\n", e.render(&site.sources))).collect(),
         },
