--- a/constraints/src/lib.rs
+++ b/constraints/src/lib.rs
@@ -38,7 +38,7 @@
     pub tenant: String,
     /// Number of the task's service.
     pub service: u64,
-    /// The task's key, unique in the installation.
+    /// The task's key.
     pub key: String,
 }
 
--- a/invariants/src/launches.rs
+++ b/invariants/src/launches.rs
@@ -27,17 +27,17 @@
     pub(crate) end: Option<(i64, LaunchEnd)>,
     accepted: bool,
     /// Whether the launch has ended on the machine, known to the planner or not.
-    pub(crate) over: bool,
-    /// When a frame of the machine set `over`, in microseconds; 0 if none has.
-    pub(crate) over_at: i64,
+    pub(crate) finished: bool,
+    /// When a frame of the machine set `finished`, in microseconds; 0 if none has.
+    pub(crate) finished_at: i64,
     pub(crate) number: u64,
 }
 
 impl SentLaunch {
-    /// Returns whether the launch counts as running: an accepted one until it is over, any other
-    /// until the planner can know of its end or its timeout expires.
+    /// Returns whether the launch counts as running: an accepted one until it has finished, any
+    /// other until the planner can know of its end or its timeout expires.
     pub(crate) fn is_active(&self, at_us: i64) -> bool {
-        !self.over && (self.accepted || (self.end.is_none() && at_us < self.at_us + self.time_out_us))
+        !self.finished && (self.accepted || (self.end.is_none() && at_us < self.at_us + self.time_out_us))
     }
 
     fn may_have_run(&mut self, at_us: i64) {
@@ -96,7 +96,7 @@
     /// were not accepted yet end with their connection.
     pub(crate) fn machine_started(&mut self, machine: &str) {
         let accepted = |sent: &&mut SentLaunch| sent.machine == machine && sent.accepted;
-        self.by_request.values_mut().flatten().filter(accepted).for_each(|sent| sent.over = true);
+        self.by_request.values_mut().flatten().filter(accepted).for_each(|sent| sent.finished = true);
     }
 
     /// Changes the launch that a frame refers to, if it was observed.
@@ -121,8 +121,8 @@
             time_out_us: launch.time_out_us,
             end: None,
             accepted: false,
-            over: false,
-            over_at: 0,
+            finished: false,
+            finished_at: 0,
             number,
         });
         let index = (request, launches.len() - 1);
@@ -139,9 +139,9 @@
         for (request, index) in self.open.remove(&key).unwrap_or_default() {
             let sent =
                 &mut self.by_request.get_mut(&request).expect("every open launch is in by_request")[index];
-            if !sent.over && !sent.accepted && !held.contains(&sent.number) {
+            if !sent.finished && !sent.accepted && !held.contains(&sent.number) {
                 sent.end = Some((sent.end.map_or(at_us, |end| end.0), LaunchEnd::NeverRan));
-            } else if !sent.over {
+            } else if !sent.finished {
                 self.open.entry(key.clone()).or_default().push((request, index));
             }
         }
@@ -201,10 +201,11 @@
             }
             Body::Refused(refused) => {
                 self.totals.refused += 1;
-                self.launches.change(planner, refused.id, |sent| (sent.over, sent.over_at) = (true, at_us));
+                self.launches
+                    .change(planner, refused.id, |sent| (sent.finished, sent.finished_at) = (true, at_us));
             }
             Body::Failed(wire::Failed { id, .. }) | Body::Ended(wire::Ended { id, .. }) => {
-                self.launches.change(planner, *id, |sent| (sent.over, sent.over_at) = (true, at_us));
+                self.launches.change(planner, *id, |sent| (sent.finished, sent.finished_at) = (true, at_us));
             }
             _ => {}
         }
--- a/invariants/src/placement.rs
+++ b/invariants/src/placement.rs
@@ -9,7 +9,7 @@
 
 /// How long a task that ended still satisfies affinity, in microseconds: the launch may have been
 /// sent before the planner could know of that end.
-const JUST_GONE_US: i64 = 2_000_000;
+const AFFINITY_GRACE_US: i64 = 2_000_000;
 
 /// Selects tasks: each field that is not empty must match.
 #[derive(Clone, Debug, Default)]
@@ -84,7 +84,7 @@
     pub requirement: PlacementRequirement,
 }
 
-/// An attempt that is on a machine, or ended within the last `JUST_GONE_US`.
+/// An attempt that is on a machine, or ended within the last `AFFINITY_GRACE_US`.
 struct PlacedAttempt<'a> {
     task: &'a Launch,
     machine: &'a str,
@@ -164,13 +164,13 @@
         let nowhere = Location::default();
         let location = self.locations.get(machine).unwrap_or(&nowhere);
         let counts =
-            |sent: &&SentLaunch| sent.is_active(at_us) || (sent.over && at_us < sent.over_at + JUST_GONE_US);
+            |s: &&SentLaunch| s.is_active(at_us) || (s.finished && at_us < s.finished_at + AFFINITY_GRACE_US);
         let sent = self.launches.of_planner(planner).filter(counts);
         let placed: Vec<PlacedAttempt> = sent
             .filter_map(|sent| {
                 let task = self.launches.task(planner, sent.number)?;
                 let location = self.locations.get(&sent.machine).unwrap_or(&nowhere);
-                Some(PlacedAttempt { task, machine: &sent.machine, location, active: !sent.over })
+                Some(PlacedAttempt { task, machine: &sent.machine, location, active: !sent.finished })
             })
             .collect();
         let violation = |invariant: &PlacementInvariant| {
--- a/tenants/src/group_closure.rs
+++ b/tenants/src/group_closure.rs
@@ -15,11 +15,11 @@
     /// Groups directly in the group.
     groups: RoaringBitmap,
     /// Descendants of the group, itself included.
-    below: RoaringBitmap,
+    descendants: RoaringBitmap,
     /// Ancestors of the group, itself included.
-    above: RoaringBitmap,
+    ancestors: RoaringBitmap,
     /// Persons in any of the descendants.
-    all: RoaringBitmap,
+    members: RoaringBitmap,
 }
 
 /// The transitive members of nested groups. The caller numbers groups and persons densely from 0.
@@ -33,7 +33,7 @@
     fn ensure_group(&mut self, group_id: u32) {
         while self.groups.len() <= group_id as usize {
             let own: RoaringBitmap = [self.groups.len() as u32].into_iter().collect();
-            self.groups.push(Group { below: own.clone(), above: own, ..Group::default() });
+            self.groups.push(Group { descendants: own.clone(), ancestors: own, ..Group::default() });
         }
     }
 
@@ -43,22 +43,22 @@
 
     /// Returns whether a person is in a group or in one of its descendants.
     pub fn contains(&self, group_id: u32, person: u32) -> bool {
-        self.get(group_id).is_some_and(|group| group.all.contains(person))
+        self.get(group_id).is_some_and(|group| group.members.contains(person))
     }
 
-    /// Returns whether a group is a descendant of `above`, or is that group.
-    pub fn is_below(&self, group_id: u32, above: u32) -> bool {
-        self.get(above).is_some_and(|group| group.below.contains(group_id))
+    /// Returns whether a group is a descendant of `ancestor`, or is that group.
+    pub fn is_below(&self, group_id: u32, ancestor: u32) -> bool {
+        self.get(ancestor).is_some_and(|group| group.descendants.contains(group_id))
     }
 
     /// Returns all persons in a group and its descendants.
     pub fn persons(&self, group_id: u32) -> impl Iterator<Item = u32> + '_ {
-        self.get(group_id).into_iter().flat_map(|group| group.all.iter())
+        self.get(group_id).into_iter().flat_map(|group| group.members.iter())
     }
 
     /// Returns the number of persons in a group and its descendants.
     pub fn count(&self, group_id: u32) -> u64 {
-        self.get(group_id).map_or(0, |group| group.all.len())
+        self.get(group_id).map_or(0, |group| group.members.len())
     }
 
     /// Returns a shortest path of groups from a group to a descendant that a person is directly in,
@@ -93,9 +93,9 @@
         if added.is_empty() && removed.is_empty() {
             return false;
         }
-        for ancestor in self.groups[group_id as usize].above.clone() {
+        for ancestor in self.groups[group_id as usize].ancestors.clone() {
             if !added.is_empty() {
-                self.groups[ancestor as usize].all |= &added;
+                self.groups[ancestor as usize].members |= &added;
             }
             if !removed.is_empty() {
                 self.remove_persons(ancestor, &removed);
@@ -108,13 +108,13 @@
     /// other descendant contains are removed from its transitive members.
     fn remove_persons(&mut self, ancestor: u32, removed: &RoaringBitmap) {
         let mut gone = removed.clone();
-        for descendant in &self.groups[ancestor as usize].below {
+        for descendant in &self.groups[ancestor as usize].descendants {
             gone -= &self.groups[descendant as usize].persons;
             if gone.is_empty() {
                 return;
             }
         }
-        self.groups[ancestor as usize].all -= &gone;
+        self.groups[ancestor as usize].members -= &gone;
     }
 
     /// Sets the groups directly in a group. Returns whether the set changed.
@@ -137,34 +137,38 @@
 
     /// Updates the transitive sets after an edge from a group to a child was added.
     fn add_edge(&mut self, group_id: u32, child: u32) {
-        if self.groups[group_id as usize].below.contains(child) {
+        if self.groups[group_id as usize].descendants.contains(child) {
             return;
         }
-        let (above, below) =
-            (self.groups[group_id as usize].above.clone(), self.groups[child as usize].below.clone());
-        let all = self.groups[child as usize].all.clone();
-        for ancestor in &above {
+        let (ancestors, descendants) = (
+            self.groups[group_id as usize].ancestors.clone(),
+            self.groups[child as usize].descendants.clone(),
+        );
+        let members = self.groups[child as usize].members.clone();
+        for ancestor in &ancestors {
             let group = &mut self.groups[ancestor as usize];
-            group.below |= &below;
-            group.all |= &all;
+            group.descendants |= &descendants;
+            group.members |= &members;
         }
-        for descendant in &below {
-            self.groups[descendant as usize].above |= &above;
+        for descendant in &descendants {
+            self.groups[descendant as usize].ancestors |= &ancestors;
         }
     }
 
     /// Recomputes the descendants of a group's ancestors after an edge from the group was removed.
     fn recompute_above(&mut self, group_id: u32) {
-        let above = self.groups[group_id as usize].above.clone();
-        for ancestor in &above {
-            let mut below: RoaringBitmap = [ancestor].into_iter().collect();
+        let ancestors = self.groups[group_id as usize].ancestors.clone();
+        for ancestor in &ancestors {
+            let mut descendants: RoaringBitmap = [ancestor].into_iter().collect();
             let mut open = vec![ancestor];
             while let Some(descendant) = open.pop() {
-                open.extend(self.groups[descendant as usize].groups.iter().filter(|&c| below.insert(c)));
+                open.extend(
+                    self.groups[descendant as usize].groups.iter().filter(|&c| descendants.insert(c)),
+                );
             }
-            let lost = &self.groups[ancestor as usize].below - &below;
+            let lost = &self.groups[ancestor as usize].descendants - &descendants;
             for descendant in &lost {
-                self.groups[descendant as usize].above.remove(ancestor);
+                self.groups[descendant as usize].ancestors.remove(ancestor);
             }
             if lost.is_empty() {
                 continue;
@@ -173,7 +177,7 @@
             for descendant in &lost {
                 removed |= &self.groups[descendant as usize].persons;
             }
-            self.groups[ancestor as usize].below = below;
+            self.groups[ancestor as usize].descendants = descendants;
             self.remove_persons(ancestor, &removed);
         }
     }
@@ -181,7 +185,7 @@
     /// Returns the serialized size of all sets in bytes, as an estimate of their memory use.
     pub fn bytes(&self) -> usize {
         let size = |group: &Group| {
-            [&group.persons, &group.groups, &group.below, &group.above, &group.all]
+            [&group.persons, &group.groups, &group.descendants, &group.ancestors, &group.members]
                 .iter()
                 .map(|bitmap| bitmap.serialized_size())
                 .sum::<usize>()
--- a/tenants/src/lib.rs
+++ b/tenants/src/lib.rs
@@ -171,7 +171,7 @@
     /// The number of the group or tenant, or of the person, in the closure.
     number: u32,
     /// The name before the last renaming, and when the renaming was received, in microseconds.
-    was: Option<(String, i64)>,
+    previous_name: Option<(String, i64)>,
 }
 
 /// How long a renamed tenant's old name stays valid beside the new one, in microseconds.
@@ -213,21 +213,21 @@
     /// placement module's shares and running tasks refer to it.
     tenants: Vec<Id>,
     /// The index of each tenant.
-    places: FnvHashMap<Id, usize>,
+    indices: FnvHashMap<Id, usize>,
     /// By index: the tenant's last known name, empty if none was received, and its id as text.
     names: Vec<(String, String)>,
     /// Previous names of renamed tenants; see `find`.
     old_names: FnvHashMap<String, Id>,
     /// The last stamp of each removed entry, to recognize outdated versions of it.
-    gone: FnvHashMap<Id, Stamp>,
+    removed_stamps: FnvHashMap<Id, Stamp>,
     closure: GroupClosure,
-    edits: u64,
+    revision: u64,
 }
 
 impl Tenants {
     /// Returns the number of changes to entries so far.
     pub fn revision(&self) -> u64 {
-        self.edits
+        self.revision
     }
 
     /// Returns a known entry.
@@ -264,7 +264,7 @@
         for entry in entries {
             let id = entry.id;
             let old = self.known.get(&id).is_some_and(|record| entry.stamp < record.entry.stamp)
-                || self.gone.get(&id).is_some_and(|stamp| entry.stamp < *stamp);
+                || self.removed_stamps.get(&id).is_some_and(|stamp| entry.stamp < *stamp);
             if (as_is || !old) && self.known.get(&id).is_none_or(|record| record.entry != entry) {
                 self.put(now, entry, &mut dirty, &mut changes);
             }
@@ -306,14 +306,14 @@
     /// Adds or updates an entry.
     fn put(&mut self, now: i64, entry: Entry, dirty: &mut BTreeSet<Id>, changes: &mut Vec<Change>) {
         let id = entry.id;
-        self.edits += 1;
-        self.gone.remove(&id);
+        self.revision += 1;
+        self.removed_stamps.remove(&id);
         let number = match entry.kind {
             EntryKind::Person => self.persons.intern(id),
             _ => self.groups.intern(id),
         } as u32;
         let old = self.known.remove(&id);
-        let mut was = old.as_ref().and_then(|record| record.was.clone());
+        let mut previous_name = old.as_ref().and_then(|record| record.previous_name.clone());
         if let Some(record) = &old {
             if record.entry.dn != entry.dn && self.by_dn.get(&record.entry.dn) == Some(&id) {
                 self.by_dn.remove(&record.entry.dn);
@@ -338,7 +338,7 @@
                 None => changes.push(Change::Added { id, name: entry.name.clone() }),
                 Some(record) => {
                     if record.entry.name != entry.name {
-                        was = Some((record.entry.name.clone(), now));
+                        previous_name = Some((record.entry.name.clone(), now));
                         self.old_names.insert(record.entry.name.clone(), id);
                         let (from, to) = (record.entry.name.clone(), entry.name.clone());
                         changes.push(Change::Renamed { id, from, to });
@@ -360,7 +360,7 @@
             self.by_login.insert(entry.name.clone(), id);
         }
         self.by_dn.insert(entry.dn.clone(), id);
-        self.known.insert(id, EntryRecord { entry, number, was });
+        self.known.insert(id, EntryRecord { entry, number, previous_name });
     }
 
     /// Removes an entry's name from the look-up, unless another entry has it by now.
@@ -374,7 +374,7 @@
     /// Removes an entry.
     fn drop_entry(&mut self, id: Id, dirty: &mut BTreeSet<Id>, changes: &mut Vec<Change>) {
         let Some(record) = self.known.remove(&id) else { return };
-        self.edits += 1;
+        self.revision += 1;
         self.remove_name(&record.entry);
         self.mark_mentions(&record.entry.dn, dirty);
         self.update_mentions(id, &record.entry.members, &[]);
@@ -391,7 +391,7 @@
         if matches!(record.entry.kind, EntryKind::Tenant { .. }) {
             changes.push(Change::Removed { id, name: record.entry.name.clone() });
         }
-        self.gone.insert(id, record.entry.stamp);
+        self.removed_stamps.insert(id, record.entry.stamp);
     }
 
     /// Resolves a group's direct members to known entries. Names of unknown entries are ignored.
@@ -421,7 +421,7 @@
     pub fn find(&self, name: &str, now: i64) -> Option<Id> {
         let is_tenant = |id: &Id| self.index(*id).is_some();
         let had_name = |id: &Id| {
-            let was = self.known.get(id).and_then(|record| record.was.as_ref());
+            let was = self.known.get(id).and_then(|record| record.previous_name.as_ref());
             is_tenant(id) && was.is_some_and(|w| w.0 == name && now < w.1 + OLD_NAME_VALID_US)
         };
         let by_id = Id::parse(name).filter(is_tenant);
@@ -450,7 +450,7 @@
     /// Returns the index of a tenant, and assigns one if it has none. The tenant may be known,
     /// removed, or not received yet and only named by a machine that runs one of its tasks.
     pub fn index_or_assign(&mut self, id: Id) -> usize {
-        *self.places.entry(id).or_insert_with(|| {
+        *self.indices.entry(id).or_insert_with(|| {
             self.tenants.push(id);
             self.names.push((String::new(), id.to_string()));
             self.tenants.len() - 1
@@ -460,7 +460,7 @@
     /// Returns the index of a known tenant; `None` if the tenant is not in the directory.
     pub fn index(&self, id: Id) -> Option<usize> {
         self.known.get(&id).filter(|record| matches!(record.entry.kind, EntryKind::Tenant { .. }))?;
-        self.places.get(&id).copied()
+        self.indices.get(&id).copied()
     }
 
     /// Returns the tenant with an index, whether or not it is in the directory.
@@ -504,7 +504,7 @@
         let (record, index) = (self.known.get(&id)?, self.index(id)?);
         let EntryKind::Tenant { share } = record.entry.kind else { return None };
         let previous_name =
-            record.was.as_ref().filter(|w| now < w.1 + OLD_NAME_VALID_US).map(|w| w.0.clone());
+            record.previous_name.as_ref().filter(|w| now < w.1 + OLD_NAME_VALID_US).map(|w| w.0.clone());
         Some(Tenant {
             id,
             name: record.entry.name.clone(),
--- a/tenants/src/tenant_directory.rs
+++ b/tenants/src/tenant_directory.rs
@@ -78,7 +78,7 @@
             for (id, name, at) in snapshot.was {
                 if let Some(record) = known.known.get_mut(&id) {
                     known.old_names.insert(name.clone(), id);
-                    record.was = Some((name, at));
+                    record.previous_name = Some((name, at));
                 }
             }
             review.restore_mark(snapshot.mark);
@@ -108,7 +108,7 @@
         let at = self.scheduler.full_at()?;
         let entries = self.known.entries().map(|x| x.1.clone()).collect();
         let was = self.known.known.iter().filter_map(|(id, record)| {
-            let (name, at) = record.was.clone()?;
+            let (name, at) = record.previous_name.clone()?;
             Some((*id, name, at))
         });
         let (was, mark) = (was.collect(), self.review.mark().clone());
