--- a/invariants/src/config.rs
+++ b/invariants/src/config.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct Framework {
     /// Idempotency of the tasks: `repeatable`, `keyed` (repeats are dropped by key) or `once-only`.
-    pub repeats: String,
+    pub idempotency: String,
     /// For keyed tasks: the machines that drop each other's repeats: `all`, or those of one `zone`
     /// or one `cell`.
     pub group: String,
--- a/invariants/src/priority.rs
+++ b/invariants/src/priority.rs
@@ -49,7 +49,7 @@
         // a spread by their service's other tasks, so that they may be declined while capacity is
         // free.
         let unrestricted = |class: &RequestClass| {
-            framework(class).is_some_and(|f| f.repeats == "repeatable" && f.spread == "none")
+            framework(class).is_some_and(|f| f.idempotency == "repeatable" && f.spread == "none")
         };
         let mut found = Vec::new();
         for (higher, declined) in classes {
--- a/invariants/src/repeats.rs
+++ b/invariants/src/repeats.rs
@@ -26,8 +26,8 @@
                 self.check_pair(id, &framework, before, launch);
             }
         }
-        let harmless =
-            framework.repeats == "repeatable" || (framework.repeats == "keyed" && framework.group == "all");
+        let harmless = framework.idempotency == "repeatable"
+            || (framework.idempotency == "keyed" && framework.group == "all");
         let declined = answered.filter(|answer| answer.1 == AnswerKind::Declined as i32);
         if let (Some(&(at_us, _)), false) = (declined, harmless) {
             let may_have_run = |sent: &&SentLaunch| sent.end.is_none_or(|end| end.1 == LaunchEnd::MayHaveRun);
@@ -90,7 +90,7 @@
             _ => first == second,
         };
         let known_until = before.at_us + framework.window_us + self.config.reorder_tolerance_us;
-        let why = match framework.repeats.as_str() {
+        let why = match framework.idempotency.as_str() {
             "repeatable" => return,
             "keyed" if !in_group => "outside the group that drops its repeats",
             "keyed" if !launch.late && launch.at_us > known_until => {
--- a/invariants/tests/forged_traffic.rs
+++ b/invariants/tests/forged_traffic.rs
@@ -11,7 +11,7 @@
 
 fn new_checker() -> InvariantChecker {
     let framework = |kind: &str, group: &str, spread: &str| Framework {
-        repeats: kind.into(),
+        idempotency: kind.into(),
         group: group.into(),
         window_us: 6 * SECOND,
         spread: spread.into(),
--- a/planner/tests/net/mod.rs
+++ b/planner/tests/net/mod.rs
@@ -39,7 +39,7 @@
 
 pub fn terms() -> InvariantConfig {
     let framework = |kind: &str, group: &str, window, spread: &str| Framework {
-        repeats: kind.into(),
+        idempotency: kind.into(),
         group: group.into(),
         window_us: window,
         spread: spread.into(),
--- a/testbed/src/settings.rs
+++ b/testbed/src/settings.rs
@@ -19,7 +19,7 @@
 pub(crate) fn invariant_config(all: &ResolvedValue) -> InvariantConfig {
     let time = |path: &str| all.duration_us(path).unwrap_or(0);
     let framework = |settings: &ResolvedValue| Framework {
-        repeats: settings.text("repeat").unwrap_or("").to_owned(),
+        idempotency: settings.text("repeat").unwrap_or("").to_owned(),
         group: settings.text("group").unwrap_or("all").to_owned(),
         window_us: settings.duration_us("window").unwrap_or(0),
         spread: settings.text("spread").unwrap_or("none").to_owned(),
