--- a/invariants/src/lib.rs
+++ b/invariants/src/lib.rs
@@ -9,16 +9,16 @@
 //!
 //! | number | invariant | checked in |
 //! | --- | --- | --- |
-//! | 1 | each request gets one final answer in time, and no launch after it | [`requests`], [`repeats`] |
-//! | 2 | no task runs twice unless its idempotency allows it | [`repeats`] |
-//! | 3 | no launch on a machine that is known to drain | [`drains`] |
-//! | 4 | a machine that is warming up gets few launches | [`warm_up`] |
-//! | 5 | tasks of a service are spread over domains | [`spread`] |
-//! | 6 | placement constraints hold | [`placement`] |
-//! | 7 | only the latest holder of a planner's name acts | [`fencing`] |
-//! | 8 | a rolling restart stays within its limits | [`rolling_restart`] |
-//! | 10 | a recovering zone gets launches in steps | [`zone_recovery`] |
-//! | 11 | tasks of higher priority are placed first | [`priority`] |
+//! | 1 | each request gets one final answer in time, and no launch after it | `requests`, `repeats` |
+//! | 2 | no task runs twice unless its idempotency allows it | `repeats` |
+//! | 3 | no launch on a machine that is known to drain | `drains` |
+//! | 4 | a machine that is warming up gets few launches | `warm_up` |
+//! | 5 | tasks of a service are spread over domains | `spread` |
+//! | 6 | placement constraints hold | `placement` |
+//! | 7 | only the latest holder of a planner's name acts | `fencing` |
+//! | 8 | a rolling restart stays within its limits | `rolling_restart` |
+//! | 10 | a recovering zone gets launches in steps | `zone_recovery` |
+//! | 11 | tasks of higher priority are placed first | `priority` |
 mod config;
 mod drains;
 mod fencing;
--- a/invariants/tests/forged_traffic.rs
+++ b/invariants/tests/forged_traffic.rs
@@ -7,6 +7,7 @@
 use basaltpitch_invariants::{Framework, Incarnation, InvariantChecker, InvariantConfig, Location};
 use std::collections::HashMap;
 
+/// One second in microseconds.
 const SECOND: i64 = 1_000_000;
 
 fn new_checker() -> InvariantChecker {
--- a/tenants/src/sync_schedule/tests.rs
+++ b/tenants/src/sync_schedule/tests.rs
@@ -1,6 +1,7 @@
 //! Choice of the server, backoff, and the state of the directory.
 use super::*;
 
+/// One second in microseconds.
 const SECOND: i64 = 1_000_000;
 
 #[test]
--- a/tenants/tests/outage.rs
+++ b/tenants/tests/outage.rs
@@ -6,9 +6,10 @@
 use basaltpitch_tenants::tenant_directory::TenantDirectory;
 use basaltpitch_tenants::{Change, DirectoryUpdate, Entry, EntryKind, Id};
 
-const SECOND: i64 = 1_000_000;
+/// One second in microseconds.
+const SEC: i64 = 1_000_000;
 
-fn server_names(n: usize) -> Vec<String> {
+fn servers(n: usize) -> Vec<String> {
     (0..n).map(|i| format!("server {i}")).collect()
 }
 
@@ -17,7 +18,7 @@
     Entry { id: Id(id), kind, name: name.into(), dn: format!("cn={name}"), members, stamp: stamp.into() }
 }
 
-fn entries_before_outage() -> Vec<Entry> {
+fn entries_before() -> Vec<Entry> {
     let tenant = EntryKind::Tenant { share: 0.5 };
     vec![
         entry(1, EntryKind::Person, "asha", &[], "20261201100000Z"),
@@ -28,7 +29,7 @@
 }
 
 /// Tenant 10 is renamed and has a new member, a new person; tenant 11 has another share.
-fn entries_after_outage() -> Vec<Entry> {
+fn entries_after() -> Vec<Entry> {
     vec![
         entry(1, EntryKind::Person, "asha", &[], "20261201100000Z"),
         entry(2, EntryKind::Person, "ravi", &[], "20261201100000Z"),
@@ -45,17 +46,17 @@
 /// Runs all synchronizations that are due from `from` to `until`, each with the result that `sync`
 /// returns. Returns the changes.
 fn run(
-    directory: &mut TenantDirectory,
+    known: &mut TenantDirectory,
     from: i64,
     until: i64,
     sync: impl Fn() -> Option<DirectoryUpdate>,
 ) -> Vec<Change> {
     let (mut now, mut changes) = (from, Vec::new());
     while now < until {
-        if directory.next(now).is_some() {
-            changes.extend(directory.sync_ended(now, sync()));
+        if known.next(now).is_some() {
+            changes.extend(known.sync_ended(now, sync()));
         }
-        now = directory.next_at().max(now + 1);
+        now = known.next_at().max(now + 1);
     }
     changes
 }
@@ -63,66 +64,57 @@
 #[test]
 fn authorizes_on_stale_tenants_through_outage_and_restart_and_reports_each_change_once() {
     let policy = AccessPolicy { place_stale: true, ..AccessPolicy::default() };
-    let submit = |directory: &TenantDirectory, now, login: &str, tenant: &str| {
-        let decision = directory.authorize(now, &policy, login, Operation::Submit { tenant });
+    let submit = |known: &TenantDirectory, now, login: &str, tenant: &str| {
+        let decision = known.authorize(now, &policy, login, Operation::Submit { tenant });
         (decision.allowed, decision.stale)
     };
-    let mut directory =
-        TenantDirectory::new(1, 0, &server_names(2), None, DEFAULT_SYNC_SCHEDULE, DEFAULT_CHANGE_GUARD)
-            .unwrap();
+    let mut known =
+        TenantDirectory::new(1, 0, &servers(2), None, DEFAULT_SYNC_SCHEDULE, DEFAULT_CHANGE_GUARD).unwrap();
     assert_eq!(
-        (directory.state_change(0), submit(&directory, 0, "asha", "orders")),
+        (known.state_change(0), submit(&known, 0, "asha", "orders")),
         (Some(DirectoryState::Blind), (false, true))
     );
+    assert_eq!(run(&mut known, 0, 60 * SEC, || full_sync(entries_before())).len(), 2, "two tenants added");
     assert_eq!(
-        run(&mut directory, 0, 60 * SECOND, || full_sync(entries_before_outage())).len(),
-        2,
-        "two tenants are added, each reported once"
-    );
-    assert_eq!(
-        (directory.state_change(60 * SECOND), directory.state_change(60 * SECOND)),
+        (known.state_change(60 * SEC), known.state_change(60 * SEC)),
         (Some(DirectoryState::Fresh), None),
-        "a new state is reported once"
+        "reported once"
     );
-    assert_eq!(submit(&directory, 60 * SECOND, "asha", "orders"), (true, false));
-    let (index, remembered) = (directory.tenants().index(Id(11)), directory.snapshot().unwrap());
+    assert_eq!(submit(&known, 60 * SEC, "asha", "orders"), (true, false));
+    let (index, remembered) = (known.tenants().index(Id(11)), known.snapshot().unwrap());
 
     // The directory is unavailable for ten minutes: its tenants stay known, and decisions are
     // marked as stale.
-    assert_eq!(run(&mut directory, 60 * SECOND, 300 * SECOND, || None), []);
-    assert_eq!(directory.state_change(300 * SECOND), Some(DirectoryState::Stale));
-    assert_eq!(submit(&directory, 300 * SECOND, "asha", "orders"), (true, true));
+    assert_eq!(run(&mut known, 60 * SEC, 300 * SEC, || None), []);
+    assert_eq!(known.state_change(300 * SEC), Some(DirectoryState::Stale));
+    assert_eq!(submit(&known, 300 * SEC, "asha", "orders"), (true, true));
 
     // The planner restarts during the outage: the snapshot restores the tenants and their indices.
-    let mut directory = TenantDirectory::new(
+    let mut known = TenantDirectory::new(
         2,
-        301 * SECOND,
-        &server_names(2),
+        301 * SEC,
+        &servers(2),
         Some((remembered.0, &remembered.1)),
         DEFAULT_SYNC_SCHEDULE,
         DEFAULT_CHANGE_GUARD,
     )
     .unwrap();
     assert_eq!(
-        (directory.state_change(301 * SECOND), directory.tenants().index(Id(11))),
+        (known.state_change(301 * SEC), known.tenants().index(Id(11))),
         (Some(DirectoryState::Stale), index)
     );
-    assert_eq!(run(&mut directory, 301 * SECOND, 600 * SECOND, || None), []);
-    assert_eq!(submit(&directory, 600 * SECOND, "ravi", "stores"), (true, true));
-    assert_eq!(
-        submit(&directory, 600 * SECOND, "meera", "orders"),
-        (false, true),
-        "meera was added in the outage"
-    );
+    assert_eq!(run(&mut known, 301 * SEC, 600 * SEC, || None), []);
+    assert_eq!(submit(&known, 600 * SEC, "ravi", "stores"), (true, true));
+    assert_eq!(submit(&known, 600 * SEC, "meera", "orders"), (false, true), "added in the outage");
 
     // The directory sends a part of its entries first, which must not remove the others.
-    let part = || Some(DirectoryUpdate::new(entries_after_outage()[..1].to_vec(), false));
-    assert_eq!(run(&mut directory, 600 * SECOND, 640 * SECOND, part), []);
+    let part = || Some(DirectoryUpdate::new(entries_after()[..1].to_vec(), false));
+    assert_eq!(run(&mut known, 600 * SEC, 640 * SEC, part), []);
     assert_eq!(
-        (directory.state_change(640 * SECOND), directory.tenants().tenants(0).count()),
+        (known.state_change(640 * SEC), known.tenants().tenants(0).count()),
         (Some(DirectoryState::Recovering), 2)
     );
-    let changes = run(&mut directory, 700 * SECOND, 900 * SECOND, || full_sync(entries_after_outage()));
+    let changes = run(&mut known, 700 * SEC, 900 * SEC, || full_sync(entries_after()));
     let name = |n: &str| n.to_owned();
     assert_eq!(
         changes,
@@ -133,10 +125,10 @@
         ]
     );
     assert_eq!(
-        (directory.state_change(900 * SECOND), submit(&directory, 900 * SECOND, "meera", "kitchen")),
+        (known.state_change(900 * SEC), submit(&known, 900 * SEC, "meera", "kitchen")),
         (Some(DirectoryState::Fresh), (true, false))
     );
-    assert_eq!(directory.tenants().index(Id(11)), index);
+    assert_eq!(known.tenants().index(Id(11)), index);
 }
 
 #[test]
@@ -144,7 +136,7 @@
     let message = TenantDirectory::new(
         1,
         0,
-        &server_names(1),
+        &servers(1),
         Some((0, b"a letter")),
         DEFAULT_SYNC_SCHEDULE,
         DEFAULT_CHANGE_GUARD,
