--- a/planner/src/state/tenants.rs
+++ b/planner/src/state/tenants.rs
@@ -25,7 +25,13 @@
 
     /// Handles the end of the sync with this number. `result` is `None` if the sync failed;
     /// `problems` says why the result is missing or incomplete.
-    pub fn directory_synced(&mut self, now: i64, number: u64, result: Option<Sweep>, problems: Vec<String>) {
+    pub fn directory_synced(
+        &mut self,
+        now: i64,
+        number: u64,
+        result: Option<DirectoryUpdate>,
+        problems: Vec<String>,
+    ) {
         self.set_clock(now);
         let Some(directory) = self.tenancy.directory_mut() else { return };
         let previous_full_sync = directory.last_full_sync_at();
@@ -34,18 +40,18 @@
         let mut shares = Vec::new();
         for change in &changes {
             match change {
-                Change::Came { id, name } => {
+                Change::Added { id, name } => {
                     tracing::info!(tenant = name, id = %id, "tenant added");
                     shares.extend(directory.share(*id));
                 }
                 Change::Renamed { id, from, to } => {
                     tracing::info!(tenant = to, was = from, id = %id, "tenant renamed")
                 }
-                Change::Went { id, name } => tracing::info!(tenant = name, id = %id, "tenant removed"),
-                Change::Members { name, count, .. } => {
+                Change::Removed { id, name } => tracing::info!(tenant = name, id = %id, "tenant removed"),
+                Change::MemberCountChanged { name, count, .. } => {
                     tracing::info!(tenant = name, members = count, "tenant members changed")
                 }
-                Change::Share { id, name, from, to } => {
+                Change::ShareChanged { id, name, from, to } => {
                     tracing::info!(tenant = name, share = to, was = from, "tenant share changed");
                     shares.extend(directory.share(*id));
                 }
--- a/planner/src/tenant_access.rs
+++ b/planner/src/tenant_access.rs
@@ -9,7 +9,7 @@
 use basaltpitch_tenants::change_guard::ChangeGuard;
 use basaltpitch_tenants::sync_schedule::{DirectoryState, SyncSchedule};
 use basaltpitch_tenants::tenant_directory::TenantDirectory;
-use basaltpitch_tenants::{Change, EntryKind, Id, Sweep};
+use basaltpitch_tenants::{Change, DirectoryUpdate, EntryKind, Id};
 use serde_json::{json, Value};
 
 /// How a planner reads tenants from a directory.
@@ -120,7 +120,7 @@
     pub fn next_sync(&mut self, now: i64) -> Option<DirectorySyncTask> {
         let server = self.directory.next(now)?;
         self.sync_count += 1;
-        let (full, cookie) = (self.directory.whole(), self.directory.cookie());
+        let (full, cookie) = (self.directory.needs_full_sync(), self.directory.cookie());
         self.running_sync = Some(DirectorySyncTask { server, number: self.sync_count, full, cookie });
         self.running_sync.clone()
     }
@@ -132,7 +132,7 @@
     /// Records that the first page of results of the sync with this number was received.
     pub fn first_page_received(&mut self, number: u64) {
         if self.is_running(number) {
-            self.directory.answered();
+            self.directory.first_page_received();
         }
     }
 
@@ -143,7 +143,7 @@
         &mut self,
         now: i64,
         number: u64,
-        result: Option<Sweep>,
+        result: Option<DirectoryUpdate>,
         problems: Vec<String>,
     ) -> Option<Vec<Change>> {
         let sync = self.running_sync.take_if(|sync| sync.number == number)?;
@@ -161,13 +161,13 @@
                 )
             }
         }
-        Some(self.directory.swept(now, result))
+        Some(self.directory.sync_ended(now, result))
     }
 
     /// Logs each change of the directory's state, and of whether removals are held back, once.
     pub fn log_state_changes(&mut self, now: i64) {
         let age_s = self.directory.full_at().map(|at| (now - at) / 1_000_000);
-        match self.directory.new_state(now) {
+        match self.directory.state_change(now) {
             Some(DirectoryState::Blind) => {
                 tracing::warn!(
                     placed = self.options.access_policy.place_blind,
@@ -185,7 +185,7 @@
             Some(DirectoryState::Fresh) => tracing::info!("the directory is fully synced"),
             None => {}
         }
-        let held = self.directory.held().map_or(0, |removals| removals.ids.len());
+        let held = self.directory.held_removal().map_or(0, |removals| removals.ids.len());
         if (held > 0) != std::mem::replace(&mut self.held_logged, held > 0) {
             if held > 0 {
                 let tenants = self.held_tenants();
@@ -207,15 +207,20 @@
             let entry = known.entry(*id).filter(|entry| matches!(entry.kind, EntryKind::Tenant { .. }))?;
             Some(entry.name.clone())
         };
-        self.directory.held().into_iter().flat_map(|removals| &removals.ids).filter_map(name).collect()
+        self.directory
+            .held_removal()
+            .into_iter()
+            .flat_map(|removals| &removals.ids)
+            .filter_map(name)
+            .collect()
     }
 
     /// Returns the snapshot to store and the time of its last full sync, if the directory has
     /// changed since the last call.
     pub fn snapshot_if_changed(&mut self) -> Option<(i64, Vec<u8>)> {
-        let edits = Some(self.directory.edits());
+        let edits = Some(self.directory.revision());
         (self.stored_edits != edits).then(|| self.stored_edits = edits)?;
-        self.directory.memory()
+        self.directory.snapshot()
     }
 
     /// Handles a failure to store the last snapshot, so that the next call returns it again.
@@ -250,13 +255,13 @@
         let reason = decision.basis.description();
         let denial =
             || format!("found login {login:?}: {reason}; expected a member, an auditor or an operator");
-        decision.may.then_some(()).ok_or_else(denial)
+        decision.allowed.then_some(()).ok_or_else(denial)
     }
 
     /// Returns the reason of a negative decision, and the time in microseconds after which to
     /// retry; `None` for a positive decision.
     fn rejection(&self, now: i64, decision: AuthorizationDecision) -> Option<(RejectReason, i64)> {
-        (!decision.may).then(|| {
+        (!decision.allowed).then(|| {
             (RejectReason::NotAllowed(decision.basis.description()), self.directory.retry_after_us(now))
         })
     }
@@ -270,7 +275,7 @@
             known.find(about, now).ok_or_else(not_found)
         };
         let row = |tenant: basaltpitch_tenants::Tenant| {
-            json!({"tenant": tenant.name, "was": tenant.was, "id": tenant.id.to_string(),
+            json!({"tenant": tenant.name, "was": tenant.previous_name, "id": tenant.id.to_string(),
                    "share": tenant.share, "members": tenant.members, "index": tenant.index,
                    "stale_ms": self.stale_ms(now)})
         };
@@ -280,9 +285,10 @@
             "members" => {
                 let id = find()?;
                 self.check_visibility(now, login, Some(id)).map_err(|error| format!("{what}: {error}"))?;
-                let groups =
-                    |login: &str| known.login(login).map(|person| known.why(person, id)).unwrap_or_default();
-                let people = known.people(id);
+                let groups = |login: &str| {
+                    known.person(login).map(|person| known.path(person, id)).unwrap_or_default()
+                };
+                let people = known.member_logins(id);
                 people.iter().map(|login| json!({"login": login, "by": groups(login)})).collect()
             }
             "why" => {
@@ -291,10 +297,10 @@
                     .ok_or_else(|| format!("why: found {about:?}; expected a login, a blank and a tenant"))?;
                 let decision = self.authorize(now, person, Operation::Submit { tenant });
                 let groups = known
-                    .login(person)
+                    .person(person)
                     .zip(known.find(tenant, now))
-                    .map(|(person, tenant)| known.why(person, tenant));
-                json!({"login": person, "tenant": tenant, "may_submit": decision.may,
+                    .map(|(person, tenant)| known.path(person, tenant));
+                json!({"login": person, "tenant": tenant, "may_submit": decision.allowed,
                        "why": decision.basis.description(), "by": groups.unwrap_or_default(),
                        "stale_ms": self.stale_ms(now)})
             }
@@ -321,7 +327,7 @@
     fn state(&self, now: i64) -> Value {
         let known = self.directory.tenants();
         let count = |is_counted: fn(&EntryKind) -> bool| {
-            known.ids().filter(|entry| is_counted(&entry.1.kind)).count()
+            known.entries().filter(|entry| is_counted(&entry.1.kind)).count()
         };
         let state = match self.directory.state(now) {
             DirectoryState::Blind => "blind",
@@ -335,8 +341,8 @@
             DirectoryState::Fresh => true,
             DirectoryState::Stale | DirectoryState::Recovering => policy.place_stale,
         };
-        let held = self.directory.held().map(|removals| {
-            json!({"entries": removals.ids.len(), "tenants": self.held_tenants(), "sweeps": removals.sweeps,
+        let held = self.directory.held_removal().map(|removals| {
+            json!({"entries": removals.ids.len(), "tenants": self.held_tenants(), "sweeps": removals.syncs,
                    "since_ms": (now - removals.since) / 1000})
         });
         json!({
@@ -387,7 +393,7 @@
                 let decision = access.authorize(now, login, Operation::Submit { tenant });
                 let known = access.directory.tenants();
                 let find_index = || known.find(tenant, now).and_then(|id| known.index(id));
-                let index = decision.may.then(find_index).flatten();
+                let index = decision.allowed.then(find_index).flatten();
                 let stale_us = if decision.stale { access.directory.stale_us(now) } else { 0 };
                 Ok(AccessDecision { tenant: index, stale_us, rejection: access.rejection(now, decision) })
             }
@@ -400,7 +406,7 @@
         match self {
             TenantAccess::Listed(names) => names.iter().position(|known| known == name),
             // By the id only, because another tenant may have this name by now.
-            TenantAccess::Directory(access) => Id::read(id).map(|id| access.directory.place(id)),
+            TenantAccess::Directory(access) => Id::parse(id).map(|id| access.directory.index_or_assign(id)),
         }
     }
 
@@ -410,7 +416,7 @@
         match self {
             TenantAccess::Listed(names) => (names[tenant].clone(), String::new()),
             TenantAccess::Directory(access) => {
-                let (name, id) = access.directory.tenants().called(tenant);
+                let (name, id) = access.directory.tenants().name_and_id(tenant);
                 (name.to_owned(), id.to_owned())
             }
         }
@@ -422,7 +428,10 @@
             TenantAccess::Listed(_) => None,
             TenantAccess::Directory(access) => {
                 let known = access.directory.tenants();
-                known.at(tenant).and_then(|id| known.tenant(id, now)).and_then(|tenant| tenant.was)
+                known
+                    .id_at(tenant)
+                    .and_then(|id| known.tenant(id, now))
+                    .and_then(|tenant| tenant.previous_name)
             }
         }
     }
@@ -433,7 +442,7 @@
         match self {
             TenantAccess::Listed(_) => true,
             TenantAccess::Directory(access) => {
-                let tenant = tenant.and_then(|index| access.directory.tenants().at(index));
+                let tenant = tenant.and_then(|index| access.directory.tenants().id_at(index));
                 access.check_visibility(now, login, tenant).is_ok()
             }
         }
@@ -449,7 +458,7 @@
     pub fn check_operator(&self, now: i64, login: &str, command: &str) -> Result<(), String> {
         let TenantAccess::Directory(access) = self else { return Ok(()) };
         match access.authorize(now, login, Operation::Drain) {
-            AuthorizationDecision { may: true, .. } => Ok(()),
+            AuthorizationDecision { allowed: true, .. } => Ok(()),
             AuthorizationDecision { basis, stale, .. } => {
                 let suffix = if stale && basis != AuthorizationBasis::NothingKnown {
                     " (the directory is not heard now)"
--- a/tenants/src/lib.rs
+++ b/tenants/src/lib.rs
@@ -1,8 +1,13 @@
-//! Tenants as a directory tells of them. No I/O and no clock of its own: sweeps of the directory come in,
-//! changes go out, and questions are answered with how far the answer can be relied on. `group_closure` keeps
-//! members of nested groups, `sync_schedule` says when to ask which server and how fresh what is known is,
-//! `change_guard` what of a sweep is accepted, `authorization` who may do what, and `tenant_directory` joins
-//! them. Times are whole microseconds.
+//! The tenant directory: tenants, groups and persons, synchronized from an external directory such
+//! as LDAP. No I/O and no clock of its own: the caller passes in the results of synchronizations
+//! and the time. Times are microseconds.
+//!
+//! - [`group_closure`] stores the transitive members of nested groups.
+//! - [`sync_schedule`] decides when to synchronize with which server, and how fresh the directory
+//!   is.
+//! - [`change_guard`] decides which changes of a synchronization are accepted.
+//! - [`authorization`] decides who may submit, drain and see tasks.
+//! - [`tenant_directory`] combines these.
 pub mod authorization;
 pub mod change_guard;
 pub mod group_closure;
@@ -16,14 +21,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The directory's stable id of an entry (`entryUUID`), whatever its name.
+/// The stable id of a directory entry (`entryUUID`), which does not change when the entry is
+/// renamed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id(pub u128);
 
 impl Id {
-    /// Reads 32 hex digits, with or without dashes.
-    pub fn read(text: &str) -> Option<Id> {
-        // Names are looked up with every asking: most are none by their length.
+    /// Parses 32 hex digits, with or without dashes. `None`: the text is not an id.
+    pub fn parse(text: &str) -> Option<Id> {
+        // Called with the tenant's name of every request: the length excludes most names cheaply.
         if !matches!(text.len(), 32..=36) {
             return None;
         }
@@ -36,7 +42,7 @@
 }
 
 impl std::fmt::Display for Id {
-    /// As RFC 4122 writes it.
+    /// Formats the id as in RFC 4122.
     fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
         let hex = format!("{:032x}", self.0);
         let parts = [&hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..]];
@@ -44,203 +50,213 @@
     }
 }
 
-/// When an entry last changed, as the directory says; later ones are larger. Generalized time in text sorts
-/// so.
+/// The time of an entry's last change, in the directory's notation. Later times sort higher, as
+/// LDAP generalized time does as text.
 pub type Stamp = String;
 
-/// What an entry of the directory stands for.
+/// The kind of a directory entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EntryKind {
-    /// A tenant is a group with a share of the fleet.
+    /// A tenant: a group with a share of the fleet.
     Tenant {
-        /// Its share of the fleet, from 0 to 1.
+        /// The tenant's share of the fleet, from 0 to 1.
         share: f64,
     },
-    /// A group that is no tenant; it may be a member of other groups.
+    /// A group that is not a tenant. It may be a member of other groups.
     Group,
-    /// Someone who submits and operates.
+    /// A person, who submits tasks or operates the installation.
     Person,
 }
 
-/// One entry of the directory.
+/// An entry of the directory.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its stable id.
+    /// The entry's stable id.
     pub id: Id,
-    /// What it stands for.
+    /// The kind of entry.
     #[serde(rename = "what")]
     pub kind: EntryKind,
-    /// What people call it: the tenant's name, the person's login.
+    /// The tenant's or group's name, or the person's login.
     pub name: String,
-    /// Its distinguished name, in one spelling.
+    /// The entry's distinguished name, normalized so that equal names are equal strings.
     pub dn: String,
-    /// Distinguished names of direct members.
+    /// Distinguished names of the direct members.
     pub members: Vec<String>,
-    /// When it last changed.
+    /// The time of the last change.
     pub stamp: Stamp,
 }
 
-/// How far a server says that it is, by the server that a change was made on (`contextCSN`); empty: it does
-/// not say.
+/// Change sequence numbers that a server reports (`contextCSN`): the latest one for each server on
+/// which changes were made. Empty if the server reports none.
 pub type Mark = BTreeMap<String, String>;
 
-/// What came of a sweep of one server.
+/// The result of a synchronization with one server.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sweep {
-    /// Entries that were read, as they are now.
+pub struct DirectoryUpdate {
+    /// Entries that were received.
     pub entries: Vec<Entry>,
-    /// Entries that are there as this server gave them before.
+    /// Ids of entries that the server reports as unchanged since an earlier synchronization.
     pub present: Vec<Id>,
-    /// Every page came, no limit was met and no referral: what is not in it is not in the directory.
+    /// Whether all pages were received without a size limit or a referral, so that other entries
+    /// are not in the directory.
     pub complete: bool,
-    /// How far the server says that it is.
+    /// The server's change sequence numbers.
     pub mark: Mark,
-    /// Entries that the server says were deleted; all others are as they were. None: what is not in it is
-    /// gone.
-    pub gone: Option<Vec<Id>>,
-    /// From where on the server can say what changed.
+    /// Ids of entries that the server reports as deleted; all other known entries are unchanged.
+    /// `None`: the server reports no deletions, and entries that were not received are deleted.
+    pub deleted: Option<Vec<Id>>,
+    /// The cookie with which the server can send only the changes that follow.
     pub cookie: Option<Vec<u8>>,
 }
 
-impl Sweep {
-    /// A sweep that reads every entry.
-    pub fn of(entries: Vec<Entry>, complete: bool) -> Self {
-        Sweep { entries, complete, ..Sweep::default() }
+impl DirectoryUpdate {
+    /// Creates the result of a synchronization that reads all entries.
+    pub fn new(entries: Vec<Entry>, complete: bool) -> Self {
+        DirectoryUpdate { entries, complete, ..DirectoryUpdate::default() }
     }
 }
 
-/// What is different from before.
+/// A change of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A tenant was added.
-    Came {
-        /// Its id.
+    Added {
+        /// The tenant's id.
         id: Id,
-        /// Its name.
+        /// The tenant's name.
         name: String,
     },
-    /// A tenant has another name.
+    /// A tenant was renamed.
     Renamed {
-        /// Its id.
+        /// The tenant's id.
         id: Id,
-        /// Its name before.
+        /// The previous name.
         from: String,
-        /// Its name now.
+        /// The new name.
         to: String,
     },
     /// A tenant was removed.
-    Went {
-        /// Its id.
+    Removed {
+        /// The tenant's id.
         id: Id,
-        /// Its last name.
+        /// The tenant's last name.
         name: String,
     },
-    /// A tenant has more or fewer members.
-    Members {
-        /// Its id.
+    /// The number of a tenant's members changed.
+    MemberCountChanged {
+        /// The tenant's id.
         id: Id,
-        /// Its name.
+        /// The tenant's name.
         name: String,
-        /// How many members it has now.
+        /// The new number of members.
         count: u64,
     },
-    /// A tenant has another share of the fleet.
-    Share {
-        /// Its id.
+    /// A tenant's share of the fleet changed.
+    ShareChanged {
+        /// The tenant's id.
         id: Id,
-        /// Its name.
+        /// The tenant's name.
         name: String,
-        /// Its share before.
+        /// The previous share.
         from: f64,
-        /// Its share now.
+        /// The new share.
         to: f64,
     },
 }
 
+/// A known entry with its number in the closure.
 #[derive(Clone, Debug, PartialEq)]
 struct EntryRecord {
     entry: Entry,
-    /// Number of a group or tenant, or of a person, in the closure.
+    /// The number of the group or tenant, or of the person, in the closure.
     number: u32,
-    /// The name before the last renaming, and when that was heard.
-    was: Option<(String, i64)>,
+    /// The name before the last renaming, and when the renaming was received, in microseconds.
+    previous_name: Option<(String, i64)>,
 }
 
-/// For how long, in microseconds, a renamed tenant's old name is shown beside the new one.
-pub const OLD_NAME_SHOWN: i64 = 86_400_000_000;
+/// How long a renamed tenant's old name stays valid beside the new one, in microseconds.
+pub const OLD_NAME_VALID_US: i64 = 86_400_000_000;
 
-/// A tenant as it is shown.
+/// A tenant as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its stable id.
+    /// The tenant's stable id.
     pub id: Id,
-    /// Its name now.
+    /// The current name.
     pub name: String,
-    /// Its name before, for [`OLD_NAME_SHOWN`] after a renaming.
-    pub was: Option<String>,
-    /// Its share of the fleet.
+    /// The previous name, for [`OLD_NAME_VALID_US`] after a renaming.
+    pub previous_name: Option<String>,
+    /// The tenant's share of the fleet, from 0 to 1.
     pub share: f64,
-    /// How many persons are in it and in the groups below it.
+    /// Number of persons in the tenant and in its nested groups.
     pub members: u64,
-    /// The index under which the placing module knows it, which stays over renamings.
+    /// The tenant's index in the placement module, which a renaming does not change.
     pub index: usize,
 }
 
-/// The entries of a directory as last accepted, indexed for look-up.
+/// The accepted entries of a directory, indexed for look-up.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
     known: BTreeMap<Id, EntryRecord>,
     by_dn: FnvHashMap<String, Id>,
-    /// Distinguished names of before, for members that the directory has not mended yet. Entries of now go
-    /// first.
+    /// Previous distinguished names, as the directory may still list a renamed entry as a member
+    /// under its old name. Current names take precedence.
     old_dns: FnvHashMap<String, Id>,
-    /// Groups that name a distinguished name among their members, so that its change reaches them and no
-    /// others.
+    /// By distinguished name: the groups that list it as a member, which a change of the name
+    /// affects.
     mentions: FnvHashMap<String, BTreeSet<Id>>,
     by_name: FnvHashMap<String, Id>,
     by_login: FnvHashMap<String, Id>,
     persons: IdAllocator<Id>,
     groups: IdAllocator<Id>,
-    /// Tenants' indices are never given to another: the module's shares and running tasks rest on them.
+    /// All tenants ever known, by index. An index is never reused for another tenant, as the
+    /// placement module's shares and running tasks refer to it.
     tenants: Vec<Id>,
-    places: FnvHashMap<Id, usize>,
-    /// The last known name of each tenant, by index, empty where none was heard; and its id as text.
+    /// The index of each tenant.
+    indices: FnvHashMap<Id, usize>,
+    /// By index: the tenant's last known name, empty if none was received, and its id as text.
     names: Vec<(String, String)>,
-    /// Names of before that no tenant has now; see `find`.
+    /// Previous names of renamed tenants; see `find`.
     old_names: FnvHashMap<String, Id>,
-    /// The last stamp of an entry that went.
-    gone: FnvHashMap<Id, Stamp>,
+    /// The last stamp of each removed entry, to recognize outdated versions of it.
+    removed_stamps: FnvHashMap<Id, Stamp>,
     closure: GroupClosure,
-    edits: u64,
+    revision: u64,
 }
 
 impl Tenants {
-    /// How often anything changed.
-    pub fn edits(&self) -> u64 {
-        self.edits
+    /// Returns the number of changes to entries so far.
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
-    /// What is known of an entry.
+    /// Returns a known entry.
     pub fn entry(&self, id: Id) -> Option<&Entry> {
         self.known.get(&id).map(|record| &record.entry)
     }
 
-    /// All entries, in the order of their ids.
-    pub fn ids(&self) -> impl Iterator<Item = (Id, &Entry)> {
+    /// Returns all entries, in the order of their ids.
+    pub fn entries(&self) -> impl Iterator<Item = (Id, &Entry)> {
         self.known.iter().map(|(id, record)| (*id, &record.entry))
     }
 
-    /// Takes in what `change_guard` accepted: entries that are there, and ids that are gone. An entry older
-    /// than what is known of it changes nothing.
-    pub fn take(&mut self, now: i64, entries: Vec<Entry>, gone: &[Id]) -> Vec<Change> {
-        self.take_in(now, entries, gone, false)
+    /// Applies the changes that `change_guard` accepted: entries to add or update, and ids to
+    /// remove. An entry that is older than its known version is ignored.
+    pub fn apply(&mut self, now: i64, entries: Vec<Entry>, gone: &[Id]) -> Vec<Change> {
+        self.apply_accepted(now, entries, gone, false)
     }
 
-    /// The same; with `as_is`, entries count however old they are.
-    pub(crate) fn take_in(&mut self, now: i64, entries: Vec<Entry>, gone: &[Id], as_is: bool) -> Vec<Change> {
+    /// Applies accepted changes; with `as_is`, older entries replace newer versions of them.
+    pub(crate) fn apply_accepted(
+        &mut self,
+        now: i64,
+        entries: Vec<Entry>,
+        gone: &[Id],
+        as_is: bool,
+    ) -> Vec<Change> {
         let mut changes = Vec::new();
         let before: Vec<(Id, u64)> = self.tenants.iter().map(|&t| (t, self.count(t))).collect();
-        // Groups whose members are to be found anew.
+        // Groups whose direct members must be resolved again.
         let mut dirty = BTreeSet::new();
         for &id in gone {
             self.drop_entry(id, &mut dirty, &mut changes);
@@ -248,7 +264,7 @@
         for entry in entries {
             let id = entry.id;
             let old = self.known.get(&id).is_some_and(|record| entry.stamp < record.entry.stamp)
-                || self.gone.get(&id).is_some_and(|stamp| entry.stamp < *stamp);
+                || self.removed_stamps.get(&id).is_some_and(|stamp| entry.stamp < *stamp);
             if (as_is || !old) && self.known.get(&id).is_none_or(|record| record.entry != entry) {
                 self.put(now, entry, &mut dirty, &mut changes);
             }
@@ -258,17 +274,22 @@
         }
         for (id, count) in before {
             let Some(record) = self.known.get(&id).filter(|_| self.count(id) != count) else { continue };
-            changes.push(Change::Members { id, name: record.entry.name.clone(), count: self.count(id) });
+            changes.push(Change::MemberCountChanged {
+                id,
+                name: record.entry.name.clone(),
+                count: self.count(id),
+            });
         }
         changes
     }
 
-    /// A distinguished name leads elsewhere from now on.
-    fn dn_moves(&self, dn: &str, dirty: &mut BTreeSet<Id>) {
+    /// Marks the groups that list a distinguished name, as it refers to another entry from now on.
+    fn mark_mentions(&self, dn: &str, dirty: &mut BTreeSet<Id>) {
         dirty.extend(self.mentions.get(dn).into_iter().flatten());
     }
 
-    fn mention(&mut self, id: Id, old: &[String], new: &[String]) {
+    /// Updates the index of listed members for a group whose members changed.
+    fn update_mentions(&mut self, id: Id, old: &[String], new: &[String]) {
         for dn in old {
             if let Some(groups) = self.mentions.get_mut(dn) {
                 groups.remove(&id);
@@ -282,48 +303,54 @@
         }
     }
 
+    /// Adds or updates an entry.
     fn put(&mut self, now: i64, entry: Entry, dirty: &mut BTreeSet<Id>, changes: &mut Vec<Change>) {
         let id = entry.id;
-        self.edits += 1;
-        self.gone.remove(&id);
+        self.revision += 1;
+        self.removed_stamps.remove(&id);
         let number = match entry.kind {
             EntryKind::Person => self.persons.intern(id),
             _ => self.groups.intern(id),
         } as u32;
         let old = self.known.remove(&id);
-        let mut was = old.as_ref().and_then(|record| record.was.clone());
+        let mut previous_name = old.as_ref().and_then(|record| record.previous_name.clone());
         if let Some(record) = &old {
             if record.entry.dn != entry.dn && self.by_dn.get(&record.entry.dn) == Some(&id) {
                 self.by_dn.remove(&record.entry.dn);
                 self.old_dns.insert(record.entry.dn.clone(), id);
-                self.dn_moves(&record.entry.dn, dirty);
+                self.mark_mentions(&record.entry.dn, dirty);
             }
-            self.unname(&record.entry);
+            self.remove_name(&record.entry);
         }
-        let known_there = old.as_ref().is_some_and(|record| record.entry.dn == entry.dn);
-        if !known_there {
-            self.dn_moves(&entry.dn, dirty);
+        let same_dn = old.as_ref().is_some_and(|record| record.entry.dn == entry.dn);
+        if !same_dn {
+            self.mark_mentions(&entry.dn, dirty);
         }
         let members: &[String] = old.as_ref().map_or(&[], |record| &record.entry.members);
         if members != entry.members {
-            self.mention(id, members, &entry.members);
+            self.update_mentions(id, members, &entry.members);
             dirty.insert(id);
         }
         if let EntryKind::Tenant { share } = entry.kind {
-            let index = self.place(id);
+            let index = self.index_or_assign(id);
             self.names[index].0.clone_from(&entry.name);
             match &old {
-                None => changes.push(Change::Came { id, name: entry.name.clone() }),
+                None => changes.push(Change::Added { id, name: entry.name.clone() }),
                 Some(record) => {
                     if record.entry.name != entry.name {
-                        was = Some((record.entry.name.clone(), now));
+                        previous_name = Some((record.entry.name.clone(), now));
                         self.old_names.insert(record.entry.name.clone(), id);
                         let (from, to) = (record.entry.name.clone(), entry.name.clone());
                         changes.push(Change::Renamed { id, from, to });
                     }
                     if let EntryKind::Tenant { share: from } = record.entry.kind {
                         if from != share {
-                            changes.push(Change::Share { id, name: entry.name.clone(), from, to: share });
+                            changes.push(Change::ShareChanged {
+                                id,
+                                name: entry.name.clone(),
+                                from,
+                                to: share,
+                            });
                         }
                     }
                 }
@@ -333,23 +360,24 @@
             self.by_login.insert(entry.name.clone(), id);
         }
         self.by_dn.insert(entry.dn.clone(), id);
-        self.known.insert(id, EntryRecord { entry, number, was });
+        self.known.insert(id, EntryRecord { entry, number, previous_name });
     }
 
-    /// A name is free again, unless another entry has taken it in the meantime.
-    fn unname(&mut self, entry: &Entry) {
+    /// Removes an entry's name from the look-up, unless another entry has it by now.
+    fn remove_name(&mut self, entry: &Entry) {
         let names = if entry.kind == EntryKind::Person { &mut self.by_login } else { &mut self.by_name };
         if names.get(&entry.name) == Some(&entry.id) {
             names.remove(&entry.name);
         }
     }
 
+    /// Removes an entry.
     fn drop_entry(&mut self, id: Id, dirty: &mut BTreeSet<Id>, changes: &mut Vec<Change>) {
         let Some(record) = self.known.remove(&id) else { return };
-        self.edits += 1;
-        self.unname(&record.entry);
-        self.dn_moves(&record.entry.dn, dirty);
-        self.mention(id, &record.entry.members, &[]);
+        self.revision += 1;
+        self.remove_name(&record.entry);
+        self.mark_mentions(&record.entry.dn, dirty);
+        self.update_mentions(id, &record.entry.members, &[]);
         if self.by_dn.get(&record.entry.dn) == Some(&id) {
             self.by_dn.remove(&record.entry.dn);
         }
@@ -361,12 +389,12 @@
             self.groups.release(record.number as usize);
         }
         if matches!(record.entry.kind, EntryKind::Tenant { .. }) {
-            changes.push(Change::Went { id, name: record.entry.name.clone() });
+            changes.push(Change::Removed { id, name: record.entry.name.clone() });
         }
-        self.gone.insert(id, record.entry.stamp);
+        self.removed_stamps.insert(id, record.entry.stamp);
     }
 
-    /// Finds a group's members among the entries of now; a name that leads nowhere is nobody.
+    /// Resolves a group's direct members to known entries. Names of unknown entries are ignored.
     fn set_members(&mut self, id: Id) {
         let Some(record) = self.known.get(&id) else { return };
         let (mut persons, mut groups) = (RoaringBitmap::new(), RoaringBitmap::new());
@@ -387,65 +415,66 @@
         self.known.get(&id).map_or(0, |record| self.closure.count(record.number))
     }
 
-    /// A tenant by its id in hex digits or its name; by its name of before for a while, if no other has that
-    /// now, so that those who ask need not change in the moment of a renaming.
+    /// Finds a tenant by its id in hex digits or by its name. A previous name is valid for
+    /// [`OLD_NAME_VALID_US`] if no other tenant has it, so that clients need not switch at the
+    /// moment of a renaming.
     pub fn find(&self, name: &str, now: i64) -> Option<Id> {
-        let there = |id: &Id| self.index(*id).is_some();
-        let was = |id: &Id| {
-            let was = self.known.get(id).and_then(|record| record.was.as_ref());
-            there(id) && was.is_some_and(|w| w.0 == name && now < w.1 + OLD_NAME_SHOWN)
+        let is_tenant = |id: &Id| self.index(*id).is_some();
+        let had_name = |id: &Id| {
+            let was = self.known.get(id).and_then(|record| record.previous_name.as_ref());
+            is_tenant(id) && was.is_some_and(|w| w.0 == name && now < w.1 + OLD_NAME_VALID_US)
         };
-        let by_id = Id::read(name).filter(there);
-        let by_name = || self.by_name.get(name).copied().filter(there);
-        by_id.or_else(by_name).or_else(|| self.old_names.get(name).copied().filter(was))
+        let by_id = Id::parse(name).filter(is_tenant);
+        let by_name = || self.by_name.get(name).copied().filter(is_tenant);
+        by_id.or_else(by_name).or_else(|| self.old_names.get(name).copied().filter(had_name))
     }
 
-    /// The name of the tenant under an index, the last known one if it is gone, and its id as text.
-    pub fn called(&self, index: usize) -> (&str, &str) {
+    /// Returns the current or last known name of the tenant with an index, and its id as text.
+    pub fn name_and_id(&self, index: usize) -> (&str, &str) {
         self.names.get(index).map_or(("", ""), |x| (&x.0, &x.1))
     }
 
-    /// The people in a group or tenant, by login.
-    pub fn people(&self, group: Id) -> Vec<&str> {
+    /// Returns the logins of all persons in a group or tenant, nested groups included.
+    pub fn member_logins(&self, group: Id) -> Vec<&str> {
         let Some(g) = self.known.get(&group) else { return Vec::new() };
         let entry =
             |n: u32| self.known.get(self.persons.id(n as usize)).map(|record| record.entry.name.as_str());
         self.closure.persons(g.number).filter_map(entry).collect()
     }
 
-    /// The person with a login.
-    pub fn login(&self, login: &str) -> Option<Id> {
+    /// Returns the person with a login.
+    pub fn person(&self, login: &str) -> Option<Id> {
         self.by_login.get(login).copied()
     }
 
-    /// The index of a tenant, whether it is there, was, or is only named by a machine that runs a task of
-    /// its.
-    pub fn place(&mut self, id: Id) -> usize {
-        *self.places.entry(id).or_insert_with(|| {
+    /// Returns the index of a tenant, and assigns one if it has none. The tenant may be known,
+    /// removed, or not received yet and only named by a machine that runs one of its tasks.
+    pub fn index_or_assign(&mut self, id: Id) -> usize {
+        *self.indices.entry(id).or_insert_with(|| {
             self.tenants.push(id);
             self.names.push((String::new(), id.to_string()));
             self.tenants.len() - 1
         })
     }
 
-    /// The module's index of a tenant that is there.
+    /// Returns the index of a known tenant; `None` if the tenant is not in the directory.
     pub fn index(&self, id: Id) -> Option<usize> {
         self.known.get(&id).filter(|record| matches!(record.entry.kind, EntryKind::Tenant { .. }))?;
-        self.places.get(&id).copied()
+        self.indices.get(&id).copied()
     }
 
-    /// The tenant under an index, there or not.
-    pub fn at(&self, index: usize) -> Option<Id> {
+    /// Returns the tenant with an index, whether or not it is in the directory.
+    pub fn id_at(&self, index: usize) -> Option<Id> {
         self.tenants.get(index).copied()
     }
 
-    /// A group or tenant by its distinguished name.
-    pub fn group(&self, dn: &str) -> Option<Id> {
+    /// Returns a group or tenant by its distinguished name.
+    pub fn group_by_dn(&self, dn: &str) -> Option<Id> {
         let id = *self.by_dn.get(dn)?;
         (self.known[&id].entry.kind != EntryKind::Person).then_some(id)
     }
 
-    /// Whether a person is in a group or tenant, or in a group below it.
+    /// Returns whether a person is in a group or tenant, directly or through nested groups.
     pub fn is_member(&self, person: Id, group: Id) -> bool {
         match (self.known.get(&group), self.known.get(&person)) {
             (Some(g), Some(p)) => self.closure.contains(g.number, p.number),
@@ -453,7 +482,7 @@
         }
     }
 
-    /// Whether a tenant or group is below another in the tree of groups, or is it.
+    /// Returns whether a tenant or group is nested in another, directly or not, or is the same.
     pub fn is_below(&self, id: Id, above: Id) -> bool {
         match (self.known.get(&id), self.known.get(&above)) {
             (Some(g), Some(a)) => self.closure.is_below(g.number, a.number),
@@ -461,28 +490,37 @@
         }
     }
 
-    /// Names of the groups through which a person is in a group; empty where he is not.
-    pub fn why(&self, person: Id, group: Id) -> Vec<String> {
+    /// Returns the names of the groups on a path by which a person is a member of a group, that
+    /// group first; empty if the person is not a member.
+    pub fn path(&self, person: Id, group: Id) -> Vec<String> {
         let (Some(g), Some(p)) = (self.known.get(&group), self.known.get(&person)) else { return Vec::new() };
         let name =
             |n: u32| self.known.get(self.groups.id(n as usize)).map(|record| record.entry.name.clone());
         self.closure.path(g.number, p.number).into_iter().filter_map(name).collect()
     }
 
-    /// A tenant as it is shown at a time.
+    /// Returns a tenant as shown to operators at `now`; `None` if it is not in the directory.
     pub fn tenant(&self, id: Id, now: i64) -> Option<Tenant> {
         let (record, index) = (self.known.get(&id)?, self.index(id)?);
         let EntryKind::Tenant { share } = record.entry.kind else { return None };
-        let was = record.was.as_ref().filter(|w| now < w.1 + OLD_NAME_SHOWN).map(|w| w.0.clone());
-        Some(Tenant { id, name: record.entry.name.clone(), was, share, members: self.count(id), index })
+        let previous_name =
+            record.previous_name.as_ref().filter(|w| now < w.1 + OLD_NAME_VALID_US).map(|w| w.0.clone());
+        Some(Tenant {
+            id,
+            name: record.entry.name.clone(),
+            previous_name,
+            share,
+            members: self.count(id),
+            index,
+        })
     }
 
-    /// All tenants that are there, in the order of their indices.
+    /// Returns all tenants of the directory, in the order of their indices.
     pub fn tenants(&self, now: i64) -> impl Iterator<Item = Tenant> + '_ {
         self.tenants.iter().filter_map(move |&id| self.tenant(id, now))
     }
 
-    /// Bytes that the closures take.
+    /// Returns the estimated size of the transitive memberships in bytes.
     pub fn bytes(&self) -> usize {
         self.closure.bytes()
     }
