--- a/testbed/src/attempt_frames.rs
+++ b/testbed/src/attempt_frames.rs
@@ -1,21 +1,23 @@
-//! Frames about attempts, as every simulated machine sends them.
+//! Builds the frames about attempts that simulated machines send, and converts attempt ids to and
+//! from the protocol.
 use basaltpitch_agent::attempt_table::{AttemptId, AttemptReply, AttemptState};
 use basaltpitch_agent::refusal_reason;
 use basaltpitch_agent::wire::{self, Body, Launch, LaunchId, Report};
 
-/// An attempt: the planner's name, and the planner's number of the launch.
+/// Identifies an attempt across planners: the planner's name, and the attempt's id at that planner.
 pub(crate) type AttemptKey = (String, AttemptId);
 
+/// Returns an attempt's id as frames hold it.
 pub(crate) fn to_wire(id: AttemptId) -> Option<LaunchId> {
     Some(LaunchId { epoch: id.0, number: id.1 })
 }
 
-/// A missing number is one that no launch has.
+/// Returns the attempt id that a frame holds. A missing id becomes (0, 0), which no attempt has.
 pub(crate) fn from_wire(id: Option<LaunchId>) -> AttemptId {
     id.map_or((0, 0), |id| (id.epoch, id.number))
 }
 
-/// The frame of a reply; none where there is nothing to say.
+/// Returns the frame that sends a reply to the planner, or `None` for [`AttemptReply::Nothing`].
 pub(crate) fn reply(id: AttemptId, key: String, reply: AttemptReply, report: Option<Report>) -> Option<Body> {
     let id = to_wire(id);
     Some(match reply {
@@ -29,7 +31,7 @@
     })
 }
 
-/// The inventory of a planner's attempts.
+/// Returns the inventory frame that lists a planner's attempts.
 pub(crate) fn inventory(held: Vec<(AttemptId, AttemptState, Launch)>, draining: bool) -> Body {
     let held = held.into_iter().map(|(_, state, launch)| wire::Held {
         launch: Some(launch),
@@ -39,7 +41,8 @@
     Body::Inventory(wire::Inventory { held: held.collect(), draining })
 }
 
-/// That an attempt runs, and what it uses: cores and memory.
+/// Returns the frames for a started attempt: that it runs, and its usage of cores (note sort 2) and
+/// of memory (note sort 3).
 pub(crate) fn running(id: AttemptId, key: &str, usage: (f64, f64)) -> [Body; 3] {
     let id = to_wire(id);
     let usage_note = |sort, value| Body::Note(wire::Note { id, key: key.to_owned(), sort, value });
--- a/testbed/src/client.rs
+++ b/testbed/src/client.rs
@@ -1,6 +1,7 @@
-//! Simulated clients: they submit tasks, wait as long as they said, submit again after a rejection or a loss,
-//! make sure before they submit again what must not run twice, and turn to another planner when theirs does
-//! not answer.
+//! Simulated clients. A client submits tasks and waits for each answer up to the request's limit.
+//! After a rejection or a loss it submits the task again; a task that must not run twice waits
+//! until a lost attempt has surely ended. A client connects to the next planner when its own does
+//! not accept connections.
 use crate::context::TestbedContext;
 use crate::faulty_link::{self, FaultInjection, LinkObservation};
 use basaltpitch_agent::link::{self, LinkCommand, LinkEvent};
@@ -16,43 +17,45 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Time after its limit until a client gives a request up, in microseconds.
+/// Time past its limit after which a client gives a request up, in microseconds.
 const ANSWER_GRACE_US: i64 = 2_000_000;
-/// Time between attempts to connect, and from a connection's end to the next attempt, in microseconds.
+/// Time from one attempt to connect to the next, in microseconds.
 const CONNECT_EVERY_US: i64 = 100_000;
+/// Time from the end of a connection to the next attempt to connect, in microseconds.
 const RECONNECT_AFTER_US: i64 = 20_000;
+/// Time that one attempt to connect may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// How often a client looks at what is due.
+/// Interval at which a client checks for tasks to submit and requests to give up.
 const TICK: Duration = Duration::from_millis(10);
 
-/// A task that a client is to place.
+/// A task that a client has to get placed.
 #[derive(Clone, Debug)]
 pub struct SubmitPlan {
-    /// What is submitted.
+    /// The request; the client fills in the request id and the time left.
     pub submit: Submit,
-    /// The tenant, as the scenario's file names it.
+    /// The tenant's name as the scenario's file has it. A scenario may rename the tenant meanwhile.
     pub tenant: String,
-    /// Time that an answer may take, in microseconds.
+    /// Time in which the request must be answered, in microseconds.
     pub limit_us: i64,
     /// Whether the task may run twice.
     pub repeatable: bool,
-    /// Requests that are submitted for it, at most.
+    /// Number of requests after which the client gives the task up.
     pub attempts: u32,
 }
 
-/// What all clients of a scenario saw.
+/// Counts of all clients of a scenario together.
 pub struct ClientTotals {
-    /// From requests to their answers "placed", in microseconds.
+    /// Times from a request to its answer "placed", in microseconds.
     pub placed_us: Histogram<u64>,
     /// Tasks that ran to their end.
     pub completed: u64,
     /// Tasks that were lost while they ran.
     pub lost: u64,
-    /// Requests that were given up.
+    /// Requests without an answer that clients gave up.
     pub given_up: u64,
-    /// Requests that were submitted.
+    /// Requests that clients submitted.
     pub submitted: u64,
-    /// Tasks that were never placed.
+    /// Tasks that clients gave up after the last permitted request.
     pub unplaced: u64,
 }
 
@@ -63,59 +66,74 @@
     }
 }
 
-/// Where planners are reached now, by their numbers.
+/// Current addresses of the planners, indexed by planner number.
 pub type PlannerAddresses = Rc<RefCell<Vec<String>>>;
 
+/// State of a task at its client. Times are the testbed clock's, in microseconds.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
-    /// Waits for an answer until then.
+    /// A request awaits its answer; holds the end of the request's limit.
     Submitted(i64),
-    /// Submits a new request at that time.
+    /// No request is open; holds the time from which the next one is submitted.
     Waiting(i64),
+    /// The planner placed the task, and the client waits for its end.
     Placed,
 }
 
+/// A task at its client.
 struct Task {
     plan: SubmitPlan,
+    /// When the current request was first sent, in microseconds; 0 before the first request.
     submitted_at: i64,
+    /// Requests that the client may still submit for the task.
     attempts_left: u32,
     phase: Phase,
-    /// The incarnation of a planner that has the request.
+    /// Incarnation of the planner that the current request was sent to; `None` before the first
+    /// request.
     planner: Option<Incarnation>,
 }
 
-/// What a client is started with.
+/// Parameters of a client.
 pub struct ClientSetup {
-    /// What all peers share.
+    /// State shared by all simulated peers.
     pub context: Rc<TestbedContext>,
-    /// The login that it is known by.
+    /// The login that the client says hello with.
     pub login: String,
-    /// Where planners are reached.
+    /// Current addresses of the planners.
     pub addresses: PlannerAddresses,
-    /// Where it counts what it saw.
+    /// Where the client adds its counts.
     pub totals: Rc<RefCell<ClientTotals>>,
-    /// Its number; it turns to the planner of this number first.
+    /// The client's number, which also selects the planner that it connects to first.
     pub number: u64,
-    /// Where its chance starts from.
+    /// Seed of the client's random number generator.
     pub seed: u64,
-    /// After this time a lost task that must not run twice is sure to have ended, in microseconds.
+    /// Time after which an attempt of a lost task that must not run twice has surely ended, in
+    /// microseconds.
     pub settle_us: i64,
 }
 
+/// State of one simulated client.
 struct SimulatedClient {
     setup: ClientSetup,
     chance: StdRng,
-    /// The planner that it turns to, and connections to it that failed.
+    /// Number of the planner that the client connects to.
     planner: usize,
+    /// Attempts to connect to this planner that failed in a row.
     failures: u32,
+    /// Number of the current connection; events of earlier connections are ignored.
     connection: u64,
+    /// Commands to the current connection; `None` while there is none.
     orders: Option<mpsc::Sender<LinkCommand>>,
+    /// The planner's incarnation, once its hello has arrived on the current connection.
     incarnation: Option<Incarnation>,
+    /// Earliest time of the next attempt to connect, in microseconds.
     connect_at: i64,
+    /// Tasks that have not ended, by key.
     tasks: BTreeMap<String, Task>,
 }
 
-/// Starts a client; tasks go into what it returns.
+/// Starts a client and returns the sender that hands it tasks. The client ends when the sender is
+/// dropped.
 pub fn start(setup: ClientSetup) -> mpsc::Sender<SubmitPlan> {
     let (plans, inbox) = mpsc::channel(4096);
     let planner = setup.number as usize % setup.addresses.borrow().len();
@@ -135,6 +153,7 @@
 }
 
 impl SimulatedClient {
+    /// Handles tasks and link events until the sender of tasks is dropped.
     async fn run(mut self, mut inbox: mpsc::Receiver<SubmitPlan>) {
         let (events, mut inbox_events) = mpsc::channel::<(u64, LinkEvent)>(1024);
         let mut tick = tokio::time::interval(TICK);
@@ -156,6 +175,7 @@
         self.setup.context.clock.now()
     }
 
+    /// Takes a new task over and submits its first request.
     fn add(&mut self, plan: SubmitPlan) {
         let key = plan.submit.key.clone();
         let task = Task {
@@ -169,7 +189,8 @@
         self.submit(&key);
     }
 
-    /// Submits a request for a task, if a planner is there.
+    /// Submits a new request for a task. Without a connection the task stays as it is and is tried
+    /// at the next tick.
     fn submit(&mut self, key: &str) {
         let now = self.now();
         let (Some(orders), Some(planner)) = (&self.orders, self.incarnation.clone()) else { return };
@@ -186,6 +207,8 @@
         }
     }
 
+    /// Connects if there is no connection, gives overdue requests up, and submits the tasks whose
+    /// wait is over.
     async fn tick(&mut self, events: &mpsc::Sender<(u64, LinkEvent)>) {
         let now = self.now();
         if self.orders.is_none() && now >= self.connect_at {
@@ -209,6 +232,7 @@
         }
     }
 
+    /// Gives a request up and tells the planner so.
     fn withdraw(&mut self, key: &str) {
         let Some(task) = self.tasks.get(key) else { return };
         let body = wire::Withdraw { key: key.to_owned(), ask: task.plan.submit.ask };
@@ -216,7 +240,7 @@
             (Some(orders), _) => {
                 let _ = orders.try_send(LinkCommand::Send(Body::Withdraw(body), None));
             }
-            // No connection, so no answer can come.
+            // Without a connection no answer can arrive, so the checker expects none.
             (None, Some(planner)) => self.setup.context.checker.borrow_mut().client_disconnected(
                 planner,
                 key,
@@ -227,7 +251,8 @@
         self.setup.totals.borrow_mut().given_up += 1;
     }
 
-    /// Submits a new request later, after `least_us`, until all attempts are used up.
+    /// Schedules the next request of a task, at least `least_us` from now. Drops the task if all
+    /// its requests are used up.
     fn retry(&mut self, key: &str, least_us: i64) {
         let (now, rest) = (self.now(), self.chance.random_range(300_000..900_000));
         let Some(task) = self.tasks.get_mut(key) else { return };
@@ -239,6 +264,8 @@
         }
     }
 
+    /// Connects to the current planner, and selects the next planner after too many failures in a
+    /// row.
     async fn connect(&mut self, events: &mpsc::Sender<(u64, LinkEvent)>) {
         let address = self.setup.addresses.borrow()[self.planner].clone();
         let clock = self.setup.context.clock;
@@ -246,7 +273,7 @@
         let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&address)).await else {
             self.failures += 1;
             if self.failures >= self.setup.context.behaviour.client_connect_attempts {
-                // A planner that does not answer is given up.
+                // The planner does not accept connections, so the next attempt goes to another one.
                 (self.planner, self.failures) = ((self.planner + 1) % self.setup.addresses.borrow().len(), 0);
             }
             return;
@@ -298,6 +325,7 @@
         self.orders = Some(orders);
     }
 
+    /// Handles an event of the current connection.
     fn link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Session(SessionEvent::Up(party)) => self.planner_connected((party.name, party.epoch)),
@@ -311,8 +339,10 @@
         }
     }
 
-    /// A planner is there. What the same incarnation of it has is submitted again under the same number; what
-    /// another had may run, and gets a new request once that is sure.
+    /// Settles the open tasks after a planner's hello. A request that this incarnation of the
+    /// planner already has is sent again under the same request id. A request that another
+    /// incarnation had may still run, so its task gets a new request only after the time in which
+    /// the attempt has surely ended.
     fn planner_connected(&mut self, planner: Incarnation) {
         self.incarnation = Some(planner.clone());
         let now = self.now();
@@ -340,7 +370,8 @@
                     self.retry(&key, wait);
                 }
                 Phase::Placed if !same => {
-                    // It runs on without its client, as far as this client can know.
+                    // The task runs on, but this client will not learn of its end, so it counts as
+                    // completed.
                     self.tasks.remove(&key);
                     self.setup.totals.borrow_mut().completed += 1;
                 }
@@ -350,6 +381,7 @@
         }
     }
 
+    /// Handles the answer to a request; ignores answers to requests that are not open.
     fn answered(&mut self, answer: wire::Answer) {
         let now = self.now();
         let Some(task) = self.tasks.get_mut(&answer.key).filter(|task| task.plan.submit.ask == answer.ask)
@@ -373,6 +405,7 @@
         }
     }
 
+    /// Handles the end, loss or eviction of a placed task.
     fn lifecycle(&mut self, event: wire::Life) {
         let Some(task) = self.tasks.get(&event.key).filter(|task| task.plan.submit.ask == event.ask) else {
             return;
--- a/testbed/src/context.rs
+++ b/testbed/src/context.rs
@@ -1,4 +1,4 @@
-//! What all simulated peers of one testbed share.
+//! State that all simulated peers of one testbed share.
 use crate::directory_scenario::DirectoryScenario;
 use crate::machine::MachineBehaviour;
 use basaltpitch_agent::link::Clock;
@@ -8,21 +8,21 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// What a launch uses when it runs: cores, memory, and microseconds.
+/// Returns what an attempt uses while it runs: cores, memory, and its run time in microseconds.
 pub type TaskUsage = Box<dyn Fn(&Launch) -> (f64, f64, i64)>;
 
-/// What all simulated peers of one testbed share.
+/// State that all simulated peers of one testbed share.
 pub struct TestbedContext {
-    /// The one clock that all times are of.
+    /// The clock that all times of the testbed are read from.
     pub clock: Clock,
-    /// Sees the traffic of all simulated peers.
+    /// Checks the invariants against the traffic of all simulated peers.
     pub checker: RefCell<InvariantChecker>,
-    /// How the machines behave.
+    /// How machines behave, and how often clients retry a connection.
     pub behaviour: MachineBehaviour,
-    /// Attempts of keyed tasks that are active, by group of machines and key.
+    /// Number of active attempts of each keyed task, by group of machines and task key.
     pub active_keyed: RefCell<HashMap<(String, String), u32>>,
-    /// What tasks use.
+    /// Draws the usage of an attempt when a machine accepts it.
     pub usage: RefCell<TaskUsage>,
-    /// The directory of tenants, if the scenario has one.
+    /// The tenant directory; `None` if the scenario has none.
     pub directory: RefCell<Option<Rc<DirectoryScenario>>>,
 }
--- a/testbed/src/directory_scenario.rs
+++ b/testbed/src/directory_scenario.rs
@@ -1,6 +1,6 @@
-//! The directory's part of a fault scenario: simulated servers with tenants in them, what goes wrong there,
-//! and whether answers told the truth about it: no client who was a member all along is rejected, and what
-//! rests on stale knowledge says so.
+//! The directory of a fault scenario: simulated LDAP servers that hold tenants, and the faults of
+//! these servers. Checks the answers that depend on the directory: no client that was a member
+//! throughout may be rejected, and an answer based on stale knowledge must say so.
 use crate::ldap_server::{self, ldap_entry, DirectoryFault, LdapEntry, LdapServer};
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::Answer;
@@ -12,50 +12,63 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The login of one who becomes a member while the directory is away.
+/// Login of a client that becomes a member while the directory is unavailable.
 pub const NEWCOMER: &str = "newcomer";
-/// Time from when the directory answers again until every planner must have heard all of it.
+/// Time from the directory's recovery until every planner must have completed a sync, in
+/// microseconds.
 const RECOVERY_US: i64 = 2_500_000;
-/// Time that an asking may take to a planner.
+/// Time that a request may take to reach the planner, in microseconds.
 const TRAVEL_US: i64 = 500_000;
 
+/// A tenant in the directory.
 struct Tenant {
     id: String,
     name: String,
     share: f64,
+    /// Number of the change that last touched the entry; 0: the initial state. It becomes the
+    /// entry's timestamp.
     changed: u32,
+    /// Logins of the members.
     members: Vec<String>,
 }
 
-/// The directory of a day, as everybody there knows it.
+/// The simulated directory of a fault scenario, with the expectations that answers are checked
+/// against.
 pub struct DirectoryScenario {
-    /// The directory's servers.
+    /// The directory's LDAP servers.
     pub servers: Vec<Rc<LdapServer>>,
     tenants: RefCell<Vec<Tenant>>,
+    /// Logins of all people in the directory.
     people: RefCell<Vec<String>>,
+    /// Changes to tenants so far.
     changes: Cell<u32>,
-    /// What owners call a tenant now, where that is not its name in the day's file.
+    /// What clients call a tenant now, by its name in the scenario's file, where the two differ.
     current_names: RefCell<HashMap<String, String>>,
+    /// Age up to which a planner's knowledge of the directory counts as fresh, in microseconds.
     fresh_us: i64,
+    /// Interval between two syncs of a planner, in microseconds.
     every_us: i64,
-    /// Since when no server answers; 0: they do. Until when states may be either.
+    /// When all servers became unavailable, in microseconds; 0: they are available.
     unavailable_since: Cell<i64>,
+    /// Up to this time, in microseconds, an answer may be based on fresh or on stale knowledge.
     uncertain_until: Cell<i64>,
-    /// Answers that rested on stale knowledge.
+    /// Answers that were based on stale knowledge.
     pub stale_answers: Cell<u64>,
-    /// Answers to the newcomer that were not "not allowed".
+    /// Answers to the newcomer other than "not allowed".
     pub newcomer_answers: Cell<u64>,
-    /// Somebody joined while the directory was away, for longer than what is known stays fresh.
+    /// Whether the newcomer joined during an outage longer than planners keep their knowledge
+    /// fresh.
     joined: Cell<bool>,
+    /// Answers that contradict the expectations, described for the report.
     errors: RefCell<Vec<String>>,
 }
 
 impl DirectoryScenario {
-    /// Starts the servers of a scenario; none where it has no directory.
+    /// Starts the servers of a scenario. Returns `None` if the scenario has no directory.
     ///
     /// # Errors
     ///
-    /// Where no port can be bound.
+    /// Fails if no port can be bound.
     pub async fn start(
         day: &ResolvedValue,
         clients: u64,
@@ -94,7 +107,12 @@
         Ok(Some(scenario))
     }
 
-    /// A file of settings for planners, with the secret beside it.
+    /// Writes the directory's settings for planners to `folder`, along with the file of the bind
+    /// password, and returns the path of the settings.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a file cannot be written.
     pub fn file(&self, day: &ResolvedValue, folder: &Path) -> io::Result<PathBuf> {
         let secret = folder.join("directory.secret");
         std::fs::write(&secret, "feast")?;
@@ -115,6 +133,7 @@
         Ok(file)
     }
 
+    /// Returns the directory's current LDAP entries.
     fn entries(&self) -> Vec<LdapEntry> {
         let stamp = |n: u32| format!("2026{n:010}Z");
         let person = |login: &str| format!("uid={login},dc=campus");
@@ -150,28 +169,31 @@
         all
     }
 
-    /// Lays what is there into all servers but the last `lagging`.
+    /// Copies the current entries to all servers except the last `lagging` ones.
     fn publish(&self, lagging: usize) {
         let all = self.entries();
         let most = self.servers.len().saturating_sub(lagging);
         self.servers[..most].iter().for_each(|s| s.entries.borrow_mut().clone_from(&all));
     }
 
+    /// Applies a change to the tenants; `change` receives the tenants and the number of the change.
     fn change(&self, change: impl FnOnce(&mut Vec<Tenant>, u32)) {
         self.changes.set(self.changes.get() + 1);
         change(&mut self.tenants.borrow_mut(), self.changes.get());
     }
 
-    /// What owners call a tenant of the day's file now.
+    /// Returns what clients call a tenant now, given its name in the scenario's file.
     pub fn current_name(&self, name: &str) -> String {
         self.current_names.borrow().get(name).cloned().unwrap_or_else(|| name.to_owned())
     }
 
+    /// Injects the same fault into all servers.
     fn set_fault(&self, fault: DirectoryFault) {
         self.servers.iter().for_each(|s| s.fault.set(fault));
     }
 
-    /// Plays a trouble of the directory's.
+    /// Plays a fault of the directory from its start to its end. Does nothing for other kinds of
+    /// faults.
     pub async fn play(&self, what: &str, lasts: Duration, clock: Clock) {
         let now = || clock.now();
         match what {
@@ -180,7 +202,7 @@
                 self.set_fault(DirectoryFault::Refuses);
                 tokio::time::sleep(lasts / 2).await;
                 self.set_fault(DirectoryFault::Stalls);
-                // Someone joins all tenants while nobody can hear of it.
+                // The newcomer joins all tenants while planners cannot read the directory.
                 self.people.borrow_mut().push(NEWCOMER.into());
                 self.change(|tenants, n| {
                     for t in tenants.iter_mut() {
@@ -196,8 +218,9 @@
                 self.joined.set(lasts.as_micros() as i64 > self.fresh_us + self.every_us + TRAVEL_US);
             }
             "directory_rename" => {
-                // The first is renamed and another takes its name, without members: owners say its id from
-                // now on. The second is renamed, and owners go on with its old name.
+                // The first tenant is renamed, and a new tenant without members takes its name:
+                // from now on clients name the first one by its id. The second tenant is renamed
+                // too, and clients keep using its old name.
                 self.change(|tenants, n| {
                     let old = tenants[0].name.clone();
                     self.current_names.borrow_mut().insert(old.clone(), tenants[0].id.clone());
@@ -211,7 +234,7 @@
                 self.publish(0);
             }
             "directory_lags" => {
-                // The first server is away, and the last has not heard of a change.
+                // The first server becomes unavailable, and the last one lacks a change.
                 self.uncertain_until.set(i64::MAX);
                 self.change(|tenants, n| tenants.iter_mut().for_each(|t| t.changed = n));
                 self.publish(1);
@@ -233,7 +256,8 @@
         }
     }
 
-    /// All that was wrong.
+    /// Returns descriptions of all answers, and of missing answers, that contradict the
+    /// expectations.
     pub fn finish(&self) -> Vec<String> {
         let mut errors = self.errors.take();
         if self.joined.get() && self.newcomer_answers.get() == 0 {
@@ -245,7 +269,8 @@
         errors
     }
 
-    /// Judges an answer to one who asked at a time.
+    /// Checks the answer to a request that was submitted by `login` at the time `submitted_at`, in
+    /// microseconds.
     pub fn check_answer(&self, submitted_at: i64, login: &str, answer: &Answer) {
         self.stale_answers.set(self.stale_answers.get() + u64::from(answer.stale_us != 0));
         if login == NEWCOMER {
--- a/testbed/src/drill_config.rs
+++ b/testbed/src/drill_config.rs
@@ -1,17 +1,17 @@
-//! How a drill is run: what the drill and its processes both go by.
+//! The configuration of a drill, which its planner processes are started with as well.
 use basaltpitch_config::installation::Installation;
 use std::path::PathBuf;
 
-/// How a drill is run.
+/// The configuration of a drill.
 pub struct DrillConfig {
-    /// The installation, with a fault scenario.
+    /// The installation, including a fault scenario.
     pub installation: Installation,
-    /// The files that the installation was read from; planners read them too.
+    /// The files that the installation was read from; the planner processes read them too.
     pub files: Vec<PathBuf>,
-    /// The binary that has `serve`.
+    /// Path of the `basaltpitch` binary, which runs planners and voters.
     pub binary: PathBuf,
-    /// Where chance starts from, in place of the scenario's own.
+    /// Seed of the random number generators; `None` takes the seed of the scenario.
     pub seed: Option<u64>,
-    /// Planners write recordings into this folder.
+    /// Folder that planners write recordings into; `None` records nothing.
     pub record: Option<PathBuf>,
 }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,8 +1,14 @@
-//! Simulated peers of a planner: machines, the registry, clients and a directory of tenants. They speak the agent
-//! protocol and know nothing of the planner's insides. `faulty_link` spoils their links, `fault_scenario`
-//! plays faults, `drill` starts planners as processes of their own and checks the invariants by the traffic;
-//! `process_harness` has voters, slots and spares for it, with `relay`s between them. `scale` has many peers in
-//! one process.
+//! Simulated peers of a planner for tests, drills and measurements: machines, a registry of
+//! machines, clients and an LDAP directory of tenants. They speak the agent protocol and use no
+//! internals of the planner.
+//!
+//! - `faulty_link` injects faults into the links of simulated peers, and `fault_scenario` schedules
+//! those and other faults.
+//! - `drill` starts planners as processes of their own and checks the invariants against the
+//! observed traffic.
+//! - `process_harness` runs voters, planners with slots and spare planners for a drill, connected
+//! by `relay`s.
+//! - `scale` simulates thousands of peers in one process.
 mod attempt_frames;
 pub mod client;
 pub mod context;
