--- a/testbed/src/drill.rs
+++ b/testbed/src/drill.rs
@@ -1,5 +1,5 @@
-//! A drill: planners as processes of their own, simulated peers for all else in this one, a fault scenario,
-//! and a report by the traffic on the sockets.
+//! Runs a drill: planners are started as processes of their own, all other peers are simulated in
+//! this process, and a fault scenario is played. The report is based on the traffic on the sockets.
 mod arrivals;
 mod fleet;
 mod planners;
@@ -31,15 +31,15 @@
 pub use self::fleet::start_machines;
 pub use self::report::{DrillReport, Percentiles};
 
-/// A simulated peer that panicked proves nothing any more: the drill fails.
+/// Set when a simulated peer panics. The drill then fails, as its checks prove nothing any more.
 static PANICKED: AtomicBool = AtomicBool::new(false);
 
 /// Runs a drill to its end.
 ///
 /// # Errors
 ///
-/// Where the files have no fault scenario, a process or socket could not be started, a planner ended by
-/// itself, or a simulated peer panicked.
+/// Fails if the files have no fault scenario, a process or socket cannot be started, a planner
+/// exits by itself, or a simulated peer panics.
 pub fn run(config: DrillConfig) -> io::Result<DrillReport> {
     std::panic::set_hook(Box::new(|info| {
         PANICKED.store(true, Ordering::Relaxed);
@@ -49,6 +49,7 @@
     LocalSet::new().block_on(&runtime, play(config))
 }
 
+/// Starts all peers, submits the scenario's tasks while the faults play, and returns the report.
 async fn play(config: DrillConfig) -> io::Result<DrillReport> {
     let Some(day) = config.installation.all.get("day").cloned() else {
         return Err(io::Error::other("the files hold no day"));
@@ -71,14 +72,15 @@
     Ok(drill.report(tasks, &totals, slots, now_us))
 }
 
-/// The planners of a drill.
+/// The planner processes of a drill.
 enum PlannerBackend {
+    /// Planners with fixed numbers, without voters.
     Fixed(Rc<PlannerProcesses>),
-    /// With slots, voters and spares.
+    /// Planners that hold slots by leases, with voters and spare planners.
     Slots(Rc<ProcessHarness>),
 }
 
-/// All that takes part in a drill.
+/// All peers of a running drill.
 struct Drill {
     seed: u64,
     config: Rc<DrillConfig>,
@@ -90,12 +92,12 @@
     directory: Option<Rc<DirectoryScenario>>,
     addresses: PlannerAddresses,
     planners: PlannerBackend,
-    /// Removed with the drill.
+    /// Folder of the drill's files; dropped, and so removed, with the drill.
     _folder: TemporaryFolder,
 }
 
 impl Drill {
-    /// Starts everything, and waits until every planner has a link to every machine.
+    /// Starts all peers, and waits until every planner has a link to every machine.
     async fn start(
         config: DrillConfig,
         day: ResolvedValue,
@@ -149,6 +151,8 @@
         Ok(drill)
     }
 
+    /// Waits up to 10 seconds until every planner has links to all machines and has searched the
+    /// directory, if there is one.
     async fn wait_for_links(&self, planners: usize) {
         let linked = |machine: &Rc<SimulatedMachine>| machine.connections.get() >= planners as u64;
         for _ in 0..200 {
@@ -163,6 +167,7 @@
         }
     }
 
+    /// Starts the scenario's clients, and the newcomer if there is a directory.
     fn start_clients(&self, totals: &Rc<RefCell<ClientTotals>>) -> Clients {
         let settle_us = self.config.installation.all.duration_us("rules.settle").unwrap_or(3_000_000);
         let start = |number: u64, login: &str| {
@@ -182,6 +187,7 @@
         Clients { usual, newcomer }
     }
 
+    /// Schedules all faults of the scenario.
     fn start_faults(&self) {
         let targets = Rc::new(FaultTargets {
             context: self.context.clone(),
@@ -200,7 +206,7 @@
         }
     }
 
-    /// Ends all processes; how slots fared, if there are any.
+    /// Stops all planner processes. Returns the report on slots if the scenario has slots.
     async fn stop(&self) -> io::Result<Option<SlotReport>> {
         match &self.planners {
             PlannerBackend::Fixed(processes) => processes.stop().await.map(|()| None),
@@ -208,6 +214,7 @@
         }
     }
 
+    /// Returns the drill's report from the counts of clients, machines and the checker.
     fn report(
         self,
         tasks: u64,
@@ -241,7 +248,7 @@
     }
 }
 
-/// Starts the planners of a scenario: under slots, or each with a number.
+/// Starts the planners of a scenario: with slots if it has them, else with fixed numbers.
 async fn start_planners(
     setup: HarnessSetup,
     day: &ResolvedValue,
@@ -268,11 +275,12 @@
     Ok(PlannerBackend::Fixed(processes))
 }
 
+/// Returns the number of clients in a scenario.
 fn client_count(day: &ResolvedValue) -> u64 {
     day.number("owners").unwrap_or(1.0) as u64
 }
 
-/// A folder that is removed at the end.
+/// A folder that is removed when the value is dropped.
 struct TemporaryFolder(PathBuf);
 
 impl Drop for TemporaryFolder {
--- a/testbed/src/drill/arrivals.rs
+++ b/testbed/src/drill/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals of tasks: by the clock, whatever became of those before.
+//! Arrivals of tasks. Arrival times do not depend on what became of earlier tasks (an open load).
 use crate::client::SubmitPlan;
 use crate::fault_scenario::LoadModifiers;
 use basaltpitch_agent::wire::Submit;
@@ -9,17 +9,18 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// One task in so many is the newcomer's, where there is one.
+/// In a scenario with a directory, one of this many tasks is submitted by the newcomer.
 const NEWCOMER_SHARE: u64 = 20;
 
-/// Where tasks go.
+/// Senders that hand tasks to the clients.
 pub(crate) struct Clients {
+    /// Clients that are members of all tenants from the start.
     pub(crate) usual: Vec<mpsc::Sender<SubmitPlan>>,
-    /// One who joined while the directory was unavailable.
+    /// The client that joins the tenants during a directory outage; `None` without a directory.
     pub(crate) newcomer: Option<mpsc::Sender<SubmitPlan>>,
 }
 
-/// Submits tasks until the scenario's length is over, and says how many.
+/// Submits tasks until the scenario's length is over, and returns their number.
 pub(crate) async fn submit_all(
     all: &ResolvedValue,
     day: &ResolvedValue,
@@ -55,7 +56,7 @@
     Exp::new(rate).map_or(1.0, |distribution| distribution.sample(chance))
 }
 
-/// Draws the `number`th task, which is of the source at `index`.
+/// Draws the task of this number from the source at `index`.
 fn draw_task(
     all: &ResolvedValue,
     day: &ResolvedValue,
--- a/testbed/src/drill/fleet.rs
+++ b/testbed/src/drill/fleet.rs
@@ -1,4 +1,4 @@
-//! The machines of an installation.
+//! Starts the simulated machines of an installation.
 use crate::context::TestbedContext;
 use crate::machine::{self, MachineSpec, SimulatedMachine};
 use crate::settings::{size_of, texts};
@@ -9,14 +9,14 @@
 use std::io;
 use std::rc::Rc;
 
-/// Machines to a cell where the scenario does not say.
+/// Machines per cell, unless the scenario sets it.
 const MACHINES_A_CELL: usize = 4;
 
 /// Starts `count` machines of one kind in one zone.
 ///
 /// # Errors
 ///
-/// Where a port cannot be bound.
+/// Fails if no port can be bound.
 pub async fn start_machines(
     all: &ResolvedValue,
     context: &Rc<TestbedContext>,
@@ -40,7 +40,7 @@
     Ok(fleet)
 }
 
-/// Starts the machines of a fault scenario.
+/// Starts the machines of a fault scenario, and tells the checker their locations.
 pub(crate) async fn start_fleet(
     all: &ResolvedValue,
     day: &ResolvedValue,
--- a/testbed/src/drill/planners.rs
+++ b/testbed/src/drill/planners.rs
@@ -1,4 +1,4 @@
-//! Planners of a drill as processes of their own, each with a number from the start.
+//! Planner processes of a drill without slots: each has its number from the start.
 use crate::client::PlannerAddresses;
 use crate::context::TestbedContext;
 use crate::drill_config::DrillConfig;
@@ -14,57 +14,64 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// How long a planner may take to start.
+/// Time from a planner's start until it must print its address.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A line that `serve` prints once it listens.
+/// The line that `serve` prints once it listens.
 #[derive(serde::Deserialize)]
 struct ListeningLine {
     listening: String,
     epoch: u64,
 }
 
+/// One planner process.
 #[derive(Default)]
 struct PlannerProcess {
+    /// The running process; `None` before its start and after it was killed.
     child: RefCell<Option<Child>>,
+    /// Epoch that the process printed at its start.
     epoch: Cell<u64>,
 }
 
 /// Files of planners in a scenario with a directory.
 pub(crate) struct DirectoryFiles {
-    /// Settings that they read beside the installation's.
+    /// Directory settings that planners read in addition to the installation's files.
     pub(crate) settings: PathBuf,
-    /// Where they keep what outlives them.
+    /// Folder for state that planners keep across restarts.
     pub(crate) state: PathBuf,
 }
 
-/// What planners are started with.
+/// Parameters of the planner processes.
 pub(crate) struct PlannerSetup {
     pub(crate) config: Rc<DrillConfig>,
     pub(crate) context: Rc<TestbedContext>,
-    /// Where the registry listens.
+    /// Address of the registry.
     pub(crate) registry: String,
+    /// Addresses of the planners, updated at every start.
     pub(crate) addresses: PlannerAddresses,
+    /// Files of the directory; `None` if the scenario has none.
     pub(crate) directory: Option<DirectoryFiles>,
 }
 
-/// The planners' processes.
+/// All planner processes of a drill.
 pub(crate) struct PlannerProcesses {
     setup: PlannerSetup,
     zones: Vec<String>,
+    /// The processes by planner number.
     all: Vec<PlannerProcess>,
-    /// How many were started, for the names of recordings.
+    /// Starts so far; part of the names of recordings.
     started: Cell<u32>,
 }
 
 impl PlannerProcesses {
-    /// Lays them out; nothing is started yet.
+    /// Returns the planners of a drill without starting them.
     pub(crate) fn new(setup: PlannerSetup) -> PlannerProcesses {
         let zones = setup.config.installation.names("zones");
         let all = setup.addresses.borrow().iter().map(|_| PlannerProcess::default()).collect();
         PlannerProcesses { setup, zones, all, started: Cell::new(0) }
     }
 
+    /// Starts a planner, and waits until it listens.
     pub(crate) async fn spawn(&self, planner: usize) -> io::Result<()> {
         let setup = &self.setup;
         let mut command = Command::new(&setup.config.binary);
@@ -95,7 +102,7 @@
         Ok(())
     }
 
-    /// Ends all; one that ended by itself is an error.
+    /// Stops all planners. Fails if one of them has exited by itself.
     pub(crate) async fn stop(&self) -> io::Result<()> {
         for (planner, process) in self.all.iter().enumerate() {
             let child = process.child.borrow_mut().take();
--- a/testbed/src/drill/report.rs
+++ b/testbed/src/drill/report.rs
@@ -1,21 +1,22 @@
-//! What came of a drill. The names of the fields in JSON are those that reports have always had.
+//! The report of a drill. Serialized names of fields stay the same across versions, as tools read
+//! them.
 use crate::process_harness::SlotReport;
 use basaltpitch_invariants::{TrafficTotals, Violation};
 use serde::Serialize;
 
-/// What came of a drill.
+/// The report of a drill.
 #[derive(Clone, Debug, Serialize)]
 pub struct DrillReport {
-    /// Where chance started from.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// How many machines there were.
+    /// Number of machines.
     pub machines: usize,
-    /// How many planners there were.
+    /// Number of planners.
     pub planners: usize,
-    /// Tasks that clients were to place.
+    /// Tasks that clients had to get placed.
     #[serde(rename = "wanted")]
     pub tasks: u64,
-    /// Requests that clients submitted for them.
+    /// Requests that clients submitted for these tasks.
     #[serde(rename = "asked")]
     pub submitted: u64,
     /// Tasks that ran to their end.
@@ -23,39 +24,39 @@
     pub completed: u64,
     /// Tasks that were lost while they ran.
     pub lost: u64,
-    /// Requests that clients gave up.
+    /// Requests without an answer that clients gave up.
     pub given_up: u64,
-    /// Tasks that were never placed.
+    /// Tasks that clients gave up after the last permitted request.
     pub unplaced: u64,
     /// Attempts that machines ran.
     pub ran: u64,
-    /// From a request to its answer "placed", in milliseconds.
+    /// Times from a request to its answer "placed", in milliseconds.
     pub placed_ms: Percentiles,
-    /// Counts of what was seen.
+    /// Counts of the traffic that the checker saw.
     pub traffic: TrafficTotals,
     /// Violations of the invariants.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
-    /// Of a scenario with a directory: answers that rested on stale knowledge.
+    /// Answers based on stale knowledge of the directory; 0 without a directory.
     pub stale_answers: u64,
-    /// Answers to a newcomer that were not "not allowed".
+    /// Answers to the newcomer other than "not allowed"; 0 without a directory.
     #[serde(rename = "newcomers")]
     pub newcomer_answers: u64,
-    /// What was wrong with answers that rest on the directory.
+    /// Answers that contradict the directory.
     #[serde(rename = "tenant_faults")]
     pub tenant_errors: Vec<String>,
-    /// Of a scenario with slots.
+    /// How slots were held; `None` for a scenario without slots.
     #[serde(rename = "seats")]
     pub slots: Option<SlotReport>,
 }
 
-/// Percentiles of a time.
+/// Percentiles of a duration.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Percentiles {
     /// The median.
     pub p50: f64,
-    /// The 99th.
+    /// The 99th percentile.
     pub p99: f64,
-    /// The 99.9th.
+    /// The 99.9th percentile.
     pub p999: f64,
 }
