--- a/testbed/src/fault_scenario.rs
+++ b/testbed/src/fault_scenario.rs
@@ -1,5 +1,5 @@
-//! A fault scenario: what goes wrong when, and what it does to machines, links, load and planners. Kinds of
-//! faults have the names that scenarios' files give them.
+//! Fault scenarios: which faults occur when, and what they affect (machines, links, load,
+//! planners). The kinds of faults are the names that scenario files use.
 mod play;
 
 use basaltpitch_config::ResolvedValue;
@@ -12,26 +12,27 @@
 
 pub use self::play::FaultTargets;
 
-/// A fault and when it happens.
+/// A fault and when it occurs.
 #[derive(Clone, Debug)]
 pub struct ScheduledFault {
-    /// Its kind.
+    /// The kind of the fault, such as `crash` or `zone_cut`.
     pub kind: String,
-    /// From the beginning of the scenario, in microseconds.
+    /// Time from the start of the scenario to the fault, in microseconds.
     pub at_us: i64,
-    /// How long its cause lasts, in microseconds.
+    /// How long the cause of the fault lasts, in microseconds.
     pub duration_us: i64,
-    /// The part of machines, planners or tasks that it affects.
+    /// Share of machines, slots, processes or tasks that the fault affects, up to 1.
     pub part: f64,
-    /// The zone that it affects, if it is bound to one.
+    /// The affected zone; `None`: not bound to a zone.
     pub zone: Option<String>,
-    /// The machine that it affects, if it is bound to one.
+    /// The affected machine; `None`: not bound to a machine.
     pub machine: Option<String>,
-    /// How strong it is; what that means depends on the kind.
+    /// Strength of the fault; its unit depends on the kind (a factor, a share, seconds or a count).
     pub size: f64,
 }
 
 impl ScheduledFault {
+    /// Reads a fault from its settings.
     fn read(settings: &ResolvedValue) -> ScheduledFault {
         ScheduledFault {
             kind: settings.text("what").unwrap_or("").to_owned(),
@@ -45,7 +46,8 @@
     }
 }
 
-/// The faults of a scenario, in the order of the file; one that comes several times, each time.
+/// Returns the faults of a scenario in the order of the file. A repeated fault is listed once per
+/// occurrence.
 pub fn faults(day: &ResolvedValue) -> Vec<ScheduledFault> {
     let repeated = |settings: &ResolvedValue| {
         let times = settings.number("times").unwrap_or(1.0) as i64;
@@ -56,43 +58,43 @@
     day.list("troubles").iter().flat_map(repeated).collect()
 }
 
-/// A drawn part of all, one at least.
+/// Returns a random subset with this share of the elements, but at least one element.
 pub(crate) fn drawn<T>(mut all: Vec<T>, part: f64, chance: &mut StdRng) -> Vec<T> {
     all.shuffle(chance);
     all.truncate(((part * all.len() as f64).ceil() as usize).max(1));
     all
 }
 
-/// How faults change the load.
+/// How active faults change the load.
 #[derive(Default)]
 pub struct LoadModifiers {
-    /// Factor of all arrivals; 0: none.
+    /// Factor on the arrival rate of all tasks; 0: unchanged.
     pub burst: Cell<f64>,
-    /// A tenant, and the factor of its arrivals.
+    /// A tenant, and the factor on the arrival rate of its tasks.
     pub tenant_burst: RefCell<Option<(String, f64)>>,
-    /// Services that use all that they request.
+    /// Services whose tasks use all that they request, as numbers below `HOT_KEYS`.
     pub hot_keys: RefCell<HashSet<u64>>,
-    /// Share of tasks that use more, and so many times more.
+    /// Share of tasks with a higher usage, and the factor on their usage.
     pub heavy_tail: Cell<(f64, f64)>,
 }
 
-/// Planners as processes that can be killed and come back.
+/// Control over the planner processes of a drill.
 pub trait PlannerControl {
-    /// How many there are.
+    /// Returns the number of planners.
     fn count(&self) -> usize;
-    /// The zone that a planner is in.
+    /// Returns the zone that a planner runs in.
     fn zone(&self, planner: usize) -> String;
     /// Kills a planner's process.
     fn kill(&self, planner: usize) -> Pin<Box<dyn Future<Output = ()> + '_>>;
-    /// Starts one that was killed anew.
+    /// Restarts a planner that was killed.
     fn start(&self, planner: usize) -> Pin<Box<dyn Future<Output = ()> + '_>>;
-    /// Whether all planners say that this zone has failed.
+    /// Returns whether all planners report this zone as failed.
     fn declare_failed<'a>(&'a self, _zone: &'a str) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
         Box::pin(async { true })
     }
-    /// Takes in what must not be.
+    /// Records an error for the drill's report.
     fn report_error(&self, _what: String) {}
-    /// Plays a fault that only planners and voters have; false where it is none of theirs.
+    /// Plays a fault of planners or voters. Returns false for any other kind of fault.
     fn play<'a>(
         &'a self,
         _fault: &'a ScheduledFault,
--- a/testbed/src/fault_scenario/play.rs
+++ b/testbed/src/fault_scenario/play.rs
@@ -1,5 +1,5 @@
-//! Plays faults: those of load, machines, links and planners. Each function says whether the fault is of its
-//! sort.
+//! Plays the faults of load, machines, links and planners. Each `play_*` function returns whether
+//! it handles the fault's kind.
 use super::{drawn, LoadModifiers, PlannerControl, ScheduledFault};
 use crate::context::TestbedContext;
 use crate::faulty_link::planner_bit;
@@ -12,42 +12,46 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often planners are asked whether a zone has failed, until its machines come back all the same.
+/// How often planners are queried whether a zone has failed, before its machines return in any
+/// case.
 const FAILED_ZONE_CHECKS: u32 = 300;
 
-/// All that a fault can affect.
+/// Everything that faults can affect.
 pub struct FaultTargets {
-    /// What all peers share.
+    /// State shared by all simulated peers.
     pub context: Rc<TestbedContext>,
     /// All machines.
     pub fleet: Vec<Rc<SimulatedMachine>>,
     /// The registry of machines.
     pub registry: Rc<SimulatedRegistry>,
-    /// What the load goes by.
+    /// Changes to the load.
     pub load: Rc<LoadModifiers>,
-    /// The planners.
+    /// The planner processes.
     pub planners: Rc<dyn PlannerControl>,
-    /// Names of tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
 }
 
-/// A fault that happens now.
+/// A fault that is being played.
 struct ActiveFault<'a> {
     fault: &'a ScheduledFault,
     duration: Duration,
+    /// End of the fault's cause, in microseconds.
     until_us: i64,
-    /// The machines that it affects.
+    /// The affected machines.
     machines: Vec<Rc<SimulatedMachine>>,
 }
 
 impl ActiveFault<'_> {
+    /// Sends a command to all affected machines.
     fn send(&self, command: &MachineCommand) {
         self.machines.iter().for_each(|machine| machine.send(command.clone()));
     }
 }
 
 impl FaultTargets {
-    /// Machines that a fault affects: the named one, or a drawn part of a zone's or of all.
+    /// Returns the machines that a fault affects: the named machine, or a random share of the
+    /// zone's machines or of all machines.
     fn affected(&self, fault: &ScheduledFault, chance: &mut StdRng) -> Vec<Rc<SimulatedMachine>> {
         let named = |wanted: &Option<String>, name: &String| wanted.as_ref().is_none_or(|w| w == name);
         let matching = |machine: &&Rc<SimulatedMachine>| {
@@ -61,7 +65,7 @@
         }
     }
 
-    /// Plays one fault from its start to its end.
+    /// Waits for the fault's time, and plays it to its end.
     pub async fn play(self: Rc<Self>, fault: ScheduledFault, seed: u64) {
         let mut chance = StdRng::seed_from_u64(seed);
         sleep(Duration::from_micros(fault.at_us as u64)).await;
@@ -88,6 +92,7 @@
         tracing::info!(fault = fault.kind, "the fault's cause is over");
     }
 
+    /// Plays faults of the load: bursts, hot keys and heavy-tailed usage.
     async fn play_load(&self, active: &ActiveFault<'_>, chance: &mut StdRng) -> bool {
         let (fault, load) = (active.fault, &self.load);
         match fault.kind.as_str() {
@@ -118,6 +123,7 @@
         true
     }
 
+    /// Kills planners, and restarts them after the fault's duration.
     async fn play_planners(&self, active: &ActiveFault<'_>, chance: &mut StdRng) -> bool {
         let count = self.planners.count();
         let killed = match active.fault.kind.as_str() {
@@ -137,7 +143,7 @@
         true
     }
 
-    /// Machines that die or restart, and come back.
+    /// Plays faults in which machines crash, vanish or restart, and return.
     async fn play_processes(&self, active: &ActiveFault<'_>, chance: &mut StdRng) -> bool {
         let (fault, machines) = (active.fault, &active.machines);
         match fault.kind.as_str() {
@@ -160,7 +166,8 @@
             }
             "mass_restart" => active.send(&MachineCommand::Restart),
             "restart" => {
-                // The links of before stay open and say nothing: they still look alive.
+                // The connections from before the restart stay open without any traffic, so that
+                // they still look alive to the planners.
                 for machine in machines {
                     machine.faults.dead_connections.set(machine.connections.get());
                     machine.send(MachineCommand::Restart);
@@ -181,12 +188,14 @@
         true
     }
 
+    /// Takes a zone's machines down until all planners report the zone as failed.
     async fn lose_zone(&self, active: &ActiveFault<'_>) {
         let zone = self.zone_of(active.fault);
         let machines: Vec<_> = self.fleet.iter().filter(|machine| machine.zone == zone).collect();
         machines.iter().for_each(|machine| machine.send(MachineCommand::Down));
         sleep(active.duration).await;
-        // On a slow machine it takes longer until all know; back before that, it never failed.
+        // Planners may take longer than the fault's duration to notice, and machines that return
+        // earlier would not count as a failed zone.
         let mut checks = 0;
         while !self.planners.declare_failed(&zone).await && checks < FAILED_ZONE_CHECKS {
             checks += 1;
@@ -200,11 +209,12 @@
         machines.iter().for_each(|machine| machine.send(MachineCommand::Up));
     }
 
-    /// The zone of a fault; without one, that of the first machine.
+    /// Returns the zone of a fault, or the zone of the first machine if the fault names none.
     fn zone_of(&self, fault: &ScheduledFault) -> String {
         fault.zone.clone().unwrap_or_else(|| self.fleet[0].zone.clone())
     }
 
+    /// Drains and restarts all machines in waves, in random order.
     async fn deploy(&self, active: &ActiveFault<'_>, chance: &mut StdRng) {
         let waves = (1.0 / active.fault.part).ceil().max(1.0) as usize;
         let mut all: Vec<Rc<SimulatedMachine>> = self.fleet.clone();
@@ -219,7 +229,7 @@
         }
     }
 
-    /// Machines that run on, and do something else than they should.
+    /// Plays faults in which machines stay up but misbehave, drain, or are listed late.
     async fn play_machines(&self, active: &ActiveFault<'_>) -> bool {
         let (fault, machines) = (active.fault, &active.machines);
         match fault.kind.as_str() {
@@ -259,7 +269,7 @@
         true
     }
 
-    /// Links of machines that hold back, cut or lose what they carry.
+    /// Plays faults of the machines' links, which delay, cut or lose traffic.
     async fn play_links(&self, active: &ActiveFault<'_>, chance: &mut StdRng) -> bool {
         let machines = &active.machines;
         let until_us = active.until_us;
@@ -295,6 +305,7 @@
         true
     }
 
+    /// Holds back all traffic between the zone and the other zones.
     async fn cut_zone(&self, active: &ActiveFault<'_>) {
         let zone = self.zone_of(active.fault);
         for machine in &self.fleet {
--- a/testbed/src/faulty_link.rs
+++ b/testbed/src/faulty_link.rs
@@ -1,6 +1,7 @@
-//! A faulty link: it carries bytes between a socket and a simulated peer's conversation, and holds back, cuts
-//! or loses them on command. What comes and goes is shown to the checker frame by frame, twice each way: while
-//! bytes are held back, a frame is on the socket at one time and with the peer at another.
+//! Fault injection on the link of a simulated peer: forwards bytes between a socket and the peer's
+//! session, and delays, cuts or loses them as configured. Every frame is reported to an observer
+//! twice per direction, because under a delay the frame passes the socket and reaches or leaves the
+//! peer at different times.
 use basaltpitch_agent::frame_decoder::FrameDecoder;
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{Body, Hello, Role};
@@ -10,77 +11,82 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::net::TcpStream;
 
-/// Faults may change at any time: a look every few milliseconds is often enough, and a rarer one while
-/// nothing is wrong.
+/// Interval at which changed faults are noticed while traffic is held back or not read.
 const CHECK_EVERY: Duration = Duration::from_millis(5);
+/// Interval at which changed faults are noticed while no fault is active.
 const IDLE_CHECK_EVERY: Duration = Duration::from_millis(50);
-/// What is read so soon after a time without reads, in microseconds, may have been sent long before.
+/// A frame that is read within this time after a pause in reading, in microseconds, may have been
+/// sent long before, and is reported as late.
 const LATE_US: i64 = 500_000;
-/// Bytes of one read.
+/// Size of the read buffers, in bytes.
 const READ_SIZE: usize = 32 * 1024;
 
-/// What is wrong with the links of one simulated peer. Times are the clock's, in microseconds; 0: nothing.
+/// Active faults of the links of one simulated peer. Times are the testbed clock's, in
+/// microseconds; 0: no fault.
 #[derive(Debug, Default)]
 pub struct FaultInjection {
-    /// Until then bytes of both directions are held back; then they come all at once.
+    /// Until this time the bytes of both directions are held back; they are delivered all at once
+    /// afterwards.
     pub hold_until_us: Cell<i64>,
-    /// Only links to planners in this set are held, where it is not empty; see [`planner_bit`].
+    /// Planners whose links are held back, as a set of [`planner_bit`]s; 0: all links.
     pub hold_planners: Cell<u64>,
-    /// Until then no heartbeats are written.
+    /// Until this time no heartbeats are written.
     pub no_heartbeats_until_us: Cell<i64>,
-    /// Until then nothing is read from the socket.
+    /// Until this time nothing is read from the socket.
     pub no_reads_until_us: Cell<i64>,
-    /// Connections numbered up to this one neither read nor write any more, and stay open.
+    /// Connections with numbers up to this one stay open without any traffic.
     pub dead_connections: Cell<u64>,
-    /// So many frames more are written; the next is cut in the middle, and the connection with it.
+    /// Number of frames that are still written; the next frame is cut in the middle and its
+    /// connection closed. `None`: no cut.
     pub cut_after_frames: Cell<Option<u32>>,
-    /// A count that ends all connections when it goes up.
+    /// A counter; all connections are closed when it increases.
     resets: Cell<u64>,
 }
 
 impl FaultInjection {
-    /// Ends all connections.
+    /// Closes all connections.
     pub fn reset(&self) {
         self.resets.set(self.resets.get() + 1);
     }
 }
 
-/// Something seen on a link.
+/// An event on a link, as its observer sees it.
 pub enum LinkObservation<'a> {
-    /// Read from the socket: the planner or client at the far end has sent it.
+    /// A frame was read from the socket, so the planner or client at the other end has sent it.
     SocketRead {
         /// The frame.
         body: &'a Body,
-        /// Nothing had been read there for a while.
+        /// Whether the frame was read shortly after a pause in reading, and so may have been sent
+        /// long before.
         late: bool,
     },
-    /// Handed to the simulated peer, which knows of it from now on.
+    /// A frame was delivered to the simulated peer.
     Received {
         /// The frame.
         body: &'a Body,
     },
-    /// The simulated peer has sent it.
+    /// The simulated peer sent a frame, which may not be on the socket yet.
     Sent {
         /// The frame.
         body: &'a Body,
     },
-    /// Written to the socket: the far end can know of it from now on.
+    /// A frame was written to the socket, so the other end may have received it.
     SocketWritten {
         /// The frame.
         body: &'a Body,
     },
-    /// The connection has ended.
+    /// The connection was closed.
     Closed,
 }
 
-/// A planner as a bit of a set, by the number in its name.
+/// Returns a planner's bit in a set of planners, by the number in its name.
 pub fn planner_bit(name: &str) -> u64 {
     let number: String = name.chars().filter(char::is_ascii_digit).collect();
     1 << (number.parse::<u64>().unwrap_or(0) % 64)
 }
 
-/// Carries bytes until either end is gone. `connection` is its number among those of the peer. `show` is
-/// called with the hello of the far end, once it is known.
+/// Forwards bytes until either end closes. `connection` is the connection's number at the simulated
+/// peer, counted from 1. `show` is called with each event once the other end's hello is known.
 pub async fn carry(
     mut socket: TcpStream,
     mut inner: DuplexStream,
@@ -126,24 +132,27 @@
     link.close(&mut inner).await;
 }
 
-/// What is on its way in one direction.
+/// Traffic of one direction that was not delivered yet.
 #[derive(Default)]
 struct Direction {
     decoder: FrameDecoder,
     bytes: Vec<u8>,
-    /// The whole frames among those bytes.
+    /// The whole frames among `bytes`.
     frames: Vec<Body>,
 }
 
-/// What is wrong with a link now.
+/// The faults that are active on a link now.
 struct LinkState {
     now: i64,
-    /// It neither reads nor writes any more.
+    /// Whether the connection stays open without any traffic.
     dead: bool,
+    /// Whether the bytes of both directions are held back.
     held: bool,
+    /// Whether nothing is read from the socket.
     no_reads: bool,
 }
 
+/// A link with fault injection.
 struct Link<S> {
     connection: u64,
     faults: Rc<FaultInjection>,
@@ -152,11 +161,12 @@
     hello: Option<Hello>,
     incoming: Direction,
     outgoing: Direction,
-    /// When nothing was read last, though it might have been; 0: never.
+    /// When reading was last paused, in microseconds; 0: never.
     no_reads_at: i64,
 }
 
 impl<S: Fn(&Hello, LinkObservation)> Link<S> {
+    /// Returns the faults that are active now.
     fn state(&mut self) -> LinkState {
         let (now, faults) = (self.clock.now(), &self.faults);
         let dead = self.connection <= faults.dead_connections.get();
@@ -171,7 +181,7 @@
         LinkState { now, dead, held, no_reads }
     }
 
-    /// Hands over what is on its way.
+    /// Delivers the held bytes of both directions, and reports their frames.
     async fn flush(&mut self, socket: &mut TcpStream, inner: &mut DuplexStream) -> std::io::Result<()> {
         if !self.incoming.bytes.is_empty() {
             inner.write_all(&std::mem::take(&mut self.incoming.bytes)).await?;
@@ -186,12 +196,14 @@
         Ok(())
     }
 
+    /// Reports an event, if the other end's hello is known.
     fn show(&self, observation: LinkObservation) {
         if let Some(hello) = &self.hello {
             (self.show)(hello, observation);
         }
     }
 
+    /// Takes bytes from the socket.
     fn read_socket(&mut self, bytes: &[u8]) {
         self.incoming.decoder.push_bytes(bytes);
         self.incoming.bytes.extend_from_slice(bytes);
@@ -206,7 +218,8 @@
         }
     }
 
-    /// Takes in what the simulated peer sends. Where the link is cut, the bytes that still get through.
+    /// Takes bytes that the simulated peer sends. If the link is cut now, returns the part of the
+    /// cut frame that is still written.
     fn read_inner(&mut self, bytes: &[u8], state: &LinkState) -> Option<Vec<u8>> {
         self.outgoing.decoder.push_bytes(bytes);
         while let Some((bytes, body)) = self.outgoing.decoder.next_frame() {
@@ -229,7 +242,8 @@
         None
     }
 
-    /// What was read before the end still comes in, however late: the receiver must cope with it.
+    /// Delivers what was read before the close, however late: peers must handle frames that arrive
+    /// late.
     async fn close(&mut self, inner: &mut DuplexStream) {
         self.show(LinkObservation::Closed);
         if inner.write_all(&self.incoming.bytes).await.is_ok() {
--- a/testbed/src/ldap_server.rs
+++ b/testbed/src/ldap_server.rs
@@ -1,5 +1,5 @@
-//! A simulated LDAP server on loopback, with faults on command. It serves the entries that it is given: in pages,
-//! and by content synchronisation; in the clear, over TLS, or after StartTLS.
+//! A simulated LDAP server on loopback with fault injection. It serves its entries by paged
+//! searches and by content synchronisation (RFC 4533), in plain text, over TLS, or after StartTLS.
 use bytes::BytesMut;
 use futures_util::{SinkExt, StreamExt};
 use ldap3_proto::control::LdapControl;
@@ -18,80 +18,80 @@
 use tokio_util::codec::{Encoder, Framed};
 use uuid::Uuid;
 
-/// An entry: its distinguished name, and attributes with their values.
+/// An entry: its distinguished name, and its attributes with their values.
 pub type LdapEntry = (String, Vec<(String, Vec<Vec<u8>>)>);
 
-/// What is wrong with a server.
+/// A fault of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DirectoryFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Connections are closed as soon as they are made.
+    /// Connections are closed as soon as they are accepted.
     Refuses,
-    /// A search is read and never answered.
+    /// Searches are read but never answered.
     Stalls,
-    /// The connection ends after so many entries.
+    /// The connection is closed after this number of entries.
     CutsAfter(usize),
-    /// The connection ends after so many bytes of answers to searches.
+    /// The connection is closed after this number of bytes of search responses.
     CutsAtByte(usize),
-    /// The search ends there with "size limit exceeded".
+    /// Searches end with "size limit exceeded" after this number of entries.
     SizeLimit(usize),
-    /// A pause before each page, in milliseconds.
+    /// Pause before each page, in milliseconds.
     Slow(u64),
-    /// A synchronisation names all that is there, not what went.
+    /// A synchronisation names the entries that are present, instead of those that were deleted.
     NamesPresent,
-    /// A cookie is not known any more.
+    /// The server does not recognise synchronisation cookies any more.
     ForgetsCookies,
 }
 
 /// A simulated LDAP server.
 #[derive(Default)]
 pub struct LdapServer {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: String,
-    /// What it serves.
+    /// The entries that the server serves.
     pub entries: RefCell<Vec<LdapEntry>>,
-    /// What is wrong with it.
+    /// The active fault.
     pub fault: Cell<DirectoryFault>,
-    /// What a bind needs.
+    /// Password that a bind must present.
     pub password: RefCell<String>,
-    /// Searches so far.
+    /// Searches received so far.
     pub searches: Cell<u32>,
-    /// Entries that were sent with attributes beyond their id and stamp.
+    /// Entries sent to searches that requested more than an id and a timestamp (two attributes).
     pub sent: Cell<u32>,
-    /// Bytes of answers to searches since this was last set.
+    /// Bytes of search responses since the value was last reset.
     pub bytes: Cell<usize>,
-    /// What each cookie stands for.
+    /// Entries as they were when each synchronisation cookie was issued; the cookie is the index.
     states: RefCell<Vec<Vec<LdapEntry>>>,
 }
 
-/// How connections are protected.
+/// How connections are secured.
 #[derive(Clone, Default)]
 pub enum TransportSecurity {
-    /// Not at all.
+    /// Plain text.
     #[default]
     Clear,
-    /// By TLS from the beginning.
+    /// TLS from the start.
     Tls(TlsAcceptor),
-    /// By TLS after StartTLS, without which nothing is answered.
+    /// TLS after StartTLS; binds are rejected before that.
     StartTls(TlsAcceptor),
 }
 
-/// Starts a server on a loopback port of its own.
+/// Starts a server on a loopback port.
 ///
 /// # Errors
 ///
-/// Where no port can be bound.
+/// Fails if no port can be bound.
 pub async fn start(password: &str) -> std::io::Result<Rc<LdapServer>> {
     start_with_security(password, TransportSecurity::Clear).await
 }
 
-/// The same, with protected connections.
+/// Starts a server on a loopback port, with the given transport security.
 ///
 /// # Errors
 ///
-/// Where no port can be bound.
+/// Fails if no port can be bound.
 pub async fn start_with_security(
     password: &str,
     shield: TransportSecurity,
@@ -126,18 +126,23 @@
     Ok(me)
 }
 
+/// A connection, with or without TLS.
 trait Stream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Stream for T {}
+/// A connection that carries LDAP messages.
 type Wire = Framed<Box<dyn Stream>, LdapCodec>;
 
+/// Returns a result with this code and no further details.
 fn result(code: LdapResultCode) -> LdapResult {
     LdapResult { code, matcheddn: String::new(), message: String::new(), referral: Vec::new() }
 }
 
+/// Returns the values of an attribute; empty if the entry does not have it.
 fn values<'a>(entry: &'a LdapEntry, attribute: &str) -> &'a [Vec<u8>] {
     entry.1.iter().find(|a| a.0.eq_ignore_ascii_case(attribute)).map_or(&[], |a| &a.1)
 }
 
+/// Returns whether an entry matches a filter. Filters of other kinds match nothing.
 fn matches(filter: &LdapFilter, entry: &LdapEntry) -> bool {
     match filter {
         LdapFilter::And(all) => all.iter().all(|f| matches(f, entry)),
@@ -149,20 +154,22 @@
     }
 }
 
-/// An entry's id; entries without one are not synchronised.
+/// Returns an entry's id. Entries without an id are left out of synchronisations.
 fn id(entry: &LdapEntry) -> Option<Uuid> {
     Uuid::parse_str(std::str::from_utf8(values(entry, "entryUUID").first()?).ok()?).ok()
 }
 
-/// A search's message number, and where its answers go.
+/// The response to one request on a connection.
 struct SearchReply<'a> {
     me: &'a LdapServer,
     wire: &'a mut Wire,
     msgid: i32,
+    /// Attributes that the search requests; empty: all.
     attributes: Vec<String>,
 }
 
 impl SearchReply<'_> {
+    /// Sends a message. Returns `None` if the connection is to be closed.
     async fn send(&mut self, op: LdapOp, ctrl: Vec<LdapControl>) -> Option<()> {
         let msg = LdapMsg { msgid: self.msgid, op, ctrl };
         if matches!(msg.op, LdapOp::BindResponse(_) | LdapOp::ExtendedResponse(_)) {
@@ -179,10 +186,12 @@
         whole.then_some(())
     }
 
+    /// Ends a search with this result code.
     async fn done(&mut self, code: LdapResultCode, ctrl: Vec<LdapControl>) -> Option<()> {
         self.send(LdapOp::SearchResultDone(result(code)), ctrl).await
     }
 
+    /// Sends an entry with the requested attributes.
     async fn entry(&mut self, (dn, attributes): LdapEntry, ctrl: Vec<LdapControl>) -> Option<()> {
         let requested =
             |a: &str| self.attributes.is_empty() || self.attributes.iter().any(|x| x.eq_ignore_ascii_case(a));
@@ -193,7 +202,7 @@
         self.send(LdapOp::SearchResultEntry(LdapSearchResultEntry { dn, attributes }), ctrl).await
     }
 
-    /// What changed since a cookie, or everything.
+    /// Sends what changed since a cookie was issued; without a cookie, sends all entries.
     async fn synchronise(&mut self, found: Vec<LdapEntry>, cookie: Option<Vec<u8>>) -> Option<()> {
         let known: Option<usize> = cookie.and_then(|c| String::from_utf8(c).ok()?.parse().ok());
         let before = known.and_then(|n| self.me.states.borrow().get(n).cloned());
@@ -230,6 +239,8 @@
         self.done(LdapResultCode::Success, vec![done]).await
     }
 
+    /// Answers a search by a page of entries or by a synchronisation. Returns `None` if the
+    /// connection is to be closed.
     async fn search(&mut self, search: LdapSearchRequest, ctrl: Vec<LdapControl>) -> Option<()> {
         let me = self.me;
         me.searches.set(me.searches.get() + 1);
@@ -273,6 +284,8 @@
     }
 }
 
+/// Serves one connection until it closes. `starttls` holds the acceptor while StartTLS is still
+/// required.
 async fn serve(me: Rc<LdapServer>, stream: Box<dyn Stream>, mut starttls: Option<TlsAcceptor>) {
     let mut wire: Wire = Framed::new(stream, LdapCodec::default());
     while let Some(Ok(LdapMsg { msgid, op, ctrl })) = wire.next().await {
@@ -312,7 +325,7 @@
     }
 }
 
-/// An entry with text attributes.
+/// Returns an entry with text attributes.
 pub fn ldap_entry(dn: &str, attributes: &[(&str, &[&str])]) -> LdapEntry {
     let values = |v: &[&str]| v.iter().map(|s| s.as_bytes().to_vec()).collect();
     (dn.to_owned(), attributes.iter().map(|(k, v)| ((*k).to_owned(), values(v))).collect())
