--- a/testbed/src/machine.rs
+++ b/testbed/src/machine.rs
@@ -1,7 +1,8 @@
-//! A simulated machine: it looks at one offer at a time, accepts within bounds or refuses with a reason,
-//! starts a few tasks at once, slowly where it has not the program, caches programs for a while, evicts when
-//! memory runs out, preempts for higher priority, drops repeats of a keyed task in its group, and fails if
-//! it gets too many offers while it warms up.
+//! A simulated machine. It checks one offer at a time and accepts it within limits, or refuses it
+//! with a reason. It starts a few tasks concurrently, more slowly if it has not cached the task's
+//! program. It evicts tasks when memory runs out, preempts tasks for others of higher priority,
+//! refuses repeats of a keyed task within its group of machines, and crashes under too many offers
+//! while it warms up.
 mod connections;
 mod lifecycle;
 mod offers;
@@ -21,146 +22,154 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// A machine started so long before its testbed, in microseconds, that it does not warm up any more.
+/// Age of a machine at the start of the testbed, in microseconds: long enough that it does not warm
+/// up any more.
 const AGE_AT_START_US: i64 = 60_000_000;
 
-/// How simulated machines, and the clients beside them, behave. Times are microseconds.
+/// Behaviour of the simulated machines, and of the clients' connections. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct MachineBehaviour {
-    /// Time that it takes to look at an offer.
+    /// Time that the check of an offer takes.
     pub offer_check_us: i64,
-    /// Time that the start of a task takes, on average.
+    /// Average time that the start of a task takes.
     pub start_us: i64,
-    /// So many times longer where the machine has not the program.
+    /// Factor on the start time if the machine has not cached the task's program.
     pub uncached_start_factor: f64,
-    /// Tasks that start at once, at most.
+    /// Maximum number of tasks that start at the same time.
     pub concurrent_starts: usize,
-    /// Offers that wait, at most.
+    /// Maximum number of offers that wait for their check.
     pub max_queue: usize,
-    /// Programs that are cached after their tasks ended.
+    /// Number of programs that stay cached after their tasks ended.
     pub cached_programs: usize,
-    /// Cores that are accepted, as a multiple of the machine's.
+    /// Cores that a machine accepts tasks for, as a multiple of its own cores.
     pub accept_cores: f64,
-    /// Memory that is accepted, as a multiple of the machine's.
+    /// Memory that a machine accepts tasks for, as a multiple of its own memory.
     pub accept_memory: f64,
-    /// It accepts a task when it runs, not when it is taken.
+    /// Whether a task is reported as accepted only once it runs.
     pub accepts_when_running: bool,
-    /// A machine warms up for so long after its start.
+    /// Time after a start during which a machine warms up.
     pub warm_up_us: i64,
-    /// Offers that a machine that warms up bears within a window; at over twice as many it fails.
+    /// Offers per window that a warming machine can handle; it crashes at more than twice as many.
     pub max_warm_up_offers: usize,
-    /// That window.
+    /// Length of the window in which offers are counted.
     pub offer_window_us: i64,
-    /// Time between refreshes of its report.
+    /// Interval at which a machine refreshes its report.
     pub report_every_us: i64,
-    /// By framework: the kind of machine that it needs.
+    /// Kind of machine that a framework requires, by framework.
     pub kinds: HashMap<String, String>,
-    /// By framework: the group of machines that know of each other's repeats.
+    /// Group of machines within which repeats of a keyed task are detected (`zone`, `cell` or
+    /// `all`), by framework.
     pub groups: HashMap<String, String>,
-    /// By framework.
+    /// Priority of a framework's tasks, by framework.
     pub priorities: HashMap<String, i64>,
-    /// Of clients: connections that are tried before one turns to another planner.
+    /// Failed connections after which a client connects to another planner.
     pub client_connect_attempts: u32,
-    /// It restarts once it is drained and empty, or was drained for so long, and is away for so long then.
+    /// Simulated updates: a machine restarts once it is drained and empty, but at the latest after
+    /// draining for the first time, and stays down for the second time. `None`: machines do not
+    /// update themselves.
     pub updater: Option<(i64, i64)>,
 }
 
-/// What a machine is told to do.
+/// A command to a simulated machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MachineCommand {
-    /// Drains, or takes work again.
+    /// Starts or ends a drain.
     Drain(bool),
-    /// A rolling restart's drain, for a machine of this start.
+    /// Starts or ends a drain on behalf of a rolling restart; ignored if the machine has restarted
+    /// since.
     RollingDrain {
-        /// Drains, or takes work again.
+        /// Whether the drain starts.
         on: bool,
-        /// When the machine started that is meant, in microseconds.
+        /// Start time that the coordinator knows of the machine, in microseconds.
         started_us: i64,
     },
-    /// Stops with all that runs, and starts anew at once with nothing.
+    /// Stops the machine with all its tasks, and starts it again at once without any state.
     Restart,
-    /// Stops with all that runs.
+    /// Stops the machine with all its tasks.
     Down,
-    /// Starts anew with nothing.
+    /// Starts the machine without any state.
     Up,
     /// Drops all cached programs.
     FlushPrograms,
     /// Preempts each task with this probability.
     Preempt(f64),
-    /// Sends all tasks away.
+    /// Ends all tasks as sent away.
     Evacuate,
 }
 
+/// An event that a machine handles.
 #[derive(Debug)]
 enum MachineEvent {
+    /// An event of the connection with this number.
     Connection(u64, LinkEvent),
+    /// A command of the scenario.
     Command(MachineCommand),
 }
 
-/// What a machine is started with.
+/// Parameters of a simulated machine.
 #[derive(Clone, Debug)]
 pub struct MachineSpec {
-    /// Its name.
+    /// The machine's name.
     pub name: String,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: String,
-    /// Its cell within the zone.
+    /// The machine's cell within the zone.
     pub cell: u32,
-    /// Its kind.
+    /// The machine's kind.
     pub kind: String,
-    /// Cores and memory.
+    /// Cores and memory of the machine.
     pub size: (f64, f64),
-    /// Labels that constraints may name.
+    /// Labels that constraints can refer to.
     pub labels: Vec<String>,
-    /// Where its chance starts from.
+    /// Seed of the machine's random number generator.
     pub seed: u64,
 }
 
-/// A machine as a scenario sees it.
+/// A machine's properties and state, as fault scenarios and the registry access them.
 pub struct SimulatedMachine {
-    /// Its name.
+    /// The machine's name.
     pub name: String,
-    /// Where it listens.
+    /// Address that the machine listens on.
     pub address: String,
-    /// Its kind.
+    /// The machine's kind.
     pub kind: String,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: String,
-    /// Its cell within the zone.
+    /// The machine's cell within the zone.
     pub cell: u32,
-    /// Its cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Its memory.
+    /// Size of the memory.
     pub memory: f64,
-    /// Labels that constraints may name.
+    /// Labels that constraints can refer to.
     pub labels: RefCell<Vec<String>>,
-    /// What is wrong with its links.
+    /// Faults of the machine's links.
     pub faults: Rc<FaultInjection>,
-    /// When it started, in microseconds.
+    /// When the machine started, in microseconds.
     pub started_us: Cell<i64>,
-    /// Whether it drains.
+    /// Whether the machine is draining.
     pub draining: Cell<bool>,
-    /// Whether it runs.
+    /// Whether the machine is up.
     pub up: Cell<bool>,
-    /// It answers nobody, though it runs.
+    /// Whether the machine is up but does not respond, so that the registry counts it as silent.
     pub unresponsive: Cell<bool>,
     /// Cores and memory that accepted tasks requested.
     pub reserved: Cell<(f64, f64)>,
-    /// Share of tasks that fail at once.
+    /// Share of offers that fail at once.
     pub failure_rate: Cell<f64>,
-    /// Reports are so old, in microseconds.
+    /// Age of the usage that reports show, in microseconds.
     pub report_delay_us: Cell<i64>,
-    /// Share of its cores and memory that leaks away.
+    /// Share of the machine's cores and memory that is lost to leaks.
     pub leaked: Cell<f64>,
-    /// Connections that it accepted so far.
+    /// Connections accepted so far.
     pub connections: Cell<u64>,
-    /// Attempts that it ran so far.
+    /// Attempts that ran so far.
     pub ran: Cell<u64>,
     events: mpsc::Sender<MachineEvent>,
 }
 
 impl SimulatedMachine {
-    /// Tells the machine to do something.
+    /// Sends a command to the machine.
     pub fn send(&self, command: MachineCommand) {
         let _ = self.events.try_send(MachineEvent::Command(command));
     }
@@ -172,51 +181,68 @@
     service: u64,
     cores: f64,
     memory: f64,
-    /// Cores and memory that it requested.
+    /// Cores and memory that the task requested.
     requested: (f64, f64),
+    /// Run time of the task, in microseconds.
     runs_us: i64,
+    /// When the task ends, in microseconds; 0 until it runs.
     ends_at: i64,
     running: bool,
 }
 
+/// An event that a machine schedules for itself.
 enum MachineTimer {
+    /// The check of the first queued offer is complete.
     CheckOffer,
+    /// The start of a task is complete.
     Start(AttemptKey),
+    /// The run time of a task is over.
     End(AttemptKey),
+    /// The report is due to be refreshed.
     Refresh,
+    /// The machine comes back after an update.
     Return,
 }
 
+/// State of a machine, which its own task of the runtime owns.
 struct MachineState {
     shared: Rc<SimulatedMachine>,
     context: Rc<TestbedContext>,
     chance: StdRng,
     attempts: AttemptTable<String, Launch>,
-    /// By planner: the current connection.
+    /// Number and commands of the current connection to each planner.
     links: BTreeMap<String, (u64, mpsc::Sender<LinkCommand>)>,
+    /// All open connections by number: their commands, and the peer once its hello has arrived.
     connections: HashMap<u64, (mpsc::Sender<LinkCommand>, Option<PeerIdentity>)>,
+    /// Offers that wait for their check.
     offers: VecDeque<AttemptKey>,
+    /// Whether the check of an offer is in progress.
     checks_offer: bool,
-    /// Accepted tasks that wait for a start.
+    /// Accepted tasks that wait for their start.
     start_queue: VecDeque<AttemptKey>,
+    /// Number of tasks that are starting.
     starting: usize,
     tasks: BTreeMap<AttemptKey, Task>,
-    /// Programs that are cached, by service; the oldest first.
+    /// Cached programs by service, the least recently used first.
     programs: VecDeque<u64>,
-    /// When offers came while it warms up.
+    /// Times of recent offers while the machine warms up, in microseconds.
     warm_up_offers: VecDeque<i64>,
-    /// When, and which cores and memory were not in use.
+    /// Recent reports: their time in microseconds, unused cores and unused memory.
     reports: VecDeque<(i64, f64, f64)>,
+    /// Scheduled events by time in microseconds; the second part of the key keeps the order of
+    /// equal times.
     timers: BTreeMap<(i64, u64), MachineTimer>,
+    /// Timers set so far.
     timer_count: u64,
+    /// Start of the current drain, in microseconds; kept only for simulated updates.
     drained_at: Option<i64>,
 }
 
-/// Starts a machine on a loopback port of its own.
+/// Starts a machine on a loopback port.
 ///
 /// # Errors
 ///
-/// Where no port can be bound.
+/// Fails if no port can be bound.
 pub async fn start(context: Rc<TestbedContext>, spec: MachineSpec) -> std::io::Result<Rc<SimulatedMachine>> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let (events, inbox) = mpsc::channel(1024);
@@ -272,6 +298,7 @@
         }
     }
 
+    /// Handles connections, commands and timers.
     async fn run(
         mut self,
         listener: TcpListener,
@@ -311,6 +338,7 @@
         self.timers.insert((self.now() + after_us, self.timer_count), timer);
     }
 
+    /// Handles a timer that is due.
     fn fire(&mut self, timer: MachineTimer) {
         match timer {
             MachineTimer::CheckOffer => self.check_next_offer(),
@@ -321,6 +349,7 @@
         }
     }
 
+    /// Returns the task key of an attempt; empty if the attempt is not known.
     fn task_key(&self, attempt: &AttemptKey) -> String {
         self.attempts.payload(&attempt.0, attempt.1).map(|launch| launch.key.clone()).unwrap_or_default()
     }
--- a/testbed/src/machine/connections.rs
+++ b/testbed/src/machine/connections.rs
@@ -1,4 +1,4 @@
-//! A machine's connections, and the frames on them.
+//! Connections of a simulated machine, and the frames that arrive on them.
 use super::{MachineEvent, MachineState};
 use crate::attempt_frames::{from_wire, inventory, reply, to_wire, AttemptKey};
 use crate::faulty_link::{self, LinkObservation};
@@ -9,13 +9,16 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// A connection's number among those of all machines, for the checker.
+/// Returns the number that identifies a connection to the checker among the connections of all
+/// machines.
 fn checker_number(machine: &str, connection: u64) -> u64 {
     let name = machine.bytes().fold(7u64, |n, byte| n.wrapping_mul(31).wrapping_add(u64::from(byte)));
     name.wrapping_shl(20) ^ connection
 }
 
 impl MachineState {
+    /// Starts a link with fault injection on a new connection, and reports its frames to the
+    /// checker.
     pub(super) fn accept(&mut self, stream: TcpStream, events: mpsc::Sender<MachineEvent>) {
         let _ = stream.set_nodelay(true);
         let number = self.shared.connections.get() + 1;
@@ -59,6 +62,7 @@
         ));
     }
 
+    /// Handles an event of a connection. Frames count only on the current link of a planner.
     pub(super) fn connection_event(&mut self, number: u64, event: LinkEvent) {
         match event {
             LinkEvent::Session(SessionEvent::Up(party))
@@ -85,11 +89,12 @@
         }
     }
 
+    /// Makes a connection the current link of its planner, and sends the inventory.
     fn planner_connected(&mut self, number: u64, party: PeerIdentity) {
         if !self.attempts.admit_link(&party.name, party.epoch, party.link) {
             return self.close(number, "an older life or link of this planner");
         }
-        // A connection of before a restart is gone from here, though its events still come.
+        // A restart has already removed its earlier connections, but their events may still arrive.
         let Some((orders, peer)) = self.connections.get_mut(&number) else { return };
         *peer = Some(party.clone());
         let orders = orders.clone();
@@ -105,18 +110,21 @@
         self.send_frame(&party.name, inventory(held, self.shared.draining.get()));
     }
 
+    /// Closes a connection with this reason.
     fn close(&self, number: u64, why: &str) {
         if let Some((orders, _)) = self.connections.get(&number) {
             let _ = orders.try_send(LinkCommand::Close(why.to_owned()));
         }
     }
 
+    /// Sends a frame to a planner, if it is connected.
     pub(super) fn send_frame(&self, planner: &str, body: Body) {
         if let Some((_, orders)) = self.links.get(planner) {
             let _ = orders.try_send(LinkCommand::Send(body, None));
         }
     }
 
+    /// Handles a frame of a planner.
     fn frame(&mut self, planner: String, body: Body) {
         match body {
             Body::Launch(launch) => self.offered(planner, launch),
@@ -140,6 +148,7 @@
         }
     }
 
+    /// Cancels an attempt that does not run yet, and replies with its state.
     fn cancel(&mut self, planner: String, id: AttemptId) {
         let attempt = (planner, id);
         let key = self.task_key(&attempt);
@@ -148,17 +157,20 @@
         self.reply_for(&attempt, key, say);
     }
 
+    /// Sends a reply about an attempt.
     pub(super) fn reply(&self, attempt: &AttemptKey, say: AttemptReply) {
         self.reply_for(attempt, self.task_key(attempt), say);
     }
 
-    /// A reply about a task with this key, whether or not the attempt is still known.
+    /// Sends a reply about an attempt of the task with this key, whether or not the attempt is
+    /// still known.
     pub(super) fn reply_for(&self, attempt: &AttemptKey, key: String, say: AttemptReply) {
         if let Some(body) = reply(attempt.1, key, say, self.report()) {
             self.send_frame(&attempt.0, body);
         }
     }
 
+    /// Refuses an offer with this reason code.
     pub(super) fn refuse(&mut self, attempt: &AttemptKey, why: u32) {
         let key = self.task_key(attempt);
         self.attempts.forget(&attempt.0, attempt.1);
--- a/testbed/src/machine/lifecycle.rs
+++ b/testbed/src/machine/lifecycle.rs
@@ -1,4 +1,4 @@
-//! What a machine does by itself and by command: reports, evictions, updates, drains, stops and starts.
+//! The lifecycle of a simulated machine: reports, evictions, updates, drains, stops and starts.
 use super::{MachineCommand, MachineState, MachineTimer, Task};
 use crate::attempt_frames::{to_wire, AttemptKey};
 use basaltpitch_agent::attempt_table::AttemptTable;
@@ -6,16 +6,17 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Reports are kept for so long, in microseconds.
+/// Time for which past reports are kept, in microseconds.
 const REPORT_RETENTION_US: i64 = 20_000_000;
-/// A drained machine restarts so long after its drain at the earliest, in microseconds: a launch may be on
-/// its way.
+/// Minimum time from a drain to the update's restart, in microseconds: launches may still be on
+/// their way.
 const QUIET_US: i64 = 2_000_000;
-/// Tasks that get less than this part of their cores are served badly.
+/// Tasks that get a smaller share of their cores are reported as badly served.
 const WELL_SERVED: f64 = 0.95;
 
 impl MachineState {
-    /// Refreshes the report, evicts where memory ran out, and tells of the task that is served worst.
+    /// Refreshes the report, evicts tasks if memory is short, and reports badly served tasks once a
+    /// second.
     pub(super) fn refresh(&mut self) {
         let every_us = self.context.behaviour.report_every_us;
         self.set_timer(every_us, MachineTimer::Refresh);
@@ -33,6 +34,8 @@
         }
     }
 
+    /// Evicts tasks until the memory suffices: the lowest priority first, then the task that
+    /// exceeds its requested memory the most.
     fn evict(&mut self) {
         while self.used().1 > self.shared.memory {
             let excess = |task: &Task| (task.memory / task.requested.1.max(0.001) * 1000.0) as i64;
@@ -43,6 +46,8 @@
         }
     }
 
+    /// Reports to each planner with running tasks the share of their cores that tasks get (note
+    /// sort 4).
     fn report_badly_served(&self, served: f64) {
         let mut by_planner: BTreeMap<&str, &AttemptKey> = BTreeMap::new();
         for (attempt, _) in self.tasks.iter().filter(|(_, task)| task.running) {
@@ -54,7 +59,8 @@
         }
     }
 
-    /// The machine's own updater: it waits until the machine is drained and empty, and not for ever.
+    /// Restarts the machine for a simulated update once it is drained and empty, or has drained for
+    /// too long.
     fn update(&mut self) {
         let updater = self.context.behaviour.updater.filter(|_| self.shared.up.get());
         let Some((most_us, away_us)) = updater else { return };
@@ -71,6 +77,7 @@
         }
     }
 
+    /// Executes a command.
     pub(super) fn command(&mut self, command: MachineCommand) {
         match command {
             MachineCommand::RollingDrain { on, started_us } => self.rolling_drain(on, started_us),
@@ -101,6 +108,8 @@
         }
     }
 
+    /// Starts or ends a rolling restart's drain. Ignored while the machine is down, or if it has
+    /// restarted since the drain was ordered.
     fn rolling_drain(&mut self, on: bool, started_us: i64) {
         if !self.shared.up.get() || (on && started_us != self.shared.started_us.get()) {
             return;
@@ -109,6 +118,7 @@
         self.drain(on);
     }
 
+    /// Starts or ends a drain, and notifies the connected planners.
     fn drain(&mut self, on: bool) {
         self.shared.draining.set(on);
         let machine = &self.shared.name;
@@ -118,13 +128,14 @@
         }
     }
 
+    /// Ends all tasks.
     fn end_all(&mut self, how: EndedHow) {
         for attempt in self.all_tasks() {
             self.end_task(&attempt, how);
         }
     }
 
-    /// The machine dies with all that runs; nobody is told.
+    /// Stops the machine with all its tasks without notifying any planner.
     fn stop(&mut self) {
         self.links.clear();
         self.end_all(EndedHow::EndedStopped);
@@ -135,7 +146,8 @@
         self.timers.retain(|_, timer| matches!(timer, MachineTimer::Refresh));
         self.shared.leaked.set(0.0);
         self.shared.draining.set(false);
-        // Connections of before: cut, unless they are to look alive.
+        // Earlier connections are closed, except those that a fault keeps open so that they look
+        // alive.
         let dead = self.shared.faults.dead_connections.get();
         self.connections.retain(|number, _| *number <= dead);
         if dead == 0 {
@@ -143,6 +155,7 @@
         }
     }
 
+    /// Starts the machine again: it warms up.
     fn begin(&mut self) {
         let now = self.now();
         self.shared.started_us.set(now);
--- a/testbed/src/machine/offers.rs
+++ b/testbed/src/machine/offers.rs
@@ -1,4 +1,5 @@
-//! Offers to a machine: they wait, one is looked at at a time, and it is accepted or refused.
+//! Offers of attempts to a simulated machine: they wait in a queue, are checked one at a time, and
+//! are accepted or refused.
 use super::{MachineCommand, MachineState, MachineTimer, Task};
 use crate::attempt_frames::AttemptKey;
 use basaltpitch_agent::attempt_table::{AttemptReply, AttemptState};
@@ -7,6 +8,7 @@
 use rand::Rng;
 
 impl MachineState {
+    /// Queues a new offer, or repeats the reply to a known attempt.
     pub(super) fn offered(&mut self, planner: String, launch: Launch) {
         let Some(id) = launch.id.map(|id| (id.epoch, id.number)) else { return };
         let key = launch.key.clone();
@@ -23,7 +25,7 @@
         self.schedule_offer_check();
     }
 
-    /// Counts offers while the machine warms up; far too many within a window bring it down.
+    /// Counts offers while the machine warms up; far too many within a window crash it.
     fn count_offer(&mut self) {
         let (now, behaviour) = (self.now(), &self.context.behaviour);
         if now >= self.shared.started_us.get() + behaviour.warm_up_us {
@@ -39,6 +41,7 @@
         }
     }
 
+    /// Starts the check of the next offer unless a check is in progress.
     fn schedule_offer_check(&mut self) {
         if !self.checks_offer && !self.offers.is_empty() {
             self.checks_offer = true;
@@ -46,6 +49,7 @@
         }
     }
 
+    /// Accepts or refuses the first queued offer, and starts the next check.
     pub(super) fn check_next_offer(&mut self) {
         self.checks_offer = false;
         if let Some(attempt) = self.offers.pop_front() {
@@ -59,7 +63,8 @@
         self.schedule_offer_check();
     }
 
-    /// The machines that know of each other's repeats of a framework's tasks.
+    /// Returns the name of the group of machines that detects repeats of a framework's keyed tasks
+    /// together.
     pub(super) fn repeat_group(&self, framework: &str) -> String {
         match self.context.behaviour.groups.get(framework).map(String::as_str) {
             Some("zone") => self.shared.zone.clone(),
@@ -68,7 +73,8 @@
         }
     }
 
-    /// Whether an offer is accepted, or why it is refused. Tasks of lower priority make way for it.
+    /// Checks an offer, and preempts tasks of lower priority to make capacity for it. Fails with
+    /// the reason code of the refusal.
     fn check_offer(&mut self, launch: &Launch) -> Result<(), u32> {
         let behaviour = &self.context.behaviour;
         let kind = behaviour.kinds.get(&launch.framework);
@@ -101,6 +107,7 @@
         }
     }
 
+    /// Accepts an offer, reserves its capacity, and queues the task for its start.
     fn accept_task(&mut self, attempt: AttemptKey, launch: Launch) {
         if self.chance.random_bool(self.shared.failure_rate.get().clamp(0.0, 1.0)) {
             self.attempts.set_state(&attempt.0, attempt.1, AttemptState::Failed);
--- a/testbed/src/machine/tasks.rs
+++ b/testbed/src/machine/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks on a machine: from their start to their end, and what they use.
+//! Tasks on a simulated machine: their start, usage and end.
 use super::{MachineState, MachineTimer, Task};
 use crate::attempt_frames::{running, AttemptKey};
 use basaltpitch_agent::attempt_table::{AttemptReply, AttemptState};
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 impl MachineState {
-    /// Begins as many starts as go on at once.
+    /// Starts queued tasks up to the limit of concurrent starts.
     pub(super) fn start_tasks(&mut self) {
         while self.starting < self.context.behaviour.concurrent_starts {
             let Some(attempt) = self.start_queue.pop_front() else { return };
@@ -24,6 +24,7 @@
         }
     }
 
+    /// Marks a task as running, and notifies its planner.
     pub(super) fn task_started(&mut self, attempt: AttemptKey) {
         self.starting = self.starting.saturating_sub(1);
         let now = self.now();
@@ -45,7 +46,7 @@
         self.start_tasks();
     }
 
-    /// A task's time is over.
+    /// Ends a task whose run time is over.
     pub(super) fn task_done(&mut self, attempt: &AttemptKey) {
         let now = self.now();
         if self.tasks.get(attempt).is_some_and(|task| task.running && task.ends_at <= now) {
@@ -53,7 +54,8 @@
         }
     }
 
-    /// A task leaves, however that came.
+    /// Ends a task for any reason: releases its capacity, notifies its planner and caches its
+    /// program.
     pub(super) fn end_task(&mut self, attempt: &AttemptKey, how: EndedHow) {
         let Some(task) = self.tasks.remove(attempt) else { return };
         let reserved = self.shared.reserved.get();
@@ -76,11 +78,12 @@
         }
     }
 
+    /// Returns the attempts of all accepted tasks.
     pub(super) fn all_tasks(&self) -> Vec<AttemptKey> {
         self.tasks.keys().cloned().collect()
     }
 
-    /// Cores and memory in use, leaks included.
+    /// Returns the cores and memory in use, including leaks.
     pub(super) fn used(&self) -> (f64, f64) {
         let leak = self.shared.leaked.get();
         let sum =
@@ -89,7 +92,8 @@
         (cores, sum(|task| task.memory) + leak * self.shared.memory)
     }
 
-    /// Cores and memory not in use, as of the last refresh, or of some time before it.
+    /// Returns the unused cores and memory as of the last refresh, or as of an earlier one if
+    /// reports are delayed.
     pub(super) fn report(&self) -> Option<Report> {
         let until = self.now() - self.shared.report_delay_us.get();
         let last = self.reports.iter().rev().find(|report| report.0 <= until).or(self.reports.front())?;
--- a/testbed/src/registry.rs
+++ b/testbed/src/registry.rs
@@ -1,4 +1,5 @@
-//! A simulated registry of machines: late, later still about machines that fell silent, and silent on command.
+//! A simulated registry of machines. It reports changes with a delay, reports silent machines even
+//! later, and can be delayed further by a fault.
 use crate::context::TestbedContext;
 use crate::faulty_link::{self, FaultInjection, LinkObservation};
 use crate::machine::{MachineCommand, SimulatedMachine};
@@ -12,39 +13,42 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// How late the registry is, in microseconds.
+/// Delays of the registry.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryDelays {
-    /// What it tells is so old.
+    /// Age of the state that the registry reports, in microseconds.
     pub notice_us: i64,
-    /// A machine that is silent is listed as gone after this time.
+    /// Time after which a silent machine is listed as gone, in microseconds.
     pub silent_notice_us: i64,
-    /// Time between looks at the machines.
+    /// Interval at which the registry reads the state of the machines, in microseconds.
     pub period_us: i64,
 }
 
-/// The registry as a scenario sees it.
+/// The registry's properties and faults, as fault scenarios access them.
 pub struct SimulatedRegistry {
-    /// Where it listens.
+    /// Address that the registry listens on.
     pub address: String,
-    /// What is wrong with its links.
+    /// Faults of the registry's links.
     pub faults: Rc<FaultInjection>,
-    /// Added to its delay, in microseconds.
+    /// Additional delay that a fault sets, in microseconds.
     pub stale_us: Cell<i64>,
 }
 
-/// What was so is remembered for so long, in microseconds.
+/// Time for which past states are kept, in microseconds.
 const RETENTION_US: i64 = 30_000_000;
 
+/// The entries of the machine list, by machine.
 type Entries = BTreeMap<String, Entry>;
 
-/// Whether two entries of a ready machine differ in its capacity alone: a brief watch leaves such changes out.
+/// Returns whether two entries of a ready machine differ only in its capacity. Brief watches leave
+/// such changes out.
 pub fn differ_in_capacity_only(first: &Entry, second: &Entry) -> bool {
     let alike = Entry { cores_left: second.cores_left, memory_left: second.memory_left, ..first.clone() };
     alike == *second && second.readiness() == Readiness::Ready
 }
 
-/// What answers a question: ready machines with capacity, drawn anew for each, so that planners do not crowd one.
+/// Returns the ready machines that match a query and have the capacity it requests. The order is
+/// random per query, so that planners do not all choose the same machine.
 pub fn with_capacity_for<'a>(
     all: impl Iterator<Item = &'a Entry>,
     conn: u64,
@@ -64,30 +68,41 @@
     all.into_iter().take(fetch.most as usize).cloned().collect()
 }
 
+/// A connection to the registry.
 struct Watcher {
     commands: mpsc::Sender<LinkCommand>,
+    /// Whether the peer watches the machine list.
     watches: bool,
+    /// Whether the watch leaves out changes of capacity alone.
     brief: bool,
-    /// What it was sent, by machine.
+    /// The entries as they were last sent.
     sent: Entries,
 }
 
+/// State of the registry, which its own task of the runtime owns.
 struct RegistryState {
     shared: Rc<SimulatedRegistry>,
     context: Rc<TestbedContext>,
     fleet: Vec<Rc<SimulatedMachine>>,
     delays: RegistryDelays,
-    /// What was so, and when, the newest last.
+    /// Past states of the list with their times in microseconds, the newest last.
     past: VecDeque<(i64, Entries)>,
+    /// Since when machines are silent, in microseconds.
     silent_since: HashMap<String, i64>,
     watchers: BTreeMap<u64, Watcher>,
+    /// Stamp of the last list that was sent.
     stamp: u64,
-    /// Of rolling restarts: the highest token that was seen, and token and number of the last order to each machine.
+    /// Highest fencing token of a rolling restart's orders.
     fencing_token: u64,
+    /// Fencing token and number of the last rolling restart order to each machine.
     orders: HashMap<String, (u64, u64)>,
 }
 
-/// Starts a register on a loopback port of its own.
+/// Starts a registry on a loopback port.
+///
+/// # Errors
+///
+/// Fails if no port can be bound.
 pub async fn start(
     context: Rc<TestbedContext>,
     fleet: Vec<Rc<SimulatedMachine>>,
@@ -117,6 +132,7 @@
 }
 
 impl RegistryState {
+    /// Reads the machines' state at intervals, and handles connections.
     async fn run(mut self, listener: TcpListener) {
         let (events, mut inbox) = mpsc::channel(1024);
         let mut period =
@@ -136,6 +152,8 @@
         }
     }
 
+    /// Starts a link with fault injection on a new connection, and reports the lists it carries to
+    /// the checker.
     fn accept(&mut self, stream: tokio::net::TcpStream, number: u64, events: mpsc::Sender<(u64, LinkEvent)>) {
         let _ = stream.set_nodelay(true);
         let (outer, inner) = tokio::io::duplex(256 * 1024);
@@ -173,6 +191,7 @@
         ));
     }
 
+    /// Handles an event of a connection.
     fn link_event(&mut self, number: u64, event: LinkEvent) {
         match event {
             LinkEvent::Session(SessionEvent::Frame(Body::Watch(watch))) => {
@@ -202,7 +221,8 @@
         }
     }
 
-    /// A coordinator's order: refused if it is older than one that was taken.
+    /// Passes a rolling restart's drain order on, and rejects it if its fencing token or number is
+    /// older than that of an earlier order.
     fn rolling_drain(&mut self, machine: &SimulatedMachine, drain: &wire::Drain) {
         let (order, last) =
             ((drain.token, drain.number), self.orders.entry(machine.name.clone()).or_default());
@@ -219,7 +239,8 @@
         machine.send(MachineCommand::RollingDrain { on: drain.on, started_us: drain.started_us });
     }
 
-    /// Writes down how things are, and tells watchers how they were.
+    /// Records the machines' current state, and sends watchers what changed as of the registry's
+    /// delay.
     fn record(&mut self) {
         let now = self.context.clock.now();
         let mut entries = Entries::new();
@@ -260,7 +281,7 @@
         watching.into_iter().for_each(|number| self.send(number, false));
     }
 
-    /// Answers a question for machines with capacity.
+    /// Answers a query for machines with capacity.
     fn answer(&mut self, number: u64, fetch: &wire::Fetch) {
         let Some(shown) = self.shown() else { return };
         let entries = with_capacity_for(shown.values(), number, fetch);
@@ -271,13 +292,13 @@
         }
     }
 
-    /// What it tells now: how things were a while ago.
+    /// Returns the list as the registry reports it now: the state as of the registry's delay.
     fn shown(&self) -> Option<&Entries> {
         let until = self.context.clock.now() - self.delays.notice_us - self.shared.stale_us.get();
         self.past.iter().rev().find(|past| past.0 <= until).or(self.past.front()).map(|past| &past.1)
     }
 
-    /// Sends a watcher the whole list, or what is new to it.
+    /// Sends a watcher the whole list, or only the entries that differ from those sent before.
     fn send(&mut self, number: u64, whole: bool) {
         let Some(shown) = self.shown().cloned() else { return };
         self.stamp += 1;
--- a/testbed/src/settings.rs
+++ b/testbed/src/settings.rs
@@ -1,5 +1,5 @@
-//! Reads the settings of an installation and of its fault scenario, for simulated peers and the checker. The
-//! names of settings are those of `.rec` files.
+//! Reads the settings of an installation and of its fault scenario for the simulated peers and the
+//! checker. The names of the settings are those of `.rec` files.
 use crate::context::TestbedContext;
 use crate::fault_scenario::LoadModifiers;
 use crate::machine::MachineBehaviour;
@@ -13,9 +13,10 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Frames on two sockets may be seen in another order within this time, in microseconds.
+/// Time within which frames on two sockets may be observed out of order, in microseconds.
 const REORDER_TOLERANCE_US: i64 = 250_000;
 
+/// Returns the checker's configuration for an installation.
 pub(crate) fn invariant_config(all: &ResolvedValue) -> InvariantConfig {
     let time = |path: &str| all.duration_us(path).unwrap_or(0);
     let framework = |settings: &ResolvedValue| Framework {
@@ -39,20 +40,22 @@
     }
 }
 
-/// What the traffic is checked against in an installation with this text.
+/// Returns the checker's configuration for the text of an installation.
 ///
 /// # Panics
 ///
-/// Where the text is not that of an installation.
+/// Panics if the text is not a valid installation.
 pub fn invariant_config_of(text: &str) -> InvariantConfig {
     let site = basaltpitch_config::installation::load_texts(&[("site.rec", text)]);
     invariant_config(&site.map_err(|e| e.1).expect("an installation in order").all)
 }
 
+/// Returns the setting `name`.
 fn name_of(settings: &ResolvedValue) -> String {
     settings.text("name").unwrap_or("").to_owned()
 }
 
+/// Returns the behaviour of machines and clients in an installation.
 fn behaviour(all: &ResolvedValue, day: &ResolvedValue) -> MachineBehaviour {
     let by_framework = |field: &str| -> HashMap<String, String> {
         let of = |f: &ResolvedValue| Some((f.text("name")?.to_owned(), f.text(field)?.to_owned()));
@@ -77,7 +80,8 @@
         kinds: by_framework("kind"),
         groups: by_framework("group"),
         priorities: all.list("frameworks").iter().map(priority).collect(),
-        // Clients know how long a slot may be without a planner: three lease durations, a try each 100 ms.
+        // A slot can be without a planner for three lease durations, and clients connect every 100
+        // ms: they try for that time before they change to another planner.
         client_connect_attempts: 8 + day.duration_us("seats.term").map_or(0, |term| 3 * term / 100_000)
             as u32,
         updater: day
@@ -86,22 +90,26 @@
     }
 }
 
+/// Returns a list of texts in the settings.
 pub(crate) fn texts(of: &ResolvedValue, list: &str) -> Vec<String> {
     of.texts(list).into_iter().map(|text| text.0).collect()
 }
 
-/// The placement constraints that a drill checks, read anew from the records: hard ones, skews aside.
+/// Returns the hard constraints that a drill checks, except limits on the skew of a spread. They
+/// are read from the settings, independently of the planner's own code.
 pub(crate) fn placement_invariants(all: &ResolvedValue) -> Vec<PlacementInvariant> {
     let hard = all.list("clauses").iter().filter(|clause| clause.text("how") != Some("prefer"));
     hard.filter_map(placement_invariant).collect()
 }
 
+/// Returns which tasks a constraint applies to; without settings, all tasks.
 fn task_selector(settings: Option<&ResolvedValue>) -> TaskSelector {
     let text = |field: &str| settings.and_then(|s| s.text(field)).unwrap_or("").to_owned();
     let service = settings.and_then(|s| s.number("service")).map(|n| n as u64);
     TaskSelector { framework: text("framework"), tenant: text("tenant"), service, task: text("task") }
 }
 
+/// Returns the invariant for a constraint; `None` for a spread without a limit per domain.
 fn placement_invariant(clause: &ResolvedValue) -> Option<PlacementInvariant> {
     let place = |settings: &ResolvedValue, field: &str| settings.text(field).unwrap_or("hall").to_owned();
     let on_machines = |settings: &ResolvedValue, inside| PlacementRequirement::OnMachines {
@@ -129,13 +137,13 @@
     Some(PlacementInvariant { name: name_of(clause), tasks: task_selector(clause.get("of")), requirement })
 }
 
-/// Cores and memory of a kind of machine.
+/// Returns the cores and memory of a kind of machine.
 pub(crate) fn size_of(all: &ResolvedValue, kind: &str) -> (f64, f64) {
     let sized = all.list("kinds").iter().find(|k| k.text("name") == Some(kind));
     sized.map_or((1.0, 1.0), |k| (k.number("cores").unwrap_or(1.0), k.number("memory").unwrap_or(1.0)))
 }
 
-/// What the simulated peers of an installation share.
+/// Returns the state that all simulated peers of an installation share.
 pub fn context(installation: &Installation, load: Rc<LoadModifiers>) -> Rc<TestbedContext> {
     let all = &installation.all;
     Rc::new(TestbedContext {
--- a/testbed/src/task_usage.rs
+++ b/testbed/src/task_usage.rs
@@ -1,4 +1,4 @@
-//! What tasks use when they run.
+//! Usage of tasks while they run.
 use crate::context::TaskUsage;
 use crate::fault_scenario::LoadModifiers;
 use basaltpitch_config::installation::Installation;
@@ -6,12 +6,13 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Where chance starts from.
+/// Seed of the random number generator, the same in all scenarios.
 const SEED: u64 = 11;
-/// Services that a hot key is drawn from.
+/// Number of services that hot keys are drawn from.
 pub(crate) const HOT_KEYS: u64 = 64;
 
-/// A task uses the usual share of what it requests, with the scenario's faults laid over it.
+/// Returns a function that draws the usage of a task: the scenario's share of what the task
+/// requests, changed by the active faults.
 pub(crate) fn task_usage(installation: &Installation, load: Rc<LoadModifiers>) -> TaskUsage {
     let day = installation.all.get("day").cloned();
     let shares: Vec<(String, f64)> = day
