--- a/testbed/src/process_harness.rs
+++ b/testbed/src/process_harness.rs
@@ -1,7 +1,8 @@
-//! Voters, planners with slots, and spares as processes of their own. Each process reaches the voters through
-//! relays of its own, and others reach each planner through one; processes are killed, stopped, resumed and
-//! told to stop, their links cut. What each prints says who has a slot, so the time that a slot is without a
-//! planner is known from outside.
+//! Runs voters, planners with slots and spare planners as processes of their own. Each process
+//! reaches the voters through relays of its own, and other planners reach each planner through its
+//! relay, so that links can be cut; processes are killed, stopped, resumed and terminated. Planners
+//! print each slot that they acquire, which shows from outside how long a slot is without a
+//! planner.
 mod faults;
 mod report;
 mod setup;
@@ -25,13 +26,14 @@
 pub use self::report::{SlotReport, TakeoverTimes};
 pub use self::setup::{free_addresses, HarnessSetup};
 
-/// How long a process may take to end.
+/// Time in which a process must exit after its signal.
 const END_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often it is looked at whether all slots have planners, and how many times.
+/// Interval at which the harness checks that all slots have planners after the start.
 const START_CHECK_EVERY: Duration = Duration::from_millis(50);
+/// Number of these checks before the start fails.
 const START_CHECKS: u32 = 600;
 
-/// A line that `serve` prints whenever it acquires a slot.
+/// The line that `serve` prints whenever it acquires a slot.
 #[derive(serde::Deserialize)]
 struct SlotAcquiredLine {
     listening: String,
@@ -39,69 +41,79 @@
     epoch: u64,
 }
 
-/// A slot's number, and the epoch of its holder.
+/// A slot's number, and its holder's epoch.
 type HeldSlot = (usize, u64);
 
-/// One process, and its relays.
+/// A planner or voter process, and its relays.
 #[derive(Default)]
 struct HarnessProcess {
     name: String,
     args: Vec<String>,
     child: RefCell<Option<Child>>,
-    /// Set until it has ended: one that was stopped is resumed while its end is waited for.
+    /// The process id, kept until the process has exited: a stopped process is resumed while the
+    /// harness waits for its exit.
     pid: Cell<Option<Pid>>,
-    /// It was killed or told to stop: that it ended is no error.
+    /// Whether the harness has killed or terminated the process, so that its exit is no error.
     ends: Cell<bool>,
-    /// Of planners: the slot that it last said it has.
+    /// Of planners: the slot that the process acquired last, while it holds it.
     slot: Cell<Option<HeldSlot>>,
-    /// From it to each voter.
+    /// Relays from the process to each voter.
     relays: Vec<Rc<RelayControl>>,
-    /// Of planners: from other planners to it.
+    /// Of planners: the relay that other planners connect through.
     own_relay: Rc<RelayControl>,
-    /// Of voters: where it keeps what it voted.
+    /// Of voters: the folder of their stored votes.
     state: Option<PathBuf>,
 }
 
+/// State of a slot, as seen from the planners' output.
 #[derive(Default)]
 struct SlotState {
+    /// Highest epoch under which the slot was acquired.
     epoch: Cell<u64>,
+    /// Index of the planner process that acquired the slot last.
     holder: Cell<Option<usize>>,
-    /// Since when its holder is affected by a fault, and by which, until another has it.
+    /// When a fault first affected the holder, in microseconds, and the kind of the fault; `None`
+    /// once another process has acquired the slot.
     affected: RefCell<Option<(i64, String)>>,
+    /// When the slot was first acquired, in microseconds.
     since: Cell<Option<i64>>,
-    /// Microseconds without a holder that no fault had affected.
+    /// Total time between faults of holders and the takeovers by their successors, in microseconds.
     without_us: Cell<i64>,
 }
 
 /// The processes of a scenario with slots.
 pub struct ProcessHarness {
+    /// Weak reference to the harness itself, for the tasks that read the output of processes.
     me: Weak<ProcessHarness>,
     config: Rc<DrillConfig>,
     zones: Vec<String>,
     context: Rc<TestbedContext>,
     addresses: PlannerAddresses,
     lease_duration_us: i64,
-    /// The installation's files, with the voters' own addresses: operators are not cut off.
+    /// Files for operator commands, with the voters' addresses without relays, so that no cut
+    /// affects operators.
     files: Vec<String>,
     slots: Vec<SlotState>,
-    /// Holders of slots and spares.
+    /// Processes that compete for the slots: as many as there are slots, and the spares.
     planners: Vec<HarnessProcess>,
     voters: Vec<HarnessProcess>,
-    /// Slots that the others are cut off from, and whether those receive from the others all the same.
+    /// Slots whose planners are cut off from the other planners, and whether they still receive
+    /// from them.
     isolated: RefCell<Option<(BTreeSet<usize>, bool)>>,
-    /// Processes that `kill` ended and `start` brings back, by their slot.
+    /// Processes that `kill` stopped and `start` restarts, by slot.
     killed: RefCell<BTreeMap<usize, usize>>,
-    /// By fault: how long slots were without a planner.
+    /// Times that slots were without a planner, in microseconds, by the kind of fault.
     gaps: RefCell<BTreeMap<String, Histogram<u64>>>,
+    /// Errors for the drill's report.
     errors: RefCell<Vec<String>>,
 }
 
 impl ProcessHarness {
-    /// Starts everything and waits until each slot has a planner.
+    /// Starts all processes, and waits until each slot has a planner.
     ///
     /// # Errors
     ///
-    /// Where a process does not start, or slots stay without a planner.
+    /// Fails if a process cannot be started, or slots stay without a planner.
     pub async fn begin(&self) -> io::Result<()> {
         (0..self.voters.len()).try_for_each(|voter| self.spawn(&self.voters[voter], None))?;
         (0..self.planners.len())
@@ -115,14 +127,17 @@
         Err(io::Error::other("found seats without a planner 30 s after the start"))
     }
 
+    /// Returns all planner and voter processes.
     fn processes(&self) -> impl Iterator<Item = &HarnessProcess> {
         self.planners.iter().chain(&self.voters)
     }
 
+    /// Records an error for the drill's report.
     fn error(&self, what: String) {
         self.errors.borrow_mut().push(what);
     }
 
+    /// Starts a process. `planner` is the index of a planner process, and `None` for a voter.
     fn spawn(&self, process: &HarnessProcess, planner: Option<usize>) -> io::Result<()> {
         let mut command = Command::new(&self.config.binary);
         command.args(&process.args).stdout(Stdio::piped()).stdin(Stdio::null()).kill_on_drop(true);
@@ -143,7 +158,7 @@
         Ok(())
     }
 
-    /// A process says that it has a slot.
+    /// Handles the line by which a planner process reports an acquired slot.
     fn slot_acquired(&self, planner: usize, line: SlotAcquiredLine) {
         let number = line.name.rsplit('-').next().and_then(|number| number.parse::<usize>().ok());
         let Some((number, slot)) = number.and_then(|number| Some((number, self.slots.get(number)?))) else {
@@ -157,7 +172,8 @@
         if slot.since.get().is_none() {
             slot.since.set(Some(now));
         } else {
-            // One that no fault affected lost it by itself: a machine that stalls, or a voter that went.
+            // A holder that no fault affected lost its slot by itself, for example because the host
+            // stalled or a voter exited.
             let (at, fault) = slot.affected.take().unwrap_or((now, "nothing".into()));
             slot.without_us.set(slot.without_us.get() + now - at);
             let mut gaps = self.gaps.borrow_mut();
@@ -170,11 +186,12 @@
         slot.epoch.set(line.epoch);
         slot.holder.set(Some(planner));
         self.planners[planner].slot.set(Some((number, line.epoch)));
-        // Slots stay on their side of a cut, whichever process has them.
+        // The cut applies to slots, so it moves with the slot to another process.
         self.cut_between_planners();
         self.addresses.borrow_mut()[number] = line.listening;
     }
 
+    /// Sends a signal to a process. After `KILL` and `TERM` the exit of the process is expected.
     fn signal(&self, process: &HarnessProcess, signal: Signal) {
         self.check_running(process);
         process.ends.set(process.ends.get() || matches!(signal, Signal::KILL | Signal::TERM));
@@ -183,7 +200,8 @@
         }
     }
 
-    /// A process that nothing has ended must run, also if a fault would end it next.
+    /// Records an error if a process has exited that the harness did not end, also when a fault is
+    /// about to end it.
     fn check_running(&self, process: &HarnessProcess) {
         let ended = process.child.borrow_mut().as_mut().and_then(|child| child.try_wait().ok().flatten());
         if let Some(status) = ended.filter(|_| !process.ends.get()) {
@@ -192,7 +210,8 @@
         }
     }
 
-    /// Ends a process and waits for its end; a planner's clients are owed no answer any more.
+    /// Ends a process and waits for its exit. The checker expects no more answers from a planner
+    /// that is ended.
     async fn end(&self, process: &HarnessProcess, signal: Signal) {
         if let Some((number, epoch)) = process.slot.take() {
             let (now, name) = (self.context.clock.now(), format!("planner-{number}"));
@@ -215,18 +234,22 @@
         }
     }
 
+    /// Starts a process again.
     fn restart(&self, process: &HarnessProcess, planner: Option<usize>) {
         if let Err(e) = self.spawn(process, planner) {
             self.error(format!("{} did not come back: {e}", process.name));
         }
     }
 
-    /// A command of the binary about the installation, as an operator gives it; what it prints.
+    /// Runs a command of the binary on the installation, as an operator would, and returns its
+    /// output.
     async fn command(&self, name: &str, more: &[&str]) -> Option<serde_json::Value> {
         let files = self.files.iter().map(String::as_str);
         self.run([name].into_iter().chain(files).chain(more.iter().copied())).await
     }
 
+    /// Runs the binary with these arguments, and returns its output. `None`: it failed or printed
+    /// no JSON.
     async fn run<'a>(&self, args: impl Iterator<Item = &'a str>) -> Option<serde_json::Value> {
         let mut command = Command::new(&self.config.binary);
         command.args(args).args(["-o", "json"]).kill_on_drop(true);
@@ -234,7 +257,7 @@
         serde_json::from_slice(&out.stdout).ok()
     }
 
-    /// Which process has this lease, as most voters have it.
+    /// Returns the planner process that holds a lease according to a majority of the voters.
     async fn coordinator(&self, lease: &str) -> Option<usize> {
         let rows = self.command("council", &[]).await?;
         let held = |row: &&serde_json::Value| row["duty"] == *lease && row["state"] == "vote is out";
--- a/testbed/src/process_harness/faults.rs
+++ b/testbed/src/process_harness/faults.rs
@@ -11,30 +11,35 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Names of leases, as voters print them.
+/// Name of the rolling restart coordinator's lease, as voters print it.
 const ROLLING_RESTART_LEASE: &str = "roll";
+/// Name of the zone failover coordinator's lease, as voters print it.
 const FAILOVER_LEASE: &str = "halls";
 
-/// Which directions of links to voters are cut, and to how many of the voters.
+/// Directions in which links to voters are cut.
 #[derive(Clone, Copy)]
 struct VoterCut {
     to_voters: bool,
     from_voters: bool,
+    /// Number of voters whose links are cut.
     voters: usize,
 }
 
+/// Returns the duration of a fault.
 fn duration_of(fault: &ScheduledFault) -> Duration {
     Duration::from_micros(fault.duration_us as u64)
 }
 
 impl ProcessHarness {
-    /// A slot's holder is affected by a fault; its time without a planner begins.
+    /// Records that a fault affects a slot's holder: the time without a planner starts, unless it
+    /// already has.
     fn slot_affected(&self, number: usize, fault: &str) {
         let now = self.context.clock.now();
         self.slots[number].affected.borrow_mut().get_or_insert_with(|| (now, fault.to_owned()));
     }
 
-    /// A fault of this holder is over. Where it still has the slot two lease durations later, it never lost it.
+    /// Waits two lease durations after a holder's fault. If the holder still has the slot then, it
+    /// never lost it, and the slot counts as unaffected.
     async fn healed(&self, planner: usize, (number, epoch): HeldSlot) {
         sleep(Duration::from_micros(2 * self.lease_duration_us as u64)).await;
         let slot = &self.slots[number];
@@ -43,8 +48,8 @@
         }
     }
 
-    /// The processes that a fault affects, with the slots that they have: a coordinator, or the holders of a
-    /// drawn part of the slots, one at least.
+    /// Returns the running processes that a fault affects, with their slots: a coordinator, or the
+    /// holders of a random share of the slots.
     async fn affected(&self, fault: &ScheduledFault, chance: &mut StdRng) -> Vec<(usize, Option<HeldSlot>)> {
         let processes = if fault.kind.starts_with("conductor") {
             self.coordinator(ROLLING_RESTART_LEASE).await.into_iter().collect()
@@ -54,7 +59,7 @@
             let slots = drawn((0..self.slots.len()).collect(), fault.part, chance);
             slots.into_iter().filter_map(|number| self.slots[number].holder.get()).collect::<Vec<usize>>()
         };
-        // One that another fault has just ended has nothing to lose.
+        // A process that another fault has just ended holds no slot that it could lose.
         let running = |planner: &usize| self.planners[*planner].pid.get().is_some();
         let with_slot = |planner: usize| (planner, self.planners[planner].slot.get());
         let affected: Vec<_> = processes.into_iter().filter(running).map(with_slot).collect();
@@ -64,7 +69,8 @@
         affected
     }
 
-    /// Operators start a rolling restart of a zone, so many machines at once.
+    /// Starts a rolling restart of a zone, as an operator would. The fault's size is the number of
+    /// machines at once.
     async fn rolling_restart(&self, fault: &ScheduledFault) {
         let zone = fault.zone.clone().unwrap_or_else(|| self.zones[0].clone());
         let at_once = fault.size as usize;
@@ -78,7 +84,7 @@
         }
     }
 
-    /// Processes die, or are told to stop, and come back as spares.
+    /// Kills or terminates processes, and starts them again as spares after the fault's duration.
     async fn end_holders(&self, fault: &ScheduledFault, chance: &mut StdRng, signal: Signal) {
         let ended = self.affected(fault, chance).await;
         for &(planner, _) in &ended {
@@ -91,7 +97,7 @@
         ended.iter().for_each(|&(planner, _)| self.restart(&self.planners[planner], Some(planner)));
     }
 
-    /// Processes are stopped, and resumed.
+    /// Stops processes, and resumes them after the fault's duration.
     async fn stop_holders(&self, fault: &ScheduledFault, chance: &mut StdRng) {
         let stopped = self.affected(fault, chance).await;
         for &(planner, slot) in &stopped {
@@ -111,7 +117,7 @@
         }
     }
 
-    /// Links to the voters are cut.
+    /// Cuts links to the voters for the fault's duration.
     async fn cut_from_voters(&self, fault: &ScheduledFault, chance: &mut StdRng, cut: VoterCut) {
         let affected = self.affected(fault, chance).await;
         for &(planner, _) in &affected {
@@ -134,8 +140,9 @@
         }
     }
 
-    /// Cuts the links between planners as slots are isolated now: nobody else receives from those that are,
-    /// and they receive from nobody, or do. Voters and machines are reached by all.
+    /// Updates the cuts between planners to the isolated slots: what isolated planners send to
+    /// others is cut, and what others send to them unless they still receive. Links to voters and
+    /// machines are unaffected.
     pub(super) fn cut_between_planners(&self) {
         let isolated = self.isolated.borrow();
         for process in &self.planners {
@@ -146,15 +153,15 @@
             };
             let apart = |other: &usize| isolated.contains(other) != isolated.contains(&slot);
             for other in (0..self.slots.len()).filter(apart) {
-                // Who dials is isolated, or who is dialled: what those send is cut, and what they receive
-                // unless they do.
+                // The relay is in front of the planner that is dialled. Traffic from the isolated
+                // side is always cut, and traffic to it unless it still receives.
                 let cuts = if isolated.contains(&other) { (true, !receive) } else { (!receive, true) };
                 cut.insert(format!("planner-{other}"), cuts);
             }
         }
     }
 
-    /// A drawn part of the slots is cut off from the other planners for a while.
+    /// Cuts a random share of the slots off from the other planners for the fault's duration.
     async fn isolate(&self, fault: &ScheduledFault, chance: &mut StdRng, receive: bool) {
         let slots = drawn((0..self.slots.len()).collect::<Vec<usize>>(), fault.part, chance);
         *self.isolated.borrow_mut() = Some((slots.into_iter().collect(), receive));
@@ -164,7 +171,8 @@
         self.cut_between_planners();
     }
 
-    /// A part of all processes dies at once, voters among them, and is back after the fault's time.
+    /// Kills a random share of all processes, voters included, and restarts them after the fault's
+    /// duration.
     async fn kill_many(&self, fault: &ScheduledFault, chance: &mut StdRng) {
         let planners = self.planners.iter().enumerate().map(|(number, process)| (process, Some(number)));
         let all = planners.chain(self.voters.iter().map(|voter| (voter, None))).collect();
@@ -182,7 +190,8 @@
         killed.into_iter().for_each(|(process, planner)| self.restart(process, planner));
     }
 
-    /// So many voters die at once and start again, `lost` of them without what they kept.
+    /// Kills `count` voters, deletes the stored votes of `lost` of them, and restarts them after
+    /// the fault's duration.
     async fn kill_voters(&self, fault: &ScheduledFault, chance: &mut StdRng, (count, lost): (usize, usize)) {
         let mut killed: Vec<&HarnessProcess> = self.voters.iter().collect();
         killed.shuffle(chance);
@@ -197,10 +206,12 @@
         killed.into_iter().for_each(|voter| self.restart(voter, None));
     }
 
+    /// Returns the relays between all processes and the voters.
     fn voter_relays(&self) -> impl Iterator<Item = &Rc<RelayControl>> {
         self.processes().flat_map(|process| &process.relays)
     }
 
+    /// Plays a fault of processes. Returns false for any other kind of fault.
     async fn play_process_fault(&self, fault: &ScheduledFault, chance: &mut StdRng) -> bool {
         match fault.kind.as_str() {
             "holder_kill" | "conductor_kill" | "halls_kill" => {
@@ -218,6 +229,8 @@
         true
     }
 
+    /// Plays a fault of links to voters or between planners. Returns false for any other kind of
+    /// fault.
     async fn play_link_fault(&self, fault: &ScheduledFault, chance: &mut StdRng) -> bool {
         let all = self.voters.len();
         let cut = |to_voters, from_voters, voters| VoterCut { to_voters, from_voters, voters };
--- a/testbed/src/process_harness/report.rs
+++ b/testbed/src/process_harness/report.rs
@@ -1,37 +1,39 @@
-//! How slots went from process to process. The names of the fields in JSON are those that reports have always
-//! had.
+//! The report on takeovers of slots. Serialized names of fields stay the same across versions, as
+//! tools read them.
 use super::ProcessHarness;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// How slots went from process to process.
+/// Takeovers of slots, and errors of the processes.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SlotReport {
-    /// How often a slot went to another process.
+    /// Number of takeovers of a slot by another process.
     #[serde(rename = "hand_overs")]
     pub takeovers: u64,
-    /// Share of the time of all slots in which a planner that no fault had affected held them.
+    /// Share of the total time of all slots in which a planner unaffected by faults held them.
     pub held: f64,
-    /// By fault: from its beginning to the line of the successor.
+    /// Times from a fault to the successor's acquisition of the slot, by the kind of fault.
     #[serde(rename = "by_trouble")]
     pub by_fault: Vec<TakeoverTimes>,
-    /// From a holder's death to the first launch of its successor.
+    /// Times from a holder's death to its successor's first launch; `None` if there was none.
     pub first_launch: Option<TakeoverTimes>,
-    /// From the beginning of the rolling restart to the last machine's restart, in seconds.
+    /// Time from the start of the rolling restart to the last machine's restart, in seconds; `None`
+    /// without one.
     #[serde(rename = "roll_s")]
     pub rolling_restart_s: Option<f64>,
-    /// What must not be: an epoch that did not rise, a slot that nobody has at the end, a process that ended.
+    /// Errors, such as an epoch that did not rise, a slot without a planner at the end, or a
+    /// process that exited by itself.
     #[serde(rename = "faults")]
     pub errors: Vec<String>,
 }
 
-/// How long slots were without a planner, in lease durations.
+/// Distribution of the times that slots were without a planner, in lease durations.
 #[derive(Clone, Debug, Serialize)]
 pub struct TakeoverTimes {
     /// The kind of fault.
     #[serde(rename = "trouble")]
     pub fault: String,
-    /// How often.
+    /// Number of takeovers.
     pub count: u64,
     /// The median.
     #[serde(rename = "median_terms")]
@@ -39,18 +41,18 @@
     /// The 99th percentile.
     #[serde(rename = "p99_terms")]
     pub p99_lease_durations: f64,
-    /// The longest.
+    /// The maximum.
     #[serde(rename = "most_terms")]
     pub max_lease_durations: f64,
 }
 
-/// Of microseconds.
+/// Returns an empty histogram of microseconds.
 pub(super) fn new_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 600_000_000, 3).expect("bounds that are in order")
 }
 
 impl ProcessHarness {
-    /// Ends all processes; how the slots fared.
+    /// Ends all processes, and returns the report.
     pub async fn finish(&self) -> SlotReport {
         let now = self.context.clock.now();
         self.processes().for_each(|process| self.check_running(process));
@@ -74,6 +76,7 @@
         self.report(now, errors)
     }
 
+    /// Returns the report at the time `now`, in microseconds.
     fn report(&self, now: i64, errors: Vec<String>) -> SlotReport {
         let all: i64 = self.slots.iter().map(|slot| slot.since.get().map_or(0, |at| now - at)).sum();
         let without: i64 = self.slots.iter().map(|slot| slot.without_us.get()).sum();
--- a/testbed/src/process_harness/setup.rs
+++ b/testbed/src/process_harness/setup.rs
@@ -1,4 +1,4 @@
-//! Lays out voters and planners, with their files, relays and command lines.
+//! Sets up voters and planners: their files, relays and command lines.
 use super::{HarnessProcess, ProcessHarness, SlotState};
 use crate::client::PlannerAddresses;
 use crate::context::TestbedContext;
@@ -10,29 +10,30 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Lease duration where the scenario does not say, in microseconds.
+/// Lease duration, unless the scenario sets it, in microseconds.
 const LEASE_DURATION_US: i64 = 1_000_000;
 
-/// What a harness is started with.
+/// Parameters of a harness.
 pub struct HarnessSetup {
-    /// How the drill is run.
+    /// The configuration of the drill.
     pub config: Rc<DrillConfig>,
-    /// What all peers share.
+    /// State shared by all simulated peers.
     pub context: Rc<TestbedContext>,
-    /// Where planners are reached, by slot; kept up to date.
+    /// Addresses of the planners by slot, updated whenever a slot is acquired.
     pub addresses: PlannerAddresses,
-    /// Where the registry listens.
+    /// Address of the registry.
     pub registry: String,
-    /// Where files and voters' records go.
+    /// Folder for the files of the processes and the stored votes of the voters.
     pub folder: PathBuf,
 }
 
-/// Loopback addresses of this process's own for voters and planners, each another: a port that was free a
-/// moment ago on the usual one may go to another process before its user has it.
+/// Returns distinct free loopback addresses for voters and planners. The host is specific to this
+/// process, because on 127.0.0.1 another process could bind a port between its check here and its
+/// use.
 ///
 /// # Errors
 ///
-/// Where a port cannot be bound.
+/// Fails if a port cannot be bound.
 pub fn free_addresses(count: usize) -> io::Result<Vec<String>> {
     let id = std::process::id();
     let host = format!("127.{}.{}.{}", 64 + id / 65_536 % 32, id / 256 % 256, id % 254 + 1);
@@ -41,7 +42,7 @@
     all.iter().map(|listener| Ok(listener.local_addr()?.to_string())).collect()
 }
 
-/// Writes an installation's file with these addresses of the voters.
+/// Writes a file of settings with these addresses of the voters, and returns its path.
 fn voters_file(
     folder: &Path,
     name: &str,
@@ -60,20 +61,21 @@
     Ok(file)
 }
 
-/// What the processes are laid out by.
+/// Addresses, files and zones that the processes are set up with.
 struct Layout<'a> {
     setup: &'a HarnessSetup,
     settings: &'a ResolvedValue,
+    /// Files of the installation.
     files: Vec<String>,
     zones: Vec<String>,
-    /// Where voters listen.
+    /// Addresses that voters listen on.
     voters: Vec<String>,
-    /// Where planners listen, spares included.
+    /// Addresses that planners listen on, spares included.
     planners: Vec<String>,
 }
 
 impl Layout<'_> {
-    /// A process by its number: voters come first.
+    /// Sets up the process of this number; the voters have the lowest numbers.
     async fn process(&self, number: usize) -> io::Result<HarnessProcess> {
         let voters = self.voters.len();
         let name =
@@ -103,6 +105,7 @@
         Ok(HarnessProcess { name, args, relays, own_relay, state, ..HarnessProcess::default() })
     }
 
+    /// Returns the command line of a voter.
     fn voter_args(&self, file: &str, name: &str, folder: &Path) -> Vec<String> {
         let mut args = vec!["voter".to_owned()];
         args.extend(self.files.clone());
@@ -110,6 +113,7 @@
         args
     }
 
+    /// Starts a planner's relay, and returns the planner's command line.
     async fn planner_args(
         &self,
         number: usize,
@@ -133,12 +137,12 @@
 }
 
 impl ProcessHarness {
-    /// Lays out the voters and planners of a scenario; nothing is started yet.
+    /// Sets up the voters and planners of a scenario without starting them.
     ///
     /// # Errors
     ///
-    /// Where the scenario has no slots, the installation has voters of its own, or a port or file cannot be
-    /// had.
+    /// Fails if the scenario has no slots, the installation has voters of its own, or a port or
+    /// file is not available.
     pub async fn new(setup: HarnessSetup, day: &ResolvedValue) -> io::Result<Rc<ProcessHarness>> {
         let settings = day.get("seats").ok_or_else(|| io::Error::other("the day has no seats"))?;
         let installation = &setup.config.installation;
@@ -150,7 +154,8 @@
         let number = |field: &str| settings.number(field).unwrap_or(1.0) as usize;
         let (slots, voters) = (setup.addresses.borrow().len(), number("voters"));
         let all = voters + slots + number("spares");
-        // Asked for in one go: a second time could bring a voter's port once more, and whoever came later ended.
+        // All addresses are requested at once: a second call could return a voter's port again, and
+        // the process that binds it later would exit.
         let mut voter_addresses = free_addresses(all)?;
         let planner_addresses = voter_addresses.split_off(voters);
         let layout = Layout {
--- a/testbed/src/relay.rs
+++ b/testbed/src/relay.rs
@@ -1,6 +1,7 @@
-//! A relay between processes: it carries bytes between who connects and one address, and spoils them on
-//! command: cut both control or one, delayed, or refused. A connection that is cut one way stays open, as where
-//! a switch loses frames: who is cut off is not told.
+//! A relay between processes: it forwards bytes between its clients and one address, and injects
+//! faults: cuts in one or both directions, delays, resets and refused connections. A connection
+//! that is cut in one direction stays open, as when a switch drops packets, so neither end is
+//! notified.
 use basaltpitch_agent::frame_decoder::FrameDecoder;
 use basaltpitch_agent::wire::Body;
 use std::cell::{Cell, RefCell};
@@ -14,35 +15,37 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// What is wrong with a relay. All may change at any time.
+/// Active faults of a relay, which may change at any time, and its byte count.
 #[derive(Debug, Default)]
 pub struct RelayControl {
-    /// Nothing gets through from who connected. What was sent meanwhile comes later.
+    /// Whether nothing is forwarded from clients. Bytes sent meanwhile are delivered after the cut.
     pub cut_forward: Cell<bool>,
-    /// Nothing gets back to who connected.
+    /// Whether nothing is forwarded back to clients. Bytes sent meanwhile are delivered after the
+    /// cut.
     pub cut_backward: Cell<bool>,
-    /// The same, forward and backward, for connections of who says hello under a name.
+    /// The same two cuts, forward and backward, for the connections of one client, by the name in
+    /// its hello.
     pub cut_by_peer: RefCell<BTreeMap<String, (bool, bool)>>,
-    /// What gets through is so late.
+    /// Delay of all bytes.
     pub delay: Cell<Duration>,
-    /// A count that resets all connections when it goes up.
+    /// A counter; all connections are closed when it increases.
     pub resets: Cell<u64>,
-    /// New connections are closed at once.
+    /// Whether new connections are closed at once.
     pub refuses: Cell<bool>,
-    /// Bytes that were carried, of both directions.
+    /// Bytes received, of both directions.
     pub carried: Cell<u64>,
 }
 
-/// Faults may change at any time: a look every few milliseconds is often enough.
+/// Interval at which changed faults are noticed.
 const CHECK_EVERY: Duration = Duration::from_millis(5);
-/// Reads that may be on their way at once.
+/// Maximum number of reads per direction that await their delivery.
 const MAX_PENDING_READS: usize = 256;
 
-/// Listens on a loopback port of its own, which it returns, and relays to `to`.
+/// Starts a relay to the address `to` on a loopback port, and returns the relay's address.
 ///
 /// # Errors
 ///
-/// Where no port can be bound.
+/// Fails if no port can be bound.
 pub async fn start(to: String, control: Rc<RelayControl>) -> io::Result<String> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
@@ -56,6 +59,7 @@
     Ok(address)
 }
 
+/// Forwards a client's connection until it closes or is reset.
 async fn carry(near: TcpStream, to: String, control: Rc<RelayControl>) {
     let Ok(far) = TcpStream::connect(to).await else { return };
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
@@ -66,7 +70,7 @@
             tokio::time::sleep(CHECK_EVERY).await;
         }
     };
-    // Who dials says so in its first frame.
+    // A client's first frame is its hello, which names it.
     let (who, cutter) = (RefCell::new(String::new()), RefCell::new(Some(FrameDecoder::default())));
     let on_read = |bytes: &[u8]| {
         let mut first = cutter.borrow_mut();
@@ -87,7 +91,7 @@
     }
 }
 
-/// Carries one direction until either end is gone.
+/// Forwards one direction until either end closes.
 async fn one_way(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -95,7 +99,8 @@
     cut: impl Fn() -> bool,
     control: &RelayControl,
 ) {
-    // What is late does not hold up what comes after it: a long way, not a narrow one.
+    // A delay does not slow down the bytes that follow: it models a long path, not one of low
+    // bandwidth.
     let (pending, mut arrivals) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_PENDING_READS);
     let reads = async {
         let mut bytes = vec![0; 16 * 1024];
