--- a/testbed/src/scale.rs
+++ b/testbed/src/scale.rs
@@ -1,7 +1,7 @@
-//! Many simulated peers in one process: machines, a registry for thousands of them, and clients of an open
-//! load. They speak the real agent protocol by the real link and the real table of attempts. They spoil
-//! nothing and prove nothing by themselves: a simulated peer is trusted where it was compared with a real one.
-//! What they carry is counted by kind of frame.
+//! Simulations of many peers in one process: machines, a registry for thousands of them, and
+//! clients with an open load. They use the same link and attempt table as real peers. They inject
+//! no faults into links and check no invariants: each kind of simulated peer is compared with a
+//! real one before its figures are used. Their traffic is counted by kind of frame.
 pub mod clients;
 mod counting_relay;
 pub mod hosts;
--- a/testbed/src/scale/clients.rs
+++ b/testbed/src/scale/clients.rs
@@ -1,5 +1,6 @@
-//! Clients of an open load: requests come by the clock, whatever became of those before, and a wait before
-//! sending counts. Each connection submits to one planner, and turns to the next when it does not answer.
+//! Clients with an open load: arrival times of requests do not depend on earlier answers, and
+//! latencies include the wait before sending. Each connection submits to one planner, and changes
+//! to the next planner when the connection fails.
 mod view;
 
 use super::traffic::{CountingStream, Traffic, TrafficByPlanner};
@@ -15,100 +16,108 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Time that an answer may come after the limit, in microseconds.
+/// Time past its limit after which a request counts as unanswered, in microseconds.
 const ANSWER_GRACE_US: i64 = 2_000_000;
-/// Time between attempts to reach a planner, and the time that one may take.
+/// Time between attempts to connect to a planner.
 const RECONNECT_AFTER: Duration = Duration::from_millis(50);
+/// Time that one attempt to connect may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How often requests beyond their limit are looked for.
+/// Interval at which overdue requests are looked for.
 const SWEEP_EVERY: Duration = Duration::from_millis(250);
-/// While nothing is submitted, in microseconds.
+/// Time between wake-ups while nothing is submitted, in microseconds.
 const IDLE_US: i64 = 3_600_000_000;
-/// Answered tasks that are remembered, so that a second answer is seen: the newest ones.
+/// Number of answered tasks that are remembered, the newest ones, to detect second answers.
 const REMEMBERED: usize = 200_000;
-/// Services of a framework.
+/// Number of services per framework.
 const SERVICES: u64 = 40;
 
-/// The load of a framework: its part of all tasks, what one counts, and its times.
+/// The load of one framework.
 #[derive(Clone, Copy, Debug)]
 pub struct FrameworkLoad {
-    /// Its name.
+    /// The framework's name.
     pub name: &'static str,
-    /// Its part of all tasks.
+    /// The framework's share of all tasks, relative to the shares of the other frameworks.
     pub part: f64,
-    /// What a task counts.
+    /// Priority weight of a task.
     pub value: f64,
-    /// A task counts in full up to this time to its start, in microseconds.
+    /// A task placed within this time counts with its full weight, in microseconds.
     pub latency_objective_us: i64,
-    /// A task counts nothing from this time on, in microseconds.
+    /// A task placed after this time counts nothing, in microseconds.
     pub limit_us: i64,
-    /// Cores of a task.
+    /// Cores that a task requests.
     pub cores: f64,
-    /// Memory of a task.
+    /// Memory that a task requests.
     pub memory: f64,
 }
 
-/// The load of a process of clients.
+/// The load that one process of clients generates.
 #[derive(Clone, Debug)]
 pub struct ClientsConfig {
-    /// Where planners listen.
+    /// Addresses of the planners.
     pub planners: Vec<String>,
-    /// How many of them are used at first, each on a connection of its own.
+    /// Number of connections; each starts with another planner.
     pub connections: usize,
-    /// Of all tasks together, a second.
+    /// Tasks per second over all frameworks.
     pub rate: f64,
-    /// How long a task runs on average, in seconds.
+    /// Mean run time of a task, in seconds.
     pub runs_s: f64,
-    /// What is submitted.
+    /// The load of each framework.
     pub frameworks: Vec<FrameworkLoad>,
-    /// How many tenants there are.
+    /// Number of tenants.
     pub tenants: usize,
-    /// One request in so many is a batch.
+    /// On average, one of this many requests is a batch.
     pub batch_every: u32,
-    /// Tasks of a batch.
+    /// Number of tasks in a batch.
     pub batch_size: u32,
-    /// Where chance starts from.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What clients are told to do.
+/// A command to the clients.
 #[derive(Debug)]
 pub enum ClientsCommand {
-    /// AttemptReply what was measured.
+    /// Reports what was measured since the window began.
     Report,
-    /// What was measured before is forgotten: the window begins.
+    /// Begins the measuring window: discards what was measured before.
     Begin,
-    /// Nothing is submitted any more; what is open is waited for.
+    /// Submits nothing more; requests that are open are still waited for.
     Stop,
 }
 
+/// A submitted task that has no answer yet.
 struct OpenTask {
+    /// When the task arrived, in microseconds.
     due: i64,
+    /// Index of the task's framework.
     framework: usize,
-    /// The connection that it was submitted on, and the link.
+    /// Index of the connection that the task was assigned to.
     connection: usize,
+    /// Number of the link that the task was sent on; 0: not sent yet.
     link: u64,
 }
 
-/// What came of the tasks of one framework.
+/// Results of one framework's tasks.
 struct FrameworkTotals {
+    /// Times from arrival to the answer "placed", in microseconds.
     started_us: Histogram<u64>,
     counts: TaskCounts,
 }
 
+/// Counts of tasks by result.
 #[derive(Clone, Copy, Default)]
 struct TaskCounts {
     submitted: u64,
     placed: u64,
     declined: u64,
     aborted: u64,
-    /// No answer by the limit.
+    /// Tasks without an answer by the limit and its grace time.
     unanswered: u64,
-    /// The planner was gone.
+    /// Tasks whose connection closed before the answer.
     disconnected: u64,
     lost: u64,
-    /// Answers beyond the one.
+    /// Answers to tasks that had already been answered.
     answered_again: u64,
+    /// Sum of the weights of placed tasks, reduced for tasks placed after the latency objective.
     value: f64,
 }
 
@@ -118,45 +127,58 @@
     }
 }
 
+/// Returns an empty histogram of microseconds.
 fn new_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 120_000_000, 3).expect("bounds that are in order")
 }
 
+/// A connection to a planner, which is replaced by a new link when it closes.
 #[derive(Default)]
 struct Connection {
+    /// Commands to the current link; `None` while there is none.
     orders: Option<mpsc::Sender<LinkCommand>>,
+    /// Number of the current link.
     link: u64,
-    /// Who answers, and what this link carried.
+    /// Name of the planner at the other end.
     planner: String,
+    /// Traffic of the current link.
     traffic: Rc<RefCell<Traffic>>,
-    /// What no planner has taken yet.
+    /// Tasks that were not sent yet.
     queue: VecDeque<Submit>,
 }
 
+/// An event of a connection.
 enum ConnectionEvent {
+    /// A new link was opened.
     Connected { link: u64, orders: mpsc::Sender<LinkCommand>, traffic: Rc<RefCell<Traffic>> },
+    /// An event of the link with this number.
     Link(u64, LinkEvent),
 }
 
+/// All clients of the process.
 struct Clients {
     config: ClientsConfig,
     clock: Clock,
     chance: fastrand::Rng,
     connections: Vec<Connection>,
     totals: Vec<FrameworkTotals>,
+    /// Tasks without an answer, by task number.
     open: BTreeMap<u64, OpenTask>,
-    /// Tasks that were answered, and in which order.
+    /// Answers to the most recently answered tasks, by task number.
     answered: HashMap<u64, AnswerKind>,
+    /// Numbers of the answered tasks that are remembered, the oldest first.
     answer_order: VecDeque<u64>,
+    /// Number of tasks so far.
     task_count: u64,
-    /// How late requests were submitted, in microseconds.
+    /// Times by which submissions lagged behind the arrivals, in microseconds.
     late_us: Histogram<u64>,
-    /// By planner: what links that ended carried.
+    /// Traffic of closed links, by planner.
     past_traffic: TrafficByPlanner,
+    /// Start of the measuring window, in microseconds.
     begun_at: i64,
 }
 
-/// Submits tasks until `commands` ends; reports go to `out`.
+/// Submits tasks until the sender of `commands` is dropped; reports are passed to `out`.
 pub async fn run(config: ClientsConfig, mut commands: mpsc::Receiver<ClientsCommand>, out: impl Fn(Value)) {
     let clock = Clock::start();
     let (events, mut inbox) = mpsc::channel(4096);
@@ -207,7 +229,7 @@
         }
     }
 
-    /// Draws the time until the next request.
+    /// Draws the time until the next request, in microseconds.
     fn gap_us(&mut self) -> i64 {
         let batches = 1.0 / f64::from(self.config.batch_every.max(1));
         let tasks = 1.0 - batches + batches * f64::from(self.config.batch_size.max(1));
@@ -215,10 +237,11 @@
         (-(1.0 - self.chance.f64()).ln() * mean_us) as i64
     }
 
+    /// Creates the task or the batch of tasks that arrived at the time `due`, in microseconds.
     fn request(&mut self, due: i64) {
         let batch = self.chance.u32(0..self.config.batch_every.max(1)) == 0;
         let count = if batch { self.config.batch_size } else { 1 };
-        // The tasks of one request are of one framework, tenant and service, and go to one planner.
+        // The tasks of a batch share framework, tenant and service, and go to one planner.
         let mut drawn = self.chance.f64() * self.config.frameworks.iter().map(|f| f.part).sum::<f64>();
         let chosen = self.config.frameworks.iter().position(|framework| {
             drawn -= framework.part;
@@ -251,6 +274,7 @@
         self.send_queued(connection);
     }
 
+    /// Sends a connection's queued tasks, and drops those whose limit has passed.
     fn send_queued(&mut self, connection: usize) {
         let now = self.clock.now();
         let connection = &mut self.connections[connection];
@@ -271,6 +295,7 @@
         }
     }
 
+    /// Handles an event of a connection; ignores events of earlier links.
     fn event(&mut self, number: usize, event: ConnectionEvent) {
         match event {
             ConnectionEvent::Connected { link, orders, traffic } => {
@@ -286,6 +311,7 @@
         }
     }
 
+    /// Handles an event of the current link.
     fn link_event(&mut self, number: usize, link: u64, event: LinkEvent) {
         match event {
             LinkEvent::Session(SessionEvent::Up(party)) => self.connections[number].planner = party.name,
@@ -299,7 +325,8 @@
         }
     }
 
-    /// What the planner had may run; its answer can come no more.
+    /// Counts the open tasks of a closed link as disconnected: they may run, but no answer can
+    /// arrive.
     fn disconnected(&mut self, number: usize, link: u64) {
         let connection = &mut self.connections[number];
         connection.orders = None;
@@ -311,12 +338,14 @@
         }
     }
 
+    /// Removes and returns the open tasks that match.
     fn take_open(&mut self, taken: impl Fn(&OpenTask) -> bool) -> Vec<OpenTask> {
         let numbers: Vec<u64> =
             self.open.iter().filter(|(_, open)| taken(open)).map(|(number, _)| *number).collect();
         numbers.iter().filter_map(|number| self.open.remove(number)).collect()
     }
 
+    /// Counts the answer to a task.
     fn answer(&mut self, answer: &wire::Answer) {
         let (now, number) = (self.clock.now(), number_of(&answer.key));
         let kind = AnswerKind::try_from(answer.kind).unwrap_or(AnswerKind::AnswerUnknown);
@@ -333,7 +362,8 @@
             AnswerKind::Placed => {
                 totals.counts.placed += 1;
                 totals.started_us.saturating_record(took_us.max(1) as u64);
-                // In full up to the objective, nothing from the limit on.
+                // The full weight counts up to the latency objective; it falls linearly to nothing
+                // at the limit.
                 let objective_us = framework.latency_objective_us;
                 let late =
                     (took_us - objective_us) as f64 / (framework.limit_us - objective_us).max(1) as f64;
@@ -351,7 +381,7 @@
         }
     }
 
-    /// Of what is open beyond its limit no answer is waited for.
+    /// Counts overdue tasks as unanswered, and sends queued tasks.
     fn sweep(&mut self) {
         let now = self.clock.now();
         let limits: Vec<i64> = self.config.frameworks.iter().map(|framework| framework.limit_us).collect();
@@ -362,22 +392,25 @@
         (0..self.connections.len()).for_each(|connection| self.send_queued(connection));
     }
 
+    /// Begins the measuring window.
     fn begin(&mut self) {
         self.begun_at = self.clock.now();
         self.late_us.reset();
-        // What was submitted before the window counts for nothing, whenever it is answered.
+        // Tasks that were submitted before the window are not counted, whenever their answers
+        // arrive.
         self.open.clear();
         self.connections.iter_mut().for_each(|connection| connection.queue.clear());
         self.totals.iter_mut().for_each(|totals| *totals = FrameworkTotals::new());
     }
 }
 
-/// The number of a task, of its key.
+/// Returns the number of a task from its key; 0 if it has none.
 fn number_of(key: &str) -> u64 {
     key.rsplit('/').next().and_then(|number| number.parse().ok()).unwrap_or(0)
 }
 
-/// Keeps a connection to a planner: first the one of its number, then the next that answers.
+/// Keeps one connection open: first to the planner of the same number, and after each close or
+/// failed attempt to the next planner.
 async fn keep_connected(
     (number, seed): (usize, u64),
     planners: Vec<String>,
--- a/testbed/src/scale/clients/view.rs
+++ b/testbed/src/scale/clients/view.rs
@@ -1,20 +1,28 @@
-//! What clients report. The names of the fields are those of lines between processes.
+//! The report of the clients. Serialized names of fields are part of the protocol between
+//! processes.
 use super::{Clients, FrameworkTotals, TaskCounts};
 use crate::scale::traffic::{by_planner, TrafficByPlanner};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use serde_json::Value;
 
+/// The report of a process of clients.
 #[derive(Serialize)]
 struct ClientsView<'a> {
     frameworks: Vec<FrameworkView<'a>>,
+    /// Tasks without an answer.
     open: usize,
+    /// Length of the measuring window so far, in seconds.
     seconds: f64,
+    /// The 99.9th percentile of the time by which submissions lagged behind the arrivals, in
+    /// milliseconds.
     #[serde(rename = "sent_late_p99.9_ms")]
     late_p999_ms: f64,
+    /// Traffic by planner.
     planners: TrafficByPlanner,
 }
 
+/// Results of one framework, or of all. Times are `None` if no task was placed.
 #[derive(Serialize)]
 struct FrameworkView<'a> {
     framework: &'a str,
@@ -37,13 +45,15 @@
     max_ms: Option<f64>,
 }
 
+/// Converts microseconds to milliseconds.
 fn to_ms(us: u64) -> f64 {
     us as f64 / 1000.0
 }
 
 impl<'a> FrameworkView<'a> {
+    /// Returns the view of a framework's results.
     fn new(framework: &'a str, started_us: &Histogram<u64>, counts: &TaskCounts) -> Self {
-        // Of none placed there is no time.
+        // Without a placed task there is no time to report.
         let at =
             |quantile: f64| (!started_us.is_empty()).then(|| to_ms(started_us.value_at_quantile(quantile)));
         FrameworkView {
@@ -66,6 +76,7 @@
 }
 
 impl TaskCounts {
+    /// Adds the counts of another framework.
     fn add(&mut self, more: &TaskCounts) {
         self.submitted += more.submitted;
         self.placed += more.placed;
@@ -80,7 +91,7 @@
 }
 
 impl Clients {
-    /// What was measured since the window began, by framework and of all.
+    /// Returns the report on the measuring window, by framework and for all frameworks together.
     pub(super) fn view(&self) -> Value {
         let mut all = FrameworkTotals::new();
         let mut frameworks = Vec::new();
--- a/testbed/src/scale/counting_relay.rs
+++ b/testbed/src/scale/counting_relay.rs
@@ -1,4 +1,4 @@
-//! A relay that counts both directions of what it carries, by kind of frame.
+//! A relay that counts its traffic in both directions, by kind of frame.
 use super::hosts::loopback_host;
 use super::traffic::{FrameScanner, Traffic, TrafficByPlanner};
 use basaltpitch_agent::frame_decoder::FrameDecoder;
@@ -10,25 +10,25 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Bytes of one read.
+/// Size of the read buffers, in bytes.
 const READ_SIZE: usize = 16 * 1024;
 
-/// What a relay counts. `in` is what goes to the address behind it.
+/// Counts of a relay. "In" is the direction to the address behind the relay.
 #[derive(Debug, Default)]
 pub struct RelayCounts {
-    /// By kind.
+    /// Traffic by kind of frame.
     pub traffic: RefCell<Traffic>,
-    /// The same by the name under which who dialled said hello.
+    /// Traffic by the name in the hello of the client that connected.
     pub by_peer: RefCell<TrafficByPlanner>,
-    /// All bytes, whether or not a frame's head was there.
+    /// All bytes, including those of frames whose kind is not known yet.
     pub bytes: Cell<u64>,
 }
 
-/// Listens on a loopback port of its own, which it returns, relays to `to`, and counts both directions by kind.
+/// Starts a relay to the address `to` on a loopback port, and returns the relay's address.
 ///
 /// # Errors
 ///
-/// Where no port can be bound.
+/// Fails if no port can be bound.
 pub async fn relay(to: String, counts: Rc<RelayCounts>) -> io::Result<String> {
     let listener = TcpListener::bind((loopback_host(7).as_str(), 0)).await?;
     let address = listener.local_addr()?.to_string();
@@ -40,6 +40,7 @@
     Ok(address)
 }
 
+/// Forwards a client's connection until both directions have closed.
 async fn carry(near: TcpStream, to: String, counts: Rc<RelayCounts>) {
     let Ok(far) = TcpStream::connect(to).await else { return };
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
@@ -51,7 +52,7 @@
     );
 }
 
-/// Carries one direction to its end, and then closes it.
+/// Forwards one direction to its end, and then closes it.
 async fn one_direction(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -61,7 +62,7 @@
 ) {
     let (mut scanner, mut bytes) = (FrameScanner::default(), vec![0; READ_SIZE]);
     let mut hello_decoder = FrameDecoder::default();
-    // What the other side sent before it was known to whom.
+    // Traffic that arrived before the client's hello.
     let mut pending = Traffic::default();
     while let Ok(count @ 1..) = from.read(&mut bytes).await {
         counts.bytes.set(counts.bytes.get() + count as u64);
--- a/testbed/src/scale/linear_fit.rs
+++ b/testbed/src/scale/linear_fit.rs
@@ -1,18 +1,17 @@
-//! A fit_line through what was measured.
+//! Fits a line through measured points.
 
-/// Least squares: what a step along the axis adds, what is there without any, and the root of the mean
-/// square of what the fit_line leaves over.
+/// A line fitted by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinearFit {
-    /// What a step along the axis adds.
+    /// Increase per unit of the x axis.
     pub slope: f64,
-    /// What is there without any.
+    /// Value at x = 0.
     pub intercept: f64,
-    /// The root of the mean square of what the line leaves over.
+    /// Root of the mean square of the distances from the line.
     pub residual: f64,
 }
 
-/// The fit_line through points that are not all at one place of the axis.
+/// Fits a line through points. Returns `None` for fewer than two points, or if all have the same x.
 pub fn fit_line(points: &[(f64, f64)]) -> Option<LinearFit> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / count;
--- a/testbed/src/scale/machines.rs
+++ b/testbed/src/scale/machines.rs
@@ -1,7 +1,8 @@
-//! Many simulated machines in one process, each with a port, links and a table of attempts of its own. A
-//! machine accepts what fits, starts it after a drawn time, runs it as long as the launch says, and sends what
-//! a machine sends. What goes wrong comes by command or by a schedule from the seed: restarts, and zones that
-//! vanish as when their power is lost.
+//! Simulations of many machines in one process, each with its own port, links and attempt table. A
+//! machine accepts attempts that fit its capacity, starts them after a random time, runs them as
+//! long as their launches request, and sends the frames that a real machine sends. Faults come by
+//! command or at random times drawn from the seed: restarts, and zones that vanish as in a power
+//! failure.
 mod attempts;
 mod connections;
 mod faults;
@@ -25,111 +26,138 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// Time between updates for the registry.
+/// Interval between updates to the registry.
 const UPDATE_EVERY: Duration = Duration::from_millis(200);
-/// How often one that vanished looks whether it is back, and the wait after an error of its listener.
+/// Interval at which a vanished machine checks whether its zone has returned.
 const VANISHED_CHECK_EVERY: Duration = Duration::from_millis(100);
+/// Wait after a listener's error.
 const ACCEPT_RETRY_AFTER: Duration = Duration::from_millis(10);
-/// Events that are taken in at once, at most.
+/// Maximum number of events handled before timers and commands are checked again.
 const EVENTS_AT_ONCE: usize = 256;
-/// A machine started so long before its process, in microseconds, that it does not warm up any more.
+/// Age of a machine at the start of the process, in microseconds: long enough that it does not warm
+/// up any more.
 const AGE_AT_START_US: i64 = 60_000_000;
-/// Machines of a zone in one cell.
+/// Machines per cell within a zone.
 const MACHINES_A_CELL: usize = 40;
-/// Cores and memory of a task of a planner that is not there.
+/// Cores and memory of each task of the absent planners.
 const ABSENT_TASK: (f64, f64) = (1.0, 2.0);
 
-/// The part of the fleet that one process has.
+/// The machines that one process simulates.
 #[derive(Clone, Debug)]
 pub struct MachinesConfig {
-    /// The number of its first machine.
+    /// Number of the first machine.
     pub first: usize,
-    /// How many machines it has.
+    /// Number of machines.
     pub count: usize,
-    /// All zones; machines are dealt to them in turn.
+    /// All zones; machines are assigned to them in turn.
     pub zones: Vec<String>,
-    /// The kind of the machines.
+    /// Kind of the machines.
     pub kind: String,
-    /// Cores of each.
+    /// Cores of each machine.
     pub cores: f64,
-    /// Memory of each.
+    /// Memory of each machine.
     pub memory: f64,
-    /// What is accepted, as multiples of cores and of memory.
+    /// Capacity that machines accept tasks for, as multiples of their cores and of their memory.
     pub accepts: (f64, f64),
-    /// A task is accepted when it runs, not when it is taken.
+    /// Whether a task is reported as accepted only once it runs.
     pub accepts_when_running: bool,
-    /// Of each machine, drawn from the seed.
+    /// Mean number of random restarts of each machine per hour.
     pub restarts_per_hour: f64,
-    /// Tasks that absent planners place: so many a second on these machines, each for so many seconds on
-    /// average. They take capacity and change the list, and nobody is told of them.
+    /// Load of absent planners, which are not simulated: their tasks per second on these machines,
+    /// and the mean run time of a task in seconds. These tasks take capacity and change the machine
+    /// list, but no planner is notified of them.
     pub absent_load: (f64, f64),
-    /// Where chance starts from.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What the machines of a process are told to do.
+/// A command to the machines of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MachinesCommand {
-    /// AttemptReply what was carried.
+    /// Reports the traffic and the running tasks.
     Report,
-    /// The machines of a zone answer nobody any more; until they are back, started anew.
+    /// The machines of a zone stop responding until the zone returns.
     Vanish(String),
-    /// The machines of a zone are back.
+    /// The machines of a zone are started again without any state.
     Return(String),
-    /// All machines restart, so many at a time.
+    /// All machines restart, this many at a time.
     RollingRestart(usize),
 }
 
+/// An event that the process handles. Machines are given by their index.
 enum MachinesEvent {
+    /// A machine accepted a connection.
     Accepted(usize, TcpStream),
+    /// An event of a machine's connection with this number.
     Connection(usize, u64, LinkEvent),
+    /// An event of the link to the registry.
     Registry(LinkEvent),
+    /// A new link to the registry was opened; holds its commands.
     RegistryConnected(mpsc::Sender<LinkCommand>),
 }
 
+/// An event that the process schedules for a machine.
 #[derive(Debug)]
 enum MachineTimer {
+    /// The check of an offer is complete.
     CheckOffer(AttemptKey),
+    /// The start of a task is complete.
     Start(AttemptKey),
+    /// The run time of a task is over.
     End(AttemptKey),
+    /// The machine starts again.
     Restart,
+    /// The machine has been silent for so long that it is listed as gone.
     ListAsGone,
-    /// A restart that was drawn.
+    /// The machine restarts at random.
     DrawnRestart,
-    /// The next task of an absent planner, on whichever machine.
+    /// The next task of an absent planner arrives, for a random machine.
     AbsentTask,
+    /// A task of an absent planner ends.
     AbsentTaskEnds,
 }
 
+/// An accepted task.
 struct Task {
+    /// Cores and memory that the task requested.
     requested: (f64, f64),
     running: bool,
 }
 
+/// A connection that a machine accepted.
 struct Connection {
     orders: mpsc::Sender<LinkCommand>,
+    /// The peer, once its hello has arrived as a planner.
     party: Option<PeerIdentity>,
+    /// Aborts the link when the machine crashes.
     task: AbortHandle,
     traffic: Rc<RefCell<Traffic>>,
 }
 
+/// State of one machine.
 struct Machine {
     name: String,
     address: String,
     zone: String,
     cell: u32,
+    /// When the machine started, in microseconds.
     started_us: i64,
-    /// Counts starts: timers of an earlier incarnation do nothing.
+    /// Number of starts; timers of an earlier incarnation are ignored.
     incarnation: u64,
     attempts: AttemptTable<String, Launch>,
+    /// Number of the current connection to each planner.
     links: BTreeMap<String, u64>,
+    /// All open connections by number.
     connections: HashMap<u64, Connection>,
     tasks: BTreeMap<AttemptKey, Task>,
     /// Cores and memory that accepted tasks requested.
     reserved: (f64, f64),
+    /// Number of running tasks of absent planners.
     absent_tasks: usize,
     draining: bool,
+    /// Whether the machine is listed as gone.
     gone: bool,
+    /// Whether the machine has stopped responding.
     vanished: Rc<Cell<bool>>,
 }
 
@@ -139,19 +167,24 @@
     clock: Clock,
     chance: fastrand::Rng,
     machines: Vec<Machine>,
+    /// Index of each machine by its name.
     numbers: HashMap<String, usize>,
-    /// By time and number: machine, incarnation, and what is due.
+    /// Scheduled events by time in microseconds and timer number: the machine, its incarnation, and
+    /// the event.
     timers: BTreeMap<(i64, u64), (usize, u64, MachineTimer)>,
+    /// Timers set so far.
     timer_count: u64,
+    /// Connections accepted so far by all machines.
     connection_count: u64,
-    /// Machines whose entries changed since the last update for the registry.
+    /// Machines whose entries changed since the last update to the registry.
     changed: BTreeSet<usize>,
-    /// Machines that a rolling restart has still to drain.
+    /// Machines that a rolling restart still has to drain.
     restart_queue: VecDeque<usize>,
+    /// Commands to the link to the registry; `None` while there is none.
     registry: Option<mpsc::Sender<LinkCommand>>,
     events: mpsc::Sender<MachinesEvent>,
     inbox: mpsc::Receiver<MachinesEvent>,
-    /// By planner: what connections that ended carried.
+    /// Traffic of closed connections, by planner.
     past_traffic: BTreeMap<String, Traffic>,
     counts: Counts,
 }
@@ -160,7 +193,7 @@
 ///
 /// # Errors
 ///
-/// Where no port can be bound.
+/// Fails if no port can be bound.
 pub async fn start(config: MachinesConfig) -> io::Result<MachineProcess> {
     let clock = Clock::start();
     let (events, inbox) = mpsc::channel(4096);
@@ -194,14 +227,15 @@
     (0..process.machines.len()).for_each(|machine| process.draw_restart(machine));
     let (rate, runs_s) = process.config.absent_load;
     if rate > 0.0 {
-        // As many as run at one time are there from the start.
+        // The load starts in its steady state, with as many tasks as run on average.
         (0..(rate * runs_s) as usize).for_each(|_| process.place_absent_task());
         process.set_timer(0, 0, MachineTimer::AbsentTask);
     }
     Ok(process)
 }
 
-/// Accepts the connections of a machine. While it has vanished, they wait in the listener's queue.
+/// Accepts a machine's connections. While the machine has vanished, they wait in the listener's
+/// queue.
 async fn accept_all(
     machine: usize,
     listener: TcpListener,
@@ -245,21 +279,24 @@
         }
     }
 
+    /// Reserves cores and memory.
     fn reserve(&mut self, size: (f64, f64)) {
         self.reserved = (self.reserved.0 + size.0, self.reserved.1 + size.1);
     }
 
+    /// Releases cores and memory.
     fn release(&mut self, size: (f64, f64)) {
         self.reserved = (self.reserved.0 - size.0, self.reserved.1 - size.1);
     }
 }
 
 impl MachineProcess {
-    /// Each machine's entry in the registry's list.
+    /// Returns the entry of each machine in the machine list.
     pub fn entries(&self) -> Vec<Entry> {
         (0..self.machines.len()).map(|machine| self.entry(machine)).collect()
     }
 
+    /// Returns the entry of a machine in the machine list.
     fn entry(&self, machine: usize) -> Entry {
         let (machine, config) = (&self.machines[machine], &self.config);
         let readiness = match machine {
@@ -281,8 +318,8 @@
         }
     }
 
-    /// Runs until `commands` ends; reports go to `out`. It updates the registry at that address, if there is
-    /// one.
+    /// Runs until the sender of `commands` is dropped; reports are passed to `out`. Keeps the
+    /// entries in the registry at the address `registry` up to date, if it is given.
     pub async fn run(
         mut self,
         registry: Option<String>,
@@ -326,6 +363,7 @@
         }
     }
 
+    /// Schedules an event for a machine.
     fn set_timer(&mut self, machine: usize, after_us: i64, timer: MachineTimer) {
         self.timer_count += 1;
         let incarnation = self.machines[machine].incarnation;
@@ -333,6 +371,7 @@
         self.timers.insert(key, (machine, incarnation, timer));
     }
 
+    /// Handles an event.
     fn event(&mut self, event: MachinesEvent) {
         match event {
             MachinesEvent::Accepted(machine, stream) => self.accept(machine, stream),
@@ -357,6 +396,8 @@
         }
     }
 
+    /// Handles a timer that is due. Timers of an earlier incarnation of the machine are ignored,
+    /// except those of random restarts and of absent planners' tasks.
     fn fire(&mut self, machine: usize, incarnation: u64, timer: MachineTimer) {
         match timer {
             MachineTimer::DrawnRestart => return self.drawn_restart(machine),
@@ -384,7 +425,7 @@
         }
     }
 
-    /// Tells the registry what changed.
+    /// Sends the changed entries to the registry.
     fn update_registry(&mut self) {
         let Some(registry) = self.registry.clone().filter(|_| !self.changed.is_empty()) else { return };
         let entries = self.changed.iter().map(|&machine| self.entry(machine)).collect();
--- a/testbed/src/scale/machines/attempts.rs
+++ b/testbed/src/scale/machines/attempts.rs
@@ -5,12 +5,13 @@
 use basaltpitch_agent::refusal_reason;
 use basaltpitch_agent::wire::{self, Body, EndedHow, Launch, Report};
 
-/// Time that it takes to look at an offer, in microseconds.
+/// Time that the check of an offer takes, in microseconds.
 const OFFER_CHECK_US: i64 = 3_000;
-/// Time that the start of a task takes, in microseconds; it is drawn around this.
+/// Mean time that the start of a task takes, in microseconds.
 const START_US: i64 = 30_000;
 
 impl MachineProcess {
+    /// Handles a frame of a planner.
     pub(super) fn frame(&mut self, machine: usize, planner: String, body: Body) {
         match body {
             Body::Launch(launch) => self.offered(machine, planner, launch),
@@ -34,6 +35,7 @@
         }
     }
 
+    /// Schedules the check of a new offer, or repeats the reply to a known attempt.
     fn offered(&mut self, machine: usize, planner: String, launch: Launch) {
         let Some(id) = launch.id.map(|id| (id.epoch, id.number)) else { return };
         let (say, new) = self.machines[machine].attempts.launch(&planner, id, launch);
@@ -44,17 +46,19 @@
         self.set_timer(machine, OFFER_CHECK_US, MachineTimer::CheckOffer((planner, id)));
     }
 
+    /// Cancels an attempt that does not run yet, and replies with its state.
     fn cancel(&mut self, machine: usize, planner: String, id: AttemptId) {
         let say = self.machines[machine].attempts.cancel(&planner, id);
         self.reply(machine, &planner, id, say);
     }
 
-    /// Cores and memory that are not reserved.
+    /// Returns the cores and memory that are not reserved.
     fn report(&self, machine: usize) -> Option<Report> {
         let reserved = self.machines[machine].reserved;
         Some(Report { values: vec![self.config.cores - reserved.0, self.config.memory - reserved.1] })
     }
 
+    /// Sends a reply about an attempt.
     pub(super) fn reply(&self, machine: usize, planner: &str, id: AttemptId, say: AttemptReply) {
         let (report, machine) = (self.report(machine), &self.machines[machine]);
         let launch = machine.attempts.payload(&planner.to_owned(), id);
@@ -64,6 +68,7 @@
         }
     }
 
+    /// Accepts or refuses an offer, unless it was cancelled meanwhile.
     pub(super) fn check_offer(&mut self, machine: usize, attempt: AttemptKey) {
         let (host, config) = (&mut self.machines[machine], &self.config);
         if host.attempts.state(&attempt.0, attempt.1) != Some(AttemptState::Queued) {
@@ -97,6 +102,7 @@
         self.set_timer(machine, takes_us as i64, MachineTimer::Start(attempt));
     }
 
+    /// Marks a task as running, and notifies its planner.
     pub(super) fn task_started(&mut self, machine: usize, attempt: AttemptKey) {
         let host = &mut self.machines[machine];
         let Some(task) = host.tasks.get_mut(&attempt) else { return };
@@ -116,6 +122,7 @@
         self.set_timer(machine, runs_us.max(1), MachineTimer::End(attempt));
     }
 
+    /// Ends a task, releases its capacity, and notifies its planner.
     pub(super) fn end_task(&mut self, machine: usize, attempt: &AttemptKey, how: EndedHow) {
         let host = &mut self.machines[machine];
         let Some(task) = host.tasks.remove(attempt) else { return };
@@ -126,7 +133,7 @@
         self.reply(machine, &attempt.0, attempt.1, AttemptReply::Ended(how as u8));
     }
 
-    /// A task of an absent planner, on a machine by chance, if it has the capacity.
+    /// Starts a task of an absent planner on a random machine, if the machine has the capacity.
     pub(super) fn place_absent_task(&mut self) {
         let machine = self.chance.usize(0..self.machines.len());
         let (host, config) = (&mut self.machines[machine], &self.config);
@@ -142,6 +149,7 @@
         self.set_timer(machine, (runs_s * 1e6) as i64, MachineTimer::AbsentTaskEnds);
     }
 
+    /// Starts a task of an absent planner, and schedules the next one.
     pub(super) fn next_absent_task(&mut self) {
         self.place_absent_task();
         let gap_s = -(1.0 - self.chance.f64()).ln() / self.config.absent_load.0;
--- a/testbed/src/scale/machines/connections.rs
+++ b/testbed/src/scale/machines/connections.rs
@@ -11,10 +11,11 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Time between attempts to reach the registry.
+/// Time between attempts to connect to the registry.
 const REGISTRY_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 impl MachineProcess {
+    /// Starts a link on a new connection.
     pub(super) fn accept(&mut self, machine: usize, stream: TcpStream) {
         self.connection_count += 1;
         let number = self.connection_count;
@@ -41,6 +42,7 @@
         host.connections.insert(number, Connection { orders, party: None, task, traffic });
     }
 
+    /// Handles an event of a connection. Frames count only on the current link of a planner.
     pub(super) fn connection_event(&mut self, machine: usize, number: u64, event: LinkEvent) {
         match event {
             LinkEvent::Session(SessionEvent::Up(party)) if party.role == Role::Planner => {
@@ -60,6 +62,7 @@
         }
     }
 
+    /// Makes a connection the current link of its planner, and sends the inventory.
     fn planner_connected(&mut self, machine: usize, number: u64, party: PeerIdentity) {
         let host = &mut self.machines[machine];
         if !host.connections.contains_key(&number) {
@@ -82,6 +85,7 @@
         host.send(&party.name, inventory(held, host.draining));
     }
 
+    /// Removes a closed connection, and keeps its traffic count.
     pub(super) fn disconnected(&mut self, machine: usize, number: u64) {
         let host = &mut self.machines[machine];
         let Some(connection) = host.connections.remove(&number) else { return };
@@ -95,12 +99,14 @@
 }
 
 impl Machine {
+    /// Closes a connection with this reason.
     fn close(&self, number: u64, why: &str) {
         if let Some(connection) = self.connections.get(&number) {
             let _ = connection.orders.try_send(LinkCommand::Close(why.to_owned()));
         }
     }
 
+    /// Sends a frame to a planner, if it is connected.
     pub(super) fn send(&self, planner: &str, body: Body) {
         if let Some(connection) = self.links.get(planner).and_then(|number| self.connections.get(number)) {
             let _ = connection.orders.try_send(LinkCommand::Send(body, None));
@@ -108,7 +114,7 @@
     }
 }
 
-/// Keeps a link to the registry.
+/// Keeps a link to the registry open.
 pub(super) async fn to_registry(
     address: String,
     name: String,
--- a/testbed/src/scale/machines/faults.rs
+++ b/testbed/src/scale/machines/faults.rs
@@ -1,17 +1,17 @@
-//! What goes wrong with the machines of one process: restarts, zones that vanish, rolling restarts.
+//! Faults of the machines of one process: random restarts, zones that vanish, and rolling restarts.
 use super::{MachineProcess, MachineTimer, MachinesCommand};
 use basaltpitch_agent::attempt_table::AttemptTable;
 use basaltpitch_agent::wire::{self, Body};
 
-/// Until a machine that is silent is listed as gone, in microseconds.
+/// Time after which a silent machine is listed as gone, in microseconds.
 const SILENT_US: i64 = 2_000_000;
-/// How long a machine that restarts is away, in microseconds.
+/// Time that a machine is down for a random restart, in microseconds.
 const AWAY_US: i64 = 500_000;
-/// A rolling restart drains a machine so long before it restarts, in microseconds.
+/// Time from a rolling restart's drain of a machine to its restart, in microseconds.
 const DRAIN_US: i64 = 1_000_000;
 
 impl MachineProcess {
-    /// Draws when a machine restarts next by itself.
+    /// Schedules a machine's next random restart.
     pub(super) fn draw_restart(&mut self, machine: usize) {
         if self.config.restarts_per_hour > 0.0 {
             let hours = -(1.0 - self.chance.f64()).ln() / self.config.restarts_per_hour;
@@ -19,6 +19,7 @@
         }
     }
 
+    /// Restarts a machine at random, and schedules its next random restart.
     pub(super) fn drawn_restart(&mut self, machine: usize) {
         if !self.machines[machine].vanished.get() {
             self.stop(machine);
@@ -27,11 +28,13 @@
         self.draw_restart(machine);
     }
 
+    /// Returns the machines of a zone.
     fn of_zone(&self, zone: &str) -> Vec<usize> {
         let machines = self.machines.iter().enumerate();
         machines.filter(|(_, machine)| machine.zone == zone).map(|(index, _)| index).collect()
     }
 
+    /// Executes a command.
     pub(super) fn command(&mut self, command: MachinesCommand) {
         match command {
             MachinesCommand::Report => {}
@@ -55,6 +58,7 @@
         }
     }
 
+    /// Starts or ends a drain, and notifies the connected planners.
     pub(super) fn drain(&mut self, machine: usize, on: bool) {
         let host = &mut self.machines[machine];
         host.draining = on;
@@ -63,7 +67,7 @@
         self.changed.insert(machine);
     }
 
-    /// A rolling restart's next machine: drained, and restarted when its time to finish is over.
+    /// Drains the next machine of a rolling restart, and schedules its restart.
     fn drain_next(&mut self) {
         if let Some(machine) = self.restart_queue.pop_front() {
             self.drain(machine, true);
@@ -71,7 +75,7 @@
         }
     }
 
-    /// A machine dies with all that runs there; nobody is told.
+    /// Stops a machine with all its tasks without notifying any planner.
     fn stop(&mut self, machine: usize) {
         let connections: Vec<u64> = self.machines[machine].connections.keys().copied().collect();
         for number in connections {
@@ -87,7 +91,8 @@
         host.tasks.clear();
     }
 
-    /// It is back, started anew with nothing.
+    /// Starts a machine again without any state. In a rolling restart, the next machine is drained
+    /// then.
     pub(super) fn begin(&mut self, machine: usize) {
         let rolling = self.machines[machine].draining;
         if !self.machines[machine].vanished.get() {
@@ -100,7 +105,7 @@
             self.counts.restarts += 1;
             self.changed.insert(machine);
         }
-        // One that has vanished comes back with its zone.
+        // A machine that has vanished returns with its zone instead.
         if rolling {
             self.drain_next();
         }
--- a/testbed/src/scale/machines/view.rs
+++ b/testbed/src/scale/machines/view.rs
@@ -1,9 +1,11 @@
-//! What the machines of one process report. The names of the fields are those of lines between processes.
+//! The report of the machines of one process. Serialized names of fields are part of the protocol
+//! between processes.
 use super::MachineProcess;
 use crate::scale::traffic::{by_planner, TrafficByPlanner};
 use serde::Serialize;
 use serde_json::Value;
 
+/// Counts of attempts and restarts.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(super) struct Counts {
     pub(super) launched: u64,
@@ -13,23 +15,30 @@
     pub(super) restarts: u64,
 }
 
+/// The report of the machines of one process.
 #[derive(Serialize)]
 struct MachinesView {
     machines: usize,
-    /// Machines with a link to any planner.
+    /// Machines with a link to at least one planner.
     linked: usize,
+    /// Links between machines and planners.
     links: usize,
+    /// Lowest number of links of a machine; `None` without machines.
     fewest_links: Option<usize>,
+    /// Tasks that are running.
     running: usize,
+    /// Running tasks of absent planners.
     #[serde(rename = "others")]
     absent_tasks: usize,
     #[serde(flatten)]
     counts: Counts,
+    /// Traffic by planner.
     planners: TrafficByPlanner,
 }
 
 impl MachineProcess {
-    /// What was carried, seen from the machines, by planner; and what runs.
+    /// Returns the report: running tasks, links, and the traffic with each planner as the machines
+    /// count it.
     pub(super) fn view(&self) -> Value {
         let connections = self.machines.iter().flat_map(|machine| machine.connections.values());
         let current = connections.filter_map(|connection| {
--- a/testbed/src/scale/registry.rs
+++ b/testbed/src/scale/registry.rs
@@ -1,6 +1,6 @@
-//! A registry for thousands of simulated machines and many watchers: processes of machines tell it their
-//! entries, and it tells each watcher what changed since its last update. Changes are numbered, so that a
-//! watcher costs a number here, not a copy of the list.
+//! A registry for thousands of simulated machines and many watchers. Processes of machines send it
+//! their entries, and it sends each watcher what changed since the watcher's last update. Changes
+//! are numbered, so that the state of a watcher is one number instead of a copy of the list.
 use super::traffic::{by_planner, CountingStream, Traffic, TrafficByPlanner};
 use crate::registry::{differ_in_capacity_only, with_capacity_for};
 use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
@@ -15,48 +15,59 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// Time between updates.
+/// Interval between updates to watchers.
 const UPDATE_EVERY: Duration = Duration::from_millis(200);
 
-/// What a registry is told to do.
+/// A command to the registry.
 #[derive(Debug)]
 pub enum RegistryCommand {
-    /// AttemptReply what was carried.
+    /// Reports the traffic and the size of the list.
     Report,
 }
 
+/// A connection to the registry.
 struct Connection {
     orders: mpsc::Sender<LinkCommand>,
+    /// The peer, once its hello has arrived.
     party: Option<PeerIdentity>,
+    /// Whether the peer watches the machine list.
     watches: bool,
+    /// Whether the watch leaves out changes of capacity alone.
     brief: bool,
-    /// The newest change that it was sent.
+    /// Number of the newest change that the peer was sent.
     sent_up_to: u64,
     traffic: Rc<RefCell<Traffic>>,
 }
 
+/// A machine's entry in the list.
 struct Row {
     entry: Entry,
+    /// Number of the entry's last change.
     changed: u64,
-    /// The last change that was not of a ready machine's capacity alone.
+    /// Number of the last change other than a change of a ready machine's capacity alone.
     changed_beyond_capacity: u64,
-    /// The connection that tells of it.
+    /// Number of the connection that sent the entry; 0: it was there at the start.
     source: u64,
 }
 
+/// State of the registry.
 #[derive(Default)]
 struct RegistryState {
+    /// The machine list, by machine.
     rows: BTreeMap<String, Row>,
+    /// Number of the last change.
     changes: u64,
+    /// Stamp of the last list that was sent.
     stamp: u64,
     connections: HashMap<u64, Connection>,
-    /// By planner: what ended connections carried.
+    /// Traffic of closed connections, by planner.
     past_traffic: TrafficByPlanner,
-    /// Of rolling restarts: the highest token that was seen.
+    /// Highest fencing token of a rolling restart's orders.
     fencing_token: u64,
 }
 
-/// Runs a registry at a listener until `commands` ends; reports go to `out`. It has `entries` from the start.
+/// Runs a registry on a listener until the sender of `commands` is dropped; reports are passed to
+/// `out`. The list starts with `entries`.
 pub async fn run(
     listener: TcpListener,
     entries: Vec<Entry>,
@@ -86,6 +97,7 @@
 }
 
 impl RegistryState {
+    /// Starts a link on a new connection.
     fn accept(
         &mut self,
         stream: TcpStream,
@@ -111,6 +123,7 @@
         ));
     }
 
+    /// Updates a machine's entry, and numbers the change if there is one.
     fn update(&mut self, source: u64, entry: Entry) {
         let known = self.rows.get(&entry.machine);
         if known.is_some_and(|row| row.entry == entry && row.source == source) {
@@ -123,6 +136,7 @@
         self.rows.insert(entry.machine.clone(), Row { entry, changed, changed_beyond_capacity, source });
     }
 
+    /// Handles an event of a connection.
     fn link_event(&mut self, number: u64, event: LinkEvent) {
         match event {
             LinkEvent::Session(SessionEvent::Up(party)) => {
@@ -136,6 +150,7 @@
         }
     }
 
+    /// Handles a frame: entries, watches, queries and drain orders.
     fn frame(&mut self, number: u64, body: Body) {
         match body {
             Body::List(list) => {
@@ -165,7 +180,8 @@
         }
     }
 
-    /// Passes an order to drain on. A coordinator's order under an older token is refused.
+    /// Passes a drain order on to the machine's process, unless its fencing token is older than
+    /// that of an earlier order.
     fn drain(&mut self, drain: wire::Drain) {
         if drain.token != 0 && drain.token < self.fencing_token {
             return;
@@ -177,6 +193,8 @@
         }
     }
 
+    /// Removes a closed connection. Keeps the traffic count of planners, and lists machines as
+    /// gone.
     fn disconnected(&mut self, number: u64) {
         let Some(connection) = self.connections.remove(&number) else { return };
         match connection.party {
@@ -189,7 +207,7 @@
         }
     }
 
-    /// The process of these machines is gone, and they with it.
+    /// Lists all machines of a process as gone after its connection has closed.
     fn machines_gone(&mut self, source: u64) {
         let gone = self.rows.values().filter(|row| row.source == source);
         let gone: Vec<Entry> = gone.map(|row| row.entry.clone()).collect();
@@ -198,13 +216,14 @@
         }
     }
 
+    /// Sends each watcher what changed.
     fn update_watchers(&mut self) {
         let watching = self.connections.iter().filter(|(_, connection)| connection.watches);
         let watching: Vec<u64> = watching.map(|(number, _)| *number).collect();
         watching.into_iter().for_each(|number| self.send(number, false));
     }
 
-    /// Sends a watcher the whole list, or what changed.
+    /// Sends a peer the whole list, or only the entries that changed since its last update.
     fn send(&mut self, number: u64, whole: bool) {
         let Some(connection) = self.connections.get_mut(&number) else { return };
         if !whole && connection.sent_up_to == self.changes {
@@ -225,7 +244,8 @@
         }
     }
 
-    /// What was carried, seen from here, by planner; and what is listed.
+    /// Returns the report: the size of the list, and the traffic with each planner as the registry
+    /// counts it.
     fn view(&self) -> Value {
         let planners = self.connections.values().filter_map(|connection| {
             let party = connection.party.as_ref().filter(|party| party.role != Role::Machine)?;
@@ -242,11 +262,16 @@
     }
 }
 
-/// What a registry reports. The names of the fields are those of lines between processes.
+/// The report of the registry. Serialized names of fields are part of the protocol between
+/// processes.
 #[derive(Serialize)]
 struct RegistryView {
+    /// Number of machines in the list.
     listed: usize,
+    /// Number of ready machines in the list.
     ready: usize,
+    /// Number of changes so far.
     changes: u64,
+    /// Traffic by planner.
     planners: TrafficByPlanner,
 }
--- a/testbed/src/scale/traffic.rs
+++ b/testbed/src/scale/traffic.rs
@@ -1,5 +1,5 @@
-//! Bytes and frames by kind, as the sockets carry them: read off the length and the first field of each
-//! frame, so that counting decodes nothing.
+//! Counts bytes and frames by kind as they pass a socket. The kind is read from the first field of
+//! each frame, so that counting needs no decoding.
 use serde::ser::{Serialize, SerializeMap, Serializer};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -13,11 +13,11 @@
 
 pub use super::counting_relay::{relay, RelayCounts};
 
-/// Kinds of frames. `links`: hello, credit, goodbye.
+/// Kinds of frames. `links` are hello, credit and goodbye.
 pub const KINDS: [&str; 9] =
     ["heartbeats", "summaries", "council", "inventories", "lists", "probes", "tasks", "operators", "links"];
 
-/// The kind of a frame by the number of its field in `agent.proto`.
+/// Returns the index of a frame's kind, given the number of its field in `agent.proto`.
 fn kind_of(field: u32) -> usize {
     let name = match field {
         2 => "heartbeats",
@@ -33,41 +33,41 @@
     index_of(name)
 }
 
-/// The place of a kind among [`KINDS`]; kinds that are not known count as `links`.
+/// Returns the index of a kind in [`KINDS`]; unknown kinds count as `links`.
 pub fn index_of(kind: &str) -> usize {
     KINDS.iter().position(|known| *known == kind).unwrap_or(KINDS.len() - 1)
 }
 
-/// What was carried of one kind, in both directions.
+/// Bytes and frames of one kind, in both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct FrameCount {
-    /// Bytes that came in.
+    /// Bytes received.
     pub bytes_in: u64,
-    /// Bytes that went out.
+    /// Bytes sent.
     pub bytes_out: u64,
-    /// Frames that came in.
+    /// Frames received.
     pub frames_in: u64,
-    /// Frames that went out.
+    /// Frames sent.
     pub frames_out: u64,
 }
 
 impl FrameCount {
-    /// Bytes of both directions.
+    /// Returns the bytes of both directions.
     pub fn bytes(&self) -> u64 {
         self.bytes_in + self.bytes_out
     }
 
-    /// Frames of both directions.
+    /// Returns the frames of both directions.
     pub fn frames(&self) -> u64 {
         self.frames_in + self.frames_out
     }
 
-    /// All four counts.
+    /// Returns bytes in, bytes out, frames in and frames out.
     pub fn to_array(self) -> [u64; 4] {
         [self.bytes_in, self.bytes_out, self.frames_in, self.frames_out]
     }
 
-    /// With a function applied to each of the four counts and its counterpart.
+    /// Applies a function to each of the four counts and the same count of `other`.
     fn combined(self, other: &FrameCount, combine: fn(u64, u64) -> u64) -> FrameCount {
         FrameCount {
             bytes_in: combine(self.bytes_in, other.bytes_in),
@@ -77,33 +77,35 @@
         }
     }
 
+    /// Counts a received frame of this size.
     pub(super) fn count_in(&mut self, bytes: u64) {
         self.bytes_in += bytes;
         self.frames_in += 1;
     }
 
+    /// Counts a sent frame of this size.
     pub(super) fn count_out(&mut self, bytes: u64) {
         self.bytes_out += bytes;
         self.frames_out += 1;
     }
 }
 
-/// By kind, in the order of [`KINDS`].
+/// Counts by kind, in the order of [`KINDS`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic(pub [FrameCount; KINDS.len()]);
 
-/// What was carried, by planner.
+/// Traffic by planner.
 pub type TrafficByPlanner = BTreeMap<String, Traffic>;
 
 impl Traffic {
-    /// Adds what another link carried.
+    /// Adds the traffic of another link.
     pub fn add(&mut self, other: &Traffic) {
         for (count, more) in self.0.iter_mut().zip(&other.0) {
             *count = count.combined(more, |count, more| count + more);
         }
     }
 
-    /// What was carried since an earlier reading.
+    /// Returns the traffic since an earlier reading.
     #[must_use]
     pub fn since(&self, earlier: &Traffic) -> Traffic {
         let mut all = *self;
@@ -113,7 +115,7 @@
         all
     }
 
-    /// The same, as the far end sees it: in and out change places.
+    /// Returns the traffic as the other end counts it, with in and out swapped.
     #[must_use]
     pub fn reversed(&self) -> Traffic {
         Traffic(self.0.map(|count| FrameCount {
@@ -124,17 +126,17 @@
         }))
     }
 
-    /// Bytes of all kinds and both directions.
+    /// Returns the bytes of all kinds and both directions.
     pub fn bytes(&self) -> u64 {
         self.0.iter().map(FrameCount::bytes).sum()
     }
 
-    /// As JSON: an object of each kind.
+    /// Returns the counts as a JSON object with one object per kind.
     pub fn view(&self) -> Value {
         serde_json::to_value(self).unwrap_or_default()
     }
 
-    /// What [`Traffic::view`] wrote; kinds that are not known count as `links`.
+    /// Reads counts written by [`Traffic::view`]; unknown kinds count as `links`.
     pub fn read(value: &Value) -> Traffic {
         let mut all = Traffic::default();
         for (kind, count) in value.as_object().into_iter().flatten() {
@@ -162,7 +164,7 @@
     }
 }
 
-/// By planner: what links that ended carried, and what those that are there did.
+/// Returns the sum of the traffic of closed and current links, by planner.
 pub(super) fn by_planner<'a>(
     past: &TrafficByPlanner,
     current: impl Iterator<Item = (&'a str, Traffic)>,
@@ -174,18 +176,20 @@
     all
 }
 
-/// Finds where frames begin in a stream of bytes, and of what kind they are.
+/// Finds the frames in a stream of bytes, with their kinds.
 #[derive(Debug, Default)]
 pub(super) struct FrameScanner {
-    /// Length and first tag of the next frame, as far as they are there.
+    /// Length and first tag of the next frame, as far as received.
     head: [u8; 6],
+    /// Number of bytes in `head`.
     have: usize,
-    /// Bytes of the last frame that are still to come.
+    /// Bytes of the current frame that are still to be received.
     left: u64,
 }
 
 impl FrameScanner {
-    /// Calls `each` with kind and bytes (length included) of every frame whose head is there.
+    /// Calls `each` with the kind and the size (length prefix included) of every frame whose head
+    /// is complete.
     pub(super) fn scan(&mut self, mut bytes: &[u8], mut each: impl FnMut(usize, u64)) {
         while !bytes.is_empty() {
             let skip = (bytes.len() as u64).min(self.left);
@@ -212,7 +216,7 @@
     }
 }
 
-/// A stream that counts what it carries, and is paused while `paused` is set: nothing comes and nothing goes.
+/// A stream that counts its traffic. While `paused` is set, nothing is received or sent.
 pub struct CountingStream {
     stream: TcpStream,
     paused: Rc<Cell<bool>>,
@@ -222,7 +226,7 @@
 }
 
 impl CountingStream {
-    /// Counts what a stream carries into `traffic`.
+    /// Returns a stream that adds its traffic to `traffic`.
     pub fn new(stream: TcpStream, paused: Rc<Cell<bool>>, traffic: Rc<RefCell<Traffic>>) -> Self {
         let _ = stream.set_nodelay(true);
         let (incoming, outgoing) = (FrameScanner::default(), FrameScanner::default());
@@ -237,7 +241,7 @@
         to: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.paused.get() {
-            // The session looks again at its next tick.
+            // No waker is registered: the session polls the stream again at its next tick.
             return Poll::Pending;
         }
         let before = to.filled().len();
