--- a/testbed/src/client.rs
+++ b/testbed/src/client.rs
@@ -61,7 +61,7 @@
 
 impl Default for ClientTotals {
     fn default() -> Self {
-        let placed_us = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are in order");
+        let placed_us = Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds");
         ClientTotals { placed_us, completed: 0, lost: 0, given_up: 0, submitted: 0, unplaced: 0 }
     }
 }
@@ -348,7 +348,7 @@
         let now = self.now();
         let keys: Vec<String> = self.tasks.keys().cloned().collect();
         for key in keys {
-            let task = self.tasks.get_mut(&key).expect("just listed");
+            let task = self.tasks.get_mut(&key).expect("the key was just read from this map");
             let same = task.planner.as_ref() == Some(&planner);
             match task.phase {
                 Phase::Submitted(until) if same && until > now => {
--- a/testbed/src/drill.rs
+++ b/testbed/src/drill.rs
@@ -43,7 +43,7 @@
 pub fn run(config: DrillConfig) -> io::Result<DrillReport> {
     std::panic::set_hook(Box::new(|info| {
         PANICKED.store(true, Ordering::Relaxed);
-        eprintln!("a stand-in failed: {info}");
+        eprintln!("a simulated peer panicked: {info}");
     }));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, play(config))
@@ -52,7 +52,7 @@
 /// Starts all peers, submits the scenario's tasks while the faults play, and returns the report.
 async fn play(config: DrillConfig) -> io::Result<DrillReport> {
     let Some(day) = config.installation.all.get("day").cloned() else {
-        return Err(io::Error::other("the files hold no day"));
+        return Err(io::Error::other("found no fault scenario in the files; expected the setting `day`"));
     };
     let seed = config.seed.unwrap_or(day.number("seed").unwrap_or(1.0) as u64);
     let mut chance = StdRng::seed_from_u64(seed);
@@ -66,7 +66,7 @@
     let now_us = drill.context.clock.now();
     let slots = drill.stop().await?;
     if PANICKED.load(Ordering::Relaxed) {
-        return Err(io::Error::other("a stand-in failed, so the day proves nothing"));
+        return Err(io::Error::other("a simulated peer panicked, so the drill's checks prove nothing"));
     }
     let totals = totals.borrow();
     Ok(drill.report(tasks, &totals, slots, now_us))
--- a/testbed/src/drill/planners.rs
+++ b/testbed/src/drill/planners.rs
@@ -88,13 +88,17 @@
             command.arg("--record").arg(folder.join(format!("{name}-{}.recording", self.started.get())));
         }
         let mut child = command.stdout(Stdio::piped()).stdin(Stdio::null()).kill_on_drop(true).spawn()?;
-        let out = child.stdout.take().ok_or_else(|| io::Error::other("no output"))?;
+        let out =
+            child.stdout.take().ok_or_else(|| io::Error::other("the planner process has no piped stdout"))?;
         let mut lines = BufReader::new(out).lines();
         let first = tokio::time::timeout(START_TIMEOUT, lines.next_line()).await;
-        let first =
-            first.map_err(|_| io::Error::other("planner did not start in 20 s"))??.unwrap_or_default();
+        let first = first
+            .map_err(|_| io::Error::other("planner printed no address within 20 s of its start"))??
+            .unwrap_or_default();
         let line: ListeningLine = serde_json::from_str(&first).map_err(|e| {
-            io::Error::other(format!("planner said {first:?}; expected where it listens ({e})"))
+            io::Error::other(format!(
+                "planner printed {first:?}; expected JSON with its address and epoch ({e})"
+            ))
         })?;
         setup.addresses.borrow_mut()[planner] = line.listening;
         self.all[planner].epoch.set(line.epoch);
@@ -108,7 +112,7 @@
             let child = process.child.borrow_mut().take();
             let Some(mut child) = child else { continue };
             if let Ok(Some(status)) = child.try_wait() {
-                return Err(io::Error::other(format!("planner-{planner} ended by itself: {status}")));
+                return Err(io::Error::other(format!("planner-{planner} exited by itself: {status}")));
             }
             let _ = child.kill().await;
         }
@@ -140,7 +144,7 @@
     fn start(&self, planner: usize) -> Pin<Box<dyn Future<Output = ()> + '_>> {
         Box::pin(async move {
             if let Err(e) = self.spawn(planner).await {
-                tracing::error!(planner, error = %e, "a planner did not come back");
+                tracing::error!(planner, error = %e, "could not restart the planner; the drill continues without it");
             }
         })
     }
--- a/testbed/src/fault_scenario/play.rs
+++ b/testbed/src/fault_scenario/play.rs
@@ -76,7 +76,7 @@
             fault: &fault,
         };
         let names: Vec<&str> = active.machines.iter().map(|machine| machine.name.as_str()).collect();
-        tracing::info!(fault = fault.kind, machines = names.join(" "), "fault begins");
+        tracing::info!(fault = fault.kind, machines = names.join(" "), "injecting a fault");
         let played = self.play_load(&active, &mut chance).await
             || self.play_planners(&active, &mut chance).await
             || self.play_processes(&active, &mut chance).await
@@ -89,7 +89,7 @@
                 directory.play(&fault.kind, active.duration, self.context.clock).await;
             }
         }
-        tracing::info!(fault = fault.kind, "the fault's cause is over");
+        tracing::info!(fault = fault.kind, "finished injecting the fault; its effects may last longer");
     }
 
     /// Plays faults of the load: bursts, hot keys and heavy-tailed usage.
--- a/testbed/src/machine.rs
+++ b/testbed/src/machine.rs
@@ -321,7 +321,7 @@
                 () = tokio::time::sleep_until(self.context.clock.at(wake)) => {
                     let now = self.now();
                     while self.timers.keys().next().is_some_and(|key| key.0 <= now) {
-                        let (_, timer) = self.timers.pop_first().expect("it has a first");
+                        let (_, timer) = self.timers.pop_first().expect("a timer is due");
                         self.fire(timer);
                     }
                 }
--- a/testbed/src/process_harness.rs
+++ b/testbed/src/process_harness.rs
@@ -124,7 +124,9 @@
             }
             tokio::time::sleep(START_CHECK_EVERY).await;
         }
-        Err(io::Error::other("found seats without a planner 30 s after the start"))
+        Err(io::Error::other(
+            "found slots without a planner 30 s after the start; expected a planner in each slot",
+        ))
     }
 
     /// Returns all planner and voter processes.
@@ -142,7 +144,7 @@
         let mut command = Command::new(&self.config.binary);
         command.args(&process.args).stdout(Stdio::piped()).stdin(Stdio::null()).kill_on_drop(true);
         let mut child = command.spawn()?;
-        let out = child.stdout.take().ok_or_else(|| io::Error::other("no output"))?;
+        let out = child.stdout.take().ok_or_else(|| io::Error::other("the process has no piped stdout"))?;
         process.pid.set(child.id().and_then(|id| Pid::from_raw(id as i32)));
         process.ends.set(false);
         *process.child.borrow_mut() = Some(child);
--- a/testbed/src/process_harness/report.rs
+++ b/testbed/src/process_harness/report.rs
@@ -48,7 +48,7 @@
 
 /// Returns an empty histogram of microseconds.
 pub(super) fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 600_000_000, 3).expect("bounds that are in order")
+    Histogram::new_with_bounds(1, 600_000_000, 3).expect("valid histogram bounds")
 }
 
 impl ProcessHarness {
--- a/testbed/src/process_harness/setup.rs
+++ b/testbed/src/process_harness/setup.rs
@@ -144,11 +144,13 @@
     /// Fails if the scenario has no slots, the installation has voters of its own, or a port or
     /// file is not available.
     pub async fn new(setup: HarnessSetup, day: &ResolvedValue) -> io::Result<Rc<ProcessHarness>> {
-        let settings = day.get("seats").ok_or_else(|| io::Error::other("the day has no seats"))?;
+        let settings = day.get("seats").ok_or_else(|| {
+            io::Error::other("found no `day.seats` in the scenario; expected the settings of slots")
+        })?;
         let installation = &setup.config.installation;
         if installation.all.get("council").is_some() {
             let why =
-                "found a council beside day.seats; expected one of them: the drill starts voters itself";
+                "found `council` beside `day.seats`; expected only one, as the drill starts its own voters";
             return Err(io::Error::other(why));
         }
         let number = |field: &str| settings.number(field).unwrap_or(1.0) as usize;
--- a/testbed/src/registry.rs
+++ b/testbed/src/registry.rs
@@ -231,7 +231,7 @@
             tracing::info!(
                 machine = machine.name,
                 token = drain.token,
-                "an older order of a rolling restart is refused"
+                "rejected a drain order of a rolling restart: the same or a newer order was already received"
             );
             return;
         }
--- a/testbed/src/scale/clients.rs
+++ b/testbed/src/scale/clients.rs
@@ -129,7 +129,7 @@
 
 /// Returns an empty histogram of microseconds.
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 120_000_000, 3).expect("bounds that are in order")
+    Histogram::new_with_bounds(1, 120_000_000, 3).expect("valid histogram bounds")
 }
 
 /// A connection to a planner, which is replaced by a new link when it closes.
--- a/testbed/src/settings.rs
+++ b/testbed/src/settings.rs
@@ -47,7 +47,7 @@
 /// Panics if the text is not a valid installation.
 pub fn invariant_config_of(text: &str) -> InvariantConfig {
     let site = basaltpitch_config::installation::load_texts(&[("site.rec", text)]);
-    invariant_config(&site.map_err(|e| e.1).expect("an installation in order").all)
+    invariant_config(&site.map_err(|e| e.1).expect("a valid installation").all)
 }
 
 /// Returns the setting `name`.
