--- a/testbed/tests/faulty_link.rs
+++ b/testbed/tests/faulty_link.rs
@@ -1,4 +1,5 @@
-//! A faulty link shows each frame twice each way: on the socket, and with the simulated peer.
+//! A link with fault injection reports each frame twice per direction: at the socket and at the
+//! simulated peer.
 use basaltpitch_agent::frame_decoder::FrameDecoder;
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{Body, Frame, Heartbeat, Hello, Role};
@@ -10,64 +11,76 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
+/// Returns the frame as written to a socket, with its length prefix.
 fn bytes(body: Body) -> Vec<u8> {
     let frame = Frame::from(body).encode_to_vec();
     [(frame.len() as u32).to_be_bytes().to_vec(), frame].concat()
 }
 
-/// Reads one whole frame.
-async fn reads(from: &mut (impl AsyncReadExt + Unpin)) -> Option<Body> {
-    let (mut cutter, mut some) = (FrameDecoder::default(), [0; 256]);
+/// Reads one whole frame; `None` if the connection closes before.
+async fn read_frame(from: &mut (impl AsyncReadExt + Unpin)) -> Option<Body> {
+    let (mut decoder, mut buffer) = (FrameDecoder::default(), [0; 256]);
     loop {
-        let n = from.read(&mut some).await.ok().filter(|&n| n > 0)?;
-        cutter.push_bytes(&some[..n]);
-        if let Some((_, body)) = cutter.next_frame() {
+        let count = from.read(&mut buffer).await.ok().filter(|&count| count > 0)?;
+        decoder.push_bytes(&buffer[..count]);
+        if let Some((_, body)) = decoder.next_frame() {
             return body;
         }
     }
 }
 
+/// A frame that is held back counts as read from the socket but not as received by the peer, and as
+/// sent by the peer but not as written to the socket. If the two were mixed up, the checker would
+/// expect a peer to know of frames that have not reached it.
 #[test]
-fn a_frame_that_is_held_is_on_the_socket_and_not_yet_heard_said_and_not_yet_sent() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+fn reports_held_frames_as_delivered_only_after_the_hold_ends() {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime is built");
     LocalSet::new().block_on(&runtime, async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let at = listener.local_addr().expect("its address");
-        let mut planner = TcpStream::connect(at).await.expect("a connection");
-        let (socket, _) = listener.accept().await.expect("the other end");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is bound");
+        let address = listener.local_addr().expect("the listener has an address");
+        let mut planner = TcpStream::connect(address).await.expect("the connection is accepted");
+        let (socket, _) = listener.accept().await.expect("a connection arrives");
         let (outer, mut machine) = tokio::io::duplex(4096);
         let (faults, clock) = (Rc::new(FaultInjection::default()), Clock::start());
         faults.hold_until_us.set(i64::MAX);
         let seen: Rc<RefCell<Vec<String>>> = Rc::default();
-        let shown = seen.clone();
-        let show = move |peer: &Hello, seen: LinkObservation| {
-            let word = match seen {
+        let events = seen.clone();
+        let observe = move |peer: &Hello, observation: LinkObservation| {
+            let event = match observation {
                 LinkObservation::SocketRead { .. } => "read",
-                LinkObservation::Received { .. } => "heard",
-                LinkObservation::Sent { .. } => "wrote",
-                LinkObservation::SocketWritten { .. } => "sent",
-                LinkObservation::Closed => "gone",
+                LinkObservation::Received { .. } => "received",
+                LinkObservation::Sent { .. } => "sent",
+                LinkObservation::SocketWritten { .. } => "written",
+                LinkObservation::Closed => "closed",
             };
-            shown.borrow_mut().push(format!("{word} {}", peer.epoch));
+            events.borrow_mut().push(format!("{event} {}", peer.epoch));
         };
-        let link = tokio::task::spawn_local(carry(socket, outer, 1, faults.clone(), clock, show));
+        let link = tokio::task::spawn_local(carry(socket, outer, 1, faults.clone(), clock, observe));
         let hello =
             Hello { role: Role::Planner as i32, name: "planner-1".into(), epoch: 7, ..Hello::default() };
-        planner.write_all(&bytes(Body::Hello(hello.clone()))).await.expect("it is written");
+        planner.write_all(&bytes(Body::Hello(hello.clone()))).await.expect("the hello is written");
         while seen.borrow().is_empty() {
             tokio::task::yield_now().await;
         }
-        machine.write_all(&bytes(Body::Heartbeat(Heartbeat { seq: 1, seen: 0 }))).await.expect("written");
+        machine
+            .write_all(&bytes(Body::Heartbeat(Heartbeat { seq: 1, seen: 0 })))
+            .await
+            .expect("the heartbeat is written");
         while seen.borrow().len() < 2 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(*seen.borrow(), ["read 7", "wrote 7"], "while all is held");
+        assert_eq!(*seen.borrow(), ["read 7", "sent 7"], "while the link is held");
 
         faults.hold_until_us.set(0);
-        assert_eq!(reads(&mut machine).await, Some(Body::Hello(hello)));
-        assert!(matches!(reads(&mut planner).await, Some(Body::Heartbeat(_))));
+        assert_eq!(read_frame(&mut machine).await, Some(Body::Hello(hello)));
+        assert!(matches!(read_frame(&mut planner).await, Some(Body::Heartbeat(_))));
         drop(planner);
         link.await.expect("the link ends");
-        assert_eq!(*seen.borrow(), ["read 7", "wrote 7", "heard 7", "sent 7", "gone 7"], "once it is let go");
+        assert_eq!(
+            *seen.borrow(),
+            ["read 7", "sent 7", "received 7", "written 7", "closed 7"],
+            "after the hold"
+        );
     });
 }
