--- a/testbed/src/client.rs
+++ b/testbed/src/client.rs
@@ -115,7 +115,7 @@
 /// State of one simulated client.
 struct SimulatedClient {
     setup: ClientSetup,
-    chance: StdRng,
+    rng: StdRng,
     /// Number of the planner that the client connects to.
     planner: usize,
     /// Attempts to connect to this planner that failed in a row.
@@ -123,7 +123,7 @@
     /// Number of the current connection; events of earlier connections are ignored.
     connection: u64,
     /// Commands to the current connection; `None` while there is none.
-    orders: Option<mpsc::Sender<LinkCommand>>,
+    commands: Option<mpsc::Sender<LinkCommand>>,
     /// The planner's incarnation, once its hello has arrived on the current connection.
     incarnation: Option<Incarnation>,
     /// Earliest time of the next attempt to connect, in microseconds.
@@ -138,12 +138,12 @@
     let (plans, inbox) = mpsc::channel(4096);
     let planner = setup.number as usize % setup.addresses.borrow().len();
     let client = SimulatedClient {
-        chance: StdRng::seed_from_u64(setup.seed),
+        rng: StdRng::seed_from_u64(setup.seed),
         setup,
         planner,
         failures: 0,
         connection: 0,
-        orders: None,
+        commands: None,
         incarnation: None,
         connect_at: 0,
         tasks: BTreeMap::new(),
@@ -193,14 +193,14 @@
     /// at the next tick.
     fn submit(&mut self, key: &str) {
         let now = self.now();
-        let (Some(orders), Some(planner)) = (&self.orders, self.incarnation.clone()) else { return };
+        let (Some(commands), Some(planner)) = (&self.commands, self.incarnation.clone()) else { return };
         let Some(task) = self.tasks.get_mut(key) else { return };
         task.plan.submit.ask += 1;
         task.plan.submit.time_left_us = task.plan.limit_us;
         if let Some(directory) = &*self.setup.context.directory.borrow() {
             task.plan.submit.tenant = directory.current_name(&task.plan.tenant);
         }
-        if orders.try_send(LinkCommand::Send(Body::Submit(task.plan.submit.clone()), None)).is_ok() {
+        if commands.try_send(LinkCommand::Send(Body::Submit(task.plan.submit.clone()), None)).is_ok() {
             self.setup.totals.borrow_mut().submitted += 1;
             (task.submitted_at, task.phase, task.planner) =
                 (now, Phase::Submitted(now + task.plan.limit_us), Some(planner));
@@ -211,7 +211,7 @@
     /// wait is over.
     async fn tick(&mut self, events: &mpsc::Sender<(u64, LinkEvent)>) {
         let now = self.now();
-        if self.orders.is_none() && now >= self.connect_at {
+        if self.commands.is_none() && now >= self.connect_at {
             self.connect(events).await;
         }
         let mut due = Vec::new();
@@ -236,9 +236,9 @@
     fn withdraw(&mut self, key: &str) {
         let Some(task) = self.tasks.get(key) else { return };
         let body = wire::Withdraw { key: key.to_owned(), ask: task.plan.submit.ask };
-        match (&self.orders, &task.planner) {
-            (Some(orders), _) => {
-                let _ = orders.try_send(LinkCommand::Send(Body::Withdraw(body), None));
+        match (&self.commands, &task.planner) {
+            (Some(commands), _) => {
+                let _ = commands.try_send(LinkCommand::Send(Body::Withdraw(body), None));
             }
             // Without a connection no answer can arrive, so the checker expects none.
             (None, Some(planner)) => self.setup.context.checker.borrow_mut().client_disconnected(
@@ -251,13 +251,13 @@
         self.setup.totals.borrow_mut().given_up += 1;
     }
 
-    /// Schedules the next request of a task, at least `least_us` from now. Drops the task if all
+    /// Schedules the next request of a task, at least `min_wait_us` from now. Drops the task if all
     /// its requests are used up.
-    fn retry(&mut self, key: &str, least_us: i64) {
-        let (now, rest) = (self.now(), self.chance.random_range(300_000..900_000));
+    fn retry(&mut self, key: &str, min_wait_us: i64) {
+        let (now, random_wait_us) = (self.now(), self.rng.random_range(300_000..900_000));
         let Some(task) = self.tasks.get_mut(key) else { return };
         task.attempts_left = task.attempts_left.saturating_sub(1);
-        task.phase = Phase::Waiting(now + least_us.max(rest));
+        task.phase = Phase::Waiting(now + min_wait_us.max(random_wait_us));
         if task.attempts_left == 0 {
             self.tasks.remove(key);
             self.setup.totals.borrow_mut().unplaced += 1;
@@ -283,12 +283,12 @@
         self.connection += 1;
         let connection = self.connection;
         let (outer, inner) = tokio::io::duplex(64 * 1024);
-        let (orders, inbox) = mpsc::channel(4096);
+        let (commands, inbox) = mpsc::channel(4096);
         let context = self.setup.context.clone();
-        let show = move |hello: &wire::Hello, seen: LinkObservation| {
+        let observe = move |hello: &wire::Hello, observation: LinkObservation| {
             let planner = (hello.name.clone(), hello.epoch);
             let (mut checker, now) = (context.checker.borrow_mut(), context.clock.now());
-            match seen {
+            match observation {
                 LinkObservation::Sent { body: Body::Submit(submit) } => {
                     checker.client_sent(now, &planner, submit)
                 }
@@ -305,7 +305,7 @@
             connection,
             Rc::new(FaultInjection::default()),
             clock,
-            show,
+            observe,
         ));
         let identity = PeerIdentity {
             role: Role::Owner,
@@ -322,17 +322,19 @@
             to,
             move |event| (connection, event),
         ));
-        self.orders = Some(orders);
+        self.commands = Some(commands);
     }
 
     /// Handles an event of the current connection.
     fn link_event(&mut self, event: LinkEvent) {
         match event {
-            LinkEvent::Session(SessionEvent::Up(party)) => self.planner_connected((party.name, party.epoch)),
+            LinkEvent::Session(SessionEvent::Up(peer_identity)) => {
+                self.planner_connected((peer_identity.name, peer_identity.epoch))
+            }
             LinkEvent::Session(SessionEvent::Frame(Body::Answer(answer))) => self.answered(answer),
             LinkEvent::Session(SessionEvent::Frame(Body::Life(event))) => self.lifecycle(event),
             LinkEvent::Ended { .. } => {
-                (self.orders, self.connect_at) = (None, self.now() + RECONNECT_AFTER_US);
+                (self.commands, self.connect_at) = (None, self.now() + RECONNECT_AFTER_US);
                 self.incarnation = None;
             }
             LinkEvent::Session(_) => {}
@@ -353,21 +355,21 @@
             match task.phase {
                 Phase::Submitted(until) if same && until > now => {
                     task.plan.submit.time_left_us = until - now;
-                    if let Some(orders) = &self.orders {
-                        let _ =
-                            orders.try_send(LinkCommand::Send(Body::Submit(task.plan.submit.clone()), None));
+                    if let Some(commands) = &self.commands {
+                        let _ = commands
+                            .try_send(LinkCommand::Send(Body::Submit(task.plan.submit.clone()), None));
                     }
                 }
                 Phase::Submitted(_) if !same => {
-                    if let Some(of) = &task.planner {
+                    if let Some(previous) = &task.planner {
                         self.setup.context.checker.borrow_mut().client_disconnected(
-                            of,
+                            previous,
                             &key,
                             task.plan.submit.ask,
                         );
                     }
-                    let wait = if task.plan.repeatable { 0 } else { self.setup.settle_us };
-                    self.retry(&key, wait);
+                    let wait_us = if task.plan.repeatable { 0 } else { self.setup.settle_us };
+                    self.retry(&key, wait_us);
                 }
                 Phase::Placed if !same => {
                     // The task runs on, but this client will not learn of its end, so it counts as
--- a/testbed/src/directory_scenario.rs
+++ b/testbed/src/directory_scenario.rs
@@ -70,32 +70,32 @@
     ///
     /// Fails if no port can be bound.
     pub async fn start(
-        day: &ResolvedValue,
+        scenario: &ResolvedValue,
         clients: u64,
         now: i64,
     ) -> io::Result<Option<Rc<DirectoryScenario>>> {
-        let Some(d) = day.get("directory") else { return Ok(None) };
+        let Some(settings) = scenario.get("directory") else { return Ok(None) };
         let people: Vec<String> = (0..clients).map(|n| format!("owner-{n}")).collect();
-        let tenant = |(n, t): (usize, &ResolvedValue)| Tenant {
+        let tenant = |(n, tenant): (usize, &ResolvedValue)| Tenant {
             id: format!("{:032x}", n + 1),
-            name: t.text("name").unwrap_or("").to_owned(),
-            share: t.number("share").unwrap_or(0.0),
+            name: tenant.text("name").unwrap_or("").to_owned(),
+            share: tenant.number("share").unwrap_or(0.0),
             changed: 0,
             members: people.clone(),
         };
-        let tenants = d.list("tenants").iter().enumerate().map(tenant).collect();
+        let tenants = settings.list("tenants").iter().enumerate().map(tenant).collect();
         let mut servers = Vec::new();
-        for _ in 0..d.number("servers").unwrap_or(1.0) as usize {
+        for _ in 0..settings.number("servers").unwrap_or(1.0) as usize {
             servers.push(ldap_server::start("feast").await?);
         }
-        let scenario = Rc::new(DirectoryScenario {
+        let directory = Rc::new(DirectoryScenario {
             servers,
             tenants: RefCell::new(tenants),
             people: RefCell::new(people),
             changes: Cell::new(0),
             current_names: RefCell::default(),
-            fresh_us: d.duration_us("fresh").unwrap_or(0),
-            every_us: d.duration_us("every").unwrap_or(0),
+            fresh_us: settings.duration_us("fresh").unwrap_or(0),
+            every_us: settings.duration_us("every").unwrap_or(0),
             unavailable_since: Cell::new(0),
             uncertain_until: Cell::new(now + RECOVERY_US),
             stale_answers: Cell::new(0),
@@ -103,8 +103,8 @@
             joined: Cell::new(false),
             errors: RefCell::default(),
         });
-        scenario.publish(0);
-        Ok(Some(scenario))
+        directory.publish(0);
+        Ok(Some(directory))
     }
 
     /// Writes the directory's settings for planners to `folder`, along with the file of the bind
@@ -113,11 +113,12 @@
     /// # Errors
     ///
     /// Fails if a file cannot be written.
-    pub fn file(&self, day: &ResolvedValue, folder: &Path) -> io::Result<PathBuf> {
+    pub fn file(&self, scenario: &ResolvedValue, folder: &Path) -> io::Result<PathBuf> {
         let secret = folder.join("directory.secret");
         std::fs::write(&secret, "feast")?;
-        let urls: Vec<String> = self.servers.iter().map(|s| format!("\"ldap://{}\"", s.address)).collect();
-        let sync = day.boolean("directory.sync").unwrap_or(false);
+        let urls: Vec<String> =
+            self.servers.iter().map(|server| format!("\"ldap://{}\"", server.address)).collect();
+        let sync = scenario.boolean("directory.sync").unwrap_or(false);
         let text = format!(
             "directory: {{\n\tservers: [{}]\n\tclear: true\n\tbind: \"cn=planner,dc=campus\"\n\
              \tpassword_file: {:?}\n\tbase: \"dc=campus\"\n\tevery: {}us\n\tfresh: {}us\n\tsync: {sync}\n\
@@ -137,10 +138,10 @@
     fn entries(&self) -> Vec<LdapEntry> {
         let stamp = |n: u32| format!("2026{n:010}Z");
         let person = |login: &str| format!("uid={login},dc=campus");
-        let mut all = Vec::new();
+        let mut entries = Vec::new();
         for (n, login) in self.people.borrow().iter().enumerate() {
             let (id, changed) = (format!("{:032x}", 0x1_0000 + n), stamp(0));
-            all.push(ldap_entry(
+            entries.push(ldap_entry(
                 &person(login),
                 &[
                     ("objectClass", &["inetOrgPerson"]),
@@ -150,30 +151,32 @@
                 ],
             ));
         }
-        for t in self.tenants.borrow().iter() {
-            let (share, changed) = (t.share.to_string(), stamp(t.changed));
-            let members: Vec<String> = t.members.iter().map(|m| person(m)).collect();
+        for tenant in self.tenants.borrow().iter() {
+            let (share, changed) = (tenant.share.to_string(), stamp(tenant.changed));
+            let members: Vec<String> = tenant.members.iter().map(|login| person(login)).collect();
             let members: Vec<&str> = members.iter().map(String::as_str).collect();
-            all.push(ldap_entry(
-                &format!("cn={},dc=campus", t.name),
+            entries.push(ldap_entry(
+                &format!("cn={},dc=campus", tenant.name),
                 &[
                     ("objectClass", &["basaltpitchTenant"]),
-                    ("cn", &[&t.name]),
-                    ("entryUUID", &[&t.id]),
+                    ("cn", &[&tenant.name]),
+                    ("entryUUID", &[&tenant.id]),
                     ("modifyTimestamp", &[&changed]),
                     ("member", &members),
                     ("basaltpitchShare", &[&share]),
                 ],
             ));
         }
-        all
+        entries
     }
 
     /// Copies the current entries to all servers except the last `lagging` ones.
     fn publish(&self, lagging: usize) {
-        let all = self.entries();
-        let most = self.servers.len().saturating_sub(lagging);
-        self.servers[..most].iter().for_each(|s| s.entries.borrow_mut().clone_from(&all));
+        let entries = self.entries();
+        let updated_count = self.servers.len().saturating_sub(lagging);
+        self.servers[..updated_count]
+            .iter()
+            .for_each(|server| server.entries.borrow_mut().clone_from(&entries));
     }
 
     /// Applies a change to the tenants; `change` receives the tenants and the number of the change.
@@ -189,67 +192,67 @@
 
     /// Injects the same fault into all servers.
     fn set_fault(&self, fault: DirectoryFault) {
-        self.servers.iter().for_each(|s| s.fault.set(fault));
+        self.servers.iter().for_each(|server| server.fault.set(fault));
     }
 
     /// Plays a fault of the directory from its start to its end. Does nothing for other kinds of
     /// faults.
-    pub async fn play(&self, what: &str, lasts: Duration, clock: Clock) {
+    pub async fn play(&self, kind: &str, duration: Duration, clock: Clock) {
         let now = || clock.now();
-        match what {
+        match kind {
             "directory_away" => {
                 self.unavailable_since.set(now());
                 self.set_fault(DirectoryFault::Refuses);
-                tokio::time::sleep(lasts / 2).await;
+                tokio::time::sleep(duration / 2).await;
                 self.set_fault(DirectoryFault::Stalls);
                 // The newcomer joins all tenants while planners cannot read the directory.
                 self.people.borrow_mut().push(NEWCOMER.into());
-                self.change(|tenants, n| {
-                    for t in tenants.iter_mut() {
-                        t.members.push(NEWCOMER.into());
-                        t.changed = n;
+                self.change(|tenants, change| {
+                    for tenant in tenants.iter_mut() {
+                        tenant.members.push(NEWCOMER.into());
+                        tenant.changed = change;
                     }
                 });
                 self.publish(0);
-                tokio::time::sleep(lasts / 2).await;
+                tokio::time::sleep(duration / 2).await;
                 self.set_fault(DirectoryFault::None);
                 self.uncertain_until.set(now() + RECOVERY_US);
                 self.unavailable_since.set(0);
-                self.joined.set(lasts.as_micros() as i64 > self.fresh_us + self.every_us + TRAVEL_US);
+                self.joined.set(duration.as_micros() as i64 > self.fresh_us + self.every_us + TRAVEL_US);
             }
             "directory_rename" => {
                 // The first tenant is renamed, and a new tenant without members takes its name:
                 // from now on clients name the first one by its id. The second tenant is renamed
                 // too, and clients keep using its old name.
-                self.change(|tenants, n| {
-                    let old = tenants[0].name.clone();
-                    self.current_names.borrow_mut().insert(old.clone(), tenants[0].id.clone());
-                    for t in tenants.iter_mut().take(2) {
-                        t.name = format!("{} hall", t.name);
-                        t.changed = n;
+                self.change(|tenants, change| {
+                    let old_name = tenants[0].name.clone();
+                    self.current_names.borrow_mut().insert(old_name.clone(), tenants[0].id.clone());
+                    for tenant in tenants.iter_mut().take(2) {
+                        tenant.name = format!("{} hall", tenant.name);
+                        tenant.changed = change;
                     }
                     let (id, members) = (format!("{:032x}", 0x1000), Vec::new());
-                    tenants.push(Tenant { id, name: old, share: 0.0, changed: n, members });
+                    tenants.push(Tenant { id, name: old_name, share: 0.0, changed: change, members });
                 });
                 self.publish(0);
             }
             "directory_lags" => {
                 // The first server becomes unavailable, and the last one lacks a change.
                 self.uncertain_until.set(i64::MAX);
-                self.change(|tenants, n| tenants.iter_mut().for_each(|t| t.changed = n));
+                self.change(|tenants, change| tenants.iter_mut().for_each(|tenant| tenant.changed = change));
                 self.publish(1);
                 tokio::time::sleep(Duration::from_micros(self.every_us as u64 * 2)).await;
                 self.servers[0].fault.set(DirectoryFault::Refuses);
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 self.servers[0].fault.set(DirectoryFault::None);
                 self.publish(0);
                 self.uncertain_until.set(now() + RECOVERY_US);
             }
             "directory_lacks" => {
-                let few: Vec<LdapEntry> =
-                    self.entries().into_iter().filter(|e| e.0.starts_with("uid=")).collect();
-                self.servers.iter().for_each(|s| s.entries.borrow_mut().clone_from(&few));
-                tokio::time::sleep(lasts).await;
+                let people_only: Vec<LdapEntry> =
+                    self.entries().into_iter().filter(|entry| entry.0.starts_with("uid=")).collect();
+                self.servers.iter().for_each(|server| server.entries.borrow_mut().clone_from(&people_only));
+                tokio::time::sleep(duration).await;
                 self.publish(0);
             }
             _ => {}
@@ -286,12 +289,13 @@
         if answer.not_allowed {
             error(format!("turned away ({}), a member all along", answer.reason));
         }
-        let away = self.unavailable_since.get();
-        let surely_stale = away > 0 && submitted_at > away + self.fresh_us + self.every_us + TRAVEL_US;
+        let unavailable_since = self.unavailable_since.get();
+        let surely_stale = unavailable_since > 0
+            && submitted_at > unavailable_since + self.fresh_us + self.every_us + TRAVEL_US;
         if surely_stale && answer.stale_us == 0 {
             error("rests on old knowledge and does not say so".into());
         }
-        if away == 0 && submitted_at > self.uncertain_until.get() && answer.stale_us != 0 {
+        if unavailable_since == 0 && submitted_at > self.uncertain_until.get() && answer.stale_us != 0 {
             error(format!("says that it rests on knowledge of {} us ago, and all is heard", answer.stale_us));
         }
     }
--- a/testbed/src/drill.rs
+++ b/testbed/src/drill.rs
@@ -51,18 +51,18 @@
 
 /// Starts all peers, submits the scenario's tasks while the faults play, and returns the report.
 async fn play(config: DrillConfig) -> io::Result<DrillReport> {
-    let Some(day) = config.installation.all.get("day").cloned() else {
+    let Some(scenario) = config.installation.all.get("day").cloned() else {
         return Err(io::Error::other("found no fault scenario in the files; expected the setting `day`"));
     };
-    let seed = config.seed.unwrap_or(day.number("seed").unwrap_or(1.0) as u64);
-    let mut chance = StdRng::seed_from_u64(seed);
-    let drill = Drill::start(config, day, seed, &mut chance).await?;
+    let seed = config.seed.unwrap_or(scenario.number("seed").unwrap_or(1.0) as u64);
+    let mut rng = StdRng::seed_from_u64(seed);
+    let drill = Drill::start(config, scenario, seed, &mut rng).await?;
     let totals = Rc::new(RefCell::new(ClientTotals::default()));
     let clients = drill.start_clients(&totals);
     drill.start_faults();
-    let (all, day) = (&drill.config.installation.all, &drill.day);
-    let tasks = submit_all(all, day, &drill.load, &clients, &mut chance).await;
-    tokio::time::sleep(Duration::from_micros(day.duration_us("settle").unwrap_or(0) as u64)).await;
+    let (all, scenario) = (&drill.config.installation.all, &drill.scenario);
+    let tasks = submit_all(all, scenario, &drill.load, &clients, &mut rng).await;
+    tokio::time::sleep(Duration::from_micros(scenario.duration_us("settle").unwrap_or(0) as u64)).await;
     let now_us = drill.context.clock.now();
     let slots = drill.stop().await?;
     if PANICKED.load(Ordering::Relaxed) {
@@ -84,7 +84,7 @@
 struct Drill {
     seed: u64,
     config: Rc<DrillConfig>,
-    day: ResolvedValue,
+    scenario: ResolvedValue,
     load: Rc<LoadModifiers>,
     context: Rc<TestbedContext>,
     fleet: Vec<Rc<SimulatedMachine>>,
@@ -100,16 +100,16 @@
     /// Starts all peers, and waits until every planner has a link to every machine.
     async fn start(
         config: DrillConfig,
-        day: ResolvedValue,
+        scenario: ResolvedValue,
         seed: u64,
-        chance: &mut StdRng,
+        rng: &mut StdRng,
     ) -> io::Result<Drill> {
         let all = config.installation.all.clone();
         let load = Rc::new(LoadModifiers::default());
         let context = context(&config.installation, load.clone());
         context.checker.borrow_mut().set_placement_invariants(placement_invariants(&all));
-        let fleet = start_fleet(&all, &day, &context, chance).await?;
-        let time = |path: &str| day.duration_us(path).unwrap_or(0);
+        let fleet = start_fleet(&all, &scenario, &context, rng).await?;
+        let time = |path: &str| scenario.duration_us(path).unwrap_or(0);
         let delays = RegistryDelays {
             notice_us: time("notice"),
             silent_notice_us: time("silent_notice"),
@@ -117,7 +117,8 @@
         };
         let registry = registry::start(context.clone(), fleet.clone(), delays).await?;
         let count = all.number("planners").unwrap_or(1.0) as usize;
-        let directory = DirectoryScenario::start(&day, client_count(&day), context.clock.now()).await?;
+        let directory =
+            DirectoryScenario::start(&scenario, client_count(&scenario), context.clock.now()).await?;
         let folder = std::env::temp_dir().join(format!("basaltpitch-drill-{}", std::process::id()));
         if let Some(directory) = &directory {
             std::fs::create_dir_all(&folder)?;
@@ -133,11 +134,11 @@
             registry: registry.address.clone(),
             folder,
         };
-        let planners = start_planners(setup, &day, directory.as_deref()).await?;
+        let planners = start_planners(setup, &scenario, directory.as_deref()).await?;
         let drill = Drill {
             seed,
             config,
-            day,
+            scenario,
             load,
             context,
             fleet,
@@ -181,7 +182,7 @@
                 settle_us,
             })
         };
-        let count = client_count(&self.day);
+        let count = client_count(&self.scenario);
         let newcomer = self.directory.as_ref().map(|_| start(count, NEWCOMER));
         let usual = (0..count).map(|number| start(number, &format!("owner-{number}"))).collect();
         Clients { usual, newcomer }
@@ -200,7 +201,7 @@
             },
             tenants: self.config.installation.names("tenants"),
         });
-        for (index, fault) in fault_scenario::faults(&self.day).into_iter().enumerate() {
+        for (index, fault) in fault_scenario::faults(&self.scenario).into_iter().enumerate() {
             let seed = self.seed.wrapping_mul(1000) + index as u64;
             tokio::task::spawn_local(targets.clone().play(fault, seed));
         }
@@ -251,19 +252,19 @@
 /// Starts the planners of a scenario: with slots if it has them, else with fixed numbers.
 async fn start_planners(
     setup: HarnessSetup,
-    day: &ResolvedValue,
+    scenario: &ResolvedValue,
     directory: Option<&DirectoryScenario>,
 ) -> io::Result<PlannerBackend> {
-    if day.get("seats").is_some() {
+    if scenario.get("seats").is_some() {
         std::fs::create_dir_all(&setup.folder)?;
-        let harness = ProcessHarness::new(setup, day).await?;
+        let harness = ProcessHarness::new(setup, scenario).await?;
         harness.begin().await?;
         return Ok(PlannerBackend::Slots(harness));
     }
     let HarnessSetup { config, context, addresses, registry, folder } = setup;
     let mut files = None;
     if let Some(directory) = directory {
-        let settings = directory.file(day, &folder)?;
+        let settings = directory.file(scenario, &folder)?;
         files = Some(DirectoryFiles { settings, state: folder.join("state") });
     }
     let count = addresses.borrow().len();
@@ -276,8 +277,8 @@
 }
 
 /// Returns the number of clients in a scenario.
-fn client_count(day: &ResolvedValue) -> u64 {
-    day.number("owners").unwrap_or(1.0) as u64
+fn client_count(scenario: &ResolvedValue) -> u64 {
+    scenario.number("owners").unwrap_or(1.0) as u64
 }
 
 /// A folder that is removed when the value is dropped.
--- a/testbed/src/drill/fleet.rs
+++ b/testbed/src/drill/fleet.rs
@@ -18,7 +18,7 @@
 ///
 /// Fails if no port can be bound.
 pub async fn start_machines(
-    all: &ResolvedValue,
+    installation: &ResolvedValue,
     context: &Rc<TestbedContext>,
     kind: &str,
     zone: &str,
@@ -31,7 +31,7 @@
             zone: zone.to_owned(),
             cell: (number / MACHINES_A_CELL) as u32,
             kind: kind.to_owned(),
-            size: size_of(all, kind),
+            size: size_of(installation, kind),
             labels: Vec::new(),
             seed: number as u64,
         };
@@ -42,16 +42,16 @@
 
 /// Starts the machines of a fault scenario, and tells the checker their locations.
 pub(crate) async fn start_fleet(
-    all: &ResolvedValue,
-    day: &ResolvedValue,
+    installation: &ResolvedValue,
+    scenario: &ResolvedValue,
     context: &Rc<TestbedContext>,
-    chance: &mut StdRng,
+    rng: &mut StdRng,
 ) -> io::Result<Vec<Rc<SimulatedMachine>>> {
     let mut fleet = Vec::new();
-    let cell_size = day.number("cell").unwrap_or(MACHINES_A_CELL as f64) as usize;
+    let cell_size = scenario.number("cell").unwrap_or(MACHINES_A_CELL as f64) as usize;
     let mut cells: HashMap<String, u32> = HashMap::new();
     let mut last_cell = 0;
-    for group in day.list("machines") {
+    for group in scenario.list("machines") {
         let (kind, zone) = (group.text("kind").unwrap_or(""), group.text("zone").unwrap_or(""));
         for number in 0..group.number("count").unwrap_or(1.0) as usize {
             if number % cell_size == 0 {
@@ -64,9 +64,9 @@
                 zone: zone.to_owned(),
                 cell: cells[zone],
                 kind: kind.to_owned(),
-                size: size_of(all, kind),
+                size: size_of(installation, kind),
                 labels: labels.clone(),
-                seed: chance.random(),
+                seed: rng.random(),
             };
             let location = Location { zone: zone.to_owned(), cell: spec.cell, kind: kind.to_owned(), labels };
             context.checker.borrow_mut().set_location(&spec.name, location);
--- a/testbed/src/fault_scenario.rs
+++ b/testbed/src/fault_scenario.rs
@@ -48,19 +48,19 @@
 
 /// Returns the faults of a scenario in the order of the file. A repeated fault is listed once per
 /// occurrence.
-pub fn faults(day: &ResolvedValue) -> Vec<ScheduledFault> {
+pub fn faults(scenario: &ResolvedValue) -> Vec<ScheduledFault> {
     let repeated = |settings: &ResolvedValue| {
         let times = settings.number("times").unwrap_or(1.0) as i64;
         let every_us = settings.duration_us("every").unwrap_or(0);
         let first = ScheduledFault::read(settings);
         (0..times).map(move |n| ScheduledFault { at_us: first.at_us + n * every_us, ..first.clone() })
     };
-    day.list("troubles").iter().flat_map(repeated).collect()
+    scenario.list("troubles").iter().flat_map(repeated).collect()
 }
 
 /// Returns a random subset with this share of the elements, but at least one element.
-pub(crate) fn drawn<T>(mut all: Vec<T>, part: f64, chance: &mut StdRng) -> Vec<T> {
-    all.shuffle(chance);
+pub(crate) fn drawn<T>(mut all: Vec<T>, part: f64, rng: &mut StdRng) -> Vec<T> {
+    all.shuffle(rng);
     all.truncate(((part * all.len() as f64).ceil() as usize).max(1));
     all
 }
--- a/testbed/src/fault_scenario/play.rs
+++ b/testbed/src/fault_scenario/play.rs
@@ -52,14 +52,16 @@
 impl FaultTargets {
     /// Returns the machines that a fault affects: the named machine, or a random share of the
     /// zone's machines or of all machines.
-    fn affected(&self, fault: &ScheduledFault, chance: &mut StdRng) -> Vec<Rc<SimulatedMachine>> {
-        let named = |wanted: &Option<String>, name: &String| wanted.as_ref().is_none_or(|w| w == name);
+    fn affected(&self, fault: &ScheduledFault, rng: &mut StdRng) -> Vec<Rc<SimulatedMachine>> {
+        let matches_name = |expected: &Option<String>, name: &String| {
+            expected.as_ref().is_none_or(|expected| expected == name)
+        };
         let matching = |machine: &&Rc<SimulatedMachine>| {
-            named(&fault.machine, &machine.name) && named(&fault.zone, &machine.zone)
+            matches_name(&fault.machine, &machine.name) && matches_name(&fault.zone, &machine.zone)
         };
         let all: Vec<Rc<SimulatedMachine>> = self.fleet.iter().filter(matching).cloned().collect();
         if fault.machine.is_none() {
-            drawn(all, fault.part, chance)
+            drawn(all, fault.part, rng)
         } else {
             all
         }
@@ -67,22 +69,22 @@
 
     /// Waits for the fault's time, and plays it to its end.
     pub async fn play(self: Rc<Self>, fault: ScheduledFault, seed: u64) {
-        let mut chance = StdRng::seed_from_u64(seed);
+        let mut rng = StdRng::seed_from_u64(seed);
         sleep(Duration::from_micros(fault.at_us as u64)).await;
         let active = ActiveFault {
             duration: Duration::from_micros(fault.duration_us as u64),
             until_us: self.context.clock.now() + fault.duration_us,
-            machines: self.affected(&fault, &mut chance),
+            machines: self.affected(&fault, &mut rng),
             fault: &fault,
         };
         let names: Vec<&str> = active.machines.iter().map(|machine| machine.name.as_str()).collect();
         tracing::info!(fault = fault.kind, machines = names.join(" "), "injecting a fault");
-        let played = self.play_load(&active, &mut chance).await
-            || self.play_planners(&active, &mut chance).await
-            || self.play_processes(&active, &mut chance).await
+        let played = self.play_load(&active, &mut rng).await
+            || self.play_planners(&active, &mut rng).await
+            || self.play_processes(&active, &mut rng).await
             || self.play_machines(&active).await
-            || self.play_links(&active, &mut chance).await
-            || self.planners.play(&fault, &mut chance).await;
+            || self.play_links(&active, &mut rng).await
+            || self.planners.play(&fault, &mut rng).await;
         if !played {
             let directory = self.context.directory.borrow().clone();
             if let Some(directory) = directory {
@@ -93,7 +95,7 @@
     }
 
     /// Plays faults of the load: bursts, hot keys and heavy-tailed usage.
-    async fn play_load(&self, active: &ActiveFault<'_>, chance: &mut StdRng) -> bool {
+    async fn play_load(&self, active: &ActiveFault<'_>, rng: &mut StdRng) -> bool {
         let (fault, load) = (active.fault, &self.load);
         match fault.kind.as_str() {
             "burst" => {
@@ -108,8 +110,7 @@
                 *load.tenant_burst.borrow_mut() = None;
             }
             "hot_key" => {
-                *load.hot_keys.borrow_mut() =
-                    (0..HOT_KEYS).filter(|_| chance.random_bool(fault.part)).collect();
+                *load.hot_keys.borrow_mut() = (0..HOT_KEYS).filter(|_| rng.random_bool(fault.part)).collect();
                 sleep(active.duration).await;
                 load.hot_keys.borrow_mut().clear();
             }
@@ -124,14 +125,14 @@
     }
 
     /// Kills planners, and restarts them after the fault's duration.
-    async fn play_planners(&self, active: &ActiveFault<'_>, chance: &mut StdRng) -> bool {
+    async fn play_planners(&self, active: &ActiveFault<'_>, rng: &mut StdRng) -> bool {
         let count = self.planners.count();
         let killed = match active.fault.kind.as_str() {
             "planner_kill" => 1.0,
             "balancer_crash" => (active.fault.part * count as f64).ceil(),
             _ => return false,
         };
-        let first = chance.random_range(0..count);
+        let first = rng.random_range(0..count);
         let killed: Vec<usize> = (0..killed as usize).map(|n| (first + n) % count).collect();
         for &planner in &killed {
             self.planners.kill(planner).await;
@@ -144,7 +145,7 @@
     }
 
     /// Plays faults in which machines crash, vanish or restart, and return.
-    async fn play_processes(&self, active: &ActiveFault<'_>, chance: &mut StdRng) -> bool {
+    async fn play_processes(&self, active: &ActiveFault<'_>, rng: &mut StdRng) -> bool {
         let (fault, machines) = (active.fault, &active.machines);
         match fault.kind.as_str() {
             "crash" => {
@@ -182,7 +183,7 @@
                 }
                 active.send(&MachineCommand::Restart);
             }
-            "deploy" => self.deploy(active, chance).await,
+            "deploy" => self.deploy(active, rng).await,
             _ => return false,
         }
         true
@@ -215,10 +216,10 @@
     }
 
     /// Drains and restarts all machines in waves, in random order.
-    async fn deploy(&self, active: &ActiveFault<'_>, chance: &mut StdRng) {
+    async fn deploy(&self, active: &ActiveFault<'_>, rng: &mut StdRng) {
         let waves = (1.0 / active.fault.part).ceil().max(1.0) as usize;
         let mut all: Vec<Rc<SimulatedMachine>> = self.fleet.clone();
-        all.shuffle(chance);
+        all.shuffle(rng);
         for wave in all.chunks(all.len().div_ceil(waves)) {
             wave.iter().for_each(|machine| machine.send(MachineCommand::Drain(true)));
             sleep(active.duration / waves as u32).await;
@@ -270,7 +271,7 @@
     }
 
     /// Plays faults of the machines' links, which delay, cut or lose traffic.
-    async fn play_links(&self, active: &ActiveFault<'_>, chance: &mut StdRng) -> bool {
+    async fn play_links(&self, active: &ActiveFault<'_>, rng: &mut StdRng) -> bool {
         let machines = &active.machines;
         let until_us = active.until_us;
         match active.fault.kind.as_str() {
@@ -288,7 +289,7 @@
             "cut_frames" => {
                 for _ in 0..5 {
                     for machine in machines {
-                        machine.faults.cut_after_frames.set(Some(chance.random_range(0..30)));
+                        machine.faults.cut_after_frames.set(Some(rng.random_range(0..30)));
                     }
                     sleep(active.duration / 5).await;
                 }
--- a/testbed/src/faulty_link.rs
+++ b/testbed/src/faulty_link.rs
@@ -93,14 +93,14 @@
     connection: u64,
     faults: Rc<FaultInjection>,
     clock: Clock,
-    show: impl Fn(&Hello, LinkObservation),
+    observe: impl Fn(&Hello, LinkObservation),
 ) {
     let resets = faults.resets.get();
     let mut link = Link {
         connection,
         faults,
         clock,
-        show,
+        observe,
         hello: None,
         incoming: Direction::default(),
         outgoing: Direction::default(),
@@ -157,7 +157,7 @@
     connection: u64,
     faults: Rc<FaultInjection>,
     clock: Clock,
-    show: S,
+    observe: S,
     hello: Option<Hello>,
     incoming: Direction,
     outgoing: Direction,
@@ -172,8 +172,8 @@
         let dead = self.connection <= faults.dead_connections.get();
         let planner = self.hello.as_ref().filter(|hello| hello.role == Role::Planner as i32);
         let bit = planner.map_or(0, |hello| planner_bit(&hello.name));
-        let concerned = faults.hold_planners.get() == 0 || faults.hold_planners.get() & bit != 0;
-        let held = dead || (now < faults.hold_until_us.get() && concerned);
+        let selected = faults.hold_planners.get() == 0 || faults.hold_planners.get() & bit != 0;
+        let held = dead || (now < faults.hold_until_us.get() && selected);
         let no_reads = now < faults.no_reads_until_us.get();
         if no_reads {
             self.no_reads_at = now;
@@ -187,19 +187,19 @@
             inner.write_all(&std::mem::take(&mut self.incoming.bytes)).await?;
         }
         let received = std::mem::take(&mut self.incoming.frames);
-        received.iter().for_each(|body| self.show(LinkObservation::Received { body }));
+        received.iter().for_each(|body| self.observe(LinkObservation::Received { body }));
         if !self.outgoing.bytes.is_empty() {
             socket.write_all(&std::mem::take(&mut self.outgoing.bytes)).await?;
         }
         let written = std::mem::take(&mut self.outgoing.frames);
-        written.iter().for_each(|body| self.show(LinkObservation::SocketWritten { body }));
+        written.iter().for_each(|body| self.observe(LinkObservation::SocketWritten { body }));
         Ok(())
     }
 
     /// Reports an event, if the other end's hello is known.
-    fn show(&self, observation: LinkObservation) {
+    fn observe(&self, observation: LinkObservation) {
         if let Some(hello) = &self.hello {
-            (self.show)(hello, observation);
+            (self.observe)(hello, observation);
         }
     }
 
@@ -213,7 +213,7 @@
                 self.hello = Some(hello.clone());
             }
             let late = self.no_reads_at > 0 && self.clock.now() < self.no_reads_at + LATE_US;
-            self.show(LinkObservation::SocketRead { body: &body, late });
+            self.observe(LinkObservation::SocketRead { body: &body, late });
             self.incoming.frames.push(body);
         }
     }
@@ -235,7 +235,7 @@
             }
             self.outgoing.bytes.extend_from_slice(&bytes);
             if let (true, Some(body), false) = (self.hello.is_some(), body, state.dead) {
-                self.show(LinkObservation::Sent { body: &body });
+                self.observe(LinkObservation::Sent { body: &body });
                 self.outgoing.frames.push(body);
             }
         }
@@ -245,9 +245,9 @@
     /// Delivers what was read before the close, however late: peers must handle frames that arrive
     /// late.
     async fn close(&mut self, inner: &mut DuplexStream) {
-        self.show(LinkObservation::Closed);
+        self.observe(LinkObservation::Closed);
         if inner.write_all(&self.incoming.bytes).await.is_ok() {
-            self.incoming.frames.iter().for_each(|body| self.show(LinkObservation::Received { body }));
+            self.incoming.frames.iter().for_each(|body| self.observe(LinkObservation::Received { body }));
         }
     }
 }
--- a/testbed/src/ldap_server.rs
+++ b/testbed/src/ldap_server.rs
@@ -94,36 +94,36 @@
 /// Fails if no port can be bound.
 pub async fn start_with_security(
     password: &str,
-    shield: TransportSecurity,
+    security: TransportSecurity,
 ) -> std::io::Result<Rc<LdapServer>> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
-    let me =
+    let server =
         Rc::new(LdapServer { address, password: RefCell::new(password.to_owned()), ..LdapServer::default() });
-    let server = me.clone();
+    let shared_server = server.clone();
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
-            if server.fault.get() == DirectoryFault::Refuses {
+            if shared_server.fault.get() == DirectoryFault::Refuses {
                 continue;
             }
-            let (server, shield) = (server.clone(), shield.clone());
+            let (shared_server, security) = (shared_server.clone(), security.clone());
             tokio::task::spawn_local(async move {
-                match &shield {
+                match &security {
                     TransportSecurity::Tls(tls) => {
                         if let Ok(stream) = tls.accept(stream).await {
-                            serve(server, Box::new(stream), None).await;
+                            serve(shared_server, Box::new(stream), None).await;
                         }
                     }
                     TransportSecurity::StartTls(tls) => {
-                        serve(server, Box::new(stream), Some(tls.clone())).await
+                        serve(shared_server, Box::new(stream), Some(tls.clone())).await
                     }
-                    TransportSecurity::Clear => serve(server, Box::new(stream), None).await,
+                    TransportSecurity::Clear => serve(shared_server, Box::new(stream), None).await,
                 }
             });
         }
     });
-    Ok(me)
+    Ok(server)
 }
 
 /// A connection, with or without TLS.
@@ -161,7 +161,7 @@
 
 /// The response to one request on a connection.
 struct SearchReply<'a> {
-    me: &'a LdapServer,
+    server: &'a LdapServer,
     wire: &'a mut Wire,
     msgid: i32,
     /// Attributes that the search requests; empty: all.
@@ -177,11 +177,11 @@
         }
         let mut bytes = BytesMut::new();
         LdapCodec::default().encode(msg, &mut bytes).ok()?;
-        let before = self.me.bytes.replace(self.me.bytes.get() + bytes.len());
-        if let DirectoryFault::CutsAtByte(most) = self.me.fault.get() {
+        let before = self.server.bytes.replace(self.server.bytes.get() + bytes.len());
+        if let DirectoryFault::CutsAtByte(most) = self.server.fault.get() {
             bytes.truncate(most.saturating_sub(before));
         }
-        let whole = before + bytes.len() == self.me.bytes.get();
+        let whole = before + bytes.len() == self.server.bytes.get();
         self.wire.get_mut().write_all(&bytes).await.ok()?;
         whole.then_some(())
     }
@@ -198,18 +198,19 @@
         let attributes = attributes.into_iter().filter(|a| requested(&a.0));
         let attributes: Vec<_> =
             attributes.map(|(atype, vals)| LdapPartialAttribute { atype, vals }).collect();
-        self.me.sent.set(self.me.sent.get() + u32::from(self.attributes.len() > 2));
+        self.server.sent.set(self.server.sent.get() + u32::from(self.attributes.len() > 2));
         self.send(LdapOp::SearchResultEntry(LdapSearchResultEntry { dn, attributes }), ctrl).await
     }
 
     /// Sends what changed since a cookie was issued; without a cookie, sends all entries.
     async fn synchronise(&mut self, found: Vec<LdapEntry>, cookie: Option<Vec<u8>>) -> Option<()> {
         let known: Option<usize> = cookie.and_then(|c| String::from_utf8(c).ok()?.parse().ok());
-        let before = known.and_then(|n| self.me.states.borrow().get(n).cloned());
-        if known.is_some() && (before.is_none() || self.me.fault.get() == DirectoryFault::ForgetsCookies) {
+        let before = known.and_then(|n| self.server.states.borrow().get(n).cloned());
+        if known.is_some() && (before.is_none() || self.server.fault.get() == DirectoryFault::ForgetsCookies)
+        {
             return self.done(LdapResultCode::EsyncRefreshRequired, Vec::new()).await;
         }
-        let names_present = before.is_none() || self.me.fault.get() == DirectoryFault::NamesPresent;
+        let names_present = before.is_none() || self.server.fault.get() == DirectoryFault::NamesPresent;
         let old = before.unwrap_or_default();
         let ids = |of: &[LdapEntry]| of.iter().filter_map(id).collect::<Vec<_>>();
         let (now, then) = (ids(&found), ids(&old));
@@ -225,7 +226,7 @@
         };
         self.send(LdapOp::IntermediateResponse(set), Vec::new()).await?;
         for (n, entry) in found.iter().filter(|e| !old.contains(e)).enumerate() {
-            if matches!(self.me.fault.get(), DirectoryFault::CutsAfter(most) if n >= most) {
+            if matches!(self.server.fault.get(), DirectoryFault::CutsAfter(most) if n >= most) {
                 return None;
             }
             let Some(entry_uuid) = id(entry) else { continue };
@@ -233,8 +234,8 @@
             let state = LdapControl::SyncState { state, entry_uuid, cookie: None };
             self.entry(entry.clone(), vec![state]).await?;
         }
-        let cookie = self.me.states.borrow().len().to_string().into_bytes();
-        self.me.states.borrow_mut().push(found);
+        let cookie = self.server.states.borrow().len().to_string().into_bytes();
+        self.server.states.borrow_mut().push(found);
         let done = LdapControl::SyncDone { cookie: Some(cookie), refresh_deletes: !names_present };
         self.done(LdapResultCode::Success, vec![done]).await
     }
@@ -242,14 +243,14 @@
     /// Answers a search by a page of entries or by a synchronisation. Returns `None` if the
     /// connection is to be closed.
     async fn search(&mut self, search: LdapSearchRequest, ctrl: Vec<LdapControl>) -> Option<()> {
-        let me = self.me;
-        me.searches.set(me.searches.get() + 1);
-        match me.fault.get() {
+        let server = self.server;
+        server.searches.set(server.searches.get() + 1);
+        match server.fault.get() {
             DirectoryFault::Stalls => return Some(()),
             DirectoryFault::Slow(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
             _ => {}
         }
-        let entries = me.entries.borrow().clone();
+        let entries = server.entries.borrow().clone();
         let (filter, base) = (&search.filter, &search.base);
         let of_base = search.scope == LdapSearchScope::Base;
         let found: Vec<LdapEntry> = entries
@@ -270,7 +271,7 @@
         let page: Vec<LdapEntry> = found.iter().skip(from).take(size).cloned().collect();
         let next = from + page.len();
         for (n, entry) in page.into_iter().enumerate() {
-            match me.fault.get() {
+            match server.fault.get() {
                 DirectoryFault::CutsAfter(most) if from + n >= most => return None,
                 DirectoryFault::SizeLimit(most) if from + n >= most => {
                     return self.done(LdapResultCode::SizeLimitExceeded, Vec::new()).await
@@ -286,13 +287,13 @@
 
 /// Serves one connection until it closes. `starttls` holds the acceptor while StartTLS is still
 /// required.
-async fn serve(me: Rc<LdapServer>, stream: Box<dyn Stream>, mut starttls: Option<TlsAcceptor>) {
+async fn serve(server: Rc<LdapServer>, stream: Box<dyn Stream>, mut starttls: Option<TlsAcceptor>) {
     let mut wire: Wire = Framed::new(stream, LdapCodec::default());
     while let Some(Ok(LdapMsg { msgid, op, ctrl })) = wire.next().await {
-        let mut reply = SearchReply { me: &me, wire: &mut wire, msgid, attributes: Vec::new() };
+        let mut reply = SearchReply { server: &server, wire: &mut wire, msgid, attributes: Vec::new() };
         let sent = match op {
             LdapOp::BindRequest(bind) => {
-                let right = matches!(bind.cred, LdapBindCred::Simple(p) if p == *me.password.borrow());
+                let right = matches!(bind.cred, LdapBindCred::Simple(p) if p == *server.password.borrow());
                 let code = match (right, &starttls) {
                     (_, Some(_)) => LdapResultCode::ConfidentialityRequired,
                     (true, None) => LdapResultCode::Success,
--- a/testbed/src/machine.rs
+++ b/testbed/src/machine.rs
@@ -208,7 +208,7 @@
 struct MachineState {
     shared: Rc<SimulatedMachine>,
     context: Rc<TestbedContext>,
-    chance: StdRng,
+    rng: StdRng,
     attempts: AttemptTable<String, Launch>,
     /// Number and commands of the current connection to each planner.
     links: BTreeMap<String, (u64, mpsc::Sender<LinkCommand>)>,
@@ -280,7 +280,7 @@
         MachineState {
             shared,
             context,
-            chance: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
             attempts: AttemptTable::default(),
             links: BTreeMap::new(),
             connections: HashMap::new(),
--- a/testbed/src/machine/connections.rs
+++ b/testbed/src/machine/connections.rs
@@ -24,27 +24,27 @@
         let number = self.shared.connections.get() + 1;
         self.shared.connections.set(number);
         let (outer, inner) = tokio::io::duplex(64 * 1024);
-        let (orders, inbox) = mpsc::channel(4096);
-        self.connections.insert(number, (orders, None));
+        let (commands, inbox) = mpsc::channel(4096);
+        self.connections.insert(number, (commands, None));
         let (context, name, clock) = (self.context.clone(), self.shared.name.clone(), self.context.clock);
-        let known_as = checker_number(&name, number);
-        let show = move |hello: &Hello, seen: LinkObservation| {
+        let checker_id = checker_number(&name, number);
+        let observe = move |hello: &Hello, observation: LinkObservation| {
             let planner = (hello.name.clone(), hello.epoch);
             let (mut checker, now) = (context.checker.borrow_mut(), context.clock.now());
-            match seen {
+            match observation {
                 LinkObservation::SocketRead { body, late } => {
-                    checker.machine_socket_read(now, &name, known_as, &planner, body, late);
+                    checker.machine_socket_read(now, &name, checker_id, &planner, body, late);
                 }
                 LinkObservation::Received { body } => checker.machine_received(now, &name, &planner, body),
                 LinkObservation::Sent { body } => checker.machine_sent(now, &name, &planner, body),
                 LinkObservation::SocketWritten { body } => {
                     checker.machine_frame_delivered(now, &name, &planner, body);
                 }
-                LinkObservation::Closed => checker.machine_disconnected(now, known_as),
+                LinkObservation::Closed => checker.machine_disconnected(now, checker_id),
             }
         };
         let faults = self.shared.faults.clone();
-        tokio::task::spawn_local(faulty_link::carry(stream, inner, number, faults, clock, show));
+        tokio::task::spawn_local(faulty_link::carry(stream, inner, number, faults, clock, observe));
         let identity = PeerIdentity {
             role: Role::Machine,
             name: self.shared.name.clone(),
@@ -65,23 +65,24 @@
     /// Handles an event of a connection. Frames count only on the current link of a planner.
     pub(super) fn connection_event(&mut self, number: u64, event: LinkEvent) {
         match event {
-            LinkEvent::Session(SessionEvent::Up(party))
-                if party.role == Role::Planner && self.connections.contains_key(&number) =>
+            LinkEvent::Session(SessionEvent::Up(peer_identity))
+                if peer_identity.role == Role::Planner && self.connections.contains_key(&number) =>
             {
-                self.planner_connected(number, party);
+                self.planner_connected(number, peer_identity);
             }
             LinkEvent::Session(SessionEvent::Frame(body)) => {
-                let party = self.connections.get(&number).and_then(|connection| connection.1.clone());
-                let current =
-                    |party: &PeerIdentity| self.attempts.is_current(&party.name, party.epoch, party.link);
-                if let Some(party) = party.filter(current) {
-                    self.frame(party.name, body);
+                let peer_identity = self.connections.get(&number).and_then(|connection| connection.1.clone());
+                let current = |peer_identity: &PeerIdentity| {
+                    self.attempts.is_current(&peer_identity.name, peer_identity.epoch, peer_identity.link)
+                };
+                if let Some(peer_identity) = peer_identity.filter(current) {
+                    self.frame(peer_identity.name, body);
                 }
             }
             LinkEvent::Ended { .. } => {
-                if let Some((_, Some(party))) = self.connections.remove(&number) {
-                    if self.links.get(&party.name).is_some_and(|link| link.0 == number) {
-                        self.links.remove(&party.name);
+                if let Some((_, Some(peer_identity))) = self.connections.remove(&number) {
+                    if self.links.get(&peer_identity.name).is_some_and(|link| link.0 == number) {
+                        self.links.remove(&peer_identity.name);
                     }
                 }
             }
@@ -90,37 +91,37 @@
     }
 
     /// Makes a connection the current link of its planner, and sends the inventory.
-    fn planner_connected(&mut self, number: u64, party: PeerIdentity) {
-        if !self.attempts.admit_link(&party.name, party.epoch, party.link) {
+    fn planner_connected(&mut self, number: u64, peer_identity: PeerIdentity) {
+        if !self.attempts.admit_link(&peer_identity.name, peer_identity.epoch, peer_identity.link) {
             return self.close(number, "an older life or link of this planner");
         }
         // A restart has already removed its earlier connections, but their events may still arrive.
-        let Some((orders, peer)) = self.connections.get_mut(&number) else { return };
-        *peer = Some(party.clone());
-        let orders = orders.clone();
-        if let Some((old, _)) = self.links.insert(party.name.clone(), (number, orders)) {
+        let Some((commands, peer)) = self.connections.get_mut(&number) else { return };
+        *peer = Some(peer_identity.clone());
+        let commands = commands.clone();
+        if let Some((old, _)) = self.links.insert(peer_identity.name.clone(), (number, commands)) {
             self.close(old, "a newer link came");
         }
         let attempts = &self.attempts;
         self.offers.retain(|attempt| attempts.state(&attempt.0, attempt.1).is_some());
-        let (endings, held) = self.attempts.inventory(&party.name);
+        let (endings, held) = self.attempts.inventory(&peer_identity.name);
         for (id, ending) in endings {
-            self.reply(&(party.name.clone(), id), ending);
+            self.reply(&(peer_identity.name.clone(), id), ending);
         }
-        self.send_frame(&party.name, inventory(held, self.shared.draining.get()));
+        self.send_frame(&peer_identity.name, inventory(held, self.shared.draining.get()));
     }
 
     /// Closes a connection with this reason.
     fn close(&self, number: u64, why: &str) {
-        if let Some((orders, _)) = self.connections.get(&number) {
-            let _ = orders.try_send(LinkCommand::Close(why.to_owned()));
+        if let Some((commands, _)) = self.connections.get(&number) {
+            let _ = commands.try_send(LinkCommand::Close(why.to_owned()));
         }
     }
 
     /// Sends a frame to a planner, if it is connected.
     pub(super) fn send_frame(&self, planner: &str, body: Body) {
-        if let Some((_, orders)) = self.links.get(planner) {
-            let _ = orders.try_send(LinkCommand::Send(body, None));
+        if let Some((_, commands)) = self.links.get(planner) {
+            let _ = commands.try_send(LinkCommand::Send(body, None));
         }
     }
 
@@ -152,20 +153,20 @@
     fn cancel(&mut self, planner: String, id: AttemptId) {
         let attempt = (planner, id);
         let key = self.task_key(&attempt);
-        let say = self.attempts.cancel(&attempt.0, id);
+        let attempt_reply = self.attempts.cancel(&attempt.0, id);
         self.offers.retain(|waiting| *waiting != attempt);
-        self.reply_for(&attempt, key, say);
+        self.reply_for(&attempt, key, attempt_reply);
     }
 
     /// Sends a reply about an attempt.
-    pub(super) fn reply(&self, attempt: &AttemptKey, say: AttemptReply) {
-        self.reply_for(attempt, self.task_key(attempt), say);
+    pub(super) fn reply(&self, attempt: &AttemptKey, attempt_reply: AttemptReply) {
+        self.reply_for(attempt, self.task_key(attempt), attempt_reply);
     }
 
     /// Sends a reply about an attempt of the task with this key, whether or not the attempt is
     /// still known.
-    pub(super) fn reply_for(&self, attempt: &AttemptKey, key: String, say: AttemptReply) {
-        if let Some(body) = reply(attempt.1, key, say, self.report()) {
+    pub(super) fn reply_for(&self, attempt: &AttemptKey, key: String, attempt_reply: AttemptReply) {
+        if let Some(body) = reply(attempt.1, key, attempt_reply, self.report()) {
             self.send_frame(&attempt.0, body);
         }
     }
--- a/testbed/src/machine/lifecycle.rs
+++ b/testbed/src/machine/lifecycle.rs
@@ -63,13 +63,13 @@
     /// too long.
     fn update(&mut self) {
         let updater = self.context.behaviour.updater.filter(|_| self.shared.up.get());
-        let Some((most_us, away_us)) = updater else { return };
+        let Some((max_drain_us, away_us)) = updater else { return };
         let now = self.now();
         self.drained_at = if self.shared.draining.get() { self.drained_at.or(Some(now)) } else { None };
         let Some(since) = self.drained_at else { return };
         let empty = self.tasks.is_empty() && self.offers.is_empty();
         let quiet = now >= since + QUIET_US;
-        if (empty && quiet) || now >= since + most_us {
+        if (empty && quiet) || now >= since + max_drain_us {
             self.command(MachineCommand::Evacuate);
             self.command(MachineCommand::Down);
             self.drained_at = None;
@@ -99,7 +99,7 @@
             MachineCommand::FlushPrograms => self.programs.clear(),
             MachineCommand::Preempt(part) => {
                 for attempt in self.all_tasks() {
-                    if self.chance.random_bool(part.clamp(0.0, 1.0)) {
+                    if self.rng.random_bool(part.clamp(0.0, 1.0)) {
                         self.end_task(&attempt, EndedHow::EndedPushedOut);
                     }
                 }
--- a/testbed/src/machine/offers.rs
+++ b/testbed/src/machine/offers.rs
@@ -12,10 +12,10 @@
     pub(super) fn offered(&mut self, planner: String, launch: Launch) {
         let Some(id) = launch.id.map(|id| (id.epoch, id.number)) else { return };
         let key = launch.key.clone();
-        let (say, new) = self.attempts.launch(&planner, id, launch);
+        let (attempt_reply, new) = self.attempts.launch(&planner, id, launch);
         let attempt = (planner, id);
         if !new {
-            return self.reply_for(&attempt, key, say);
+            return self.reply_for(&attempt, key, attempt_reply);
         }
         self.count_offer();
         if self.offers.len() >= self.context.behaviour.max_queue {
@@ -88,19 +88,20 @@
                 return Err(refusal_reason::NOT_HERE);
             }
         }
-        let most_cores = behaviour.accept_cores * self.shared.cores;
-        let most_memory = behaviour.accept_memory * self.shared.memory;
+        let max_cores = behaviour.accept_cores * self.shared.cores;
+        let max_memory = behaviour.accept_memory * self.shared.memory;
         let priority = self.priority(&launch.framework);
         loop {
             let (cores, memory) = self.shared.reserved.get();
-            let no_cores = cores + launch.cores > most_cores;
-            let no_memory = memory + launch.memory > most_memory;
+            let no_cores = cores + launch.cores > max_cores;
+            let no_memory = memory + launch.memory > max_memory;
             if !no_cores && !no_memory {
                 return Ok(());
             }
             let lower = |task: &Task| self.priority(&task.framework) < priority;
-            let victim = self.tasks.iter().find(|(_, task)| lower(task)).map(|(attempt, _)| attempt.clone());
-            let Some(attempt) = victim else {
+            let preempted =
+                self.tasks.iter().find(|(_, task)| lower(task)).map(|(attempt, _)| attempt.clone());
+            let Some(attempt) = preempted else {
                 return Err(if no_cores { refusal_reason::NO_CORES } else { refusal_reason::NO_MEMORY });
             };
             self.end_task(&attempt, EndedHow::EndedPushedOut);
@@ -109,7 +110,7 @@
 
     /// Accepts an offer, reserves its capacity, and queues the task for its start.
     fn accept_task(&mut self, attempt: AttemptKey, launch: Launch) {
-        if self.chance.random_bool(self.shared.failure_rate.get().clamp(0.0, 1.0)) {
+        if self.rng.random_bool(self.shared.failure_rate.get().clamp(0.0, 1.0)) {
             self.attempts.set_state(&attempt.0, attempt.1, AttemptState::Failed);
             return self.reply_for(&attempt, launch.key, AttemptReply::Failed);
         }
--- a/testbed/src/machine/tasks.rs
+++ b/testbed/src/machine/tasks.rs
@@ -18,7 +18,7 @@
             let age_us = self.now() - self.shared.started_us.get();
             let speed = (age_us as f64 / behaviour.warm_up_us.max(1) as f64).clamp(0.2, 1.0);
             let slowdown = if has_program { 1.0 } else { behaviour.uncached_start_factor };
-            let takes_us = behaviour.start_us as f64 * slowdown / speed * self.chance.random_range(0.7..1.3);
+            let takes_us = behaviour.start_us as f64 * slowdown / speed * self.rng.random_range(0.7..1.3);
             self.starting += 1;
             self.set_timer(takes_us as i64, MachineTimer::Start(attempt));
         }
--- a/testbed/src/process_harness.rs
+++ b/testbed/src/process_harness.rs
@@ -84,7 +84,7 @@
 /// The processes of a scenario with slots.
 pub struct ProcessHarness {
     /// Weak reference to the harness itself, for the tasks that read the output of processes.
-    me: Weak<ProcessHarness>,
+    self_weak: Weak<ProcessHarness>,
     config: Rc<DrillConfig>,
     zones: Vec<String>,
     context: Rc<TestbedContext>,
@@ -144,16 +144,17 @@
         let mut command = Command::new(&self.config.binary);
         command.args(&process.args).stdout(Stdio::piped()).stdin(Stdio::null()).kill_on_drop(true);
         let mut child = command.spawn()?;
-        let out = child.stdout.take().ok_or_else(|| io::Error::other("the process has no piped stdout"))?;
+        let stdout =
+            child.stdout.take().ok_or_else(|| io::Error::other("the process has no piped stdout"))?;
         process.pid.set(child.id().and_then(|id| Pid::from_raw(id as i32)));
         process.ends.set(false);
         *process.child.borrow_mut() = Some(child);
-        let (me, mut lines) = (self.me.clone(), BufReader::new(out).lines());
+        let (self_weak, mut lines) = (self.self_weak.clone(), BufReader::new(stdout).lines());
         tokio::task::spawn_local(async move {
             while let Ok(Some(line)) = lines.next_line().await {
-                let (Some(me), Some(planner)) = (me.upgrade(), planner) else { continue };
+                let (Some(harness), Some(planner)) = (self_weak.upgrade(), planner) else { continue };
                 if let Ok(line) = serde_json::from_str(&line) {
-                    me.slot_acquired(planner, line);
+                    harness.slot_acquired(planner, line);
                 }
             }
         });
@@ -245,9 +246,9 @@
 
     /// Runs a command of the binary on the installation, as an operator would, and returns its
     /// output.
-    async fn command(&self, name: &str, more: &[&str]) -> Option<serde_json::Value> {
+    async fn command(&self, name: &str, options: &[&str]) -> Option<serde_json::Value> {
         let files = self.files.iter().map(String::as_str);
-        self.run([name].into_iter().chain(files).chain(more.iter().copied())).await
+        self.run([name].into_iter().chain(files).chain(options.iter().copied())).await
     }
 
     /// Runs the binary with these arguments, and returns its output. `None`: it failed or printed
@@ -255,8 +256,8 @@
     async fn run<'a>(&self, args: impl Iterator<Item = &'a str>) -> Option<serde_json::Value> {
         let mut command = Command::new(&self.config.binary);
         command.args(args).args(["-o", "json"]).kill_on_drop(true);
-        let out = command.stderr(Stdio::inherit()).output().await.ok()?;
-        serde_json::from_slice(&out.stdout).ok()
+        let output = command.stderr(Stdio::inherit()).output().await.ok()?;
+        serde_json::from_slice(&output.stdout).ok()
     }
 
     /// Returns the planner process that holds a lease according to a majority of the voters.
@@ -268,7 +269,7 @@
         let votes = |holder: &&str| holders.iter().filter(|other| *other == holder).count();
         let most = holders.iter().find(|holder| 2 * votes(holder) > self.voters.len())?;
         let pid = most.strip_prefix("process-")?.split(' ').next()?.parse::<i32>().ok()?;
-        let has_pid = |process: &HarnessProcess| process.pid.get().is_some_and(|p| p.as_raw_pid() == pid);
+        let has_pid = |process: &HarnessProcess| process.pid.get().is_some_and(|own| own.as_raw_pid() == pid);
         self.planners.iter().position(has_pid)
     }
 }
--- a/testbed/src/process_harness/faults.rs
+++ b/testbed/src/process_harness/faults.rs
@@ -50,13 +50,13 @@
 
     /// Returns the running processes that a fault affects, with their slots: a coordinator, or the
     /// holders of a random share of the slots.
-    async fn affected(&self, fault: &ScheduledFault, chance: &mut StdRng) -> Vec<(usize, Option<HeldSlot>)> {
+    async fn affected(&self, fault: &ScheduledFault, rng: &mut StdRng) -> Vec<(usize, Option<HeldSlot>)> {
         let processes = if fault.kind.starts_with("conductor") {
             self.coordinator(ROLLING_RESTART_LEASE).await.into_iter().collect()
         } else if fault.kind.starts_with("halls") {
             self.coordinator(FAILOVER_LEASE).await.into_iter().collect()
         } else {
-            let slots = drawn((0..self.slots.len()).collect(), fault.part, chance);
+            let slots = drawn((0..self.slots.len()).collect(), fault.part, rng);
             slots.into_iter().filter_map(|number| self.slots[number].holder.get()).collect::<Vec<usize>>()
         };
         // A process that another fault has just ended holds no slot that it could lose.
@@ -85,8 +85,8 @@
     }
 
     /// Kills or terminates processes, and starts them again as spares after the fault's duration.
-    async fn end_holders(&self, fault: &ScheduledFault, chance: &mut StdRng, signal: Signal) {
-        let ended = self.affected(fault, chance).await;
+    async fn end_holders(&self, fault: &ScheduledFault, rng: &mut StdRng, signal: Signal) {
+        let ended = self.affected(fault, rng).await;
         for &(planner, _) in &ended {
             self.signal(&self.planners[planner], signal);
         }
@@ -98,8 +98,8 @@
     }
 
     /// Stops processes, and resumes them after the fault's duration.
-    async fn stop_holders(&self, fault: &ScheduledFault, chance: &mut StdRng) {
-        let stopped = self.affected(fault, chance).await;
+    async fn stop_holders(&self, fault: &ScheduledFault, rng: &mut StdRng) {
+        let stopped = self.affected(fault, rng).await;
         for &(planner, slot) in &stopped {
             if let Some((number, epoch)) = slot {
                 let now = self.context.clock.now();
@@ -118,8 +118,8 @@
     }
 
     /// Cuts links to the voters for the fault's duration.
-    async fn cut_from_voters(&self, fault: &ScheduledFault, chance: &mut StdRng, cut: VoterCut) {
-        let affected = self.affected(fault, chance).await;
+    async fn cut_from_voters(&self, fault: &ScheduledFault, rng: &mut StdRng, cut: VoterCut) {
+        let affected = self.affected(fault, rng).await;
         for &(planner, _) in &affected {
             for relay in self.planners[planner].relays.iter().take(cut.voters) {
                 relay.cut_forward.set(cut.to_voters);
@@ -162,8 +162,8 @@
     }
 
     /// Cuts a random share of the slots off from the other planners for the fault's duration.
-    async fn isolate(&self, fault: &ScheduledFault, chance: &mut StdRng, receive: bool) {
-        let slots = drawn((0..self.slots.len()).collect::<Vec<usize>>(), fault.part, chance);
+    async fn isolate(&self, fault: &ScheduledFault, rng: &mut StdRng, receive: bool) {
+        let slots = drawn((0..self.slots.len()).collect::<Vec<usize>>(), fault.part, rng);
         *self.isolated.borrow_mut() = Some((slots.into_iter().collect(), receive));
         self.cut_between_planners();
         sleep(duration_of(fault)).await;
@@ -173,10 +173,10 @@
 
     /// Kills a random share of all processes, voters included, and restarts them after the fault's
     /// duration.
-    async fn kill_many(&self, fault: &ScheduledFault, chance: &mut StdRng) {
+    async fn kill_many(&self, fault: &ScheduledFault, rng: &mut StdRng) {
         let planners = self.planners.iter().enumerate().map(|(number, process)| (process, Some(number)));
         let all = planners.chain(self.voters.iter().map(|voter| (voter, None))).collect();
-        let killed: Vec<_> = drawn(all, fault.part, chance);
+        let killed: Vec<_> = drawn(all, fault.part, rng);
         for (process, _) in &killed {
             if let Some((number, _)) = process.slot.get() {
                 self.slot_affected(number, &fault.kind);
@@ -192,9 +192,9 @@
 
     /// Kills `count` voters, deletes the stored votes of `lost` of them, and restarts them after
     /// the fault's duration.
-    async fn kill_voters(&self, fault: &ScheduledFault, chance: &mut StdRng, (count, lost): (usize, usize)) {
+    async fn kill_voters(&self, fault: &ScheduledFault, rng: &mut StdRng, (count, lost): (usize, usize)) {
         let mut killed: Vec<&HarnessProcess> = self.voters.iter().collect();
-        killed.shuffle(chance);
+        killed.shuffle(rng);
         killed.truncate(count);
         for voter in &killed {
             self.end(voter, Signal::KILL).await;
@@ -212,18 +212,18 @@
     }
 
     /// Plays a fault of processes. Returns false for any other kind of fault.
-    async fn play_process_fault(&self, fault: &ScheduledFault, chance: &mut StdRng) -> bool {
+    async fn play_process_fault(&self, fault: &ScheduledFault, rng: &mut StdRng) -> bool {
         match fault.kind.as_str() {
             "holder_kill" | "conductor_kill" | "halls_kill" => {
-                self.end_holders(fault, chance, Signal::KILL).await;
+                self.end_holders(fault, rng, Signal::KILL).await;
             }
-            "holder_leaves" => self.end_holders(fault, chance, Signal::TERM).await,
-            "holder_stop" | "conductor_stop" | "halls_stop" => self.stop_holders(fault, chance).await,
+            "holder_leaves" => self.end_holders(fault, rng, Signal::TERM).await,
+            "holder_stop" | "conductor_stop" | "halls_stop" => self.stop_holders(fault, rng).await,
             "roll" => self.rolling_restart(fault).await,
-            "many_killed" => self.kill_many(fault, chance).await,
-            "voter_kill" => self.kill_voters(fault, chance, (1, 0)).await,
-            "voter_lost" => self.kill_voters(fault, chance, (1, 1)).await,
-            "two_voters" => self.kill_voters(fault, chance, (2, 1)).await,
+            "many_killed" => self.kill_many(fault, rng).await,
+            "voter_kill" => self.kill_voters(fault, rng, (1, 0)).await,
+            "voter_lost" => self.kill_voters(fault, rng, (1, 1)).await,
+            "two_voters" => self.kill_voters(fault, rng, (2, 1)).await,
             _ => return false,
         }
         true
@@ -231,21 +231,21 @@
 
     /// Plays a fault of links to voters or between planners. Returns false for any other kind of
     /// fault.
-    async fn play_link_fault(&self, fault: &ScheduledFault, chance: &mut StdRng) -> bool {
+    async fn play_link_fault(&self, fault: &ScheduledFault, rng: &mut StdRng) -> bool {
         let all = self.voters.len();
         let cut = |to_voters, from_voters, voters| VoterCut { to_voters, from_voters, voters };
         match fault.kind.as_str() {
-            "holder_cut" => self.cut_from_voters(fault, chance, cut(true, true, all)).await,
-            "holder_mute" => self.cut_from_voters(fault, chance, cut(true, false, all)).await,
-            "holder_deaf" => self.cut_from_voters(fault, chance, cut(false, true, all)).await,
-            "holder_alone" => self.cut_from_voters(fault, chance, cut(true, true, all - 1)).await,
+            "holder_cut" => self.cut_from_voters(fault, rng, cut(true, true, all)).await,
+            "holder_mute" => self.cut_from_voters(fault, rng, cut(true, false, all)).await,
+            "holder_deaf" => self.cut_from_voters(fault, rng, cut(false, true, all)).await,
+            "holder_alone" => self.cut_from_voters(fault, rng, cut(true, true, all - 1)).await,
             "votes_late" => {
                 self.voter_relays().for_each(|relay| relay.delay.set(Duration::from_secs_f64(fault.size)));
                 sleep(duration_of(fault)).await;
                 self.voter_relays().for_each(|relay| relay.delay.set(Duration::ZERO));
             }
-            "planners_apart" => self.isolate(fault, chance, false).await,
-            "planners_mute" => self.isolate(fault, chance, true).await,
+            "planners_apart" => self.isolate(fault, rng, false).await,
+            "planners_mute" => self.isolate(fault, rng, true).await,
             "planners_late" => {
                 let delay =
                     |delay| self.planners.iter().for_each(|process| process.own_relay.delay.set(delay));
@@ -312,10 +312,10 @@
     fn play<'a>(
         &'a self,
         fault: &'a ScheduledFault,
-        chance: &'a mut StdRng,
+        rng: &'a mut StdRng,
     ) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
         Box::pin(async move {
-            self.play_process_fault(fault, chance).await || self.play_link_fault(fault, chance).await
+            self.play_process_fault(fault, rng).await || self.play_link_fault(fault, rng).await
         })
     }
 }
--- a/testbed/src/process_harness/report.rs
+++ b/testbed/src/process_harness/report.rs
@@ -59,8 +59,8 @@
         let mut errors = self.errors.take();
         for (number, slot) in self.slots.iter().enumerate() {
             if let Some((at, fault)) = slot.affected.take() {
-                let lacks_ms = (now - at) / 1000;
-                errors.push(format!("planner-{number}: nobody has it {lacks_ms} ms after {fault}"));
+                let without_ms = (now - at) / 1000;
+                errors.push(format!("planner-{number}: nobody has it {without_ms} ms after {fault}"));
                 slot.without_us.set(slot.without_us.get() + now - at);
             }
         }
@@ -78,8 +78,8 @@
 
     /// Returns the report at the time `now`, in microseconds.
     fn report(&self, now: i64, errors: Vec<String>) -> SlotReport {
-        let all: i64 = self.slots.iter().map(|slot| slot.since.get().map_or(0, |at| now - at)).sum();
-        let without: i64 = self.slots.iter().map(|slot| slot.without_us.get()).sum();
+        let total_us: i64 = self.slots.iter().map(|slot| slot.since.get().map_or(0, |at| now - at)).sum();
+        let without_us: i64 = self.slots.iter().map(|slot| slot.without_us.get()).sum();
         let lease_durations = |us: u64| (us as f64 / self.lease_duration_us as f64 * 100.0).round() / 100.0;
         let times = |fault: &str, histogram: &Histogram<u64>| TakeoverTimes {
             fault: fault.to_owned(),
@@ -94,7 +94,7 @@
         checker.takeover_times_us().iter().for_each(|&us| launches.saturating_record(us.max(1) as u64));
         SlotReport {
             takeovers: gaps.values().map(Histogram::len).sum(),
-            held: 1.0 - without as f64 / all.max(1) as f64,
+            held: 1.0 - without_us as f64 / total_us.max(1) as f64,
             by_fault: gaps.iter().map(|(fault, histogram)| times(fault, histogram)).collect(),
             rolling_restart_s: checker.rolling_restart_us().map(|us| us as f64 / 1e6),
             first_launch: (!launches.is_empty()).then(|| times("first launch", &launches)),
--- a/testbed/src/process_harness/setup.rs
+++ b/testbed/src/process_harness/setup.rs
@@ -143,10 +143,9 @@
     ///
     /// Fails if the scenario has no slots, the installation has voters of its own, or a port or
     /// file is not available.
-    pub async fn new(setup: HarnessSetup, day: &ResolvedValue) -> io::Result<Rc<ProcessHarness>> {
-        let settings = day.get("seats").ok_or_else(|| {
-            io::Error::other("found no `day.seats` in the scenario; expected the settings of slots")
-        })?;
+    pub async fn new(setup: HarnessSetup, scenario: &ResolvedValue) -> io::Result<Rc<ProcessHarness>> {
+        let settings =
+            scenario.get("seats").ok_or_else(|| io::Error::other("found no `day.seats`; expected slots"))?;
         let installation = &setup.config.installation;
         if installation.all.get("council").is_some() {
             let why =
@@ -155,10 +154,10 @@
         }
         let number = |field: &str| settings.number(field).unwrap_or(1.0) as usize;
         let (slots, voters) = (setup.addresses.borrow().len(), number("voters"));
-        let all = voters + slots + number("spares");
+        let process_count = voters + slots + number("spares");
         // All addresses are requested at once: a second call could return a voter's port again, and
         // the process that binds it later would exit.
-        let mut voter_addresses = free_addresses(all)?;
+        let mut voter_addresses = free_addresses(process_count)?;
         let planner_addresses = voter_addresses.split_off(voters);
         let layout = Layout {
             setup: &setup,
@@ -169,8 +168,8 @@
             planners: planner_addresses,
         };
         let mut processes = Vec::new();
-        for n in 0..all {
-            processes.push(layout.process(n).await?);
+        for index in 0..process_count {
+            processes.push(layout.process(index).await?);
         }
         let operators = voters_file(&setup.folder, "operators", settings, &layout.voters)?;
         let Layout { mut files, zones, .. } = layout;
@@ -178,8 +177,8 @@
         let planners = processes.split_off(voters);
         let lease_duration_us = settings.duration_us("term").unwrap_or(LEASE_DURATION_US);
         let HarnessSetup { config, context, addresses, .. } = setup;
-        Ok(Rc::new_cyclic(|me| ProcessHarness {
-            me: me.clone(),
+        Ok(Rc::new_cyclic(|self_weak| ProcessHarness {
+            self_weak: self_weak.clone(),
             config,
             zones,
             context,
--- a/testbed/src/registry.rs
+++ b/testbed/src/registry.rs
@@ -43,15 +43,16 @@
 /// Returns whether two entries of a ready machine differ only in its capacity. Brief watches leave
 /// such changes out.
 pub fn differ_in_capacity_only(first: &Entry, second: &Entry) -> bool {
-    let alike = Entry { cores_left: second.cores_left, memory_left: second.memory_left, ..first.clone() };
-    alike == *second && second.readiness() == Readiness::Ready
+    let with_second_capacity =
+        Entry { cores_left: second.cores_left, memory_left: second.memory_left, ..first.clone() };
+    with_second_capacity == *second && second.readiness() == Readiness::Ready
 }
 
 /// Returns the ready machines that match a query and have the capacity it requests. The order is
 /// random per query, so that planners do not all choose the same machine.
 pub fn with_capacity_for<'a>(
     all: impl Iterator<Item = &'a Entry>,
-    conn: u64,
+    connection: u64,
     fetch: &wire::Fetch,
 ) -> Vec<Entry> {
     let named = |wanted: &str, is: &str| wanted.is_empty() || wanted == is;
@@ -64,7 +65,7 @@
             && (fetch.among.is_empty() || fetch.among.contains(&e.machine))
     };
     let mut all: Vec<&Entry> = all.filter(fits).collect();
-    all.shuffle(&mut StdRng::seed_from_u64(conn << 32 ^ fetch.question));
+    all.shuffle(&mut StdRng::seed_from_u64(connection << 32 ^ fetch.question));
     all.into_iter().take(fetch.most as usize).cloned().collect()
 }
 
@@ -95,7 +96,7 @@
     /// Highest fencing token of a rolling restart's orders.
     fencing_token: u64,
     /// Fencing token and number of the last rolling restart order to each machine.
-    orders: HashMap<String, (u64, u64)>,
+    last_orders: HashMap<String, (u64, u64)>,
 }
 
 /// Starts a registry on a loopback port.
@@ -125,7 +126,7 @@
         watchers: BTreeMap::new(),
         stamp: 0,
         fencing_token: 0,
-        orders: HashMap::new(),
+        last_orders: HashMap::new(),
     };
     tokio::task::spawn_local(state.run(listener));
     Ok(shared)
@@ -161,8 +162,8 @@
         self.watchers
             .insert(number, Watcher { commands, watches: false, brief: false, sent: Entries::new() });
         let (context, clock) = (self.context.clone(), self.context.clock);
-        let show = move |hello: &wire::Hello, seen: LinkObservation| {
-            if let LinkObservation::SocketWritten { body: Body::List(list) } = seen {
+        let observe = move |hello: &wire::Hello, observation: LinkObservation| {
+            if let LinkObservation::SocketWritten { body: Body::List(list) } = observation {
                 let planner = (hello.name.clone(), hello.epoch);
                 context.checker.borrow_mut().registry_sent(context.clock.now(), &planner, list);
             }
@@ -173,7 +174,7 @@
             number,
             self.shared.faults.clone(),
             clock,
-            show,
+            observe,
         ));
         let identity = PeerIdentity {
             role: Role::Register,
@@ -225,7 +226,7 @@
     /// older than that of an earlier order.
     fn rolling_drain(&mut self, machine: &SimulatedMachine, drain: &wire::Drain) {
         let (order, last) =
-            ((drain.token, drain.number), self.orders.entry(machine.name.clone()).or_default());
+            ((drain.token, drain.number), self.last_orders.entry(machine.name.clone()).or_default());
         let late = drain.token < self.fencing_token || (order.0 == last.0 && order <= *last);
         if late {
             tracing::info!(
--- a/testbed/src/relay.rs
+++ b/testbed/src/relay.rs
@@ -52,7 +52,7 @@
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             if !control.refuses.get() {
-                tokio::task::spawn_local(carry(stream, to.clone(), control.clone()));
+                tokio::task::spawn_local(forward(stream, to.clone(), control.clone()));
             }
         }
     });
@@ -60,10 +60,10 @@
 }
 
 /// Forwards a client's connection until it closes or is reset.
-async fn carry(near: TcpStream, to: String, control: Rc<RelayControl>) {
-    let Ok(far) = TcpStream::connect(to).await else { return };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
+async fn forward(client: TcpStream, to: String, control: Rc<RelayControl>) {
+    let Ok(target) = TcpStream::connect(to).await else { return };
+    let _ = (client.set_nodelay(true), target.set_nodelay(true));
+    let ((client_in, client_out), (target_in, target_out)) = (client.into_split(), target.into_split());
     let resets = control.resets.get();
     let reset = async {
         while control.resets.get() == resets {
@@ -71,28 +71,42 @@
         }
     };
     // A client's first frame is its hello, which names it.
-    let (who, cutter) = (RefCell::new(String::new()), RefCell::new(Some(FrameDecoder::default())));
+    let (client_name, hello_decoder) =
+        (RefCell::new(String::new()), RefCell::new(Some(FrameDecoder::default())));
     let on_read = |bytes: &[u8]| {
-        let mut first = cutter.borrow_mut();
-        let Some(cutter) = first.as_mut() else { return };
-        cutter.push_bytes(bytes);
-        if let Some((_, body)) = cutter.next_frame() {
+        let mut pending_decoder = hello_decoder.borrow_mut();
+        let Some(decoder) = pending_decoder.as_mut() else { return };
+        decoder.push_bytes(bytes);
+        if let Some((_, body)) = decoder.next_frame() {
             if let Some(Body::Hello(hello)) = body {
-                *who.borrow_mut() = hello.name;
+                *client_name.borrow_mut() = hello.name;
             }
-            *first = None;
+            *pending_decoder = None;
         }
     };
-    let cut_of_peer = || control.cut_by_peer.borrow().get(&*who.borrow()).copied().unwrap_or_default();
+    let cut_of_peer =
+        || control.cut_by_peer.borrow().get(&*client_name.borrow()).copied().unwrap_or_default();
     tokio::select! {
-        () = one_way(near_in, far_out, on_read, || control.cut_forward.get() || cut_of_peer().0, &control) => {}
-        () = one_way(far_in, near_out, |_| {}, || control.cut_backward.get() || cut_of_peer().1, &control) => {}
+        () = forward_direction(
+            client_in,
+            target_out,
+            on_read,
+            || control.cut_forward.get() || cut_of_peer().0,
+            &control,
+        ) => {}
+        () = forward_direction(
+            target_in,
+            client_out,
+            |_| {},
+            || control.cut_backward.get() || cut_of_peer().1,
+            &control,
+        ) => {}
         () = reset => {}
     }
 }
 
 /// Forwards one direction until either end closes.
-async fn one_way(
+async fn forward_direction(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     on_read: impl Fn(&[u8]),
--- a/testbed/src/scale/clients.rs
+++ b/testbed/src/scale/clients.rs
@@ -136,7 +136,7 @@
 #[derive(Default)]
 struct Connection {
     /// Commands to the current link; `None` while there is none.
-    orders: Option<mpsc::Sender<LinkCommand>>,
+    commands: Option<mpsc::Sender<LinkCommand>>,
     /// Number of the current link.
     link: u64,
     /// Name of the planner at the other end.
@@ -150,7 +150,7 @@
 /// An event of a connection.
 enum ConnectionEvent {
     /// A new link was opened.
-    Connected { link: u64, orders: mpsc::Sender<LinkCommand>, traffic: Rc<RefCell<Traffic>> },
+    Connected { link: u64, commands: mpsc::Sender<LinkCommand>, traffic: Rc<RefCell<Traffic>> },
     /// An event of the link with this number.
     Link(u64, LinkEvent),
 }
@@ -159,7 +159,7 @@
 struct Clients {
     config: ClientsConfig,
     clock: Clock,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     connections: Vec<Connection>,
     totals: Vec<FrameworkTotals>,
     /// Tasks without an answer, by task number.
@@ -216,7 +216,7 @@
         Clients {
             connections: (0..config.connections).map(|_| Connection::default()).collect(),
             clock,
-            chance: fastrand::Rng::with_seed(config.seed),
+            rng: fastrand::Rng::with_seed(config.seed),
             totals: config.frameworks.iter().map(|_| FrameworkTotals::new()).collect(),
             open: BTreeMap::new(),
             answered: HashMap::new(),
@@ -234,27 +234,27 @@
         let batches = 1.0 / f64::from(self.config.batch_every.max(1));
         let tasks = 1.0 - batches + batches * f64::from(self.config.batch_size.max(1));
         let mean_us = tasks / self.config.rate * 1e6;
-        (-(1.0 - self.chance.f64()).ln() * mean_us) as i64
+        (-(1.0 - self.rng.f64()).ln() * mean_us) as i64
     }
 
     /// Creates the task or the batch of tasks that arrived at the time `due`, in microseconds.
     fn request(&mut self, due: i64) {
-        let batch = self.chance.u32(0..self.config.batch_every.max(1)) == 0;
+        let batch = self.rng.u32(0..self.config.batch_every.max(1)) == 0;
         let count = if batch { self.config.batch_size } else { 1 };
         // The tasks of a batch share framework, tenant and service, and go to one planner.
-        let mut drawn = self.chance.f64() * self.config.frameworks.iter().map(|f| f.part).sum::<f64>();
+        let mut drawn = self.rng.f64() * self.config.frameworks.iter().map(|f| f.part).sum::<f64>();
         let chosen = self.config.frameworks.iter().position(|framework| {
             drawn -= framework.part;
             drawn < 0.0
         });
         let index = chosen.unwrap_or(0);
         let framework = self.config.frameworks[index];
-        let connection = self.chance.usize(0..self.connections.len());
-        let tenant = self.chance.usize(0..self.config.tenants.max(1));
-        let service = 1 + index as u64 * 1000 + self.chance.u64(0..SERVICES);
+        let connection = self.rng.usize(0..self.connections.len());
+        let tenant = self.rng.usize(0..self.config.tenants.max(1));
+        let service = 1 + index as u64 * 1000 + self.rng.u64(0..SERVICES);
         for _ in 0..count.max(1) {
             self.task_count += 1;
-            let runs_s = -(1.0 - self.chance.f64()).ln() * self.config.runs_s;
+            let runs_s = -(1.0 - self.rng.f64()).ln() * self.config.runs_s;
             let submit = Submit {
                 key: format!("{}/{}", self.config.seed, self.task_count),
                 ask: 1,
@@ -278,14 +278,14 @@
     fn send_queued(&mut self, connection: usize) {
         let now = self.clock.now();
         let connection = &mut self.connections[connection];
-        let Some(orders) = &connection.orders else { return };
+        let Some(commands) = &connection.commands else { return };
         while let Some(mut submit) = connection.queue.pop_front() {
             let Some(open) = self.open.get_mut(&number_of(&submit.key)) else { continue };
             submit.time_left_us = open.due + self.config.frameworks[open.framework].limit_us - now;
             if submit.time_left_us <= 0 {
                 continue;
             }
-            if let Err(e) = orders.try_send(LinkCommand::Send(Body::Submit(submit), None)) {
+            if let Err(e) = commands.try_send(LinkCommand::Send(Body::Submit(submit), None)) {
                 if let mpsc::error::TrySendError::Full(LinkCommand::Send(Body::Submit(submit), _)) = e {
                     connection.queue.push_front(submit);
                 }
@@ -298,9 +298,9 @@
     /// Handles an event of a connection; ignores events of earlier links.
     fn event(&mut self, number: usize, event: ConnectionEvent) {
         match event {
-            ConnectionEvent::Connected { link, orders, traffic } => {
+            ConnectionEvent::Connected { link, commands, traffic } => {
                 let connection = &mut self.connections[number];
-                connection.orders = Some(orders);
+                connection.commands = Some(commands);
                 (connection.link, connection.traffic) = (link, traffic);
                 self.send_queued(number);
             }
@@ -314,7 +314,9 @@
     /// Handles an event of the current link.
     fn link_event(&mut self, number: usize, link: u64, event: LinkEvent) {
         match event {
-            LinkEvent::Session(SessionEvent::Up(party)) => self.connections[number].planner = party.name,
+            LinkEvent::Session(SessionEvent::Up(peer_identity)) => {
+                self.connections[number].planner = peer_identity.name
+            }
             LinkEvent::Session(SessionEvent::Frame(Body::Answer(answer))) => self.answer(&answer),
             LinkEvent::Session(SessionEvent::Frame(Body::Life(event))) => {
                 let lost = LifeHow::try_from(event.how) == Ok(LifeHow::LifeLost);
@@ -329,7 +331,7 @@
     /// arrive.
     fn disconnected(&mut self, number: usize, link: u64) {
         let connection = &mut self.connections[number];
-        connection.orders = None;
+        connection.commands = None;
         let carried = connection.traffic.take();
         self.past_traffic.entry(connection.planner.clone()).or_default().add(&carried);
         let on_link = |open: &OpenTask| (open.connection, open.link) == (number, link) && link > 0;
@@ -420,7 +422,7 @@
     for (planner, link) in (number..).zip(1u64..) {
         let connecting = TcpStream::connect(&planners[planner % planners.len()]);
         if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
-            let (orders, inbox) = mpsc::channel(4096);
+            let (commands, inbox) = mpsc::channel(4096);
             let identity = PeerIdentity {
                 role: Role::Owner,
                 name: format!("client-{seed}-{number}"),
@@ -429,7 +431,7 @@
                 login: String::new(),
             };
             let traffic: Rc<RefCell<Traffic>> = Rc::default();
-            let connected = ConnectionEvent::Connected { link, orders, traffic: traffic.clone() };
+            let connected = ConnectionEvent::Connected { link, commands, traffic: traffic.clone() };
             if events.send((number, connected)).await.is_err() {
                 return;
             }
--- a/testbed/src/scale/counting_relay.rs
+++ b/testbed/src/scale/counting_relay.rs
@@ -33,27 +33,27 @@
     let listener = TcpListener::bind((loopback_host(7).as_str(), 0)).await?;
     let address = listener.local_addr()?.to_string();
     tokio::task::spawn_local(async move {
-        while let Ok((near, _)) = listener.accept().await {
-            tokio::task::spawn_local(carry(near, to.clone(), counts.clone()));
+        while let Ok((client, _)) = listener.accept().await {
+            tokio::task::spawn_local(forward(client, to.clone(), counts.clone()));
         }
     });
     Ok(address)
 }
 
 /// Forwards a client's connection until both directions have closed.
-async fn carry(near: TcpStream, to: String, counts: Rc<RelayCounts>) {
-    let Ok(far) = TcpStream::connect(to).await else { return };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
+async fn forward(client: TcpStream, to: String, counts: Rc<RelayCounts>) {
+    let Ok(target) = TcpStream::connect(to).await else { return };
+    let _ = (client.set_nodelay(true), target.set_nodelay(true));
+    let ((client_in, client_out), (target_in, target_out)) = (client.into_split(), target.into_split());
     let peer = RefCell::new(None);
     tokio::join!(
-        one_direction(near_in, far_out, true, &counts, &peer),
-        one_direction(far_in, near_out, false, &counts, &peer)
+        forward_direction(client_in, target_out, true, &counts, &peer),
+        forward_direction(target_in, client_out, false, &counts, &peer)
     );
 }
 
 /// Forwards one direction to its end, and then closes it.
-async fn one_direction(
+async fn forward_direction(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     inward: bool,
--- a/testbed/src/scale/machines.rs
+++ b/testbed/src/scale/machines.rs
@@ -126,9 +126,9 @@
 
 /// A connection that a machine accepted.
 struct Connection {
-    orders: mpsc::Sender<LinkCommand>,
+    commands: mpsc::Sender<LinkCommand>,
     /// The peer, once its hello has arrived as a planner.
-    party: Option<PeerIdentity>,
+    peer_identity: Option<PeerIdentity>,
     /// Aborts the link when the machine crashes.
     task: AbortHandle,
     traffic: Rc<RefCell<Traffic>>,
@@ -165,7 +165,7 @@
 pub struct MachineProcess {
     config: MachinesConfig,
     clock: Clock,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     machines: Vec<Machine>,
     /// Index of each machine by its name.
     numbers: HashMap<String, usize>,
@@ -206,11 +206,11 @@
         machines.push(machine);
     }
     let numbers = machines.iter().enumerate().map(|(index, machine)| (machine.name.clone(), index)).collect();
-    let chance = fastrand::Rng::with_seed(config.seed ^ (config.first as u64) << 32);
+    let rng = fastrand::Rng::with_seed(config.seed ^ (config.first as u64) << 32);
     let mut process = MachineProcess {
         config,
         clock,
-        chance,
+        rng,
         machines,
         numbers,
         timers: BTreeMap::new(),
@@ -378,10 +378,10 @@
             MachinesEvent::Connection(machine, number, event) => {
                 self.connection_event(machine, number, event);
             }
-            MachinesEvent::RegistryConnected(orders) => {
+            MachinesEvent::RegistryConnected(commands) => {
                 let list = wire::List { whole: true, stamp: 1, entries: self.entries(), question: 0 };
-                let _ = orders.try_send(LinkCommand::Send(Body::List(list), None));
-                self.registry = Some(orders);
+                let _ = commands.try_send(LinkCommand::Send(Body::List(list), None));
+                self.registry = Some(commands);
             }
             MachinesEvent::Registry(LinkEvent::Session(SessionEvent::Frame(Body::Drain(drain)))) => {
                 if let Some(&machine) = self.numbers.get(&drain.machine) {
--- a/testbed/src/scale/machines/attempts.rs
+++ b/testbed/src/scale/machines/attempts.rs
@@ -38,9 +38,9 @@
     /// Schedules the check of a new offer, or repeats the reply to a known attempt.
     fn offered(&mut self, machine: usize, planner: String, launch: Launch) {
         let Some(id) = launch.id.map(|id| (id.epoch, id.number)) else { return };
-        let (say, new) = self.machines[machine].attempts.launch(&planner, id, launch);
+        let (attempt_reply, new) = self.machines[machine].attempts.launch(&planner, id, launch);
         if !new {
-            return self.reply(machine, &planner, id, say);
+            return self.reply(machine, &planner, id, attempt_reply);
         }
         self.counts.launched += 1;
         self.set_timer(machine, OFFER_CHECK_US, MachineTimer::CheckOffer((planner, id)));
@@ -48,8 +48,8 @@
 
     /// Cancels an attempt that does not run yet, and replies with its state.
     fn cancel(&mut self, machine: usize, planner: String, id: AttemptId) {
-        let say = self.machines[machine].attempts.cancel(&planner, id);
-        self.reply(machine, &planner, id, say);
+        let attempt_reply = self.machines[machine].attempts.cancel(&planner, id);
+        self.reply(machine, &planner, id, attempt_reply);
     }
 
     /// Returns the cores and memory that are not reserved.
@@ -59,11 +59,11 @@
     }
 
     /// Sends a reply about an attempt.
-    pub(super) fn reply(&self, machine: usize, planner: &str, id: AttemptId, say: AttemptReply) {
+    pub(super) fn reply(&self, machine: usize, planner: &str, id: AttemptId, attempt_reply: AttemptReply) {
         let (report, machine) = (self.report(machine), &self.machines[machine]);
         let launch = machine.attempts.payload(&planner.to_owned(), id);
         let key = launch.map(|launch| launch.key.clone()).unwrap_or_default();
-        if let Some(body) = reply(id, key, say, report) {
+        if let Some(body) = reply(id, key, attempt_reply, report) {
             machine.send(planner, body);
         }
     }
@@ -98,7 +98,7 @@
         if !self.config.accepts_when_running {
             self.reply(machine, &attempt.0, attempt.1, AttemptReply::Accepted);
         }
-        let takes_us = START_US as f64 * (0.7 + 0.6 * self.chance.f64());
+        let takes_us = START_US as f64 * (0.7 + 0.6 * self.rng.f64());
         self.set_timer(machine, takes_us as i64, MachineTimer::Start(attempt));
     }
 
@@ -135,7 +135,7 @@
 
     /// Starts a task of an absent planner on a random machine, if the machine has the capacity.
     pub(super) fn place_absent_task(&mut self) {
-        let machine = self.chance.usize(0..self.machines.len());
+        let machine = self.rng.usize(0..self.machines.len());
         let (host, config) = (&mut self.machines[machine], &self.config);
         let fits = host.reserved.0 + ABSENT_TASK.0 <= config.cores
             && host.reserved.1 + ABSENT_TASK.1 <= config.memory;
@@ -145,14 +145,14 @@
         host.reserve(ABSENT_TASK);
         host.absent_tasks += 1;
         self.changed.insert(machine);
-        let runs_s = -(1.0 - self.chance.f64()).ln() * self.config.absent_load.1;
+        let runs_s = -(1.0 - self.rng.f64()).ln() * self.config.absent_load.1;
         self.set_timer(machine, (runs_s * 1e6) as i64, MachineTimer::AbsentTaskEnds);
     }
 
     /// Starts a task of an absent planner, and schedules the next one.
     pub(super) fn next_absent_task(&mut self) {
         self.place_absent_task();
-        let gap_s = -(1.0 - self.chance.f64()).ln() / self.config.absent_load.0;
+        let gap_s = -(1.0 - self.rng.f64()).ln() / self.config.absent_load.0;
         self.set_timer(0, (gap_s * 1e6) as i64, MachineTimer::AbsentTask);
     }
 }
--- a/testbed/src/scale/machines/connections.rs
+++ b/testbed/src/scale/machines/connections.rs
@@ -19,7 +19,7 @@
     pub(super) fn accept(&mut self, machine: usize, stream: TcpStream) {
         self.connection_count += 1;
         let number = self.connection_count;
-        let (orders, inbox) = mpsc::channel(1024);
+        let (commands, inbox) = mpsc::channel(1024);
         let traffic = Rc::new(RefCell::new(Traffic::default()));
         let host = &mut self.machines[machine];
         let stream = CountingStream::new(stream, host.vanished.clone(), traffic.clone());
@@ -39,22 +39,24 @@
             event,
         );
         let task = tokio::task::spawn_local(run).abort_handle();
-        host.connections.insert(number, Connection { orders, party: None, task, traffic });
+        host.connections.insert(number, Connection { commands, peer_identity: None, task, traffic });
     }
 
     /// Handles an event of a connection. Frames count only on the current link of a planner.
     pub(super) fn connection_event(&mut self, machine: usize, number: u64, event: LinkEvent) {
         match event {
-            LinkEvent::Session(SessionEvent::Up(party)) if party.role == Role::Planner => {
-                self.planner_connected(machine, number, party);
+            LinkEvent::Session(SessionEvent::Up(peer_identity)) if peer_identity.role == Role::Planner => {
+                self.planner_connected(machine, number, peer_identity);
             }
             LinkEvent::Session(SessionEvent::Frame(body)) => {
                 let host = &self.machines[machine];
-                let party = host.connections.get(&number).and_then(|connection| connection.party.clone());
-                let current =
-                    |party: &PeerIdentity| host.attempts.is_current(&party.name, party.epoch, party.link);
-                if let Some(party) = party.filter(current) {
-                    self.frame(machine, party.name, body);
+                let peer_identity =
+                    host.connections.get(&number).and_then(|connection| connection.peer_identity.clone());
+                let current = |peer_identity: &PeerIdentity| {
+                    host.attempts.is_current(&peer_identity.name, peer_identity.epoch, peer_identity.link)
+                };
+                if let Some(peer_identity) = peer_identity.filter(current) {
+                    self.frame(machine, peer_identity.name, body);
                 }
             }
             LinkEvent::Ended { .. } => self.disconnected(machine, number),
@@ -63,37 +65,37 @@
     }
 
     /// Makes a connection the current link of its planner, and sends the inventory.
-    fn planner_connected(&mut self, machine: usize, number: u64, party: PeerIdentity) {
+    fn planner_connected(&mut self, machine: usize, number: u64, peer_identity: PeerIdentity) {
         let host = &mut self.machines[machine];
         if !host.connections.contains_key(&number) {
             return;
         }
-        if !host.attempts.admit_link(&party.name, party.epoch, party.link) {
+        if !host.attempts.admit_link(&peer_identity.name, peer_identity.epoch, peer_identity.link) {
             return host.close(number, "an older life or link of this planner");
         }
         if let Some(connection) = host.connections.get_mut(&number) {
-            connection.party = Some(party.clone());
+            connection.peer_identity = Some(peer_identity.clone());
         }
-        if let Some(old) = host.links.insert(party.name.clone(), number) {
+        if let Some(old) = host.links.insert(peer_identity.name.clone(), number) {
             host.close(old, "a newer link came");
         }
-        let (endings, held) = host.attempts.inventory(&party.name);
+        let (endings, held) = host.attempts.inventory(&peer_identity.name);
         for (id, ending) in endings {
-            self.reply(machine, &party.name, id, ending);
+            self.reply(machine, &peer_identity.name, id, ending);
         }
         let host = &self.machines[machine];
-        host.send(&party.name, inventory(held, host.draining));
+        host.send(&peer_identity.name, inventory(held, host.draining));
     }
 
     /// Removes a closed connection, and keeps its traffic count.
     pub(super) fn disconnected(&mut self, machine: usize, number: u64) {
         let host = &mut self.machines[machine];
         let Some(connection) = host.connections.remove(&number) else { return };
-        if let Some(party) = connection.party {
-            if host.links.get(&party.name) == Some(&number) {
-                host.links.remove(&party.name);
+        if let Some(peer_identity) = connection.peer_identity {
+            if host.links.get(&peer_identity.name) == Some(&number) {
+                host.links.remove(&peer_identity.name);
             }
-            self.past_traffic.entry(party.name).or_default().add(&connection.traffic.borrow());
+            self.past_traffic.entry(peer_identity.name).or_default().add(&connection.traffic.borrow());
         }
     }
 }
@@ -102,14 +104,14 @@
     /// Closes a connection with this reason.
     fn close(&self, number: u64, why: &str) {
         if let Some(connection) = self.connections.get(&number) {
-            let _ = connection.orders.try_send(LinkCommand::Close(why.to_owned()));
+            let _ = connection.commands.try_send(LinkCommand::Close(why.to_owned()));
         }
     }
 
     /// Sends a frame to a planner, if it is connected.
     pub(super) fn send(&self, planner: &str, body: Body) {
         if let Some(connection) = self.links.get(planner).and_then(|number| self.connections.get(number)) {
-            let _ = connection.orders.try_send(LinkCommand::Send(body, None));
+            let _ = connection.commands.try_send(LinkCommand::Send(body, None));
         }
     }
 }
@@ -125,7 +127,7 @@
     loop {
         if let Ok(stream) = TcpStream::connect(&address).await {
             links += 1;
-            let (orders, inbox) = mpsc::channel(256);
+            let (commands, inbox) = mpsc::channel(256);
             let identity = PeerIdentity {
                 role: Role::Machine,
                 name: name.clone(),
@@ -133,7 +135,7 @@
                 link: links,
                 login: String::new(),
             };
-            if events.send(MachinesEvent::RegistryConnected(orders)).await.is_err() {
+            if events.send(MachinesEvent::RegistryConnected(commands)).await.is_err() {
                 return;
             }
             let _ = stream.set_nodelay(true);
--- a/testbed/src/scale/machines/faults.rs
+++ b/testbed/src/scale/machines/faults.rs
@@ -14,7 +14,7 @@
     /// Schedules a machine's next random restart.
     pub(super) fn draw_restart(&mut self, machine: usize) {
         if self.config.restarts_per_hour > 0.0 {
-            let hours = -(1.0 - self.chance.f64()).ln() / self.config.restarts_per_hour;
+            let hours = -(1.0 - self.rng.f64()).ln() / self.config.restarts_per_hour;
             self.set_timer(machine, (hours * 3.6e9) as i64, MachineTimer::DrawnRestart);
         }
     }
--- a/testbed/src/scale/registry.rs
+++ b/testbed/src/scale/registry.rs
@@ -27,9 +27,9 @@
 
 /// A connection to the registry.
 struct Connection {
-    orders: mpsc::Sender<LinkCommand>,
+    commands: mpsc::Sender<LinkCommand>,
     /// The peer, once its hello has arrived.
-    party: Option<PeerIdentity>,
+    peer_identity: Option<PeerIdentity>,
     /// Whether the peer watches the machine list.
     watches: bool,
     /// Whether the watch leaves out changes of capacity alone.
@@ -105,11 +105,17 @@
         clock: Clock,
         events: mpsc::Sender<(u64, LinkEvent)>,
     ) {
-        let (orders, inbox) = mpsc::channel(1024);
+        let (commands, inbox) = mpsc::channel(1024);
         let traffic = Rc::new(RefCell::new(Traffic::default()));
         let stream = CountingStream::new(stream, Rc::new(Cell::new(false)), traffic.clone());
-        let connection =
-            Connection { orders, party: None, watches: false, brief: false, sent_up_to: 0, traffic };
+        let connection = Connection {
+            commands,
+            peer_identity: None,
+            watches: false,
+            brief: false,
+            sent_up_to: 0,
+            traffic,
+        };
         self.connections.insert(number, connection);
         let (name, login) = ("register".into(), String::new());
         let identity = PeerIdentity { role: Role::Register, name, epoch: 1, link: number, login };
@@ -139,9 +145,9 @@
     /// Handles an event of a connection.
     fn link_event(&mut self, number: u64, event: LinkEvent) {
         match event {
-            LinkEvent::Session(SessionEvent::Up(party)) => {
+            LinkEvent::Session(SessionEvent::Up(peer_identity)) => {
                 if let Some(connection) = self.connections.get_mut(&number) {
-                    connection.party = Some(party);
+                    connection.peer_identity = Some(peer_identity);
                 }
             }
             LinkEvent::Session(SessionEvent::Frame(body)) => self.frame(number, body),
@@ -154,8 +160,9 @@
     fn frame(&mut self, number: u64, body: Body) {
         match body {
             Body::List(list) => {
-                let party = self.connections.get(&number).and_then(|connection| connection.party.as_ref());
-                if party.is_some_and(|party| party.role == Role::Machine) {
+                let peer_identity =
+                    self.connections.get(&number).and_then(|connection| connection.peer_identity.as_ref());
+                if peer_identity.is_some_and(|peer_identity| peer_identity.role == Role::Machine) {
                     list.entries.into_iter().for_each(|entry| self.update(number, entry));
                 }
             }
@@ -171,7 +178,7 @@
                 self.stamp += 1;
                 let list = wire::List { whole: false, stamp: self.stamp, entries, question: fetch.question };
                 if let Some(connection) = self.connections.get(&number) {
-                    let _ = connection.orders.try_send(LinkCommand::Send(Body::List(list), None));
+                    let _ = connection.commands.try_send(LinkCommand::Send(Body::List(list), None));
                 }
             }
             Body::Fetch(_) => self.send(number, true),
@@ -189,7 +196,7 @@
         self.fencing_token = self.fencing_token.max(drain.token);
         let row = self.rows.get(&drain.machine);
         if let Some(connection) = row.and_then(|row| self.connections.get(&row.source)) {
-            let _ = connection.orders.try_send(LinkCommand::Send(Body::Drain(drain), None));
+            let _ = connection.commands.try_send(LinkCommand::Send(Body::Drain(drain), None));
         }
     }
 
@@ -197,11 +204,11 @@
     /// gone.
     fn disconnected(&mut self, number: u64) {
         let Some(connection) = self.connections.remove(&number) else { return };
-        match connection.party {
-            Some(party) if party.role == Role::Machine => self.machines_gone(number),
-            Some(party) => {
+        match connection.peer_identity {
+            Some(peer_identity) if peer_identity.role == Role::Machine => self.machines_gone(number),
+            Some(peer_identity) => {
                 let traffic = connection.traffic.borrow();
-                self.past_traffic.entry(party.name).or_default().add(&traffic);
+                self.past_traffic.entry(peer_identity.name).or_default().add(&traffic);
             }
             None => {}
         }
@@ -239,7 +246,7 @@
         }
         self.stamp += 1;
         let list = wire::List { whole, stamp: self.stamp, entries, question: 0 };
-        if connection.orders.try_send(LinkCommand::Send(Body::List(list), None)).is_ok() {
+        if connection.commands.try_send(LinkCommand::Send(Body::List(list), None)).is_ok() {
             connection.sent_up_to = self.changes;
         }
     }
@@ -248,8 +255,11 @@
     /// counts it.
     fn view(&self) -> Value {
         let planners = self.connections.values().filter_map(|connection| {
-            let party = connection.party.as_ref().filter(|party| party.role != Role::Machine)?;
-            Some((party.name.as_str(), *connection.traffic.borrow()))
+            let peer_identity = connection
+                .peer_identity
+                .as_ref()
+                .filter(|peer_identity| peer_identity.role != Role::Machine)?;
+            Some((peer_identity.name.as_str(), *connection.traffic.borrow()))
         });
         let ready = self.rows.values().filter(|row| row.entry.readiness == Readiness::Ready as i32);
         let view = RegistryView {
--- a/testbed/src/settings.rs
+++ b/testbed/src/settings.rs
@@ -56,17 +56,17 @@
 }
 
 /// Returns the behaviour of machines and clients in an installation.
-fn behaviour(all: &ResolvedValue, day: &ResolvedValue) -> MachineBehaviour {
+fn behaviour(all: &ResolvedValue, scenario: &ResolvedValue) -> MachineBehaviour {
     let by_framework = |field: &str| -> HashMap<String, String> {
         let of = |f: &ResolvedValue| Some((f.text("name")?.to_owned(), f.text(field)?.to_owned()));
         all.list("frameworks").iter().filter_map(of).collect()
     };
     let priority = |f: &ResolvedValue| (name_of(f), f.number("priority").unwrap_or(0.0) as i64);
-    let count = |path: &str| day.number(path).unwrap_or(1.0) as usize;
+    let count = |path: &str| scenario.number(path).unwrap_or(1.0) as usize;
     MachineBehaviour {
-        offer_check_us: day.duration_us("look").unwrap_or(3_000),
-        start_us: day.duration_us("start").unwrap_or(30_000),
-        uncached_start_factor: day.number("cold_start").unwrap_or(8.0),
+        offer_check_us: scenario.duration_us("look").unwrap_or(3_000),
+        start_us: scenario.duration_us("start").unwrap_or(30_000),
+        uncached_start_factor: scenario.number("cold_start").unwrap_or(8.0),
         concurrent_starts: count("starts"),
         max_queue: count("line"),
         cached_programs: count("keeps"),
@@ -82,9 +82,9 @@
         priorities: all.list("frameworks").iter().map(priority).collect(),
         // A slot can be without a planner for three lease durations, and clients connect every 100
         // ms: they try for that time before they change to another planner.
-        client_connect_attempts: 8 + day.duration_us("seats.term").map_or(0, |term| 3 * term / 100_000)
+        client_connect_attempts: 8 + scenario.duration_us("seats.term").map_or(0, |term| 3 * term / 100_000)
             as u32,
-        updater: day
+        updater: scenario
             .get("updater")
             .map(|u| (u.duration_us("most").unwrap_or(0), u.duration_us("away").unwrap_or(0))),
     }
--- a/testbed/src/task_usage.rs
+++ b/testbed/src/task_usage.rs
@@ -14,28 +14,28 @@
 /// Returns a function that draws the usage of a task: the scenario's share of what the task
 /// requests, changed by the active faults.
 pub(crate) fn task_usage(installation: &Installation, load: Rc<LoadModifiers>) -> TaskUsage {
-    let day = installation.all.get("day").cloned();
-    let shares: Vec<(String, f64)> = day
+    let scenario = installation.all.get("day").cloned();
+    let shares: Vec<(String, f64)> = scenario
         .iter()
-        .flat_map(|day| day.list("tasks"))
+        .flat_map(|scenario| scenario.list("tasks"))
         .map(|task| (task.text("framework").unwrap_or("").to_owned(), task.number("uses").unwrap_or(0.5)))
         .collect();
-    let chance = RefCell::new(StdRng::seed_from_u64(SEED));
+    let rng = RefCell::new(StdRng::seed_from_u64(SEED));
     Box::new(move |launch| {
-        let mut chance = chance.borrow_mut();
+        let mut rng = rng.borrow_mut();
         let share = shares.iter().find(|share| share.0 == launch.framework).map_or(0.5, |share| share.1);
-        let mut share = share * chance.random_range(0.8..1.2);
+        let mut share = share * rng.random_range(0.8..1.2);
         if load.hot_keys.borrow().contains(&(launch.service % HOT_KEYS)) {
             share = 1.0;
         }
         let (part, factor) = load.heavy_tail.get();
-        if part > 0.0 && chance.random_bool(part.min(1.0)) {
+        if part > 0.0 && rng.random_bool(part.min(1.0)) {
             share *= factor;
         }
         if load.burst.get() > 0.0 {
             share *= 1.2;
         }
-        let runs_us = (launch.runs_for_us as f64 * chance.random_range(0.5..1.5)) as i64;
+        let runs_us = (launch.runs_for_us as f64 * rng.random_range(0.5..1.5)) as i64;
         (launch.cores * share, launch.memory * (0.2 + share).min(1.6), runs_us.max(1000))
     })
 }
--- a/testbed/tests/registry.rs
+++ b/testbed/tests/registry.rs
@@ -62,8 +62,8 @@
 }
 
 /// A change of capacity alone is sent to watchers but not to brief watchers, unless the machine
-/// drains: then the capacity shows when the machine is empty. A query returns only ready machines with enough
-/// capacity, among the named machines if it names any.
+/// drains: then the capacity shows when the machine is empty. A query returns only ready machines
+/// with enough capacity, among the named machines if it names any.
 #[test]
 fn brief_watch_omits_capacity_changes_and_query_returns_machines_with_capacity() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
