--- a/testbed/src/client.rs
+++ b/testbed/src/client.rs
@@ -328,9 +328,7 @@
     /// Handles an event of the current connection.
     fn link_event(&mut self, event: LinkEvent) {
         match event {
-            LinkEvent::Session(SessionEvent::Up(peer_identity)) => {
-                self.planner_connected((peer_identity.name, peer_identity.epoch))
-            }
+            LinkEvent::Session(SessionEvent::Up(peer)) => self.planner_connected((peer.name, peer.epoch)),
             LinkEvent::Session(SessionEvent::Frame(Body::Answer(answer))) => self.answered(answer),
             LinkEvent::Session(SessionEvent::Frame(Body::Life(event))) => self.lifecycle(event),
             LinkEvent::Ended { .. } => {
--- a/testbed/src/fault_scenario/play.rs
+++ b/testbed/src/fault_scenario/play.rs
@@ -53,11 +53,9 @@
     /// Returns the machines that a fault affects: the named machine, or a random share of the
     /// zone's machines or of all machines.
     fn affected(&self, fault: &ScheduledFault, rng: &mut StdRng) -> Vec<Rc<SimulatedMachine>> {
-        let matches_name = |expected: &Option<String>, name: &String| {
-            expected.as_ref().is_none_or(|expected| expected == name)
-        };
+        let is_name = |wanted: &Option<String>, name: &String| wanted.as_ref().is_none_or(|w| w == name);
         let matching = |machine: &&Rc<SimulatedMachine>| {
-            matches_name(&fault.machine, &machine.name) && matches_name(&fault.zone, &machine.zone)
+            is_name(&fault.machine, &machine.name) && is_name(&fault.zone, &machine.zone)
         };
         let all: Vec<Rc<SimulatedMachine>> = self.fleet.iter().filter(matching).cloned().collect();
         if fault.machine.is_none() {
--- a/testbed/src/machine/connections.rs
+++ b/testbed/src/machine/connections.rs
@@ -65,24 +65,23 @@
     /// Handles an event of a connection. Frames count only on the current link of a planner.
     pub(super) fn connection_event(&mut self, number: u64, event: LinkEvent) {
         match event {
-            LinkEvent::Session(SessionEvent::Up(peer_identity))
-                if peer_identity.role == Role::Planner && self.connections.contains_key(&number) =>
+            LinkEvent::Session(SessionEvent::Up(peer))
+                if peer.role == Role::Planner && self.connections.contains_key(&number) =>
             {
-                self.planner_connected(number, peer_identity);
+                self.planner_connected(number, peer);
             }
             LinkEvent::Session(SessionEvent::Frame(body)) => {
-                let peer_identity = self.connections.get(&number).and_then(|connection| connection.1.clone());
-                let current = |peer_identity: &PeerIdentity| {
-                    self.attempts.is_current(&peer_identity.name, peer_identity.epoch, peer_identity.link)
-                };
-                if let Some(peer_identity) = peer_identity.filter(current) {
-                    self.frame(peer_identity.name, body);
+                let peer = self.connections.get(&number).and_then(|connection| connection.1.clone());
+                let current =
+                    |peer: &PeerIdentity| self.attempts.is_current(&peer.name, peer.epoch, peer.link);
+                if let Some(peer) = peer.filter(current) {
+                    self.frame(peer.name, body);
                 }
             }
             LinkEvent::Ended { .. } => {
-                if let Some((_, Some(peer_identity))) = self.connections.remove(&number) {
-                    if self.links.get(&peer_identity.name).is_some_and(|link| link.0 == number) {
-                        self.links.remove(&peer_identity.name);
+                if let Some((_, Some(peer))) = self.connections.remove(&number) {
+                    if self.links.get(&peer.name).is_some_and(|link| link.0 == number) {
+                        self.links.remove(&peer.name);
                     }
                 }
             }
@@ -91,24 +90,24 @@
     }
 
     /// Makes a connection the current link of its planner, and sends the inventory.
-    fn planner_connected(&mut self, number: u64, peer_identity: PeerIdentity) {
-        if !self.attempts.admit_link(&peer_identity.name, peer_identity.epoch, peer_identity.link) {
+    fn planner_connected(&mut self, number: u64, peer: PeerIdentity) {
+        if !self.attempts.admit_link(&peer.name, peer.epoch, peer.link) {
             return self.close(number, "an older life or link of this planner");
         }
         // A restart has already removed its earlier connections, but their events may still arrive.
-        let Some((commands, peer)) = self.connections.get_mut(&number) else { return };
-        *peer = Some(peer_identity.clone());
+        let Some((commands, known_peer)) = self.connections.get_mut(&number) else { return };
+        *known_peer = Some(peer.clone());
         let commands = commands.clone();
-        if let Some((old, _)) = self.links.insert(peer_identity.name.clone(), (number, commands)) {
+        if let Some((old, _)) = self.links.insert(peer.name.clone(), (number, commands)) {
             self.close(old, "a newer link came");
         }
         let attempts = &self.attempts;
         self.offers.retain(|attempt| attempts.state(&attempt.0, attempt.1).is_some());
-        let (endings, held) = self.attempts.inventory(&peer_identity.name);
+        let (endings, held) = self.attempts.inventory(&peer.name);
         for (id, ending) in endings {
-            self.reply(&(peer_identity.name.clone(), id), ending);
+            self.reply(&(peer.name.clone(), id), ending);
         }
-        self.send_frame(&peer_identity.name, inventory(held, self.shared.draining.get()));
+        self.send_frame(&peer.name, inventory(held, self.shared.draining.get()));
     }
 
     /// Closes a connection with this reason.
--- a/testbed/src/scale/clients.rs
+++ b/testbed/src/scale/clients.rs
@@ -314,9 +314,7 @@
     /// Handles an event of the current link.
     fn link_event(&mut self, number: usize, link: u64, event: LinkEvent) {
         match event {
-            LinkEvent::Session(SessionEvent::Up(peer_identity)) => {
-                self.connections[number].planner = peer_identity.name
-            }
+            LinkEvent::Session(SessionEvent::Up(peer)) => self.connections[number].planner = peer.name,
             LinkEvent::Session(SessionEvent::Frame(Body::Answer(answer))) => self.answer(&answer),
             LinkEvent::Session(SessionEvent::Frame(Body::Life(event))) => {
                 let lost = LifeHow::try_from(event.how) == Ok(LifeHow::LifeLost);
--- a/testbed/src/scale/machines.rs
+++ b/testbed/src/scale/machines.rs
@@ -128,7 +128,7 @@
 struct Connection {
     commands: mpsc::Sender<LinkCommand>,
     /// The peer, once its hello has arrived as a planner.
-    peer_identity: Option<PeerIdentity>,
+    peer: Option<PeerIdentity>,
     /// Aborts the link when the machine crashes.
     task: AbortHandle,
     traffic: Rc<RefCell<Traffic>>,
--- a/testbed/src/scale/machines/connections.rs
+++ b/testbed/src/scale/machines/connections.rs
@@ -39,24 +39,22 @@
             event,
         );
         let task = tokio::task::spawn_local(run).abort_handle();
-        host.connections.insert(number, Connection { commands, peer_identity: None, task, traffic });
+        host.connections.insert(number, Connection { commands, peer: None, task, traffic });
     }
 
     /// Handles an event of a connection. Frames count only on the current link of a planner.
     pub(super) fn connection_event(&mut self, machine: usize, number: u64, event: LinkEvent) {
         match event {
-            LinkEvent::Session(SessionEvent::Up(peer_identity)) if peer_identity.role == Role::Planner => {
-                self.planner_connected(machine, number, peer_identity);
+            LinkEvent::Session(SessionEvent::Up(peer)) if peer.role == Role::Planner => {
+                self.planner_connected(machine, number, peer);
             }
             LinkEvent::Session(SessionEvent::Frame(body)) => {
                 let host = &self.machines[machine];
-                let peer_identity =
-                    host.connections.get(&number).and_then(|connection| connection.peer_identity.clone());
-                let current = |peer_identity: &PeerIdentity| {
-                    host.attempts.is_current(&peer_identity.name, peer_identity.epoch, peer_identity.link)
-                };
-                if let Some(peer_identity) = peer_identity.filter(current) {
-                    self.frame(machine, peer_identity.name, body);
+                let peer = host.connections.get(&number).and_then(|connection| connection.peer.clone());
+                let current =
+                    |peer: &PeerIdentity| host.attempts.is_current(&peer.name, peer.epoch, peer.link);
+                if let Some(peer) = peer.filter(current) {
+                    self.frame(machine, peer.name, body);
                 }
             }
             LinkEvent::Ended { .. } => self.disconnected(machine, number),
@@ -65,37 +63,37 @@
     }
 
     /// Makes a connection the current link of its planner, and sends the inventory.
-    fn planner_connected(&mut self, machine: usize, number: u64, peer_identity: PeerIdentity) {
+    fn planner_connected(&mut self, machine: usize, number: u64, peer: PeerIdentity) {
         let host = &mut self.machines[machine];
         if !host.connections.contains_key(&number) {
             return;
         }
-        if !host.attempts.admit_link(&peer_identity.name, peer_identity.epoch, peer_identity.link) {
+        if !host.attempts.admit_link(&peer.name, peer.epoch, peer.link) {
             return host.close(number, "an older life or link of this planner");
         }
         if let Some(connection) = host.connections.get_mut(&number) {
-            connection.peer_identity = Some(peer_identity.clone());
+            connection.peer = Some(peer.clone());
         }
-        if let Some(old) = host.links.insert(peer_identity.name.clone(), number) {
+        if let Some(old) = host.links.insert(peer.name.clone(), number) {
             host.close(old, "a newer link came");
         }
-        let (endings, held) = host.attempts.inventory(&peer_identity.name);
+        let (endings, held) = host.attempts.inventory(&peer.name);
         for (id, ending) in endings {
-            self.reply(machine, &peer_identity.name, id, ending);
+            self.reply(machine, &peer.name, id, ending);
         }
         let host = &self.machines[machine];
-        host.send(&peer_identity.name, inventory(held, host.draining));
+        host.send(&peer.name, inventory(held, host.draining));
     }
 
     /// Removes a closed connection, and keeps its traffic count.
     pub(super) fn disconnected(&mut self, machine: usize, number: u64) {
         let host = &mut self.machines[machine];
         let Some(connection) = host.connections.remove(&number) else { return };
-        if let Some(peer_identity) = connection.peer_identity {
-            if host.links.get(&peer_identity.name) == Some(&number) {
-                host.links.remove(&peer_identity.name);
+        if let Some(peer) = connection.peer {
+            if host.links.get(&peer.name) == Some(&number) {
+                host.links.remove(&peer.name);
             }
-            self.past_traffic.entry(peer_identity.name).or_default().add(&connection.traffic.borrow());
+            self.past_traffic.entry(peer.name).or_default().add(&connection.traffic.borrow());
         }
     }
 }
--- a/testbed/src/scale/machines/view.rs
+++ b/testbed/src/scale/machines/view.rs
@@ -42,7 +42,7 @@
     pub(super) fn view(&self) -> Value {
         let connections = self.machines.iter().flat_map(|machine| machine.connections.values());
         let current = connections.filter_map(|connection| {
-            Some((connection.peer_identity.as_ref()?.name.as_str(), *connection.traffic.borrow()))
+            Some((connection.peer.as_ref()?.name.as_str(), *connection.traffic.borrow()))
         });
         let machines = &self.machines;
         let running = |machine: &super::Machine| machine.tasks.values().filter(|task| task.running).count();
--- a/testbed/src/scale/registry.rs
+++ b/testbed/src/scale/registry.rs
@@ -29,7 +29,7 @@
 struct Connection {
     commands: mpsc::Sender<LinkCommand>,
     /// The peer, once its hello has arrived.
-    peer_identity: Option<PeerIdentity>,
+    peer: Option<PeerIdentity>,
     /// Whether the peer watches the machine list.
     watches: bool,
     /// Whether the watch leaves out changes of capacity alone.
@@ -108,14 +108,8 @@
         let (commands, inbox) = mpsc::channel(1024);
         let traffic = Rc::new(RefCell::new(Traffic::default()));
         let stream = CountingStream::new(stream, Rc::new(Cell::new(false)), traffic.clone());
-        let connection = Connection {
-            commands,
-            peer_identity: None,
-            watches: false,
-            brief: false,
-            sent_up_to: 0,
-            traffic,
-        };
+        let connection =
+            Connection { commands, peer: None, watches: false, brief: false, sent_up_to: 0, traffic };
         self.connections.insert(number, connection);
         let (name, login) = ("register".into(), String::new());
         let identity = PeerIdentity { role: Role::Register, name, epoch: 1, link: number, login };
@@ -145,9 +139,9 @@
     /// Handles an event of a connection.
     fn link_event(&mut self, number: u64, event: LinkEvent) {
         match event {
-            LinkEvent::Session(SessionEvent::Up(peer_identity)) => {
+            LinkEvent::Session(SessionEvent::Up(peer)) => {
                 if let Some(connection) = self.connections.get_mut(&number) {
-                    connection.peer_identity = Some(peer_identity);
+                    connection.peer = Some(peer);
                 }
             }
             LinkEvent::Session(SessionEvent::Frame(body)) => self.frame(number, body),
@@ -160,9 +154,8 @@
     fn frame(&mut self, number: u64, body: Body) {
         match body {
             Body::List(list) => {
-                let peer_identity =
-                    self.connections.get(&number).and_then(|connection| connection.peer_identity.as_ref());
-                if peer_identity.is_some_and(|peer_identity| peer_identity.role == Role::Machine) {
+                let peer = self.connections.get(&number).and_then(|connection| connection.peer.as_ref());
+                if peer.is_some_and(|peer| peer.role == Role::Machine) {
                     list.entries.into_iter().for_each(|entry| self.update(number, entry));
                 }
             }
@@ -204,11 +197,11 @@
     /// gone.
     fn disconnected(&mut self, number: u64) {
         let Some(connection) = self.connections.remove(&number) else { return };
-        match connection.peer_identity {
-            Some(peer_identity) if peer_identity.role == Role::Machine => self.machines_gone(number),
-            Some(peer_identity) => {
+        match connection.peer {
+            Some(peer) if peer.role == Role::Machine => self.machines_gone(number),
+            Some(peer) => {
                 let traffic = connection.traffic.borrow();
-                self.past_traffic.entry(peer_identity.name).or_default().add(&traffic);
+                self.past_traffic.entry(peer.name).or_default().add(&traffic);
             }
             None => {}
         }
@@ -255,11 +248,8 @@
     /// counts it.
     fn view(&self) -> Value {
         let planners = self.connections.values().filter_map(|connection| {
-            let peer_identity = connection
-                .peer_identity
-                .as_ref()
-                .filter(|peer_identity| peer_identity.role != Role::Machine)?;
-            Some((peer_identity.name.as_str(), *connection.traffic.borrow()))
+            let peer = connection.peer.as_ref().filter(|peer| peer.role != Role::Machine)?;
+            Some((peer.name.as_str(), *connection.traffic.borrow()))
         });
         let ready = self.rows.values().filter(|row| row.entry.readiness == Readiness::Ready as i32);
         let view = RegistryView {
