--- a/cli/src/drill.rs
+++ b/cli/src/drill.rs
@@ -47,7 +47,7 @@
         }
         let binary = std::env::current_exe().map_err(|e| Failure::Failed(e.to_string()))?;
         let config =
-            DrillConfig { installation, files: self.files, binary, seed: self.seed, record: self.record };
+            DrillConfig { installation, files: self.files, binary, seed: self.seed, recordings: self.record };
         let report = run(config).map_err(|e| Failure::Failed(e.to_string()))?;
         if json {
             println!("{}", serde_json::to_string(&report).map_err(|e| Failure::Failed(e.to_string()))?);
--- a/cli/src/measure_council.rs
+++ b/cli/src/measure_council.rs
@@ -99,12 +99,12 @@
         let heard_s = begun.elapsed().as_secs_f64();
         tokio::time::sleep(Duration::from_millis(self.term)).await;
         let (before, of_voters, bytes, from) =
-            (sum(&all)?, sum(&voters)?, ways.carried.get(), Instant::now());
-        let told = between.carried.get();
+            (sum(&all)?, sum(&voters)?, ways.bytes_forwarded.get(), Instant::now());
+        let told = between.bytes_forwarded.get();
         tokio::time::sleep(Duration::from_millis(self.term * self.terms)).await;
         let seconds = from.elapsed().as_secs_f64();
-        let (now, voters_now, bytes) = (sum(&all)?, sum(&voters)?, ways.carried.get() - bytes);
-        let told = between.carried.get() - told;
+        let (now, voters_now, bytes) = (sum(&all)?, sum(&voters)?, ways.bytes_forwarded.get() - bytes);
+        let told = between.bytes_forwarded.get() - told;
         let each = |x: f64| (x / members as f64 * 1000.0).round() / 1000.0;
         Ok(json!({
             "members": members,
--- a/cli/src/measure_scale/simulated.rs
+++ b/cli/src/measure_scale/simulated.rs
@@ -145,7 +145,7 @@
             kind: kind.text("name").unwrap_or("").to_owned(),
             cores: kind.number("cores").unwrap_or(1.0),
             memory: kind.number("memory").unwrap_or(1.0),
-            accepts: (accepts("machines.accept_cores", 2.0), accepts("machines.accept_memory", 1.5)),
+            overcommit: (accepts("machines.accept_cores", 2.0), accepts("machines.accept_memory", 1.5)),
             accepts_when_running: found.all.text("machines.yes") == Some("running"),
             restarts_per_hour: self.restarts,
             absent_load: (self.others, self.runs),
@@ -206,7 +206,7 @@
             planners: self.planners,
             connections: self.conns,
             rate: self.rate,
-            runs_s: self.runs,
+            mean_run_s: self.runs,
             frameworks: site::FRAMEWORKS.iter().map(|f| f.asked).collect(),
             tenants: self.tenants,
             batch_every: site::ONE_IN,
@@ -216,7 +216,7 @@
         let words = words(|line| {
             Some(match line {
                 "tell" => clients::ClientsCommand::Report,
-                "begin" => clients::ClientsCommand::Begin,
+                "begin" => clients::ClientsCommand::BeginWindow,
                 "stop" => clients::ClientsCommand::Stop,
                 _ => return None,
             })
--- a/cli/src/measure_scale/site.rs
+++ b/cli/src/measure_scale/site.rs
@@ -28,7 +28,7 @@
 
 const fn asked(
     name: &'static str,
-    part: f64,
+    share: f64,
     value: f64,
     ms: (i64, i64),
     cores: f64,
@@ -36,7 +36,7 @@
 ) -> FrameworkLoad {
     FrameworkLoad {
         name,
-        part,
+        share,
         value,
         latency_objective_us: ms.0 * 1000,
         limit_us: ms.1 * 1000,
--- a/ldap/tests/ways.rs
+++ b/ldap/tests/ways.rs
@@ -195,7 +195,7 @@
             panic!("{place}: {lost} is there and was lost");
         }
     }
-    let sent = there.sent.get();
+    let sent = there.entries_sent.get();
     assert!(sent * 3 < there_were * 2, "what did not change is mostly not sent: {sent} of {there_were}");
 }
 
@@ -230,12 +230,12 @@
         reference.all.remove(&3);
         reference.all.get_mut(&0).unwrap().0 = 9;
         *there.entries.borrow_mut() = reference.laid();
-        there.sent.set(0);
+        there.entries_sent.set(0);
         let mut later = Ours::new(&source);
         later.keeper = TenantDirectory::new(2, at + 1, &source.urls, Some((at, &kept)), PACE, BOLD).unwrap();
         later.now = at + 1;
         later.sweep(&source).await.unwrap();
-        assert_eq!((later.entries(), there.sent.get()), (reference.entries(&source.names), 1));
+        assert_eq!((later.entries(), there.entries_sent.get()), (reference.entries(&source.names), 1));
         // Another server under the same number does not get it.
         let other = vec!["ldap://other".to_owned()];
         let mut k = TenantDirectory::new(2, at + 1, &other, Some((at, &kept)), PACE, BOLD).unwrap();
@@ -259,9 +259,9 @@
             let mut ours = Ours::new(&source);
             ours.sweep(&source).await.unwrap();
             assert_eq!(ours.entries(), want);
-            let all = there.bytes.get();
+            let all = there.response_bytes.get();
             for most in 0..all {
-                there.bytes.set(0);
+                there.response_bytes.set(0);
                 there.fault.set(DirectoryFault::CutsAtByte(most));
                 let swept = basaltpitch_ldap::sync(&source, 0, SyncState::default(), || ()).await;
                 let whole = swept.as_ref().is_ok_and(|s| s.sweep.complete);
--- a/testbed/src/client.rs
+++ b/testbed/src/client.rs
@@ -299,7 +299,7 @@
                 _ => {}
             }
         };
-        tokio::task::spawn_local(faulty_link::carry(
+        tokio::task::spawn_local(faulty_link::forward(
             stream,
             inner,
             connection,
--- a/testbed/src/directory_scenario.rs
+++ b/testbed/src/directory_scenario.rs
@@ -113,7 +113,7 @@
     /// # Errors
     ///
     /// Fails if a file cannot be written.
-    pub fn file(&self, scenario: &ResolvedValue, folder: &Path) -> io::Result<PathBuf> {
+    pub fn write_settings(&self, scenario: &ResolvedValue, folder: &Path) -> io::Result<PathBuf> {
         let secret = folder.join("directory.secret");
         std::fs::write(&secret, "feast")?;
         let urls: Vec<String> =
--- a/testbed/src/drill.rs
+++ b/testbed/src/drill.rs
@@ -258,13 +258,13 @@
     if scenario.get("seats").is_some() {
         std::fs::create_dir_all(&setup.folder)?;
         let harness = ProcessHarness::new(setup, scenario).await?;
-        harness.begin().await?;
+        harness.start_all().await?;
         return Ok(PlannerBackend::Slots(harness));
     }
     let HarnessSetup { config, context, addresses, registry, folder } = setup;
     let mut files = None;
     if let Some(directory) = directory {
-        let settings = directory.file(scenario, &folder)?;
+        let settings = directory.write_settings(scenario, &folder)?;
         files = Some(DirectoryFiles { settings, state: folder.join("state") });
     }
     let count = addresses.borrow().len();
--- a/testbed/src/drill/planners.rs
+++ b/testbed/src/drill/planners.rs
@@ -83,7 +83,7 @@
         if let Some(files) = &setup.directory {
             command.arg(&files.settings).arg("--state").arg(&files.state);
         }
-        if let Some(folder) = &setup.config.record {
+        if let Some(folder) = &setup.config.recordings {
             self.started.set(self.started.get() + 1);
             command.arg("--record").arg(folder.join(format!("{name}-{}.recording", self.started.get())));
         }
--- a/testbed/src/drill_config.rs
+++ b/testbed/src/drill_config.rs
@@ -13,5 +13,5 @@
     /// Seed of the random number generators; `None` takes the seed of the scenario.
     pub seed: Option<u64>,
     /// Folder that planners write recordings into; `None` records nothing.
-    pub record: Option<PathBuf>,
+    pub recordings: Option<PathBuf>,
 }
--- a/testbed/src/fault_scenario.rs
+++ b/testbed/src/fault_scenario.rs
@@ -22,13 +22,13 @@
     /// How long the cause of the fault lasts, in microseconds.
     pub duration_us: i64,
     /// Share of machines, slots, processes or tasks that the fault affects, up to 1.
-    pub part: f64,
+    pub share: f64,
     /// The affected zone; `None`: not bound to a zone.
     pub zone: Option<String>,
     /// The affected machine; `None`: not bound to a machine.
     pub machine: Option<String>,
     /// Strength of the fault; its unit depends on the kind (a factor, a share, seconds or a count).
-    pub size: f64,
+    pub strength: f64,
 }
 
 impl ScheduledFault {
@@ -38,10 +38,10 @@
             kind: settings.text("what").unwrap_or("").to_owned(),
             at_us: settings.duration_us("at").unwrap_or(0),
             duration_us: settings.duration_us("for").unwrap_or(0),
-            part: settings.number("part").unwrap_or(0.2),
+            share: settings.number("part").unwrap_or(0.2),
             zone: settings.text("zone").map(str::to_owned),
             machine: settings.text("machine").map(str::to_owned),
-            size: settings.number("size").unwrap_or(2.0),
+            strength: settings.number("size").unwrap_or(2.0),
         }
     }
 }
@@ -59,7 +59,7 @@
 }
 
 /// Returns a random subset with this share of the elements, but at least one element.
-pub(crate) fn drawn<T>(mut all: Vec<T>, part: f64, rng: &mut StdRng) -> Vec<T> {
+pub(crate) fn random_subset<T>(mut all: Vec<T>, part: f64, rng: &mut StdRng) -> Vec<T> {
     all.shuffle(rng);
     all.truncate(((part * all.len() as f64).ceil() as usize).max(1));
     all
@@ -89,7 +89,7 @@
     /// Restarts a planner that was killed.
     fn start(&self, planner: usize) -> Pin<Box<dyn Future<Output = ()> + '_>>;
     /// Returns whether all planners report this zone as failed.
-    fn declare_failed<'a>(&'a self, _zone: &'a str) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
+    fn zone_reported_failed<'a>(&'a self, _zone: &'a str) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
         Box::pin(async { true })
     }
     /// Records an error for the drill's report.
--- a/testbed/src/fault_scenario/play.rs
+++ b/testbed/src/fault_scenario/play.rs
@@ -1,6 +1,6 @@
 //! Plays the faults of load, machines, links and planners. Each `play_*` function returns whether
 //! it handles the fault's kind.
-use super::{drawn, LoadModifiers, PlannerControl, ScheduledFault};
+use super::{random_subset, LoadModifiers, PlannerControl, ScheduledFault};
 use crate::context::TestbedContext;
 use crate::faulty_link::planner_bit;
 use crate::machine::{MachineCommand, SimulatedMachine};
@@ -59,7 +59,7 @@
         };
         let all: Vec<Rc<SimulatedMachine>> = self.fleet.iter().filter(matching).cloned().collect();
         if fault.machine.is_none() {
-            drawn(all, fault.part, rng)
+            random_subset(all, fault.share, rng)
         } else {
             all
         }
@@ -97,23 +97,24 @@
         let (fault, load) = (active.fault, &self.load);
         match fault.kind.as_str() {
             "burst" => {
-                load.burst.set(fault.size);
+                load.burst.set(fault.strength);
                 sleep(active.duration).await;
                 load.burst.set(0.0);
             }
             "tenant_burst" => {
                 let tenant = self.tenants.first().cloned().unwrap_or_default();
-                *load.tenant_burst.borrow_mut() = Some((tenant, fault.size));
+                *load.tenant_burst.borrow_mut() = Some((tenant, fault.strength));
                 sleep(active.duration).await;
                 *load.tenant_burst.borrow_mut() = None;
             }
             "hot_key" => {
-                *load.hot_keys.borrow_mut() = (0..HOT_KEYS).filter(|_| rng.random_bool(fault.part)).collect();
+                *load.hot_keys.borrow_mut() =
+                    (0..HOT_KEYS).filter(|_| rng.random_bool(fault.share)).collect();
                 sleep(active.duration).await;
                 load.hot_keys.borrow_mut().clear();
             }
             "heavy_tail" => {
-                load.heavy_tail.set((fault.part, fault.size));
+                load.heavy_tail.set((fault.share, fault.strength));
                 sleep(active.duration).await;
                 load.heavy_tail.set((0.0, 1.0));
             }
@@ -127,7 +128,7 @@
         let count = self.planners.count();
         let killed = match active.fault.kind.as_str() {
             "planner_kill" => 1.0,
-            "balancer_crash" => (active.fault.part * count as f64).ceil(),
+            "balancer_crash" => (active.fault.share * count as f64).ceil(),
             _ => return false,
         };
         let first = rng.random_range(0..count);
@@ -175,7 +176,7 @@
             }
             "ageing" => {
                 for step in 1..=10 {
-                    let leaked = 0.05 * f64::from(step) * fault.size.min(2.0);
+                    let leaked = 0.05 * f64::from(step) * fault.strength.min(2.0);
                     machines.iter().for_each(|machine| machine.leaked.set(leaked));
                     sleep(active.duration / 10).await;
                 }
@@ -196,7 +197,7 @@
         // Planners may take longer than the fault's duration to notice, and machines that return
         // earlier would not count as a failed zone.
         let mut checks = 0;
-        while !self.planners.declare_failed(&zone).await && checks < FAILED_ZONE_CHECKS {
+        while !self.planners.zone_reported_failed(&zone).await && checks < FAILED_ZONE_CHECKS {
             checks += 1;
             sleep(Duration::from_millis(100)).await;
         }
@@ -215,7 +216,7 @@
 
     /// Drains and restarts all machines in waves, in random order.
     async fn deploy(&self, active: &ActiveFault<'_>, rng: &mut StdRng) {
-        let waves = (1.0 / active.fault.part).ceil().max(1.0) as usize;
+        let waves = (1.0 / active.fault.share).ceil().max(1.0) as usize;
         let mut all: Vec<Rc<SimulatedMachine>> = self.fleet.clone();
         all.shuffle(rng);
         for wave in all.chunks(all.len().div_ceil(waves)) {
@@ -246,20 +247,20 @@
                 active.send(&MachineCommand::Drain(false));
             }
             "fast_errors" => {
-                machines.iter().for_each(|machine| machine.failure_rate.set(fault.size.min(1.0)));
+                machines.iter().for_each(|machine| machine.failure_rate.set(fault.strength.min(1.0)));
                 sleep(active.duration).await;
                 machines.iter().for_each(|machine| machine.failure_rate.set(0.0));
             }
             "flush" => active.send(&MachineCommand::FlushPrograms),
-            "preempt" => active.send(&MachineCommand::Preempt(fault.size.min(1.0))),
+            "preempt" => active.send(&MachineCommand::Preempt(fault.strength.min(1.0))),
             "report_late" => {
-                let delay_us = (fault.size * 1e6) as i64;
+                let delay_us = (fault.strength * 1e6) as i64;
                 machines.iter().for_each(|machine| machine.report_delay_us.set(delay_us));
                 sleep(active.duration).await;
                 machines.iter().for_each(|machine| machine.report_delay_us.set(0));
             }
             "discovery_stale" => {
-                self.registry.stale_us.set((fault.size * 1e6) as i64);
+                self.registry.stale_us.set((fault.strength * 1e6) as i64);
                 sleep(active.duration).await;
                 self.registry.stale_us.set(0);
             }
--- a/testbed/src/ldap_server.rs
+++ b/testbed/src/ldap_server.rs
@@ -59,9 +59,9 @@
     /// Searches received so far.
     pub searches: Cell<u32>,
     /// Entries sent to searches that requested more than an id and a timestamp (two attributes).
-    pub sent: Cell<u32>,
+    pub entries_sent: Cell<u32>,
     /// Bytes of search responses since the value was last reset.
-    pub bytes: Cell<usize>,
+    pub response_bytes: Cell<usize>,
     /// Entries as they were when each synchronisation cookie was issued; the cookie is the index.
     states: RefCell<Vec<Vec<LdapEntry>>>,
 }
@@ -177,11 +177,11 @@
         }
         let mut bytes = BytesMut::new();
         LdapCodec::default().encode(msg, &mut bytes).ok()?;
-        let before = self.server.bytes.replace(self.server.bytes.get() + bytes.len());
+        let before = self.server.response_bytes.replace(self.server.response_bytes.get() + bytes.len());
         if let DirectoryFault::CutsAtByte(most) = self.server.fault.get() {
             bytes.truncate(most.saturating_sub(before));
         }
-        let whole = before + bytes.len() == self.server.bytes.get();
+        let whole = before + bytes.len() == self.server.response_bytes.get();
         self.wire.get_mut().write_all(&bytes).await.ok()?;
         whole.then_some(())
     }
@@ -198,7 +198,7 @@
         let attributes = attributes.into_iter().filter(|a| requested(&a.0));
         let attributes: Vec<_> =
             attributes.map(|(atype, vals)| LdapPartialAttribute { atype, vals }).collect();
-        self.server.sent.set(self.server.sent.get() + u32::from(self.attributes.len() > 2));
+        self.server.entries_sent.set(self.server.entries_sent.get() + u32::from(self.attributes.len() > 2));
         self.send(LdapOp::SearchResultEntry(LdapSearchResultEntry { dn, attributes }), ctrl).await
     }
 
--- a/testbed/src/machine/connections.rs
+++ b/testbed/src/machine/connections.rs
@@ -44,7 +44,7 @@
             }
         };
         let faults = self.shared.faults.clone();
-        tokio::task::spawn_local(faulty_link::carry(stream, inner, number, faults, clock, observe));
+        tokio::task::spawn_local(faulty_link::forward(stream, inner, number, faults, clock, observe));
         let identity = PeerIdentity {
             role: Role::Machine,
             name: self.shared.name.clone(),
--- a/testbed/src/process_harness.rs
+++ b/testbed/src/process_harness.rs
@@ -114,7 +114,7 @@
     /// # Errors
     ///
     /// Fails if a process cannot be started, or slots stay without a planner.
-    pub async fn begin(&self) -> io::Result<()> {
+    pub async fn start_all(&self) -> io::Result<()> {
         (0..self.voters.len()).try_for_each(|voter| self.spawn(&self.voters[voter], None))?;
         (0..self.planners.len())
             .try_for_each(|planner| self.spawn(&self.planners[planner], Some(planner)))?;
--- a/testbed/src/process_harness/faults.rs
+++ b/testbed/src/process_harness/faults.rs
@@ -1,6 +1,6 @@
 //! Faults of processes, and of the links between planners and voters.
 use super::{HarnessProcess, HeldSlot, ProcessHarness};
-use crate::fault_scenario::{drawn, PlannerControl, ScheduledFault};
+use crate::fault_scenario::{random_subset, PlannerControl, ScheduledFault};
 use crate::relay::RelayControl;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -56,7 +56,7 @@
         } else if fault.kind.starts_with("halls") {
             self.coordinator(FAILOVER_LEASE).await.into_iter().collect()
         } else {
-            let slots = drawn((0..self.slots.len()).collect(), fault.part, rng);
+            let slots = random_subset((0..self.slots.len()).collect(), fault.share, rng);
             slots.into_iter().filter_map(|number| self.slots[number].holder.get()).collect::<Vec<usize>>()
         };
         // A process that another fault has just ended holds no slot that it could lose.
@@ -69,11 +69,11 @@
         affected
     }
 
-    /// Starts a rolling restart of a zone, as an operator would. The fault's size is the number of
+    /// Starts a rolling restart of a zone, as an operator would. The fault's strength is the number of
     /// machines at once.
     async fn rolling_restart(&self, fault: &ScheduledFault) {
         let zone = fault.zone.clone().unwrap_or_else(|| self.zones[0].clone());
-        let at_once = fault.size as usize;
+        let at_once = fault.strength as usize;
         let now = self.context.clock.now();
         self.context.checker.borrow_mut().rolling_restart_started(now, at_once, &zone);
         let at_once = at_once.to_string();
@@ -163,7 +163,7 @@
 
     /// Cuts a random share of the slots off from the other planners for the fault's duration.
     async fn isolate(&self, fault: &ScheduledFault, rng: &mut StdRng, receive: bool) {
-        let slots = drawn((0..self.slots.len()).collect::<Vec<usize>>(), fault.part, rng);
+        let slots = random_subset((0..self.slots.len()).collect::<Vec<usize>>(), fault.share, rng);
         *self.isolated.borrow_mut() = Some((slots.into_iter().collect(), receive));
         self.cut_between_planners();
         sleep(duration_of(fault)).await;
@@ -176,7 +176,7 @@
     async fn kill_many(&self, fault: &ScheduledFault, rng: &mut StdRng) {
         let planners = self.planners.iter().enumerate().map(|(number, process)| (process, Some(number)));
         let all = planners.chain(self.voters.iter().map(|voter| (voter, None))).collect();
-        let killed: Vec<_> = drawn(all, fault.part, rng);
+        let killed: Vec<_> = random_subset(all, fault.share, rng);
         for (process, _) in &killed {
             if let Some((number, _)) = process.slot.get() {
                 self.slot_affected(number, &fault.kind);
@@ -240,7 +240,8 @@
             "holder_deaf" => self.cut_from_voters(fault, rng, cut(false, true, all)).await,
             "holder_alone" => self.cut_from_voters(fault, rng, cut(true, true, all - 1)).await,
             "votes_late" => {
-                self.voter_relays().for_each(|relay| relay.delay.set(Duration::from_secs_f64(fault.size)));
+                self.voter_relays()
+                    .for_each(|relay| relay.delay.set(Duration::from_secs_f64(fault.strength)));
                 sleep(duration_of(fault)).await;
                 self.voter_relays().for_each(|relay| relay.delay.set(Duration::ZERO));
             }
@@ -249,7 +250,7 @@
             "planners_late" => {
                 let delay =
                     |delay| self.planners.iter().for_each(|process| process.own_relay.delay.set(delay));
-                delay(Duration::from_secs_f64(fault.size));
+                delay(Duration::from_secs_f64(fault.strength));
                 sleep(duration_of(fault)).await;
                 delay(Duration::ZERO);
             }
@@ -272,7 +273,7 @@
         self.zones[(process + self.voters.len()) % self.zones.len()].clone()
     }
 
-    fn declare_failed<'a>(&'a self, zone: &'a str) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
+    fn zone_reported_failed<'a>(&'a self, zone: &'a str) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
         Box::pin(async move {
             let addresses = self.addresses.borrow().clone();
             for address in addresses {
--- a/testbed/src/process_harness/setup.rs
+++ b/testbed/src/process_harness/setup.rs
@@ -129,7 +129,7 @@
         let listen = &self.planners[number - self.voters.len()];
         let advertised = relay::start(listen.clone(), own_relay.clone()).await?;
         args.extend(["--listen", listen, "--advertise", &advertised].map(str::to_owned));
-        if let Some(folder) = &self.setup.config.record {
+        if let Some(folder) = &self.setup.config.recordings {
             args.extend(["--record".to_owned(), folder.join(name).display().to_string()]);
         }
         Ok(args)
--- a/testbed/src/registry.rs
+++ b/testbed/src/registry.rs
@@ -50,7 +50,7 @@
 
 /// Returns the ready machines that match a query and have the capacity it requests. The order is
 /// random per query, so that planners do not all choose the same machine.
-pub fn with_capacity_for<'a>(
+pub fn machines_with_capacity<'a>(
     all: impl Iterator<Item = &'a Entry>,
     connection: u64,
     fetch: &wire::Fetch,
@@ -168,7 +168,7 @@
                 context.checker.borrow_mut().registry_sent(context.clock.now(), &planner, list);
             }
         };
-        tokio::task::spawn_local(faulty_link::carry(
+        tokio::task::spawn_local(faulty_link::forward(
             stream,
             inner,
             number,
@@ -285,7 +285,7 @@
     /// Answers a query for machines with capacity.
     fn answer(&mut self, number: u64, fetch: &wire::Fetch) {
         let Some(shown) = self.shown() else { return };
-        let entries = with_capacity_for(shown.values(), number, fetch);
+        let entries = machines_with_capacity(shown.values(), number, fetch);
         self.stamp += 1;
         let list = wire::List { whole: false, stamp: self.stamp, entries, question: fetch.question };
         if let Some(watcher) = self.watchers.get(&number) {
--- a/testbed/src/relay.rs
+++ b/testbed/src/relay.rs
@@ -33,7 +33,7 @@
     /// Whether new connections are closed at once.
     pub refuses: Cell<bool>,
     /// Bytes received, of both directions.
-    pub carried: Cell<u64>,
+    pub bytes_forwarded: Cell<u64>,
 }
 
 /// Interval at which changed faults are noticed.
@@ -120,7 +120,7 @@
         let mut bytes = vec![0; 16 * 1024];
         loop {
             let count = from.read(&mut bytes).await.unwrap_or(0);
-            control.carried.set(control.carried.get() + count as u64);
+            control.bytes_forwarded.set(control.bytes_forwarded.get() + count as u64);
             on_read(&bytes[..count]);
             let at = Instant::now() + control.delay.get();
             if pending.send((at, bytes[..count].to_vec())).await.is_err() || count == 0 {
--- a/testbed/src/scale/clients.rs
+++ b/testbed/src/scale/clients.rs
@@ -37,7 +37,7 @@
     /// The framework's name.
     pub name: &'static str,
     /// The framework's share of all tasks, relative to the shares of the other frameworks.
-    pub part: f64,
+    pub share: f64,
     /// Priority weight of a task.
     pub value: f64,
     /// A task placed within this time counts with its full weight, in microseconds.
@@ -60,7 +60,7 @@
     /// Tasks per second over all frameworks.
     pub rate: f64,
     /// Mean run time of a task, in seconds.
-    pub runs_s: f64,
+    pub mean_run_s: f64,
     /// The load of each framework.
     pub frameworks: Vec<FrameworkLoad>,
     /// Number of tenants.
@@ -79,7 +79,7 @@
     /// Reports what was measured since the window began.
     Report,
     /// Begins the measuring window: discards what was measured before.
-    Begin,
+    BeginWindow,
     /// Submits nothing more; requests that are open are still waited for.
     Stop,
 }
@@ -195,7 +195,7 @@
         tokio::select! {
             command = commands.recv() => match command {
                 Some(ClientsCommand::Report) => out(clients.view()),
-                Some(ClientsCommand::Begin) => clients.begin(),
+                Some(ClientsCommand::BeginWindow) => clients.begin(),
                 Some(ClientsCommand::Stop) => submits = false,
                 None => return,
             },
@@ -242,9 +242,9 @@
         let batch = self.rng.u32(0..self.config.batch_every.max(1)) == 0;
         let count = if batch { self.config.batch_size } else { 1 };
         // The tasks of a batch share framework, tenant and service, and go to one planner.
-        let mut drawn = self.rng.f64() * self.config.frameworks.iter().map(|f| f.part).sum::<f64>();
+        let mut drawn = self.rng.f64() * self.config.frameworks.iter().map(|f| f.share).sum::<f64>();
         let chosen = self.config.frameworks.iter().position(|framework| {
-            drawn -= framework.part;
+            drawn -= framework.share;
             drawn < 0.0
         });
         let index = chosen.unwrap_or(0);
@@ -254,7 +254,7 @@
         let service = 1 + index as u64 * 1000 + self.rng.u64(0..SERVICES);
         for _ in 0..count.max(1) {
             self.task_count += 1;
-            let runs_s = -(1.0 - self.rng.f64()).ln() * self.config.runs_s;
+            let runs_s = -(1.0 - self.rng.f64()).ln() * self.config.mean_run_s;
             let submit = Submit {
                 key: format!("{}/{}", self.config.seed, self.task_count),
                 ask: 1,
--- a/testbed/src/scale/machines.rs
+++ b/testbed/src/scale/machines.rs
@@ -58,7 +58,7 @@
     /// Memory of each machine.
     pub memory: f64,
     /// Capacity that machines accept tasks for, as multiples of their cores and of their memory.
-    pub accepts: (f64, f64),
+    pub overcommit: (f64, f64),
     /// Whether a task is reported as accepted only once it runs.
     pub accepts_when_running: bool,
     /// Mean number of random restarts of each machine per hour.
--- a/testbed/src/scale/machines/attempts.rs
+++ b/testbed/src/scale/machines/attempts.rs
@@ -75,8 +75,8 @@
             return;
         }
         let Some(launch) = host.attempts.payload(&attempt.0, attempt.1).cloned() else { return };
-        let fits_cores = host.reserved.0 + launch.cores <= config.accepts.0 * config.cores;
-        let fits_memory = host.reserved.1 + launch.memory <= config.accepts.1 * config.memory;
+        let fits_cores = host.reserved.0 + launch.cores <= config.overcommit.0 * config.cores;
+        let fits_memory = host.reserved.1 + launch.memory <= config.overcommit.1 * config.memory;
         let refused = match (fits_cores, fits_memory) {
             _ if host.draining => Some(refusal_reason::NOT_HERE),
             (false, _) => Some(refusal_reason::NO_CORES),
--- a/testbed/src/scale/registry.rs
+++ b/testbed/src/scale/registry.rs
@@ -2,7 +2,7 @@
 //! their entries, and it sends each watcher what changed since the watcher's last update. Changes
 //! are numbered, so that the state of a watcher is one number instead of a copy of the list.
 use super::traffic::{by_planner, CountingStream, Traffic, TrafficByPlanner};
-use crate::registry::{differ_in_capacity_only, with_capacity_for};
+use crate::registry::{differ_in_capacity_only, machines_with_capacity};
 use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
 use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, Body, Entry, Readiness, Role};
@@ -167,7 +167,7 @@
             }
             Body::Fetch(fetch) if fetch.question > 0 => {
                 let all = self.rows.values().map(|row| &row.entry);
-                let entries = with_capacity_for(all, number, &fetch);
+                let entries = machines_with_capacity(all, number, &fetch);
                 self.stamp += 1;
                 let list = wire::List { whole: false, stamp: self.stamp, entries, question: fetch.question };
                 if let Some(connection) = self.connections.get(&number) {
--- a/testbed/tests/faulty_link.rs
+++ b/testbed/tests/faulty_link.rs
@@ -3,7 +3,7 @@
 use basaltpitch_agent::frame_decoder::FrameDecoder;
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{Body, Frame, Heartbeat, Hello, Role};
-use basaltpitch_testbed::faulty_link::{carry, FaultInjection, LinkObservation};
+use basaltpitch_testbed::faulty_link::{forward, FaultInjection, LinkObservation};
 use prost::Message;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -56,7 +56,7 @@
             };
             events.borrow_mut().push(format!("{event} {}", peer.epoch));
         };
-        let link = tokio::task::spawn_local(carry(socket, outer, 1, faults.clone(), clock, observe));
+        let link = tokio::task::spawn_local(forward(socket, outer, 1, faults.clone(), clock, observe));
         let hello =
             Hello { role: Role::Planner as i32, name: "planner-1".into(), epoch: 7, ..Hello::default() };
         planner.write_all(&bytes(Body::Hello(hello.clone()))).await.expect("the hello is written");
