--- a/testbed/src/directory_scenario.rs
+++ b/testbed/src/directory_scenario.rs
@@ -54,10 +54,10 @@
     uncertain_until: Cell<i64>,
     /// Answers that were based on stale knowledge.
     pub stale_answers: Cell<u64>,
-    /// Answers to the newcomer other than "not allowed".
+    /// Answers other than "not allowed" to the client with the login [`NEWCOMER`].
     pub newcomer_answers: Cell<u64>,
-    /// Whether the newcomer joined during an outage longer than planners keep their knowledge
-    /// fresh.
+    /// Whether the client with the login [`NEWCOMER`] joined the tenants during an outage longer
+    /// than planners keep their knowledge fresh.
     joined: Cell<bool>,
     /// Answers that contradict the expectations, described for the report.
     errors: RefCell<Vec<String>>,
--- a/testbed/src/drill.rs
+++ b/testbed/src/drill.rs
@@ -168,7 +168,8 @@
         }
     }
 
-    /// Starts the scenario's clients, and the newcomer if there is a directory.
+    /// Starts the scenario's clients; with a directory, also the client that joins the tenants
+    /// during an outage.
     fn start_clients(&self, totals: &Rc<RefCell<ClientTotals>>) -> Clients {
         let settle_us = self.config.installation.all.duration_us("rules.settle").unwrap_or(3_000_000);
         let start = |number: u64, login: &str| {
--- a/testbed/src/drill/arrivals.rs
+++ b/testbed/src/drill/arrivals.rs
@@ -9,7 +9,8 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// In a scenario with a directory, one of this many tasks is submitted by the newcomer.
+/// In a scenario with a directory, one of this many tasks is submitted by the client that joins the
+/// tenants during an outage.
 const NEWCOMER_SHARE: u64 = 20;
 
 /// Senders that hand tasks to the clients.
--- a/testbed/src/drill/report.rs
+++ b/testbed/src/drill/report.rs
@@ -39,7 +39,8 @@
     pub violations: Vec<Violation>,
     /// Answers based on stale knowledge of the directory; 0 without a directory.
     pub stale_answers: u64,
-    /// Answers to the newcomer other than "not allowed"; 0 without a directory.
+    /// Answers other than "not allowed" to the client that joins the tenants during a directory
+    /// outage; 0 without a directory.
     #[serde(rename = "newcomers")]
     pub newcomer_answers: u64,
     /// Answers that contradict the directory.
--- a/testbed/src/fault_scenario.rs
+++ b/testbed/src/fault_scenario.rs
@@ -72,7 +72,8 @@
     pub burst: Cell<f64>,
     /// A tenant, and the factor on the arrival rate of its tasks.
     pub tenant_burst: RefCell<Option<(String, f64)>>,
-    /// Services whose tasks use all that they request, as numbers below `HOT_KEYS`.
+    /// Services, as service numbers modulo `HOT_KEYS`, whose tasks use all the cores that they
+    /// request.
     pub hot_keys: RefCell<HashSet<u64>>,
     /// Share of tasks with a higher usage, and the factor on their usage.
     pub heavy_tail: Cell<(f64, f64)>,
--- a/testbed/src/fault_scenario/play.rs
+++ b/testbed/src/fault_scenario/play.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often planners are queried whether a zone has failed, before its machines return in any
-/// case.
+/// Maximum number of checks, 100 ms apart, whether all planners report a zone as failed. The zone's
+/// machines return after the last check in any case.
 const FAILED_ZONE_CHECKS: u32 = 300;
 
 /// Everything that faults can affect.
--- a/testbed/src/faulty_link.rs
+++ b/testbed/src/faulty_link.rs
@@ -86,7 +86,7 @@
 }
 
 /// Forwards bytes until either end closes. `connection` is the connection's number at the simulated
-/// peer, counted from 1. `show` is called with each event once the other end's hello is known.
+/// peer, counted from 1. `observe` is called with each event once the other end's hello is known.
 pub async fn forward(
     mut socket: TcpStream,
     mut inner: DuplexStream,
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -3,11 +3,11 @@
 //! internals of the planner.
 //!
 //! - `faulty_link` injects faults into the links of simulated peers, and `fault_scenario` schedules
-//! those and other faults.
+//!   those and other faults.
 //! - `drill` starts planners as processes of their own and checks the invariants against the
-//! observed traffic.
+//!   observed traffic.
 //! - `process_harness` runs voters, planners with slots and spare planners for a drill, connected
-//! by `relay`s.
+//!   by `relay`s.
 //! - `scale` simulates thousands of peers in one process.
 mod attempt_frames;
 pub mod client;
--- a/testbed/src/machine.rs
+++ b/testbed/src/machine.rs
@@ -64,9 +64,9 @@
     pub priorities: HashMap<String, i64>,
     /// Failed connections after which a client connects to another planner.
     pub client_connect_attempts: u32,
-    /// Simulated updates: a machine restarts once it is drained and empty, but at the latest after
-    /// draining for the first time, and stays down for the second time. `None`: machines do not
-    /// update themselves.
+    /// Maximum drain time and downtime of simulated updates: a machine restarts once it is drained
+    /// and empty, or after the maximum drain time, and stays down for the downtime. `None`:
+    /// machines do not update themselves.
     pub updater: Option<(i64, i64)>,
 }
 
--- a/testbed/src/machine/lifecycle.rs
+++ b/testbed/src/machine/lifecycle.rs
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Starts the machine again: it warms up.
+    /// Starts the machine again; the machine then warms up.
     fn begin(&mut self) {
         let now = self.now();
         self.shared.started_us.set(now);
--- a/testbed/src/scale/clients.rs
+++ b/testbed/src/scale/clients.rs
@@ -76,7 +76,7 @@
 /// A command to the clients.
 #[derive(Debug)]
 pub enum ClientsCommand {
-    /// Reports what was measured since the window began.
+    /// Reports the results since the measuring window began.
     Report,
     /// Begins the measuring window: discards what was measured before.
     BeginWindow,
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -173,9 +173,7 @@
 
     /// Receives the next list, and returns its machines in order.
     async fn names(&mut self) -> Vec<String> {
-        let Body::List(list) = self.next_frame().await else {
-            panic!("found another frame; expected a list")
-        };
+        let Body::List(list) = self.next_frame().await else { panic!("expected a list") };
         let mut names: Vec<String> = list.entries.into_iter().map(|entry| entry.machine).collect();
         names.sort_unstable();
         names
@@ -219,19 +217,11 @@
         assert_eq!(usual.names().await, ["machine-0"], "an unchanged entry is not sent");
         machine_1.readiness = Readiness::Draining as i32;
         source.send_entries(&[&machine_1]).await;
-        assert_eq!(
-            brief.names().await,
-            ["machine-1"],
-            "the change of capacity is left out, so the drain comes first"
-        );
+        assert_eq!(brief.names().await, ["machine-1"], "a change of capacity alone is not sent");
         assert_eq!(usual.names().await, ["machine-1"]);
         machine_1.cores_left = 15.0;
         source.send_entries(&[&machine_1]).await;
-        assert_eq!(
-            brief.names().await,
-            ["machine-1"],
-            "a draining machine's capacity is sent to brief watchers too"
-        );
+        assert_eq!(brief.names().await, ["machine-1"], "the capacity of a draining machine is sent");
         assert_eq!(usual.names().await, ["machine-1"]);
         let fetch = wire::Fetch { question: 7, cores: 8.0, memory: 8.0, most: 5, ..wire::Fetch::default() };
         brief.send_frame(Body::Fetch(fetch)).await;
@@ -241,16 +231,10 @@
             usual.send_frame(Body::Drain(drain)).await;
         }
         for expected in ["machine-2", "machine-1"] {
-            let Body::Drain(drain) = source.next_frame().await else {
-                panic!("found another frame; expected a drain order")
-            };
+            let Body::Drain(drain) = source.next_frame().await else { panic!("expected a drain order") };
             assert_eq!(drain.machine, expected);
         }
         source.commands.send(LinkCommand::Close("over".into())).await.unwrap();
-        assert_eq!(
-            brief.names().await,
-            ["machine-0", "machine-1", "machine-2"],
-            "machines are gone with their process"
-        );
+        assert_eq!(brief.names().await, ["machine-0", "machine-1", "machine-2"], "gone with their process");
     });
 }
