--- a/testbed/src/attempt_frames.rs
+++ b/testbed/src/attempt_frames.rs
@@ -7,7 +7,7 @@
 /// Identifies an attempt across planners: the planner's name, and the attempt's id at that planner.
 pub(crate) type AttemptKey = (String, AttemptId);
 
-/// Returns an attempt's id as frames hold it.
+/// Returns an attempt's id in the form that frames contain.
 pub(crate) fn to_wire(id: AttemptId) -> Option<LaunchId> {
     Some(LaunchId { epoch: id.0, number: id.1 })
 }
--- a/testbed/src/ldap_server.rs
+++ b/testbed/src/ldap_server.rs
@@ -258,8 +258,8 @@
             .filter(|e| matches(filter, e) && if of_base { e.0 == *base } else { e.0.ends_with(base) })
             .collect();
         let (mut size, mut from) = (usize::MAX, 0);
-        for c in ctrl {
-            match c {
+        for control in ctrl {
+            match control {
                 LdapControl::SimplePagedResults { size: s, cookie } => {
                     size = s as usize;
                     from = String::from_utf8_lossy(&cookie).parse().unwrap_or(0);
--- a/testbed/src/process_harness/faults.rs
+++ b/testbed/src/process_harness/faults.rs
@@ -69,8 +69,8 @@
         affected
     }
 
-    /// Starts a rolling restart of a zone, as an operator would. The fault's strength is the number of
-    /// machines at once.
+    /// Starts a rolling restart of a zone, as an operator would. The fault's strength is the number
+    /// of machines that restart at once.
     async fn rolling_restart(&self, fault: &ScheduledFault) {
         let zone = fault.zone.clone().unwrap_or_else(|| self.zones[0].clone());
         let at_once = fault.strength as usize;
