--- a/testbed/src/drill.rs
+++ b/testbed/src/drill.rs
@@ -1,5 +1,5 @@
-//! A drill: planners as processes of their own, simulated peers for all else in this one, a fault scenario,
-//! and a report by the traffic on the sockets.
+//! Runs a drill: planners are started as processes of their own, all other peers are simulated in
+//! this process, and a fault scenario is played. The report is based on the traffic on the sockets.
 mod arrivals;
 mod fleet;
 mod planners;
@@ -31,58 +31,60 @@
 pub use self::fleet::start_machines;
 pub use self::report::{DrillReport, Percentiles};
 
-/// A simulated peer that panicked proves nothing any more: the drill fails.
+/// Set when a simulated peer panics. The drill then fails, as its checks prove nothing any more.
 static PANICKED: AtomicBool = AtomicBool::new(false);
 
 /// Runs a drill to its end.
 ///
 /// # Errors
 ///
-/// Where the files have no fault scenario, a process or socket could not be started, a planner ended by
-/// itself, or a simulated peer panicked.
+/// Fails if the files have no fault scenario, a process or socket cannot be started, a planner
+/// exits by itself, or a simulated peer panics.
 pub fn run(config: DrillConfig) -> io::Result<DrillReport> {
     std::panic::set_hook(Box::new(|info| {
         PANICKED.store(true, Ordering::Relaxed);
-        eprintln!("a stand-in failed: {info}");
+        eprintln!("a simulated peer panicked: {info}");
     }));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, play(config))
 }
 
+/// Starts all peers, submits the scenario's tasks while the faults play, and returns the report.
 async fn play(config: DrillConfig) -> io::Result<DrillReport> {
-    let Some(day) = config.installation.all.get("day").cloned() else {
-        return Err(io::Error::other("the files hold no day"));
+    let Some(scenario) = config.installation.all.get("day").cloned() else {
+        return Err(io::Error::other("found no fault scenario in the files; expected the setting `day`"));
     };
-    let seed = config.seed.unwrap_or(day.number("seed").unwrap_or(1.0) as u64);
-    let mut chance = StdRng::seed_from_u64(seed);
-    let drill = Drill::start(config, day, seed, &mut chance).await?;
+    let seed = config.seed.unwrap_or(scenario.number("seed").unwrap_or(1.0) as u64);
+    let mut rng = StdRng::seed_from_u64(seed);
+    let drill = Drill::start(config, scenario, seed, &mut rng).await?;
     let totals = Rc::new(RefCell::new(ClientTotals::default()));
     let clients = drill.start_clients(&totals);
     drill.start_faults();
-    let (all, day) = (&drill.config.installation.all, &drill.day);
-    let tasks = submit_all(all, day, &drill.load, &clients, &mut chance).await;
-    tokio::time::sleep(Duration::from_micros(day.duration_us("settle").unwrap_or(0) as u64)).await;
+    let (all, scenario) = (&drill.config.installation.all, &drill.scenario);
+    let tasks = submit_all(all, scenario, &drill.load, &clients, &mut rng).await;
+    tokio::time::sleep(Duration::from_micros(scenario.duration_us("settle").unwrap_or(0) as u64)).await;
     let now_us = drill.context.clock.now();
     let slots = drill.stop().await?;
     if PANICKED.load(Ordering::Relaxed) {
-        return Err(io::Error::other("a stand-in failed, so the day proves nothing"));
+        return Err(io::Error::other("a simulated peer panicked, so the drill's checks prove nothing"));
     }
     let totals = totals.borrow();
     Ok(drill.report(tasks, &totals, slots, now_us))
 }
 
-/// The planners of a drill.
+/// The planner processes of a drill.
 enum PlannerBackend {
+    /// Planners with fixed numbers, without voters.
     Fixed(Rc<PlannerProcesses>),
-    /// With slots, voters and spares.
+    /// Planners that hold slots by leases, with voters and spare planners.
     Slots(Rc<ProcessHarness>),
 }
 
-/// All that takes part in a drill.
+/// All peers of a running drill.
 struct Drill {
     seed: u64,
     config: Rc<DrillConfig>,
-    day: ResolvedValue,
+    scenario: ResolvedValue,
     load: Rc<LoadModifiers>,
     context: Rc<TestbedContext>,
     fleet: Vec<Rc<SimulatedMachine>>,
@@ -90,24 +92,24 @@
     directory: Option<Rc<DirectoryScenario>>,
     addresses: PlannerAddresses,
     planners: PlannerBackend,
-    /// Removed with the drill.
+    /// Folder of the drill's files; dropped, and so removed, with the drill.
     _folder: TemporaryFolder,
 }
 
 impl Drill {
-    /// Starts everything, and waits until every planner has a link to every machine.
+    /// Starts all peers, and waits until every planner has a link to every machine.
     async fn start(
         config: DrillConfig,
-        day: ResolvedValue,
+        scenario: ResolvedValue,
         seed: u64,
-        chance: &mut StdRng,
+        rng: &mut StdRng,
     ) -> io::Result<Drill> {
         let all = config.installation.all.clone();
         let load = Rc::new(LoadModifiers::default());
         let context = context(&config.installation, load.clone());
         context.checker.borrow_mut().set_placement_invariants(placement_invariants(&all));
-        let fleet = start_fleet(&all, &day, &context, chance).await?;
-        let time = |path: &str| day.duration_us(path).unwrap_or(0);
+        let fleet = start_fleet(&all, &scenario, &context, rng).await?;
+        let time = |path: &str| scenario.duration_us(path).unwrap_or(0);
         let delays = RegistryDelays {
             notice_us: time("notice"),
             silent_notice_us: time("silent_notice"),
@@ -115,7 +117,8 @@
         };
         let registry = registry::start(context.clone(), fleet.clone(), delays).await?;
         let count = all.number("planners").unwrap_or(1.0) as usize;
-        let directory = DirectoryScenario::start(&day, client_count(&day), context.clock.now()).await?;
+        let directory =
+            DirectoryScenario::start(&scenario, client_count(&scenario), context.clock.now()).await?;
         let folder = std::env::temp_dir().join(format!("basaltpitch-drill-{}", std::process::id()));
         if let Some(directory) = &directory {
             std::fs::create_dir_all(&folder)?;
@@ -131,11 +134,11 @@
             registry: registry.address.clone(),
             folder,
         };
-        let planners = start_planners(setup, &day, directory.as_deref()).await?;
+        let planners = start_planners(setup, &scenario, directory.as_deref()).await?;
         let drill = Drill {
             seed,
             config,
-            day,
+            scenario,
             load,
             context,
             fleet,
@@ -149,6 +152,8 @@
         Ok(drill)
     }
 
+    /// Waits up to 10 seconds until every planner has links to all machines and has searched the
+    /// directory, if there is one.
     async fn wait_for_links(&self, planners: usize) {
         let linked = |machine: &Rc<SimulatedMachine>| machine.connections.get() >= planners as u64;
         for _ in 0..200 {
@@ -163,6 +168,8 @@
         }
     }
 
+    /// Starts the scenario's clients; with a directory, also the client that joins the tenants
+    /// during an outage.
     fn start_clients(&self, totals: &Rc<RefCell<ClientTotals>>) -> Clients {
         let settle_us = self.config.installation.all.duration_us("rules.settle").unwrap_or(3_000_000);
         let start = |number: u64, login: &str| {
@@ -176,12 +183,13 @@
                 settle_us,
             })
         };
-        let count = client_count(&self.day);
+        let count = client_count(&self.scenario);
         let newcomer = self.directory.as_ref().map(|_| start(count, NEWCOMER));
         let usual = (0..count).map(|number| start(number, &format!("owner-{number}"))).collect();
         Clients { usual, newcomer }
     }
 
+    /// Schedules all faults of the scenario.
     fn start_faults(&self) {
         let targets = Rc::new(FaultTargets {
             context: self.context.clone(),
@@ -194,13 +202,13 @@
             },
             tenants: self.config.installation.names("tenants"),
         });
-        for (index, fault) in fault_scenario::faults(&self.day).into_iter().enumerate() {
+        for (index, fault) in fault_scenario::faults(&self.scenario).into_iter().enumerate() {
             let seed = self.seed.wrapping_mul(1000) + index as u64;
             tokio::task::spawn_local(targets.clone().play(fault, seed));
         }
     }
 
-    /// Ends all processes; how slots fared, if there are any.
+    /// Stops all planner processes. Returns the report on slots if the scenario has slots.
     async fn stop(&self) -> io::Result<Option<SlotReport>> {
         match &self.planners {
             PlannerBackend::Fixed(processes) => processes.stop().await.map(|()| None),
@@ -208,6 +216,7 @@
         }
     }
 
+    /// Returns the drill's report from the counts of clients, machines and the checker.
     fn report(
         self,
         tasks: u64,
@@ -241,22 +250,22 @@
     }
 }
 
-/// Starts the planners of a scenario: under slots, or each with a number.
+/// Starts the planners of a scenario: with slots if it has them, else with fixed numbers.
 async fn start_planners(
     setup: HarnessSetup,
-    day: &ResolvedValue,
+    scenario: &ResolvedValue,
     directory: Option<&DirectoryScenario>,
 ) -> io::Result<PlannerBackend> {
-    if day.get("seats").is_some() {
+    if scenario.get("seats").is_some() {
         std::fs::create_dir_all(&setup.folder)?;
-        let harness = ProcessHarness::new(setup, day).await?;
-        harness.begin().await?;
+        let harness = ProcessHarness::new(setup, scenario).await?;
+        harness.start_all().await?;
         return Ok(PlannerBackend::Slots(harness));
     }
     let HarnessSetup { config, context, addresses, registry, folder } = setup;
     let mut files = None;
     if let Some(directory) = directory {
-        let settings = directory.file(day, &folder)?;
+        let settings = directory.write_settings(scenario, &folder)?;
         files = Some(DirectoryFiles { settings, state: folder.join("state") });
     }
     let count = addresses.borrow().len();
@@ -268,11 +277,12 @@
     Ok(PlannerBackend::Fixed(processes))
 }
 
-fn client_count(day: &ResolvedValue) -> u64 {
-    day.number("owners").unwrap_or(1.0) as u64
+/// Returns the number of clients in a scenario.
+fn client_count(scenario: &ResolvedValue) -> u64 {
+    scenario.number("owners").unwrap_or(1.0) as u64
 }
 
-/// A folder that is removed at the end.
+/// A folder that is removed when the value is dropped.
 struct TemporaryFolder(PathBuf);
 
 impl Drop for TemporaryFolder {
--- a/testbed/src/ldap_server.rs
+++ b/testbed/src/ldap_server.rs
@@ -1,5 +1,5 @@
-//! A simulated LDAP server on loopback, with faults on command. It serves the entries that it is given: in pages,
-//! and by content synchronisation; in the clear, over TLS, or after StartTLS.
+//! A simulated LDAP server on loopback with fault injection. It serves its entries by paged
+//! searches and by content synchronisation (RFC 4533), in plain text, over TLS, or after StartTLS.
 use bytes::BytesMut;
 use futures_util::{SinkExt, StreamExt};
 use ldap3_proto::control::LdapControl;
@@ -18,126 +18,131 @@
 use tokio_util::codec::{Encoder, Framed};
 use uuid::Uuid;
 
-/// An entry: its distinguished name, and attributes with their values.
+/// An entry: its distinguished name, and its attributes with their values.
 pub type LdapEntry = (String, Vec<(String, Vec<Vec<u8>>)>);
 
-/// What is wrong with a server.
+/// A fault of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DirectoryFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Connections are closed as soon as they are made.
+    /// Connections are closed as soon as they are accepted.
     Refuses,
-    /// A search is read and never answered.
+    /// Searches are read but never answered.
     Stalls,
-    /// The connection ends after so many entries.
+    /// The connection is closed after this number of entries.
     CutsAfter(usize),
-    /// The connection ends after so many bytes of answers to searches.
+    /// The connection is closed after this number of bytes of search responses.
     CutsAtByte(usize),
-    /// The search ends there with "size limit exceeded".
+    /// Searches end with "size limit exceeded" after this number of entries.
     SizeLimit(usize),
-    /// A pause before each page, in milliseconds.
+    /// Pause before each page, in milliseconds.
     Slow(u64),
-    /// A synchronisation names all that is there, not what went.
+    /// A synchronisation names the entries that are present, instead of those that were deleted.
     NamesPresent,
-    /// A cookie is not known any more.
+    /// The server does not recognise synchronisation cookies any more.
     ForgetsCookies,
 }
 
 /// A simulated LDAP server.
 #[derive(Default)]
 pub struct LdapServer {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: String,
-    /// What it serves.
+    /// The entries that the server serves.
     pub entries: RefCell<Vec<LdapEntry>>,
-    /// What is wrong with it.
+    /// The active fault.
     pub fault: Cell<DirectoryFault>,
-    /// What a bind needs.
+    /// Password that a bind must present.
     pub password: RefCell<String>,
-    /// Searches so far.
+    /// Searches received so far.
     pub searches: Cell<u32>,
-    /// Entries that were sent with attributes beyond their id and stamp.
-    pub sent: Cell<u32>,
-    /// Bytes of answers to searches since this was last set.
-    pub bytes: Cell<usize>,
-    /// What each cookie stands for.
+    /// Entries sent to searches that requested more than an id and a timestamp (two attributes).
+    pub entries_sent: Cell<u32>,
+    /// Bytes of search responses since the value was last reset.
+    pub response_bytes: Cell<usize>,
+    /// Entries as they were when each synchronisation cookie was issued; the cookie is the index.
     states: RefCell<Vec<Vec<LdapEntry>>>,
 }
 
-/// How connections are protected.
+/// How connections are secured.
 #[derive(Clone, Default)]
 pub enum TransportSecurity {
-    /// Not at all.
+    /// Plain text.
     #[default]
     Clear,
-    /// By TLS from the beginning.
+    /// TLS from the start.
     Tls(TlsAcceptor),
-    /// By TLS after StartTLS, without which nothing is answered.
+    /// TLS after StartTLS; binds are rejected before that.
     StartTls(TlsAcceptor),
 }
 
-/// Starts a server on a loopback port of its own.
+/// Starts a server on a loopback port.
 ///
 /// # Errors
 ///
-/// Where no port can be bound.
+/// Fails if no port can be bound.
 pub async fn start(password: &str) -> std::io::Result<Rc<LdapServer>> {
     start_with_security(password, TransportSecurity::Clear).await
 }
 
-/// The same, with protected connections.
+/// Starts a server on a loopback port, with the given transport security.
 ///
 /// # Errors
 ///
-/// Where no port can be bound.
+/// Fails if no port can be bound.
 pub async fn start_with_security(
     password: &str,
-    shield: TransportSecurity,
+    security: TransportSecurity,
 ) -> std::io::Result<Rc<LdapServer>> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
-    let me =
+    let server =
         Rc::new(LdapServer { address, password: RefCell::new(password.to_owned()), ..LdapServer::default() });
-    let server = me.clone();
+    let shared_server = server.clone();
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
-            if server.fault.get() == DirectoryFault::Refuses {
+            if shared_server.fault.get() == DirectoryFault::Refuses {
                 continue;
             }
-            let (server, shield) = (server.clone(), shield.clone());
+            let (shared_server, security) = (shared_server.clone(), security.clone());
             tokio::task::spawn_local(async move {
-                match &shield {
+                match &security {
                     TransportSecurity::Tls(tls) => {
                         if let Ok(stream) = tls.accept(stream).await {
-                            serve(server, Box::new(stream), None).await;
+                            serve(shared_server, Box::new(stream), None).await;
                         }
                     }
                     TransportSecurity::StartTls(tls) => {
-                        serve(server, Box::new(stream), Some(tls.clone())).await
+                        serve(shared_server, Box::new(stream), Some(tls.clone())).await
                     }
-                    TransportSecurity::Clear => serve(server, Box::new(stream), None).await,
+                    TransportSecurity::Clear => serve(shared_server, Box::new(stream), None).await,
                 }
             });
         }
     });
-    Ok(me)
+    Ok(server)
 }
 
+/// A connection, with or without TLS.
 trait Stream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Stream for T {}
+/// A connection that carries LDAP messages.
 type Wire = Framed<Box<dyn Stream>, LdapCodec>;
 
+/// Returns a result with this code and no further details.
 fn result(code: LdapResultCode) -> LdapResult {
     LdapResult { code, matcheddn: String::new(), message: String::new(), referral: Vec::new() }
 }
 
+/// Returns the values of an attribute; empty if the entry does not have it.
 fn values<'a>(entry: &'a LdapEntry, attribute: &str) -> &'a [Vec<u8>] {
     entry.1.iter().find(|a| a.0.eq_ignore_ascii_case(attribute)).map_or(&[], |a| &a.1)
 }
 
+/// Returns whether an entry matches a filter. Filters of other kinds match nothing.
 fn matches(filter: &LdapFilter, entry: &LdapEntry) -> bool {
     match filter {
         LdapFilter::And(all) => all.iter().all(|f| matches(f, entry)),
@@ -149,20 +154,22 @@
     }
 }
 
-/// An entry's id; entries without one are not synchronised.
+/// Returns an entry's id. Entries without an id are left out of synchronisations.
 fn id(entry: &LdapEntry) -> Option<Uuid> {
     Uuid::parse_str(std::str::from_utf8(values(entry, "entryUUID").first()?).ok()?).ok()
 }
 
-/// A search's message number, and where its answers go.
+/// The response to one request on a connection.
 struct SearchReply<'a> {
-    me: &'a LdapServer,
+    server: &'a LdapServer,
     wire: &'a mut Wire,
     msgid: i32,
+    /// Attributes that the search requests; empty: all.
     attributes: Vec<String>,
 }
 
 impl SearchReply<'_> {
+    /// Sends a message. Returns `None` if the connection is to be closed.
     async fn send(&mut self, op: LdapOp, ctrl: Vec<LdapControl>) -> Option<()> {
         let msg = LdapMsg { msgid: self.msgid, op, ctrl };
         if matches!(msg.op, LdapOp::BindResponse(_) | LdapOp::ExtendedResponse(_)) {
@@ -170,37 +177,40 @@
         }
         let mut bytes = BytesMut::new();
         LdapCodec::default().encode(msg, &mut bytes).ok()?;
-        let before = self.me.bytes.replace(self.me.bytes.get() + bytes.len());
-        if let DirectoryFault::CutsAtByte(most) = self.me.fault.get() {
+        let before = self.server.response_bytes.replace(self.server.response_bytes.get() + bytes.len());
+        if let DirectoryFault::CutsAtByte(most) = self.server.fault.get() {
             bytes.truncate(most.saturating_sub(before));
         }
-        let whole = before + bytes.len() == self.me.bytes.get();
+        let whole = before + bytes.len() == self.server.response_bytes.get();
         self.wire.get_mut().write_all(&bytes).await.ok()?;
         whole.then_some(())
     }
 
+    /// Ends a search with this result code.
     async fn done(&mut self, code: LdapResultCode, ctrl: Vec<LdapControl>) -> Option<()> {
         self.send(LdapOp::SearchResultDone(result(code)), ctrl).await
     }
 
+    /// Sends an entry with the requested attributes.
     async fn entry(&mut self, (dn, attributes): LdapEntry, ctrl: Vec<LdapControl>) -> Option<()> {
         let requested =
             |a: &str| self.attributes.is_empty() || self.attributes.iter().any(|x| x.eq_ignore_ascii_case(a));
         let attributes = attributes.into_iter().filter(|a| requested(&a.0));
         let attributes: Vec<_> =
             attributes.map(|(atype, vals)| LdapPartialAttribute { atype, vals }).collect();
-        self.me.sent.set(self.me.sent.get() + u32::from(self.attributes.len() > 2));
+        self.server.entries_sent.set(self.server.entries_sent.get() + u32::from(self.attributes.len() > 2));
         self.send(LdapOp::SearchResultEntry(LdapSearchResultEntry { dn, attributes }), ctrl).await
     }
 
-    /// What changed since a cookie, or everything.
+    /// Sends what changed since a cookie was issued; without a cookie, sends all entries.
     async fn synchronise(&mut self, found: Vec<LdapEntry>, cookie: Option<Vec<u8>>) -> Option<()> {
         let known: Option<usize> = cookie.and_then(|c| String::from_utf8(c).ok()?.parse().ok());
-        let before = known.and_then(|n| self.me.states.borrow().get(n).cloned());
-        if known.is_some() && (before.is_none() || self.me.fault.get() == DirectoryFault::ForgetsCookies) {
+        let before = known.and_then(|n| self.server.states.borrow().get(n).cloned());
+        if known.is_some() && (before.is_none() || self.server.fault.get() == DirectoryFault::ForgetsCookies)
+        {
             return self.done(LdapResultCode::EsyncRefreshRequired, Vec::new()).await;
         }
-        let names_present = before.is_none() || self.me.fault.get() == DirectoryFault::NamesPresent;
+        let names_present = before.is_none() || self.server.fault.get() == DirectoryFault::NamesPresent;
         let old = before.unwrap_or_default();
         let ids = |of: &[LdapEntry]| of.iter().filter_map(id).collect::<Vec<_>>();
         let (now, then) = (ids(&found), ids(&old));
@@ -216,7 +226,7 @@
         };
         self.send(LdapOp::IntermediateResponse(set), Vec::new()).await?;
         for (n, entry) in found.iter().filter(|e| !old.contains(e)).enumerate() {
-            if matches!(self.me.fault.get(), DirectoryFault::CutsAfter(most) if n >= most) {
+            if matches!(self.server.fault.get(), DirectoryFault::CutsAfter(most) if n >= most) {
                 return None;
             }
             let Some(entry_uuid) = id(entry) else { continue };
@@ -224,21 +234,23 @@
             let state = LdapControl::SyncState { state, entry_uuid, cookie: None };
             self.entry(entry.clone(), vec![state]).await?;
         }
-        let cookie = self.me.states.borrow().len().to_string().into_bytes();
-        self.me.states.borrow_mut().push(found);
+        let cookie = self.server.states.borrow().len().to_string().into_bytes();
+        self.server.states.borrow_mut().push(found);
         let done = LdapControl::SyncDone { cookie: Some(cookie), refresh_deletes: !names_present };
         self.done(LdapResultCode::Success, vec![done]).await
     }
 
+    /// Answers a search by a page of entries or by a synchronisation. Returns `None` if the
+    /// connection is to be closed.
     async fn search(&mut self, search: LdapSearchRequest, ctrl: Vec<LdapControl>) -> Option<()> {
-        let me = self.me;
-        me.searches.set(me.searches.get() + 1);
-        match me.fault.get() {
+        let server = self.server;
+        server.searches.set(server.searches.get() + 1);
+        match server.fault.get() {
             DirectoryFault::Stalls => return Some(()),
             DirectoryFault::Slow(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
             _ => {}
         }
-        let entries = me.entries.borrow().clone();
+        let entries = server.entries.borrow().clone();
         let (filter, base) = (&search.filter, &search.base);
         let of_base = search.scope == LdapSearchScope::Base;
         let found: Vec<LdapEntry> = entries
@@ -246,8 +258,8 @@
             .filter(|e| matches(filter, e) && if of_base { e.0 == *base } else { e.0.ends_with(base) })
             .collect();
         let (mut size, mut from) = (usize::MAX, 0);
-        for c in ctrl {
-            match c {
+        for control in ctrl {
+            match control {
                 LdapControl::SimplePagedResults { size: s, cookie } => {
                     size = s as usize;
                     from = String::from_utf8_lossy(&cookie).parse().unwrap_or(0);
@@ -259,7 +271,7 @@
         let page: Vec<LdapEntry> = found.iter().skip(from).take(size).cloned().collect();
         let next = from + page.len();
         for (n, entry) in page.into_iter().enumerate() {
-            match me.fault.get() {
+            match server.fault.get() {
                 DirectoryFault::CutsAfter(most) if from + n >= most => return None,
                 DirectoryFault::SizeLimit(most) if from + n >= most => {
                     return self.done(LdapResultCode::SizeLimitExceeded, Vec::new()).await
@@ -273,13 +285,15 @@
     }
 }
 
-async fn serve(me: Rc<LdapServer>, stream: Box<dyn Stream>, mut starttls: Option<TlsAcceptor>) {
+/// Serves one connection until it closes. `starttls` holds the acceptor while StartTLS is still
+/// required.
+async fn serve(server: Rc<LdapServer>, stream: Box<dyn Stream>, mut starttls: Option<TlsAcceptor>) {
     let mut wire: Wire = Framed::new(stream, LdapCodec::default());
     while let Some(Ok(LdapMsg { msgid, op, ctrl })) = wire.next().await {
-        let mut reply = SearchReply { me: &me, wire: &mut wire, msgid, attributes: Vec::new() };
+        let mut reply = SearchReply { server: &server, wire: &mut wire, msgid, attributes: Vec::new() };
         let sent = match op {
             LdapOp::BindRequest(bind) => {
-                let right = matches!(bind.cred, LdapBindCred::Simple(p) if p == *me.password.borrow());
+                let right = matches!(bind.cred, LdapBindCred::Simple(p) if p == *server.password.borrow());
                 let code = match (right, &starttls) {
                     (_, Some(_)) => LdapResultCode::ConfidentialityRequired,
                     (true, None) => LdapResultCode::Success,
@@ -312,7 +326,7 @@
     }
 }
 
-/// An entry with text attributes.
+/// Returns an entry with text attributes.
 pub fn ldap_entry(dn: &str, attributes: &[(&str, &[&str])]) -> LdapEntry {
     let values = |v: &[&str]| v.iter().map(|s| s.as_bytes().to_vec()).collect();
     (dn.to_owned(), attributes.iter().map(|(k, v)| ((*k).to_owned(), values(v))).collect())
--- a/testbed/src/machine/connections.rs
+++ b/testbed/src/machine/connections.rs
@@ -1,4 +1,4 @@
-//! A machine's connections, and the frames on them.
+//! Connections of a simulated machine, and the frames that arrive on them.
 use super::{MachineEvent, MachineState};
 use crate::attempt_frames::{from_wire, inventory, reply, to_wire, AttemptKey};
 use crate::faulty_link::{self, LinkObservation};
@@ -9,39 +9,42 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// A connection's number among those of all machines, for the checker.
+/// Returns the number that identifies a connection to the checker among the connections of all
+/// machines.
 fn checker_number(machine: &str, connection: u64) -> u64 {
     let name = machine.bytes().fold(7u64, |n, byte| n.wrapping_mul(31).wrapping_add(u64::from(byte)));
     name.wrapping_shl(20) ^ connection
 }
 
 impl MachineState {
+    /// Starts a link with fault injection on a new connection, and reports its frames to the
+    /// checker.
     pub(super) fn accept(&mut self, stream: TcpStream, events: mpsc::Sender<MachineEvent>) {
         let _ = stream.set_nodelay(true);
         let number = self.shared.connections.get() + 1;
         self.shared.connections.set(number);
         let (outer, inner) = tokio::io::duplex(64 * 1024);
-        let (orders, inbox) = mpsc::channel(4096);
-        self.connections.insert(number, (orders, None));
+        let (commands, inbox) = mpsc::channel(4096);
+        self.connections.insert(number, (commands, None));
         let (context, name, clock) = (self.context.clone(), self.shared.name.clone(), self.context.clock);
-        let known_as = checker_number(&name, number);
-        let show = move |hello: &Hello, seen: LinkObservation| {
+        let checker_id = checker_number(&name, number);
+        let observe = move |hello: &Hello, observation: LinkObservation| {
             let planner = (hello.name.clone(), hello.epoch);
             let (mut checker, now) = (context.checker.borrow_mut(), context.clock.now());
-            match seen {
+            match observation {
                 LinkObservation::SocketRead { body, late } => {
-                    checker.machine_socket_read(now, &name, known_as, &planner, body, late);
+                    checker.machine_socket_read(now, &name, checker_id, &planner, body, late);
                 }
                 LinkObservation::Received { body } => checker.machine_received(now, &name, &planner, body),
                 LinkObservation::Sent { body } => checker.machine_sent(now, &name, &planner, body),
                 LinkObservation::SocketWritten { body } => {
                     checker.machine_frame_delivered(now, &name, &planner, body);
                 }
-                LinkObservation::Closed => checker.machine_disconnected(now, known_as),
+                LinkObservation::Closed => checker.machine_disconnected(now, checker_id),
             }
         };
         let faults = self.shared.faults.clone();
-        tokio::task::spawn_local(faulty_link::carry(stream, inner, number, faults, clock, show));
+        tokio::task::spawn_local(faulty_link::forward(stream, inner, number, faults, clock, observe));
         let identity = PeerIdentity {
             role: Role::Machine,
             name: self.shared.name.clone(),
@@ -59,25 +62,26 @@
         ));
     }
 
+    /// Handles an event of a connection. Frames count only on the current link of a planner.
     pub(super) fn connection_event(&mut self, number: u64, event: LinkEvent) {
         match event {
-            LinkEvent::Session(SessionEvent::Up(party))
-                if party.role == Role::Planner && self.connections.contains_key(&number) =>
+            LinkEvent::Session(SessionEvent::Up(peer))
+                if peer.role == Role::Planner && self.connections.contains_key(&number) =>
             {
-                self.planner_connected(number, party);
+                self.planner_connected(number, peer);
             }
             LinkEvent::Session(SessionEvent::Frame(body)) => {
-                let party = self.connections.get(&number).and_then(|connection| connection.1.clone());
+                let peer = self.connections.get(&number).and_then(|connection| connection.1.clone());
                 let current =
-                    |party: &PeerIdentity| self.attempts.is_current(&party.name, party.epoch, party.link);
-                if let Some(party) = party.filter(current) {
-                    self.frame(party.name, body);
+                    |peer: &PeerIdentity| self.attempts.is_current(&peer.name, peer.epoch, peer.link);
+                if let Some(peer) = peer.filter(current) {
+                    self.frame(peer.name, body);
                 }
             }
             LinkEvent::Ended { .. } => {
-                if let Some((_, Some(party))) = self.connections.remove(&number) {
-                    if self.links.get(&party.name).is_some_and(|link| link.0 == number) {
-                        self.links.remove(&party.name);
+                if let Some((_, Some(peer))) = self.connections.remove(&number) {
+                    if self.links.get(&peer.name).is_some_and(|link| link.0 == number) {
+                        self.links.remove(&peer.name);
                     }
                 }
             }
@@ -85,38 +89,42 @@
         }
     }
 
-    fn planner_connected(&mut self, number: u64, party: PeerIdentity) {
-        if !self.attempts.admit_link(&party.name, party.epoch, party.link) {
+    /// Makes a connection the current link of its planner, and sends the inventory.
+    fn planner_connected(&mut self, number: u64, peer: PeerIdentity) {
+        if !self.attempts.admit_link(&peer.name, peer.epoch, peer.link) {
             return self.close(number, "an older life or link of this planner");
         }
-        // A connection of before a restart is gone from here, though its events still come.
-        let Some((orders, peer)) = self.connections.get_mut(&number) else { return };
-        *peer = Some(party.clone());
-        let orders = orders.clone();
-        if let Some((old, _)) = self.links.insert(party.name.clone(), (number, orders)) {
+        // A restart has already removed its earlier connections, but their events may still arrive.
+        let Some((commands, known_peer)) = self.connections.get_mut(&number) else { return };
+        *known_peer = Some(peer.clone());
+        let commands = commands.clone();
+        if let Some((old, _)) = self.links.insert(peer.name.clone(), (number, commands)) {
             self.close(old, "a newer link came");
         }
         let attempts = &self.attempts;
         self.offers.retain(|attempt| attempts.state(&attempt.0, attempt.1).is_some());
-        let (endings, held) = self.attempts.inventory(&party.name);
+        let (endings, held) = self.attempts.inventory(&peer.name);
         for (id, ending) in endings {
-            self.reply(&(party.name.clone(), id), ending);
+            self.reply(&(peer.name.clone(), id), ending);
         }
-        self.send_frame(&party.name, inventory(held, self.shared.draining.get()));
+        self.send_frame(&peer.name, inventory(held, self.shared.draining.get()));
     }
 
+    /// Closes a connection with this reason.
     fn close(&self, number: u64, why: &str) {
-        if let Some((orders, _)) = self.connections.get(&number) {
-            let _ = orders.try_send(LinkCommand::Close(why.to_owned()));
+        if let Some((commands, _)) = self.connections.get(&number) {
+            let _ = commands.try_send(LinkCommand::Close(why.to_owned()));
         }
     }
 
+    /// Sends a frame to a planner, if it is connected.
     pub(super) fn send_frame(&self, planner: &str, body: Body) {
-        if let Some((_, orders)) = self.links.get(planner) {
-            let _ = orders.try_send(LinkCommand::Send(body, None));
+        if let Some((_, commands)) = self.links.get(planner) {
+            let _ = commands.try_send(LinkCommand::Send(body, None));
         }
     }
 
+    /// Handles a frame of a planner.
     fn frame(&mut self, planner: String, body: Body) {
         match body {
             Body::Launch(launch) => self.offered(planner, launch),
@@ -140,25 +148,29 @@
         }
     }
 
+    /// Cancels an attempt that does not run yet, and replies with its state.
     fn cancel(&mut self, planner: String, id: AttemptId) {
         let attempt = (planner, id);
         let key = self.task_key(&attempt);
-        let say = self.attempts.cancel(&attempt.0, id);
+        let attempt_reply = self.attempts.cancel(&attempt.0, id);
         self.offers.retain(|waiting| *waiting != attempt);
-        self.reply_for(&attempt, key, say);
+        self.reply_for(&attempt, key, attempt_reply);
     }
 
-    pub(super) fn reply(&self, attempt: &AttemptKey, say: AttemptReply) {
-        self.reply_for(attempt, self.task_key(attempt), say);
+    /// Sends a reply about an attempt.
+    pub(super) fn reply(&self, attempt: &AttemptKey, attempt_reply: AttemptReply) {
+        self.reply_for(attempt, self.task_key(attempt), attempt_reply);
     }
 
-    /// A reply about a task with this key, whether or not the attempt is still known.
-    pub(super) fn reply_for(&self, attempt: &AttemptKey, key: String, say: AttemptReply) {
-        if let Some(body) = reply(attempt.1, key, say, self.report()) {
+    /// Sends a reply about an attempt of the task with this key, whether or not the attempt is
+    /// still known.
+    pub(super) fn reply_for(&self, attempt: &AttemptKey, key: String, attempt_reply: AttemptReply) {
+        if let Some(body) = reply(attempt.1, key, attempt_reply, self.report()) {
             self.send_frame(&attempt.0, body);
         }
     }
 
+    /// Refuses an offer with this reason code.
     pub(super) fn refuse(&mut self, attempt: &AttemptKey, why: u32) {
         let key = self.task_key(attempt);
         self.attempts.forget(&attempt.0, attempt.1);
--- a/testbed/src/scale/machines/connections.rs
+++ b/testbed/src/scale/machines/connections.rs
@@ -11,14 +11,15 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Time between attempts to reach the registry.
+/// Time between attempts to connect to the registry.
 const REGISTRY_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 impl MachineProcess {
+    /// Starts a link on a new connection.
     pub(super) fn accept(&mut self, machine: usize, stream: TcpStream) {
         self.connection_count += 1;
         let number = self.connection_count;
-        let (orders, inbox) = mpsc::channel(1024);
+        let (commands, inbox) = mpsc::channel(1024);
         let traffic = Rc::new(RefCell::new(Traffic::default()));
         let host = &mut self.machines[machine];
         let stream = CountingStream::new(stream, host.vanished.clone(), traffic.clone());
@@ -38,21 +39,22 @@
             event,
         );
         let task = tokio::task::spawn_local(run).abort_handle();
-        host.connections.insert(number, Connection { orders, party: None, task, traffic });
+        host.connections.insert(number, Connection { commands, peer: None, task, traffic });
     }
 
+    /// Handles an event of a connection. Frames count only on the current link of a planner.
     pub(super) fn connection_event(&mut self, machine: usize, number: u64, event: LinkEvent) {
         match event {
-            LinkEvent::Session(SessionEvent::Up(party)) if party.role == Role::Planner => {
-                self.planner_connected(machine, number, party);
+            LinkEvent::Session(SessionEvent::Up(peer)) if peer.role == Role::Planner => {
+                self.planner_connected(machine, number, peer);
             }
             LinkEvent::Session(SessionEvent::Frame(body)) => {
                 let host = &self.machines[machine];
-                let party = host.connections.get(&number).and_then(|connection| connection.party.clone());
+                let peer = host.connections.get(&number).and_then(|connection| connection.peer.clone());
                 let current =
-                    |party: &PeerIdentity| host.attempts.is_current(&party.name, party.epoch, party.link);
-                if let Some(party) = party.filter(current) {
-                    self.frame(machine, party.name, body);
+                    |peer: &PeerIdentity| host.attempts.is_current(&peer.name, peer.epoch, peer.link);
+                if let Some(peer) = peer.filter(current) {
+                    self.frame(machine, peer.name, body);
                 }
             }
             LinkEvent::Ended { .. } => self.disconnected(machine, number),
@@ -60,55 +62,59 @@
         }
     }
 
-    fn planner_connected(&mut self, machine: usize, number: u64, party: PeerIdentity) {
+    /// Makes a connection the current link of its planner, and sends the inventory.
+    fn planner_connected(&mut self, machine: usize, number: u64, peer: PeerIdentity) {
         let host = &mut self.machines[machine];
         if !host.connections.contains_key(&number) {
             return;
         }
-        if !host.attempts.admit_link(&party.name, party.epoch, party.link) {
+        if !host.attempts.admit_link(&peer.name, peer.epoch, peer.link) {
             return host.close(number, "an older life or link of this planner");
         }
         if let Some(connection) = host.connections.get_mut(&number) {
-            connection.party = Some(party.clone());
+            connection.peer = Some(peer.clone());
         }
-        if let Some(old) = host.links.insert(party.name.clone(), number) {
+        if let Some(old) = host.links.insert(peer.name.clone(), number) {
             host.close(old, "a newer link came");
         }
-        let (endings, held) = host.attempts.inventory(&party.name);
+        let (endings, held) = host.attempts.inventory(&peer.name);
         for (id, ending) in endings {
-            self.reply(machine, &party.name, id, ending);
+            self.reply(machine, &peer.name, id, ending);
         }
         let host = &self.machines[machine];
-        host.send(&party.name, inventory(held, host.draining));
+        host.send(&peer.name, inventory(held, host.draining));
     }
 
+    /// Removes a closed connection, and keeps its traffic count.
     pub(super) fn disconnected(&mut self, machine: usize, number: u64) {
         let host = &mut self.machines[machine];
         let Some(connection) = host.connections.remove(&number) else { return };
-        if let Some(party) = connection.party {
-            if host.links.get(&party.name) == Some(&number) {
-                host.links.remove(&party.name);
+        if let Some(peer) = connection.peer {
+            if host.links.get(&peer.name) == Some(&number) {
+                host.links.remove(&peer.name);
             }
-            self.past_traffic.entry(party.name).or_default().add(&connection.traffic.borrow());
+            self.past_traffic.entry(peer.name).or_default().add(&connection.traffic.borrow());
         }
     }
 }
 
 impl Machine {
+    /// Closes a connection with this reason.
     fn close(&self, number: u64, why: &str) {
         if let Some(connection) = self.connections.get(&number) {
-            let _ = connection.orders.try_send(LinkCommand::Close(why.to_owned()));
+            let _ = connection.commands.try_send(LinkCommand::Close(why.to_owned()));
         }
     }
 
+    /// Sends a frame to a planner, if it is connected.
     pub(super) fn send(&self, planner: &str, body: Body) {
         if let Some(connection) = self.links.get(planner).and_then(|number| self.connections.get(number)) {
-            let _ = connection.orders.try_send(LinkCommand::Send(body, None));
+            let _ = connection.commands.try_send(LinkCommand::Send(body, None));
         }
     }
 }
 
-/// Keeps a link to the registry.
+/// Keeps a link to the registry open.
 pub(super) async fn to_registry(
     address: String,
     name: String,
@@ -119,7 +125,7 @@
     loop {
         if let Ok(stream) = TcpStream::connect(&address).await {
             links += 1;
-            let (orders, inbox) = mpsc::channel(256);
+            let (commands, inbox) = mpsc::channel(256);
             let identity = PeerIdentity {
                 role: Role::Machine,
                 name: name.clone(),
@@ -127,7 +133,7 @@
                 link: links,
                 login: String::new(),
             };
-            if events.send(MachinesEvent::RegistryConnected(orders)).await.is_err() {
+            if events.send(MachinesEvent::RegistryConnected(commands)).await.is_err() {
                 return;
             }
             let _ = stream.set_nodelay(true);
