--- a/planner/src/service/connections.rs
+++ b/planner/src/service/connections.rs
@@ -1,4 +1,4 @@
-//! Opening and closing of links: each runs as a task of its own on the planner's thread.
+//! Opens and closes links. Each link runs as an asynchronous task on the planner's thread.
 use super::{LinkMessage, LinkOrigin, PeerLink, PlannerService};
 use basaltpitch_agent::link::{self, LinkCommand, LinkEvent};
 use basaltpitch_agent::session::PeerIdentity;
@@ -6,9 +6,10 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Commands that may wait for a link.
+/// Limit on the commands that wait for one link.
 const COMMAND_CAPACITY: usize = 4096;
-/// Commands that may wait for a link to another planner, where few requests are under way at a time.
+/// Limit on the commands that wait for one link to another planner, which has few requests in
+/// flight at a time.
 const PLANNER_COMMAND_CAPACITY: usize = 16;
 
 impl PlannerService {
@@ -43,7 +44,8 @@
         self.connect(LinkOrigin::Planner(link), link, address, inbox, self.connection_events.clone());
     }
 
-    /// Starts the task of a link: it connects within the timeout, then runs until the link ends.
+    /// Starts the task of a link, which connects within the connect timeout and then runs until the
+    /// link ends.
     fn connect(
         &self,
         origin: LinkOrigin,
@@ -70,14 +72,14 @@
                     )
                     .await;
                 }
-                Ok(Err(e)) => format!("no connection: {e}"),
-                Err(_) => "no connection in time".into(),
+                Ok(Err(e)) => format!("cannot connect: {e}"),
+                Err(_) => "the connection timed out".into(),
             };
             let _ = events.send(wrap(LinkEvent::Ended { why: reason, unsent: Vec::new() })).await;
         });
     }
 
-    /// Closes a link to a machine or the registry, unless a later link has replaced it.
+    /// Closes a link to a machine or the registry, unless a newer link has replaced it.
     pub(super) fn close_peer(&mut self, peer: usize, link: u64, reason: &str) {
         if let Some(peer_link) = self.peer_links.get(&peer).filter(|current| current.link == link) {
             let _ = peer_link.commands.try_send(LinkCommand::Close(reason.to_owned()));
--- a/planner/src/service/directory_sync.rs
+++ b/planner/src/service/directory_sync.rs
@@ -1,41 +1,43 @@
-//! Syncs with the directory of tenants: one at a time, beside the planner's other work.
+//! Syncs with the LDAP directory of tenants. At most one sync runs at a time, as an asynchronous
+//! task on the planner's thread.
 use super::PlannerService;
 use crate::tenant_access::DirectorySyncTask;
 use basaltpitch_ldap::{DirectorySettings, SeenEntries, SyncError, SyncResult, SyncState};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// What a sync reports, with its number.
+/// An event of a directory sync; its first field is the number of the sync.
 pub(super) enum SyncEvent {
-    /// The server answered; reading goes on.
+    /// The server returned its first page of entries; the sync continues.
     Answered(u64),
-    /// It ended, with what it read.
+    /// The sync ended, with the entries that it read or the error that ended it.
     Ended(u64, Result<SyncResult, SyncError>),
 }
 
-/// A sync that is under way.
+/// The sync that is running.
 struct RunningSync {
     task: DirectorySyncTask,
     handle: JoinHandle<()>,
 }
 
-/// Runs the syncs and keeps what the next one goes on from.
+/// Runs directory syncs and keeps the state from which an incremental sync continues.
 pub(super) struct DirectorySyncs {
     directory: DirectorySettings,
-    /// What each server gave last.
+    /// The entries that each server returned in its last sync, by the server's index.
     seen: Vec<SeenEntries>,
     running: Option<RunningSync>,
     events: mpsc::Sender<SyncEvent>,
 }
 
 impl DirectorySyncs {
-    /// Nothing is read yet; events of syncs go to `events`.
+    /// Creates an empty state, in which no server has been read; events of syncs are sent to
+    /// `events`.
     pub(super) fn new(directory: DirectorySettings, events: mpsc::Sender<SyncEvent>) -> Self {
         let seen = vec![SeenEntries::default(); directory.source.urls.len()];
         DirectorySyncs { directory, seen, running: None, events }
     }
 
-    /// Starts a sync; one that is under way is given up.
+    /// Starts a sync, and aborts the previous sync if it is still running.
     pub(super) fn begin(&mut self, task: DirectorySyncTask) {
         if let Some(superseded) = self.running.take() {
             superseded.handle.abort();
@@ -56,7 +58,8 @@
         self.running = Some(RunningSync { task, handle });
     }
 
-    /// Keeps what the next sync with the same server can go on from.
+    /// Keeps the entries of a finished sync, so that the next sync with the same server can be
+    /// incremental.
     fn finish(&mut self, number: u64, result: &mut SyncResult) {
         if let Some(ended) = self.running.take_if(|running| running.task.number == number) {
             self.seen[ended.task.server] = std::mem::take(&mut result.seen);
@@ -65,7 +68,7 @@
 }
 
 impl PlannerService {
-    /// Handles an event of a sync with the directory.
+    /// Handles an event of a directory sync.
     pub(super) fn directory_event(&mut self, event: SyncEvent) {
         let now_us = self.clock.now();
         match event {
@@ -77,7 +80,7 @@
                 self.state.directory_synced(now_us, number, Some(result.sweep), result.problems);
             }
             SyncEvent::Ended(number, Err(error)) => {
-                tracing::info!(error = %error, "a sync of the directory failed");
+                tracing::info!(error = %error, "the directory sync failed; keeping the tenants of the last sync");
                 self.state.directory_synced(now_us, number, None, vec![error.to_string()]);
             }
         }
--- a/planner/src/service/event_loop.rs
+++ b/planner/src/service/event_loop.rs
@@ -1,4 +1,5 @@
-//! The loop of the planner's actor: it carries out what was decided, then waits for the next event.
+//! The event loop of the planner's actor: it carries out the pending decisions, then waits for the
+//! next event.
 use super::directory_sync::SyncEvent;
 use super::{LinkMessage, PlannerService};
 use crate::lease_client::LeaseEvent;
@@ -11,31 +12,33 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// Events of machines and the registry that are handled before outputs go out.
+/// Limit on the events of machines and the registry that are handled before outputs are sent.
 const PEER_BATCH: usize = 256;
-/// The same of connections: fewer, since they are the load that can wait.
+/// Limit on the events of connections that are handled before outputs are sent. Requests of clients
+/// can wait, so fewer of them are handled at once.
 const CONNECTION_BATCH: usize = PEER_BATCH / 4;
-/// How long links have to send why they close, when the planner stops.
+/// Time that links have to send the reason for closing when the planner stops.
 const CLOSE_GRACE: Duration = Duration::from_millis(20);
 
-/// What the actor receives from.
+/// The channels from which the actor receives events.
 pub(super) struct Inboxes {
-    /// Events of machines and the registry: they go first.
+    /// Events of machines and the registry, which are handled first.
     pub(super) peers: mpsc::Receiver<LinkMessage>,
     /// Events of clients, operators and other planners.
     pub(super) connections: mpsc::Receiver<LinkMessage>,
-    /// Events of syncs with the directory.
+    /// Events of directory syncs.
     pub(super) directory: mpsc::Receiver<SyncEvent>,
 }
 
-/// The next event of the leases, where there are any.
+/// Waits for the next event of the leases that the planner acquires beside its slot; returns `None`
+/// without a rolling-restart coordinator, or once the channel is closed.
 async fn next_lease_event(restarts: &mut Option<RollingRestartCoordinator>) -> Option<LeaseEvent> {
     restarts.as_mut()?.next_lease_event().await
 }
 
 impl PlannerService {
-    /// Runs until `stop` is done, then closes all links. The order of the branches is their priority: what
-    /// machines report and what is due goes before what clients ask for.
+    /// Runs until `stop` completes, then closes all links. The order of the `select!` branches is
+    /// their priority: events of machines and due timers come before requests of clients.
     pub(super) async fn run(
         mut self,
         listener: TcpListener,
@@ -69,7 +72,7 @@
         self.close_all().await;
     }
 
-    /// Handles an event and at most `batch` more that wait already.
+    /// Handles an event, and up to `batch` further events that are already queued.
     fn link_events(&mut self, first: LinkMessage, inbox: &mut mpsc::Receiver<LinkMessage>, batch: usize) {
         self.link_event(first);
         for _ in 0..batch {
@@ -78,7 +81,7 @@
         }
     }
 
-    /// When the next timer is due, in microseconds.
+    /// Returns the time at which the next timer is due, in microseconds.
     fn next_wakeup_us(&self) -> i64 {
         let restarts = self.rolling_restarts.as_ref();
         let restarts_us = restarts.map_or(i64::MAX, RollingRestartCoordinator::next_wakeup_us);
@@ -86,7 +89,7 @@
         self.state.next_at().min(restarts_us).min(planners_us)
     }
 
-    /// Lets all timers that are due act.
+    /// Runs all timers that are due.
     fn advance_clock(&mut self) {
         self.state.advance_clock(self.clock.now());
         if let Some(restarts) = &mut self.rolling_restarts {
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Closes all links, and gives them time to say why.
+    /// Closes all links, and waits while they send the reason.
     async fn close_all(&mut self) {
         for (_, peer_link) in self.peer_links.drain() {
             let _ = peer_link.commands.try_send(LinkCommand::Close("the planner stops".into()));
--- a/planner/src/service/lease_events.rs
+++ b/planner/src/service/lease_events.rs
@@ -1,21 +1,24 @@
-//! Events of the leases that a planner holds beside its slot, and of what the voters know of all leases.
+//! Handles events of the leases that a planner acquires beside its slot, and the voters' records of
+//! slots and of the zones' lease.
 use super::PlannerService;
 use crate::lease_client::{LeaseEvent, LeaseRecord};
 use crate::zone_monitor;
 use std::rc::Rc;
 
 impl PlannerService {
-    /// Passes an event of the leases on to whoever acts under that lease.
+    /// Dispatches an event of a lease: those of the zones' lease and of slots to the links to other
+    /// planners, the list of held slots to the planner's state, all others to the rolling-restart
+    /// coordinator.
     pub(super) fn lease_event(&mut self, event: LeaseEvent) {
         let now_us = self.clock.now();
-        let of_zone_failover = match &event {
+        let is_zone_lease = match &event {
             LeaseEvent::Acquired { lease, .. }
             | LeaseEvent::Lost { lease }
             | LeaseEvent::MetadataRecorded { lease } => **lease == *zone_monitor::LEASE_NAME,
             _ => false,
         };
         match (event, &mut self.planner_links, &mut self.rolling_restarts) {
-            (event, Some(peers), _) if of_zone_failover => {
+            (event, Some(peers), _) if is_zone_lease => {
                 peers.coordinator_event(now_us, &mut self.state, event)
             }
             (LeaseEvent::Records(records), Some(peers), _) => {
--- a/planner/src/service/link_events.rs
+++ b/planner/src/service/link_events.rs
@@ -1,4 +1,5 @@
-//! Handling of what the links report: peers that come up, their frames, their health, and the links' ends.
+//! Handles the events of links: a peer that connects, its frames, the health of the link, and the
+//! end of the link.
 use super::{LinkMessage, LinkOrigin, PlannerService};
 use crate::state::REGISTRY;
 use crate::view;
@@ -8,7 +9,7 @@
 use basaltpitch_agent::wire::{Body, Role};
 
 impl PlannerService {
-    /// Passes an event of a link on to the handler of its kind of peer.
+    /// Dispatches an event of a link to the handler for its kind of peer.
     pub(super) fn link_event(&mut self, message: LinkMessage) {
         let now_us = self.clock.now();
         let LinkMessage { origin, event } = message;
@@ -20,7 +21,7 @@
         }
     }
 
-    /// Handles an event of a link to another planner, whichever side dialled.
+    /// Handles an event of a link to another planner, whichever side opened the link.
     fn planner_event(&mut self, now_us: i64, link: u64, event: LinkEvent) {
         let Some(peers) = &mut self.planner_links else {
             return self.close_connection(link, "role: found a planner; this one has no seat and meets none");
@@ -36,14 +37,14 @@
             LinkEvent::Session(SessionEvent::Frame(body)) => peers.receive_frame(now_us, link, body),
             LinkEvent::Session(_) => return,
             LinkEvent::Ended { why: reason, .. } => {
-                tracing::debug!(link, why = reason, "no link to a planner any more");
+                tracing::debug!(link, why = reason, "the link to another planner ended");
                 self.connections.remove(&link);
                 peers.link_down(now_us, link);
                 return;
             }
         };
         if let Err(e) = handled {
-            tracing::info!(error = %e, help = e.advice(), "a link to another planner ends");
+            tracing::info!(error = %e, help = e.advice(), "a hello or frame from another planner was rejected; closing the link");
             self.close_connection(link, &e.to_string());
         }
     }
@@ -52,11 +53,11 @@
     fn registry_event(&mut self, now_us: i64, link: u64, event: LinkEvent) {
         match event {
             LinkEvent::Session(SessionEvent::Up(peer_identity)) if peer_identity.role == Role::Register => {
-                tracing::info!(register = peer_identity.name, "the register answers");
+                tracing::info!(register = peer_identity.name, "connected to the registry");
                 self.state.registry_up(now_us);
             }
             LinkEvent::Session(SessionEvent::Up(peer_identity)) => {
-                tracing::error!(role = ?peer_identity.role, "register: found another role; expected a register");
+                tracing::error!(role = ?peer_identity.role, "the process at the registry's address has another role; closing the link");
                 self.close_peer(REGISTRY, link, "role: expected a register");
             }
             LinkEvent::Session(SessionEvent::Frame(body)) => {
@@ -69,7 +70,7 @@
             }
             LinkEvent::Session(_) => {}
             LinkEvent::Ended { why: reason, .. } => {
-                tracing::warn!(why = reason, "the register does not answer; the last list stands");
+                tracing::warn!(why = reason, "the link to the registry ended; keeping the last machine list");
                 self.peer_links.remove(&REGISTRY);
                 self.state.registry_down(now_us);
                 if let Some(restarts) = &mut self.rolling_restarts {
@@ -90,20 +91,20 @@
                         machine = peer_identity.name,
                         link,
                         started = peer_identity.epoch,
-                        "link up"
+                        "the link to the machine is up"
                     );
                 } else {
                     tracing::warn!(
                         found = peer_identity.name,
                         link,
-                        "link of no use: another machine, or an older start of it"
+                        "found another machine, or an earlier process of the expected machine; closing the link"
                     );
                     self.close_peer(machine, link, "another machine, or an older start of it, was expected");
                 }
             }
             LinkEvent::Session(SessionEvent::Frame(body)) => {
                 if let Err(e) = self.state.machine_frame(now_us, machine, link, body) {
-                    tracing::error!(machine, error = %e, "a frame that makes no sense; the link ends");
+                    tracing::error!(machine, error = %e, "invalid frame from a machine; closing the link");
                     self.close_peer(machine, link, &e.to_string());
                 }
             }
@@ -119,7 +120,7 @@
                     link,
                     why = reason,
                     unsent = unsent.len(),
-                    "link down"
+                    "the link to the machine ended"
                 );
                 if self.peer_links.get(&machine).is_some_and(|peer_link| peer_link.link == link) {
                     self.peer_links.remove(&machine);
@@ -157,7 +158,7 @@
                     Some(fields)
                 };
                 if let Err(e) = view::client_frame(&mut self.state, now_us, connection, body, extra_fields) {
-                    tracing::warn!(conn = connection, error = %e, "a question that makes no sense");
+                    tracing::warn!(conn = connection, error = %e, "invalid frame from a client or operator; closing the connection");
                     self.close_connection(connection, &e.to_string());
                 }
             }
--- a/planner/src/service/mod.rs
+++ b/planner/src/service/mod.rs
@@ -1,7 +1,10 @@
-//! A planner on sockets: one thread, one actor that owns the planner's state, and a task for each connection.
-//! Channels are bounded: events of machines and the registry are read before requests of clients; while the
-//! actor is behind, links grant their peers no further frames. A peer that does not read is cut off, and may
-//! connect and ask again.
+//! Runs a planner on sockets. One thread runs an actor, which owns the planner's state, and one
+//! asynchronous task per connection.
+//!
+//! All channels are bounded. The actor handles events of machines and the registry before requests
+//! of clients. While the actor is behind, links grant their peers no further credit to send frames.
+//! A peer that does not read its frames is disconnected; it may connect again and repeat its
+//! request.
 mod connections;
 mod directory_sync;
 mod event_loop;
@@ -35,86 +38,89 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// Events of links that may wait for the actor.
+/// Limit on the events of links that wait for the actor, in each of its two channels.
 const EVENT_CAPACITY: usize = 1024;
-/// Events of syncs with the directory that may wait for the actor.
+/// Limit on the events of directory syncs that wait for the actor.
 const SYNC_EVENT_CAPACITY: usize = 16;
 
-/// What a planner is started with.
+/// Configuration of a planner process.
 pub struct PlannerConfig {
-    /// Its name, epoch and seed.
+    /// The planner's name, epoch and random seed, and the registry's address.
     pub identity: Identity,
-    /// The settings of placement.
+    /// The settings of the placement module.
     pub settings: Settings,
-    /// Where the decisions are recorded.
+    /// Destination of the recording of events and decisions; `None` records nothing.
     pub recording: Option<Box<dyn io::Write + Send>>,
-    /// Where tasks may run, and the text of where each constraint stands in the settings.
+    /// The placement constraints, each with its location in the configuration files.
     pub constraints: Vec<(Constraint, String)>,
-    /// The directory that tenants are read from.
+    /// The LDAP directory from which tenants are read; `None` if the settings list the tenants.
     pub directory: Option<DirectorySettings>,
-    /// What outlives this planner.
+    /// Store of the tenant snapshot, which a restarted planner begins with.
     pub store: Option<SnapshotStore>,
-    /// Until when it holds its slot, where slots are leased.
+    /// Time until which this planner holds its slot; `None` without leased slots.
     pub lease_deadline: Option<LeaseDeadline>,
-    /// How it coordinates rolling restarts, where it holds a slot.
+    /// Configuration of the rolling-restart coordinator; `None` without leased slots.
     pub rolling_restart: Option<RollingRestartConfig>,
-    /// Whether requests that are not worth starting are rejected at once.
+    /// Whether admission control rejects requests on arrival.
     pub admission_enabled: bool,
-    /// How it links to the other planners, where it holds a slot.
+    /// Configuration of the links to other planners; `None` without leased slots.
     pub peer_links: Option<PeerLinksConfig>,
-    /// What its links share with the others of the process.
+    /// Settings and traffic counters that all links of the process share.
     pub links: LinkConfig,
-    /// The subset of the fleet that it links to, where it has one, and the names of all slots.
+    /// How the subset of the fleet that this planner links to is chosen, and the names of all slots;
+    /// `None` if the planner links to all machines.
     pub subset: Option<(SubsetConfig, Vec<Rc<str>>)>,
 }
 
-/// Which link an event is from.
+/// The link that an event came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkOrigin {
-    /// A machine or the registry, and the number of the link.
+    /// A link to a machine or the registry: the index of the peer and the number of the link.
     Peer { peer: usize, link: u64 },
-    /// A connection that was opened to this planner.
+    /// A connection that a client, an operator or another planner opened.
     Connection(u64),
-    /// Another planner, dialled from here; one that dials is a connection.
+    /// A link that this planner opened to another planner.
     Planner(u64),
 }
 
-/// An event of a link, as the actor receives it.
+/// An event of a link, with the link that it came from.
 struct LinkMessage {
     origin: LinkOrigin,
     event: LinkEvent,
 }
 
-/// The present link to a machine or the registry.
+/// The current link to a machine or the registry.
 struct PeerLink {
     link: u64,
     commands: mpsc::Sender<LinkCommand>,
 }
 
-/// The actor: the planner's state, and the links it acts through.
+/// The actor that owns the planner's state and the links on which it sends frames.
 struct PlannerService {
     state: PlannerState,
     clock: Clock,
     identity: PeerIdentity,
     link_config: LinkConfig,
-    /// Machines and the registry that are dialled or linked.
+    /// Links to machines and the registry, connecting or connected, by the peer's index.
     peer_links: HashMap<usize, PeerLink>,
-    /// Clients, operators and other planners, by the number of the connection.
+    /// Command channels of the connections of clients, operators and other planners, by connection
+    /// number.
     connections: HashMap<u64, mpsc::Sender<LinkCommand>>,
-    /// Where events of machines and the registry go: none may be dropped.
+    /// Receives the events of machines and the registry, none of which may be dropped.
     peer_events: mpsc::Sender<LinkMessage>,
-    /// Where events of connections and of links to other planners go: they may be dropped.
+    /// Receives the events of connections and of links to other planners, which may be dropped.
     connection_events: mpsc::Sender<LinkMessage>,
     directory_syncs: Option<DirectorySyncs>,
     snapshot_writer: Option<SyncSender<TenantSnapshot>>,
     lease_deadline: Option<LeaseDeadline>,
     rolling_restarts: Option<RollingRestartCoordinator>,
     planner_links: Option<PeerLinks>,
-    /// All slots in the installation's order, where the planner works on a subset.
+    /// The names of all slots, in the installation's order; empty if the planner has no subset.
     slots: Vec<Rc<str>>,
 }
 
-/// Serves until `stop` is done. Clients and operators connect to `listener`.
+/// Runs a planner until `stop` completes. Clients, operators and other planners connect to
+/// `listener`.
 pub async fn serve(listener: TcpListener, config: PlannerConfig, stop: impl Future<Output = ()>) {
     let actor = async move {
         let (service, inboxes) = PlannerService::start(config);
@@ -124,7 +130,7 @@
 }
 
 impl PlannerService {
-    /// Builds the actor and the channels that it reads.
+    /// Creates the actor and the channels from which it receives events.
     fn start(config: PlannerConfig) -> (Self, Inboxes) {
         let clock = Clock::start();
         let (seed, epoch) = (config.identity.seed, config.identity.epoch);
@@ -135,7 +141,7 @@
             link: 0,
             login: String::new(),
         };
-        // Machines and the registry have an inbox of their own, which goes first.
+        // Events of machines and the registry have a channel of their own, which is read first.
         let (peer_events, peers) = mpsc::channel(EVENT_CAPACITY);
         let (connection_events, connections) = mpsc::channel(EVENT_CAPACITY);
         let (sync_events, directory) = mpsc::channel(SYNC_EVENT_CAPACITY);
--- a/planner/src/service/outputs.rs
+++ b/planner/src/service/outputs.rs
@@ -1,4 +1,5 @@
-//! Carrying out what the planner's state, the links to other planners and the rolling restarts decided.
+//! Carries out the decisions of the planner's state, of the links to other planners and of the
+//! rolling-restart coordinator.
 use super::tenant_snapshots::TenantSnapshot;
 use super::PlannerService;
 use crate::peer_links::PeerLinks;
@@ -9,9 +10,9 @@
 use tokio::sync::mpsc::error::TrySendError;
 
 impl PlannerService {
-    /// Sends the frames and opens the links that were decided on. What a link does not take is reported to the
-    /// planner's state at once; a client that does not read loses its connection: it may ask again and gets the
-    /// same answer.
+    /// Sends the pending frames and opens the pending links. An attempt that a link cannot send is
+    /// reported to the planner's state at once. A client that does not read its frames is
+    /// disconnected; it may repeat its request on a new connection and gets the same answer.
     pub(super) fn carry_out(&mut self) {
         while let Some(output) = self.state.next_output() {
             match output {
@@ -43,26 +44,27 @@
         }
     }
 
-    /// Sends a frame to the registry, where it is linked.
+    /// Sends a frame to the registry if the link to it is up.
     fn send_registry(&mut self, body: Body) {
         if let Some(peer_link) = self.peer_links.get(&REGISTRY) {
             let _ = peer_link.commands.try_send(LinkCommand::Send(body, None));
         }
     }
 
-    /// Hands a snapshot of the tenants to its writer, unless too many wait for the disk.
+    /// Queues a tenant snapshot for the writer thread, unless too many snapshots wait for the disk.
     fn store_tenants(&mut self, snapshot: TenantSnapshot) {
-        let full = self.snapshot_writer.as_ref().is_some_and(|writer| writer.try_send(snapshot).is_err());
-        if full {
-            tracing::warn!("tenants are not remembered: the disk is too slow");
+        let is_full = self.snapshot_writer.as_ref().is_some_and(|writer| writer.try_send(snapshot).is_err());
+        if is_full {
+            tracing::warn!("the disk is too slow for a tenant snapshot; retrying after the next full sync");
             self.state.tenants_not_stored();
         }
     }
 
-    /// Sends a frame to a machine. Where `mark` names an attempt and the frame cannot be sent, the planner's
-    /// state learns so at once.
+    /// Sends a frame to a machine. `mark` is the number of the attempt that the frame launches; if
+    /// that frame cannot be sent, the planner's state is notified at once.
     fn send_machine(&mut self, machine: usize, body: Body, mark: Option<u64>) {
-        // A process that was stopped may wake with attempts decided: by then another may hold its slot.
+        // A process that was suspended may resume with launches pending, when another planner may
+        // already hold its slot.
         let lease_expired =
             mark.is_some() && self.lease_deadline.as_ref().is_some_and(|deadline| !deadline.is_held());
         if let Some(peer_link) = self.peer_links.get(&machine).filter(|_| !lease_expired) {
@@ -71,9 +73,9 @@
                 Err(TrySendError::Full(_)) => {
                     tracing::warn!(
                         machine = self.state.machine_name(machine),
-                        "the machine does not read; its link ends"
+                        "the machine does not read its frames; closing the link"
                     );
-                    // Dropping the sender of commands ends the link once it has taken those that wait.
+                    // Dropping the command sender ends the link after its queued commands.
                     self.peer_links.remove(&machine);
                 }
                 Err(TrySendError::Closed(_)) => {}
@@ -84,11 +86,11 @@
         }
     }
 
-    /// Sends a frame to a client or operator; one that does not read is cut off.
+    /// Sends a frame to a client or operator, and disconnects a peer that does not read its frames.
     fn send_client(&mut self, connection: u64, body: Body) {
         let Some(commands) = self.connections.get(&connection) else { return };
         if let Err(TrySendError::Full(_)) = commands.try_send(LinkCommand::Send(body, None)) {
-            tracing::warn!(conn = connection, "an owner does not read; its connection ends");
+            tracing::warn!(conn = connection, "the client does not read its frames; closing the connection");
             self.connections.remove(&connection);
         }
     }
--- a/planner/src/service/tenant_snapshots.rs
+++ b/planner/src/service/tenant_snapshots.rs
@@ -1,25 +1,29 @@
-//! What of the directory of tenants outlives a planner: read at its start, written on a thread of its own.
+//! Stores snapshots of the tenants, so that a restarted planner knows them before its first sync
+//! with the directory. Snapshots are read at the start and written on a separate thread.
 use crate::tenant_access::{DirectoryAccess, DirectoryOptions};
 use basaltpitch_ldap::DirectorySettings;
 use basaltpitch_snapshot_store::SnapshotStore;
 use basaltpitch_tenants::tenant_directory::FORMAT;
 use std::sync::mpsc::{sync_channel, SyncSender};
 
-/// Names of stored snapshots: all tenants, and when they were last read in full.
+/// Name of the stored snapshot of all tenants.
 const TENANTS: &str = "tenants";
+/// Name of the stored snapshot that holds only the time of the last full sync.
 const LAST_FULL_SYNC: &str = "tenants heard";
-/// Snapshots that may wait for the disk; a further one waits for the next full sync.
+/// Limit on the snapshots that wait for the disk; a snapshot over the limit is retried after the
+/// next full sync.
 const SNAPSHOT_CAPACITY: usize = 4;
 
-/// A snapshot to store.
+/// A tenant snapshot to store.
 pub(super) struct TenantSnapshot {
-    /// When the directory was last read in full, in microseconds.
+    /// Time of the last full sync with the directory, in microseconds.
     pub(super) last_full_sync_us: i64,
-    /// All tenants, where anything changed; else only the time is stored.
+    /// All tenants, encoded; `None` if nothing changed, in which case only the time is stored.
     pub(super) tenants: Option<Vec<u8>>,
 }
 
-/// Writes snapshots on a thread of its own: the disk must not hold up the planner.
+/// Starts the thread that writes snapshots, so that a slow disk does not block the planner. Returns
+/// the channel for the snapshots; the thread ends when the channel is closed.
 pub(super) fn spawn_writer(store: SnapshotStore) -> SyncSender<TenantSnapshot> {
     let (snapshots, inbox) = sync_channel::<TenantSnapshot>(SNAPSHOT_CAPACITY);
     std::thread::spawn(move || {
@@ -29,19 +33,19 @@
                 None => Ok(()),
             };
             if let Err(e) = stored.and_then(|()| store.put(LAST_FULL_SYNC, FORMAT, last_full_sync_us, &[])) {
-                tracing::error!(error = %e, "tenants cannot be remembered; the planner serves on");
+                tracing::error!(error = %e, "cannot store the tenant snapshot; serving continues without it");
             }
         }
     });
     snapshots
 }
 
-/// Reads the stored tenants, with the time of the last full sync in microseconds. What cannot be read is
-/// logged and left out.
+/// Reads the stored tenants and the time of the last full sync, in microseconds. A snapshot that
+/// cannot be read is logged and skipped.
 fn load(store: &SnapshotStore) -> Option<(i64, Vec<u8>)> {
     let get = |name| {
         store.get(name, FORMAT).unwrap_or_else(|e| {
-            tracing::error!(error = %e, "what is remembered of tenants cannot be read; beginning without it");
+            tracing::error!(error = %e, "cannot read the stored tenant snapshot; starting without it");
             None
         })
     };
@@ -50,23 +54,25 @@
     Some((last_full_sync_us, all.bytes))
 }
 
-/// Begins to learn tenants from a directory, with what an earlier process stored.
+/// Creates the directory access from the tenants that an earlier process stored, or without tenants
+/// if no valid snapshot is stored.
 pub(super) fn restore(
     seed: u64,
     now_us: i64,
     directory: &DirectorySettings,
     store: Option<&SnapshotStore>,
 ) -> DirectoryAccess {
-    let ways = DirectoryOptions {
+    let options = DirectoryOptions {
         servers: directory.source.urls.clone(),
         access_policy: directory.terms.clone(),
         sync_schedule: directory.pace,
         change_guard: directory.caution,
     };
     let stored = store.and_then(load);
-    let restored = DirectoryAccess::new(seed, now_us, ways.clone(), stored.as_ref().map(|s| (s.0, &s.1[..])));
+    let restored =
+        DirectoryAccess::new(seed, now_us, options.clone(), stored.as_ref().map(|s| (s.0, &s.1[..])));
     restored.unwrap_or_else(|e| {
-        tracing::error!(error = e, "what is remembered of tenants makes no sense; beginning without it");
-        DirectoryAccess::new(seed, now_us, ways, None).expect("nothing is remembered")
+        tracing::error!(error = e, "the stored tenant snapshot is invalid; starting without it");
+        DirectoryAccess::new(seed, now_us, options, None).expect("a directory access without a snapshot")
     })
 }
