--- a/planner/src/peer_links.rs
+++ b/planner/src/peer_links.rs
@@ -1,6 +1,6 @@
-//! A planner's links to other planners: between the lease client, which says who holds which slot and where,
-//! the sockets, and the decisions of `basaltpitch_gossip`. What other planners report goes in; frames, links
-//! to dial and links to close come out.
+//! A planner's links to other planners. Connects the lease client, which reports the holder and the
+//! address of each slot, the sockets, and the gossip protocol of `basaltpitch_gossip`. Its inputs
+//! are the summaries of other planners; its outputs are frames, links to dial and links to close.
 mod status;
 
 use crate::lease_client::{LeaseCommand, LeaseDeadline, LeaseEvent};
@@ -25,74 +25,76 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// It publishes its own summary each so often.
+/// Interval at which the planner publishes its own summary.
 const PUBLISH_INTERVAL_US: i64 = 1_000_000;
-/// An error about a peer's summaries is logged at most each so often.
+/// Least time between two logged errors about the summaries of one peer.
 const LOG_INTERVAL_US: i64 = 10 * PUBLISH_INTERVAL_US;
-/// Links that this side dials are numbered from here; the others have the numbers of their connections.
+/// Links that this planner dials have numbers above this, so that they differ from the numbers of
+/// accepted connections.
 const FIRST_DIALED: u64 = 1 << 63;
-/// Recent attempts count for this part of what they did, each time that the summary is published.
+/// Factor by which earlier attempts lose weight each time the summary is published.
 const ATTEMPTS_DECAY: f64 = 0.7;
 
-/// What a planner that holds a slot needs to know to link to the others.
+/// Configuration of the links between planners that hold slots.
 pub struct PeerLinksConfig {
     /// The names of all slots, in the installation's order.
     pub slots: Vec<Rc<str>>,
-    /// Which of them is this planner's.
+    /// Index of this planner's own slot in `slots`.
     pub own_slot: usize,
-    /// Where others reach it; none: nowhere.
+    /// Address at which other planners reach this planner; `None` if they cannot reach it.
     pub address: Option<String>,
     /// The names of all zones, in the installation's order.
     pub zones: Vec<String>,
-    /// The zone that this planner is in.
+    /// Index of this planner's own zone in `zones`.
     pub own_zone: usize,
-    /// The region of each zone.
+    /// The region of each zone, by the zone's index.
     pub zone_regions: Vec<usize>,
-    /// Bytes a second for control, in and out; none: no limit.
+    /// Budget for control traffic in both directions, in bytes per second; `None` means no limit.
     pub bytes_per_second: Option<f64>,
-    /// Admission here does not weigh what other planners report.
+    /// Whether admission control ignores the demand that other planners report.
     pub ignore_peer_demand: bool,
-    /// Until when this planner holds its slot.
+    /// Time until which this planner holds its slot.
     pub lease_deadline: LeaseDeadline,
-    /// To the lease client.
+    /// Commands for the lease client.
     pub commands: mpsc::Sender<LeaseCommand>,
 }
 
-/// Attempts in one zone.
+/// The attempts of this planner in one zone.
 #[derive(Clone, Copy, Default)]
 struct AttemptRates {
-    /// All, and those refused or failed, as they were counted last.
+    /// Total attempts, and those refused or failed, at the last count.
     counted: [u64; 2],
-    /// The same, where earlier ones count for less.
+    /// The same two counts, with weights that decay over time.
     recent: [f64; 2],
 }
 
-/// What is fresh of one planner, or of another zone as one.
+/// A fresh summary of one planner, or the merged summary of another zone's planners.
 struct PeerReport {
     planners: usize,
     age_us: i64,
     shared: SharedMetrics,
 }
 
-/// The other planners, as this one knows them.
+/// The links to other planners and the summaries received from them.
 pub struct PeerLinks {
     config: PeerLinksConfig,
     gossip: Gossip<MetricLayout>,
-    /// Where frames for each link go.
-    orders: HashMap<u64, mpsc::Sender<LinkCommand>>,
-    /// The slots that are dialled, by link.
+    /// Command channel of each link, by link number.
+    link_commands: HashMap<u64, mpsc::Sender<LinkCommand>>,
+    /// Slots to which this planner opened a link, by link number.
     dialed: HashMap<u64, usize>,
     last_dialed: u64,
     publish_at_us: i64,
     zone_monitor: ZoneMonitor,
-    /// By zone.
+    /// This planner's attempts, by zone.
     attempts: Vec<AttemptRates>,
-    /// By slot, when an error about its summaries was logged last.
+    /// Time of the last logged error about a peer's summaries, by the peer's slot.
     logged_at_us: BTreeMap<usize, i64>,
 }
 
 impl PeerLinks {
-    /// This planner holds its slot under `token`; `seed` is for the draws of gossip.
+    /// Creates the state without links, and writes this planner's address to its slot's lease
+    /// metadata. `token` is the fencing token of its slot; `seed` seeds gossip's random choices.
     pub fn new(now_us: i64, config: PeerLinksConfig, token: u64, seed: u64) -> Self {
         let (slots, zone_count) = (config.slots.len(), config.zones.len());
         let gossip_config = GossipConfig::for_installation(slots, zone_count, config.bytes_per_second);
@@ -106,19 +108,19 @@
         let layout = shared_metrics::layout(zone_count);
         let gossip = Gossip::new(now_us, gossip_config, membership, layout, seed);
         if let Some(address) = &config.address {
-            // Where it listens, and its zone, are the metadata of its slot's lease.
+            // The lease metadata of a slot is its holder's address and zone.
             let zone = config.zones.get(config.own_zone).map_or("", String::as_str);
             let lease = config.slots[config.own_slot].clone();
             let metadata = format!("{address} {zone}").into_bytes();
             if config.commands.try_send(LeaseCommand::WriteMetadata { lease, token, metadata }).is_err() {
-                tracing::error!("the council takes no note of the address: other planners do not link here");
+                tracing::error!("cannot queue the lease metadata with this planner's address; other planners will not connect to it");
             }
         }
         let zone_monitor = ZoneMonitor::new(config.zones.clone(), config.commands.clone());
         PeerLinks {
             config,
             gossip,
-            orders: HashMap::new(),
+            link_commands: HashMap::new(),
             dialed: HashMap::new(),
             last_dialed: FIRST_DIALED,
             publish_at_us: now_us,
@@ -128,22 +130,24 @@
         }
     }
 
-    /// What became of the lease of the zones' coordinator.
+    /// Handles an event of the failover coordinator's lease.
     pub fn coordinator_event(&mut self, now_us: i64, state: &mut PlannerState, event: LeaseEvent) {
         self.zone_monitor.lease_event(now_us, event);
-        // The coordinator acts on its own decision as soon as it is stored: others may have it, and rely on it.
+        // The coordinator applies its decision once a majority stores it, because other planners may
+        // already have received it and rely on it.
         state.hold_back_zones(now_us, self.zone_monitor.phases());
     }
 
-    /// The time at which `advance` has something to do.
+    /// Returns the time at which `advance` has something to do, in microseconds.
     pub fn next_due_us(&self) -> i64 {
         self.gossip.next_due_us().min(self.publish_at_us)
     }
 
-    /// Time passes. A planner that lost its slot, and does not know it yet, publishes nothing.
+    /// Publishes this planner's summary and runs gossip timers that are due. Nothing is published
+    /// after the slot's lease deadline, even if the loss of the slot was not reported yet.
     pub fn advance(&mut self, now_us: i64, state: &mut PlannerState) {
-        // The service lets time pass at each timer of the planner's: what hundreds of slots report is read anew
-        // only when something is due here.
+        // The service calls this for every timer of the planner. The summaries of hundreds of slots
+        // are read again only when a timer of this module is due.
         if now_us < self.next_due_us() {
             return;
         }
@@ -153,7 +157,7 @@
             self.observe_zones(now_us, state);
             if self.config.lease_deadline.is_held() {
                 if let Err(e) = self.gossip.publish(now_us, self.own_metrics(now_us, state)) {
-                    tracing::error!(error = %e, "this planner's own summary cannot be true");
+                    tracing::error!(error = %e, "this planner's own summary is invalid; not publishing it");
                 }
             }
         }
@@ -167,7 +171,8 @@
         }
     }
 
-    /// What is fresh of others: planners one by one, and those of other zones as one.
+    /// Returns the fresh summaries of other planners, and the fresh merged summary of each zone of
+    /// which only that is known.
     fn fresh_reports(&self, now_us: i64) -> Vec<PeerReport> {
         let zone_count = self.config.zones.len();
         let report = |planners, age_us, metrics: &Metrics| {
@@ -186,7 +191,7 @@
         others.filter_map(of_slot).chain(self.gossip.remote_zones().filter_map(of_zone)).collect()
     }
 
-    /// What this planner publishes of itself.
+    /// Returns the metrics that this planner publishes.
     fn own_metrics(&self, now_us: i64, state: &mut PlannerState) -> Metrics {
         let counts = state.counts;
         let shared = SharedMetrics {
@@ -204,6 +209,7 @@
         shared.to_metrics(self.config.zones.len())
     }
 
+    /// Updates the decaying counts of this planner's attempts in each zone.
     fn count_attempts(&mut self, state: &PlannerState) {
         for (zone, rates) in self.attempts.iter_mut().enumerate() {
             let attempts = state.zone_attempts(zone);
@@ -215,7 +221,7 @@
         }
     }
 
-    /// What this planner itself sees of each zone.
+    /// Returns this planner's own observations of each zone.
     fn own_zone_metrics(&self, state: &PlannerState) -> Vec<ZoneMetrics> {
         let attempts_only = |rates: &AttemptRates| {
             let mut metrics = [0.0; ZONE_METRICS.len()];
@@ -223,7 +229,7 @@
             metrics
         };
         let mut zones: Vec<ZoneMetrics> = self.attempts.iter().map(attempts_only).collect();
-        // Cores are those of the fleet, of which a subset is a sample.
+        // The subset is a sample of the fleet, so its cores are scaled up to the fleet.
         let fleet_share = state.fleet_to_subset_ratio();
         for (_, availability, belief) in state.observable_machines() {
             let Some(metrics) = zones.get_mut(availability.location.1) else { continue };
@@ -238,7 +244,8 @@
         zones
     }
 
-    /// What all planners that are heard report of zones; machines are held back by the decision that counts.
+    /// Passes the observations of all planners with a fresh summary to the zone monitor, then
+    /// withholds work from machines according to the newest known failover decision.
     fn observe_zones(&mut self, now_us: i64, state: &mut PlannerState) {
         let own_zone = self.config.own_zone;
         let mut observed = vec![ObservedZones { own_zone, planners: 1, zones: self.own_zone_metrics(state) }];
@@ -250,7 +257,7 @@
         state.hold_back_zones(now_us, self.zone_monitor.phases());
     }
 
-    /// A voter's copy of the decision on zones, as the coordinator under this token wrote it.
+    /// Handles a voter's copy of the failover decision, which the coordinator with this token wrote.
     pub fn decision_from_voter(
         &mut self,
         now_us: i64,
@@ -263,7 +270,8 @@
         }
     }
 
-    /// A slot was acquired under `token`; its lease metadata says where its planner listens, and its zone.
+    /// Records that a slot is held under `token`. Its lease metadata is the address and the zone of
+    /// its holder, separated by a space; `None` if the holder has not written it.
     pub fn slot_assigned(&mut self, now_us: i64, slot: &str, token: u64, metadata: Option<&str>) {
         let Some(slot) = self.config.slots.iter().position(|name| **name == *slot) else { return };
         let parse = |metadata: &str| {
@@ -280,38 +288,39 @@
         self.gossip.slot_assigned(now_us, slot, token, address.and_then(Result::ok));
     }
 
-    /// A planner said hello, over a link of either side.
+    /// Handles the hello of another planner, on a link that either side opened.
     ///
     /// # Errors
-    /// The link is to be closed.
+    /// The peer holds another slot than the dialled one, its slot does not exist or is this
+    /// planner's own, or its token is outdated. The caller must close the link.
     pub fn link_up(
         &mut self,
         now_us: i64,
         link: u64,
         peer: &PeerIdentity,
-        orders: mpsc::Sender<LinkCommand>,
+        commands: mpsc::Sender<LinkCommand>,
     ) -> Result<(), InvalidSummary> {
         let dialed = self.dialed.get(&link).copied();
         let slots = self.config.slots.len();
         let slot = self.config.slots.iter().position(|name| **name == *peer.name).unwrap_or(slots);
-        self.orders.insert(link, orders);
+        self.link_commands.insert(link, commands);
         if let Some(expected) = dialed.filter(|dialed| *dialed != slot) {
-            // Its address belongs to another process by now.
+            // Another process has taken over the address since it was announced.
             return Err(InvalidSummary::Slot { peer: expected, found: slot, slots });
         }
         let peer = LinkedPeer { slot, token: peer.epoch, outbound: dialed.is_some() };
         let linked = self.gossip.link_up(now_us, link, peer);
         if let (Err(_), Some(slot)) = (&linked, dialed) {
-            // Dialled again at once, it would answer the same.
+            // An immediate redial would be rejected in the same way, so gossip waits before the next.
             self.gossip.dial_failed(now_us, slot);
         }
         linked
     }
 
-    /// A frame of a planner's.
+    /// Handles a frame from another planner.
     ///
     /// # Errors
-    /// The link is to be closed.
+    /// The frame is malformed. The caller must close the link.
     pub fn receive_frame(&mut self, now_us: i64, link: u64, body: Body) -> Result<(), InvalidSummary> {
         let peer = self.gossip.peer_slot(link).unwrap_or_default();
         match body {
@@ -322,41 +331,43 @@
             Body::Summaries(summaries) => {
                 let (request_id, deltas) = summary_codec::decode_reply(peer, summaries)?;
                 let invalid = self.gossip.receive_reply(now_us, link, request_id, deltas);
-                invalid.iter().for_each(|one| self.log_invalid(now_us, one));
+                invalid.iter().for_each(|error| self.log_invalid(now_us, error));
                 Ok(())
             }
             _ => Ok(()),
         }
     }
 
-    /// Each frame may hold one summary of many that is invalid: it is logged of each peer once in a while.
+    /// Logs an invalid summary. The log rate is limited per peer, because a faulty peer may send an
+    /// invalid summary in every frame.
     fn log_invalid(&mut self, now_us: i64, invalid: &InvalidSummary) {
         let help = invalid.advice();
         if invalid.is_expected() {
-            return tracing::debug!(error = %invalid, help, "a summary is dropped");
+            return tracing::debug!(error = %invalid, help, "dropping an invalid summary from another planner");
         }
         let logged_at_us = self.logged_at_us.entry(invalid.peer()).or_insert(i64::MIN);
         if now_us.saturating_sub(LOG_INTERVAL_US) >= *logged_at_us {
             *logged_at_us = now_us;
-            tracing::error!(error = %invalid, help, "a summary is dropped");
+            tracing::error!(error = %invalid, help, "dropping an invalid summary from another planner");
         }
     }
 
-    /// Whether this link is one to a planner.
+    /// Returns whether this link leads to another planner that has sent its hello.
     pub fn has_link(&self, link: u64) -> bool {
-        self.orders.contains_key(&link)
+        self.link_commands.contains_key(&link)
     }
 
-    /// A link is gone, or a planner that was dialled did not answer.
+    /// Records the end of a link, or a failure to connect to a planner that was dialled.
     pub fn link_down(&mut self, now_us: i64, link: u64) {
-        let was_up = self.orders.remove(&link).is_some();
+        let was_up = self.link_commands.remove(&link).is_some();
         match self.dialed.remove(&link) {
             Some(slot) if !was_up => self.gossip.dial_failed(now_us, slot),
             _ => self.gossip.link_down(now_us, link),
         }
     }
 
-    /// Hands frames and closings to links; the next planner to dial: the number of the link, and the address.
+    /// Sends the pending frames and close commands to the links. Returns the number of the link and
+    /// the address if a planner is to be dialled; call again until the result is `None`.
     pub fn next_dial(&mut self) -> Option<(u64, Rc<str>)> {
         while let Some(action) = self.gossip.next_action() {
             match action {
@@ -366,11 +377,11 @@
                     return Some((self.last_dialed, address));
                 }
                 GossipAction::CloseLink { link } => {
-                    self.order(link, LinkCommand::Close("linked to another planner".into()));
+                    self.send_command(link, LinkCommand::Close("linked to another planner".into()));
                 }
                 action => {
                     if let Some((link, body)) = summary_codec::encode(&action) {
-                        self.order(link, LinkCommand::Send(body, None));
+                        self.send_command(link, LinkCommand::Send(body, None));
                     }
                 }
             }
@@ -378,10 +389,11 @@
         None
     }
 
-    /// What a link does not take counts as lost: the next round asks again.
-    fn order(&self, link: u64, order: LinkCommand) {
-        if let Some(orders) = self.orders.get(&link) {
-            let _ = orders.try_send(order);
+    /// Sends a command to a link. A command that the link's full queue does not accept is dropped;
+    /// the next gossip round repeats the request.
+    fn send_command(&self, link: u64, command: LinkCommand) {
+        if let Some(commands) = self.link_commands.get(&link) {
+            let _ = commands.try_send(command);
         }
     }
 }
--- a/planner/src/peer_links/status.rs
+++ b/planner/src/peer_links/status.rs
@@ -1,4 +1,5 @@
-//! What operators see of the other planners. The keys are those of the `-o json` output.
+//! The status of the other planners, as shown to operators. The keys are those of the `-o json`
+//! output.
 use super::PeerLinks;
 use crate::shared_metrics::{SharedMetrics, COUNTS};
 use basaltpitch_gossip::{Freshness, Metrics};
@@ -6,16 +7,16 @@
 use serde::Serialize;
 use serde_json::{json, Map, Value};
 
-/// All that is known of other planners.
+/// The state of the zones, the links, and the summaries of other planners.
 #[derive(Serialize)]
 struct PeersStatus<'a> {
     #[serde(rename = "halls")]
     zone_states: Value,
-    /// The slots of the planners to which a link is up.
+    /// The slots of the planners to which a link is up, by name.
     links: Vec<&'a str>,
     #[serde(rename = "seats")]
     slots: Vec<SlotStatus<'a>>,
-    /// Zones of which only a summary is known.
+    /// Zones of which only the merged summary of their planners is known.
     zones: Vec<RemoteZoneStatus<'a>>,
     #[serde(rename = "bytes_told")]
     bytes_sent: u64,
@@ -23,7 +24,7 @@
     coarseness: u32,
 }
 
-/// A slot: how fresh its summary is, and what it reports.
+/// The freshness and the metrics of one slot's summary.
 #[derive(Serialize)]
 struct SlotStatus<'a> {
     #[serde(rename = "seat")]
@@ -38,7 +39,7 @@
     zone: Option<&'a str>,
 }
 
-/// The same of a zone.
+/// The freshness and the metrics of a zone's merged summary.
 #[derive(Serialize)]
 struct RemoteZoneStatus<'a> {
     zone: Option<&'a str>,
@@ -54,14 +55,14 @@
     zone_metrics: Value,
 }
 
-/// To a thousandth, as it is printed.
+/// Rounds a metric to thousandths for the output.
 fn rounded(metric: f64) -> Value {
     json!((metric * 1000.0).round() / 1000.0)
 }
 
 impl PeerLinks {
-    /// What operators see: each slot, how fresh its summary is, how old, and what it reports; the same of each
-    /// zone of which only a summary is known.
+    /// Returns the status for operators: for each slot the freshness, the age and the metrics of its
+    /// summary, and the same for each zone of which only a merged summary is known.
     pub fn view(&self, now_us: i64) -> Value {
         let status = PeersStatus {
             zone_states: self.zone_monitor.view(),
@@ -71,7 +72,7 @@
             bytes_sent: self.gossip.bytes_sent(),
             coarseness: self.gossip.coarseness(),
         };
-        serde_json::to_value(status).expect("plain fields")
+        serde_json::to_value(status).expect("a status that serializes to JSON")
     }
 
     fn slot_status(&self, now_us: i64, slot: usize) -> SlotStatus<'_> {
@@ -84,7 +85,7 @@
         };
         let state = match freshness {
             _ if slot == self.config.own_slot => "this planner",
-            // No request is open with it.
+            // Metric 0 is the number of open requests: the planner is idle.
             Freshness::Fresh { metrics, .. } if metrics.get(0) == 0.0 => "quiet",
             freshness => freshness.label(),
         };
@@ -120,7 +121,8 @@
         self.config.zones.get(zone).map(String::as_str)
     }
 
-    /// Counts by name, and by zone its metrics and the decision; nothing of either where nothing is known.
+    /// Returns the counts by name, and by zone name the zone's metrics and phase code; two empty
+    /// objects without a summary.
     fn named_metrics(&self, metrics: Option<&Metrics>) -> (Value, Value) {
         let shared = metrics.and_then(|known| SharedMetrics::from_metrics(known, self.config.zones.len()));
         let Some(shared) = shared else { return (json!({}), json!({})) };
