--- a/planner/src/lease_client.rs
+++ b/planner/src/lease_client.rs
@@ -1,6 +1,7 @@
-//! A planner's lease client on sockets: links to the voters, the slot that it holds, the leases beside it, and the
-//! deadline that is checked before each act. It decides nothing: `basaltpitch_lease` says what to request and what
-//! is held.
+//! Runs a planner's lease client on sockets: the links to the voters, the slot that the process
+//! holds, the leases that it acquires beside the slot, and the deadline that is checked before each
+//! action under a lease. The decisions are made by `basaltpitch_lease`, which determines what to
+//! request and what is held.
 mod actions;
 mod actor;
 mod records;
@@ -15,50 +16,55 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-const INBOX: usize = 256;
-/// How long the links' tasks are given to send the last frames.
+/// Limit on the events that wait in each channel of the lease client.
+const EVENT_CAPACITY: usize = 256;
+/// Time that the links' tasks have to send the last frames before the client ends.
 const FLUSH_TIME: Duration = Duration::from_millis(30);
-/// The longest time between two looks at the clock, in microseconds.
-const LONGEST_SLEEP_US: i64 = 1_000_000;
+/// Longest sleep between two readings of the clock, in microseconds.
+const MAX_SLEEP_US: i64 = 1_000_000;
 
-/// How a lease client is started.
+/// Configuration of a lease client.
 pub struct LeaseClientConfig {
-    /// How long votes bind.
+    /// The duration of a lease and the tolerated clock drift.
     pub lease_config: LeaseConfig,
-    /// All voters.
+    /// The endpoints of all voters.
     pub voters: Vec<VoterEndpoint>,
-    /// The slots that it may take.
+    /// The slots of which the process may acquire one.
     pub slots: Vec<Rc<str>>,
-    /// The leases that it acquires beside a slot.
+    /// The leases that the process acquires beside a slot.
     pub leases: Vec<Rc<str>>,
-    /// The leases whose metadata it follows while it holds one of `leases`.
+    /// The leases whose metadata the client reports while the process holds one of `leases`.
     pub followed: Vec<Rc<str>>,
-    /// What the names of all slots begin with, for a process that is to know of the others while it has a slot.
+    /// The prefix of all slots' names. With it, the client reports the holders of all slots while
+    /// the process holds a slot; with `None` it does not.
     pub slot_prefix: Option<Rc<str>>,
-    /// The leases whose metadata it is to know of while it has a slot.
+    /// The leases whose metadata the client reports, as one voter stores it, while the process
+    /// holds a slot.
     pub announced: Vec<Rc<str>>,
-    /// Where events of leases go, for a process that wants them without a slot.
+    /// Receives the events of leases in a process that acquires leases without a slot; `None` if
+    /// leases are acquired only beside a slot.
     pub events: Option<mpsc::Sender<LeaseEvent>>,
-    /// Who it is: a name of its own and the time of its start.
+    /// The identity with which the process requests votes: its name and its epoch.
     pub identity: PeerIdentity,
-    /// What its links to voters share with the others of the process.
+    /// The settings that these links share with the process's other links.
     pub links: LinkConfig,
-    /// Where chance starts from.
+    /// The random seed.
     pub seed: u64,
 }
 
-/// Until when the holder of a lease may act, by the clock that runs on while the machine is suspended. To be asked
-/// before each act. Its clones share one value, which renewals move.
+/// The time until which the holder of a lease may act, by a clock that keeps running while the
+/// machine is suspended. The holder checks it before each action. Clones share one value, which
+/// renewals extend.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseDeadline(Rc<Cell<i64>>);
 
 impl LeaseDeadline {
-    /// A deadline at this time of `boottime_us`.
+    /// Creates a deadline at this time of the clock `boottime_us`.
     pub fn at_us(deadline_us: i64) -> LeaseDeadline {
         LeaseDeadline(Rc::new(Cell::new(deadline_us)))
     }
 
-    /// Whether it is still ahead.
+    /// Returns whether the deadline has not passed yet.
     pub fn is_held(&self) -> bool {
         boottime_us() < self.0.get()
     }
@@ -68,102 +74,105 @@
     }
 }
 
-/// What becomes of the slot.
+/// A change of the slot that the process holds.
 #[derive(Debug)]
 pub enum SlotEvent {
-    /// A slot is held from now on. What comes of other leases meanwhile is received from `lease_events`.
+    /// The process acquired a slot. Events of other leases arrive on `lease_events`.
     Acquired {
         /// The slot's name.
         slot: Rc<str>,
         /// Its fencing token.
         token: u64,
-        /// Events of the leases beside the slot, until it is lost.
+        /// Events of the leases beside the slot, until the slot is lost.
         lease_events: mpsc::Receiver<LeaseEvent>,
     },
-    /// The slot is held no more.
+    /// The process no longer holds the slot, or an operator requested its transfer.
     Lost,
 }
 
-/// What a voter keeps of one lease that its holder announced.
+/// A voter's record of one slot or announced lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseRecord {
     /// The lease's name.
     pub lease: Rc<str>,
-    /// The token of its holder, or the one under which the metadata was written.
+    /// The token of the slot's holder; for an announced lease, the token under which the metadata
+    /// was written.
     pub token: u64,
-    /// What the holder has written, if anything.
+    /// The metadata that the holder wrote; `None` if it wrote none.
     pub metadata: Option<Vec<u8>>,
 }
 
-/// What becomes of the leases beside a slot.
+/// An event of the leases beside a slot, or of the voters' records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// It is held from now on, until the deadline passes.
+    /// The process acquired the lease and holds it until the deadline passes.
     Acquired {
         /// The lease's name.
         lease: Rc<str>,
         /// Its fencing token.
         token: u64,
-        /// What its last holder left.
+        /// The metadata that the previous holder wrote.
         metadata: Vec<u8>,
-        /// Until when its holder may act.
+        /// The time until which the process may act under the lease.
         deadline: LeaseDeadline,
     },
-    /// It is held no more.
+    /// The process no longer holds the lease.
     Lost {
         /// The lease's name.
         lease: Rc<str>,
     },
-    /// A majority keeps the metadata that was last written.
+    /// A majority of voters stores the metadata that was last written.
     MetadataRecorded {
         /// The lease's name.
         lease: Rc<str>,
     },
-    /// The metadata of a followed lease, as a majority keeps it.
+    /// The metadata of a followed lease changed, as a majority of voters stores it.
     MetadataChanged {
         /// The lease's name.
         lease: Rc<str>,
-        /// What its holder has written.
+        /// The metadata that its holder wrote.
         metadata: Vec<u8>,
     },
-    /// Slots and announced leases that changed, as one voter keeps them.
+    /// The slots and announced leases that changed, as one voter stores them.
     Records(Vec<LeaseRecord>),
-    /// All slots that are held now, as one voter keeps them.
+    /// The names of all slots that are currently held, as one voter stores them.
     HeldSlots(Vec<Rc<str>>),
 }
 
-/// What the process asks of its lease client.
+/// A command of the process to its lease client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseCommand {
-    /// What acted under the slot has stopped: it is released, and none is wanted any more.
+    /// The planner that acted under the slot has stopped. The client releases the slot and all
+    /// leases, and ends.
     ReleaseAll,
-    /// What acted under a slot that was lost has stopped: another may be taken.
+    /// The planner that acted under the lost slot has stopped. The client may acquire another slot.
     SeekSlot,
-    /// Metadata is to be kept by a majority, if the lease is held under this token.
+    /// Stores metadata at a majority of voters, if the lease is held under this token.
     WriteMetadata {
         /// The lease's name.
         lease: Rc<str>,
-        /// The token under which it is held.
+        /// The token under which the lease is held.
         token: u64,
-        /// What is to be kept.
+        /// The metadata to store.
         metadata: Vec<u8>,
     },
 }
 
-/// Takes a slot when one is free, holds it, and reports when it is lost; until `commands` ends or says to release all.
-/// `deadline` is that of the slot.
+/// Acquires a slot when one is free, renews it, and reports its loss. Returns after
+/// [`LeaseCommand::ReleaseAll`], or once `commands` is closed. `deadline` is set to the time until
+/// which the slot is held.
 pub async fn run(
     config: LeaseClientConfig,
     deadline: LeaseDeadline,
     slot_events: mpsc::Sender<SlotEvent>,
     mut commands: mpsc::Receiver<LeaseCommand>,
 ) {
-    let (link_events, mut link_events_in) = mpsc::channel(INBOX);
+    let (link_event_sender, mut link_events) = mpsc::channel(EVENT_CAPACITY);
     let dialer = VoterDialer {
         links: config.links.clone(),
         identity: config.identity.clone(),
         clock: Clock::start(),
-        events: link_events,
+        events: link_event_sender,
     };
     for (voter, endpoint) in config.voters.iter().enumerate() {
         tokio::task::spawn_local(dialer.clone().maintain_link(voter, endpoint.clone()));
@@ -171,7 +180,7 @@
     let poll_us = (config.lease_config.duration_us / 4).max(10_000);
     let mut actor = Actor::new(config, deadline, slot_events);
     let mut polls = tokio::time::interval(Duration::from_micros(poll_us as u64));
-    // Polls that were not needed while a slot was held are not made up.
+    // Missed ticks are not caught up: polls that were skipped are no longer needed.
     polls.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         actor.reacquire_transferred();
@@ -180,7 +189,7 @@
         let sleep_us = actor
             .client
             .next_wakeup_us()
-            .map_or(LONGEST_SLEEP_US, |wakeup_us| (wakeup_us - boottime_us()).clamp(0, LONGEST_SLEEP_US));
+            .map_or(MAX_SLEEP_US, |wakeup_us| (wakeup_us - boottime_us()).clamp(0, MAX_SLEEP_US));
         tokio::select! {
             biased;
             command = commands.recv() => match command {
@@ -195,7 +204,7 @@
                     return;
                 }
             },
-            Some((voter, event)) = link_events_in.recv() => actor.on_link_event(voter, event),
+            Some((voter, event)) = link_events.recv() => actor.on_link_event(voter, event),
             _ = polls.tick() => actor.poll_records(),
             () = tokio::time::sleep(Duration::from_micros(sleep_us as u64)) => {}
         }
--- a/planner/src/lease_client/actor.rs
+++ b/planner/src/lease_client/actor.rs
@@ -1,4 +1,4 @@
-//! The state of a lease client, and what it does on frames of voters and commands of its process.
+//! The state of a lease client, and how it handles frames of voters and commands of its process.
 use super::{LeaseClientConfig, LeaseDeadline, LeaseEvent, SlotEvent};
 use crate::voter_links::{boottime_us, process_name, VoterLinkEvent};
 use basaltpitch_agent::link::LinkCommand;
@@ -11,52 +11,59 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// A lease beside the slot that is held.
+/// A held lease other than the slot's own.
 pub(super) struct HeldLease {
     pub token: u64,
     pub deadline: LeaseDeadline,
-    /// The number of the last metadata written; 0: none.
+    /// The number of the last metadata written; 0 if none was written.
     pub written_number: u64,
 }
 
+/// The state of a lease client.
 pub(super) struct Actor {
     pub duration_us: i64,
     pub client: LeaseClient<Rc<str>>,
     pub slots: SlotSelector<Rc<str>>,
+    /// The name under which this process requests votes.
     pub process: Rc<str>,
+    /// The command channel of the link to each voter; `None` while the link is down.
     pub voters: Vec<Option<mpsc::Sender<LinkCommand>>>,
-    /// Of the slot.
+    /// The deadline of the slot.
     pub deadline: LeaseDeadline,
     pub slot_events: mpsc::Sender<SlotEvent>,
+    /// The held slot.
     pub slot: Option<Rc<str>>,
-    /// Whether a slot is wanted at all.
+    /// Whether the process may acquire a slot; false after the loss of a slot, until its planner
+    /// has stopped.
     pub seeks_slot: bool,
     pub leases: Vec<Rc<str>>,
     pub followed: Vec<Rc<str>>,
     pub slot_prefix: Option<Rc<str>>,
     pub announced: Vec<Rc<str>>,
-    /// Polls since the slot was acquired: at each, another voter is asked for the slots.
+    /// Number of polls since the slot was acquired, by which the voter to request records from is
+    /// chosen.
     pub polls: usize,
-    /// What it has of each voter's record, by what the leases' names begin with.
+    /// The revision up to which each voter's record was received, by prefix of the lease names.
     pub tracker: RevisionTracker<Rc<str>, Rc<str>>,
-    /// Which slots are held, as each voter reports it.
+    /// The slots that are held, as each voter reports them.
     pub holders: LeaseHolders<Rc<str>>,
-    /// The leases beside the slot that are held.
+    /// The held leases other than the slot's own.
     pub held: BTreeMap<Rc<str>, HeldLease>,
-    /// Where events of leases go, while it has a slot.
+    /// Receives the events of leases; `None` while the process holds no slot.
     pub lease_events: Option<mpsc::Sender<LeaseEvent>>,
-    /// By followed lease and voter: the metadata that it stores.
+    /// By followed lease and voter, the metadata that the voter stores.
     pub followed_metadata: BTreeMap<(Rc<str>, usize), LeaseMetadata>,
-    /// By followed lease: token and number of the metadata last reported.
+    /// By followed lease, the token and the number of the metadata last reported.
     pub reported_metadata: BTreeMap<Rc<str>, (u64, u64)>,
-    /// Leases that are being transferred, and to whom.
+    /// Leases that are being transferred, each with the name of the successor; an empty name means
+    /// any process.
     pub transfers: BTreeMap<Rc<str>, String>,
-    /// When what was transferred is wanted again.
+    /// By transferred lease, the time from which the process may request it again, in microseconds.
     pub reacquire_at_us: BTreeMap<Rc<str>, i64>,
 }
 
 impl Actor {
-    /// A client that holds nothing yet.
+    /// Creates a client that holds nothing yet.
     pub fn new(
         config: LeaseClientConfig,
         deadline: LeaseDeadline,
@@ -93,19 +100,19 @@
         actor
     }
 
-    /// Requests all leases that the process acquires beside its slot.
+    /// Requests all leases that the process acquires beside a slot.
     pub fn acquire_leases(&mut self) {
-        let now = boottime_us();
-        self.leases.iter().for_each(|lease| self.client.acquire(now, lease.clone()));
+        let now_us = boottime_us();
+        self.leases.iter().for_each(|lease| self.client.acquire(now_us, lease.clone()));
     }
 
-    /// What becomes of the link to a voter, and its frames.
+    /// Handles an event of the link to a voter.
     pub fn on_link_event(&mut self, voter: usize, event: VoterLinkEvent) {
         match event {
-            VoterLinkEvent::Up(orders) => {
+            VoterLinkEvent::Up(commands) => {
                 let brief = wire::Record { brief: true, ..wire::Record::default() };
-                let _ = orders.try_send(LinkCommand::Send(Body::Record(brief), None));
-                self.voters[voter] = Some(orders);
+                let _ = commands.try_send(LinkCommand::Send(Body::Record(brief), None));
+                self.voters[voter] = Some(commands);
             }
             VoterLinkEvent::Down => {
                 self.voters[voter] = None;
@@ -119,14 +126,21 @@
         }
     }
 
+    /// Handles a voter's replies to ballots.
     fn on_votes(&mut self, voter: usize, votes: wire::Votes) {
         if votes.term_us < self.duration_us {
-            // Files that differ: it would hold a slot that its voters have given away.
+            // The configuration files differ. This process would still act under a slot that the
+            // voters have already granted to another.
             let (found, expected) = (votes.term_us, self.duration_us);
-            tracing::error!(voter, found, expected, "council.term: a voter's vote is valid for less");
+            tracing::error!(
+                voter,
+                found,
+                expected,
+                "the voter's lease duration (council.term) is shorter than this process's; ignoring its votes"
+            );
             return;
         }
-        let now = boottime_us();
+        let now_us = boottime_us();
         for vote in votes.votes {
             let reply = if vote.granted {
                 let (token, number) = (vote.note_token, vote.note_number);
@@ -134,23 +148,26 @@
             } else {
                 VoteReply::Refused { token: vote.token, retry_after_us: vote.left_us }
             };
-            self.client.on_vote_reply(now, voter, &vote.duty.into(), vote.round, reply);
+            self.client.on_vote_reply(now_us, voter, &vote.duty.into(), vote.round, reply);
         }
     }
 
+    /// Handles a voter's notice that a vote for a lease was released.
     fn on_vote_freed(&mut self, voter: usize, freed: wire::Freed) {
-        let (now, lease) = (boottime_us(), freed.duty.into());
+        let (now_us, lease) = (boottime_us(), freed.duty.into());
         if freed.handed {
-            // What it has transferred itself a moment ago is no reason to leave this one.
+            // The freed lease may have been transferred to this process. A slot that this process
+            // transferred shortly before is then no reason to refrain from requesting it.
             let leases = &self.leases;
             self.reacquire_at_us.retain(|lease, _| leases.contains(lease));
         }
         self.slots.vote_freed(voter, &lease);
-        self.request_free_slot(now);
-        self.client.vote_freed(now, &lease);
+        self.request_free_slot(now_us);
+        self.client.vote_freed(now_us, &lease);
     }
 
-    /// An operator wants what is held here to go to another. A slot is released once its incarnation has ended.
+    /// Handles an operator's request to transfer a lease that this process holds. A slot is
+    /// released only once its planner has stopped.
     fn on_transfer(&mut self, transfer: wire::HandOn) {
         let lease: Rc<str> = transfer.duty.into();
         let is_slot = self.slot.as_ref() == Some(&lease);
@@ -158,18 +175,19 @@
         if token != Some(transfer.token) || self.transfers.contains_key(&lease) {
             return;
         }
-        // Not received, it is no harm: the operator asks again.
+        // If the event channel is full, the request is dropped; the operator can repeat it.
         if is_slot && self.slot_events.try_send(SlotEvent::Lost).is_err() {
             return;
         }
-        tracing::info!(lease = &*lease, to = transfer.to, "transferred at an operator's request");
+        tracing::info!(lease = &*lease, to = transfer.to, "transferring the lease at an operator's request");
         self.transfers.insert(lease.clone(), transfer.to);
         if !is_slot {
             self.client.release(&lease);
         }
     }
 
-    /// What acted under the slot has stopped.
+    /// Handles the command to seek a slot again: the planner that acted under the last slot has
+    /// stopped. Releases that slot if it is being transferred.
     pub fn seek_again(&mut self) {
         self.seeks_slot = true;
         if let Some(slot) = self.slot.clone().filter(|slot| self.transfers.contains_key(slot)) {
@@ -177,37 +195,39 @@
         }
     }
 
-    /// What was transferred is wanted again after a lease duration; before that it would be taken back.
+    /// Requests transferred leases again once a lease duration has passed. An earlier request could
+    /// take the lease back from its successor.
     pub fn reacquire_transferred(&mut self) {
-        let now = boottime_us();
-        let due = self.reacquire_at_us.extract_if(.., |_, at_us| now >= *at_us);
+        let now_us = boottime_us();
+        let due = self.reacquire_at_us.extract_if(.., |_, at_us| now_us >= *at_us);
         let due: Vec<Rc<str>> =
             due.map(|(lease, _)| lease).filter(|lease| self.leases.contains(lease)).collect();
         if self.slot.is_some() {
-            due.into_iter().for_each(|lease| self.client.acquire(now, lease));
+            due.into_iter().for_each(|lease| self.client.acquire(now_us, lease));
         }
     }
 
-    /// Requests a slot that looks free, if none is held.
-    pub fn request_free_slot(&mut self, now: i64) {
-        // Who transferred its slot takes none before another could.
+    /// Requests a slot that appears to be free, if the process seeks a slot and holds none.
+    pub fn request_free_slot(&mut self, now_us: i64) {
+        // After a transfer of its slot, the process waits so that another process can take the
+        // slot.
         if !self.seeks_slot || self.slot.is_some() || !self.reacquire_at_us.is_empty() {
             return;
         }
         let SlotChoice { request, release } = self.slots.choose();
         release.iter().for_each(|slot| self.client.release(slot));
-        request.into_iter().for_each(|slot| self.client.acquire(now, slot));
+        request.into_iter().for_each(|slot| self.client.acquire(now_us, slot));
     }
 
-    /// Metadata is to be recorded, of the slot or of a lease beside it.
+    /// Writes the metadata of the slot or of a lease beside it, if it is held under this token.
     pub fn write_metadata(&mut self, lease: &Rc<str>, token: u64, metadata: Vec<u8>) {
-        let now = boottime_us();
+        let now_us = boottime_us();
         if let Some(held) = self.held.get_mut(lease).filter(|held| held.token == token) {
-            if let Some(number) = self.client.write_metadata(now, lease, metadata) {
+            if let Some(number) = self.client.write_metadata(now_us, lease, metadata) {
                 held.written_number = number;
             }
-        } else if self.slot.as_ref() == Some(lease) && self.client.held_token(now, lease) == Some(token) {
-            self.client.write_metadata(now, lease, metadata);
+        } else if self.slot.as_ref() == Some(lease) && self.client.held_token(now_us, lease) == Some(token) {
+            self.client.write_metadata(now_us, lease, metadata);
         }
     }
 
@@ -219,7 +239,7 @@
         self.leases.iter().for_each(|lease| self.client.release(lease));
     }
 
-    /// Releases everything.
+    /// Releases the slot, or the request for one, and all leases.
     pub fn release_all(&mut self) {
         self.deadline.set_us(0);
         self.release_leases();
--- a/planner/src/lease_client/records.rs
+++ b/planner/src/lease_client/records.rs
@@ -1,4 +1,5 @@
-//! What voters store, as far as a lease client needs it: which slots are free or held, and metadata of leases.
+//! Requests and handles the voters' records: which slots are free or held, and the metadata of
+//! leases.
 use super::actor::Actor;
 use super::{LeaseEvent, LeaseRecord};
 use crate::voter_links::boottime_us;
@@ -8,7 +9,8 @@
 use basaltpitch_lease::{majority_value, LeaseMetadata};
 use std::rc::Rc;
 
-/// A slot that has a holder.
+/// Converts a voter's record of a slot that has a holder. Its version is the token with the number
+/// of the metadata.
 fn slot_record(stored: &wire::KeptDuty) -> (LeaseVersion, LeaseRecord) {
     let has_metadata = stored.note_token == stored.token && !stored.note.is_empty();
     let metadata = has_metadata.then(|| stored.note.clone());
@@ -17,7 +19,8 @@
     ((stored.token, number), LeaseRecord { lease, token: stored.token, metadata })
 }
 
-/// A lease whose metadata is announced.
+/// Converts a voter's record of a lease whose metadata is announced. Its version is the token under
+/// which the metadata was written with the number of the metadata.
 fn announced_record(stored: &wire::KeptDuty) -> (LeaseVersion, LeaseRecord) {
     let (lease, token) = (Rc::from(stored.duty.as_str()), stored.note_token);
     let metadata = Some(stored.note.clone());
@@ -25,45 +28,46 @@
 }
 
 impl Actor {
-    /// Asks what the voters store, as far as it is needed.
+    /// Requests those records of the voters that the process currently needs.
     pub fn poll_records(&mut self) {
         if self.seeks_slot && self.slot.is_none() {
             let record = wire::Record { brief: self.held.is_empty(), ..wire::Record::default() };
             self.send_to_voters(|| Body::Record(record.clone()));
         } else if !self.held.is_empty() {
-            // What a majority stores is wanted of leases that are followed.
+            // Followed leases are reported as a majority stores them, so all voters are asked.
             for voter in 0..self.voters.len() {
                 self.followed.iter().for_each(|lease| self.request_record(voter, lease));
             }
         }
         let Some(prefix) = self.slot_prefix.as_ref().filter(|_| self.slot.is_some()) else { return };
-        // Of a holder that renewed each voter of its majority knows: one is enough, and another each time, as one may
-        // be cut off or behind. With a new slot it asks them all.
+        // Every voter of a holder's majority knows that it renewed, so one voter is asked at a
+        // time, and another each time because a voter may be cut off or behind. After the slot was
+        // acquired, the first poll asks all voters.
         self.polls += 1;
         if self.polls == 1 || self.polls.is_multiple_of(2) {
             let linked: Vec<usize> =
                 (0..self.voters.len()).filter(|&voter| self.voters[voter].is_some()).collect();
-            let one = linked.get(self.polls / 2 % linked.len().max(1)).filter(|_| self.polls > 1);
-            for voter in one.map_or(linked.clone(), |one| vec![*one]) {
+            let chosen = linked.get(self.polls / 2 % linked.len().max(1)).filter(|_| self.polls > 1);
+            for voter in chosen.map_or(linked.clone(), |voter| vec![*voter]) {
                 let prefixes = std::iter::once(prefix).chain(&self.announced);
                 prefixes.for_each(|prefix| self.request_record(voter, prefix));
             }
         }
     }
 
-    /// Asks a voter for leases whose names begin so, as far as they changed since its last delta.
+    /// Requests from a voter the leases with this name prefix that changed since its last delta.
     fn request_record(&self, voter: usize, prefix: &Rc<str>) {
         let RevisionState { incarnation, revision } = self.tracker.state(voter, prefix);
         let request = wire::Record { brief: true, prefix: prefix.to_string(), life: incarnation, revision };
-        if let Some(orders) = &self.voters[voter] {
-            let _ = orders.try_send(LinkCommand::Send(Body::Record(request), None));
+        if let Some(commands) = &self.voters[voter] {
+            let _ = commands.try_send(LinkCommand::Send(Body::Record(request), None));
         }
     }
 
-    /// What a voter stores, in reply to a request.
+    /// Handles a voter's reply to a request for its record.
     pub fn on_record(&mut self, voter: usize, record: wire::Kept) {
         if self.slot.is_none() {
-            // With a slot, it may have asked for some leases alone.
+            // While the process holds a slot, the reply may be limited to leases with one prefix.
             let is_taken = |stored: &&wire::KeptDuty| stored.left_us > 0 && *stored.holder != *self.process;
             let taken = record.duties.iter().filter(is_taken);
             self.slots.set_taken(voter, taken.map(|stored| Rc::from(stored.duty.as_str())));
@@ -83,14 +87,15 @@
         }
     }
 
-    /// Reports who has slots, as a voter stores it, where that is newer: in one event, so that hundreds of them don't
-    /// fill the queue of what must be received.
+    /// Reports the records of slots and announced leases in a voter's delta that are newer than
+    /// those reported before. All are sent in one event, so that hundreds of slots do not fill the
+    /// event channel.
     fn apply_delta(&mut self, voter: usize, record: &wire::Kept) {
         let (Some(lease_events), Some(prefix)) = (&self.lease_events, &self.slot_prefix) else { return };
-        let part: Rc<str> = Rc::from(record.prefix.as_str());
+        let requested_prefix: Rc<str> = Rc::from(record.prefix.as_str());
         let up_to = RevisionState { incarnation: record.life, revision: record.revision };
         let delta = RecordDelta { since: record.since, up_to };
-        if !self.tracker.accepts(voter, &part, &delta) {
+        if !self.tracker.accepts(voter, &requested_prefix, &delta) {
             return;
         }
         let is_slot = |stored: &&wire::KeptDuty| stored.duty.starts_with(&**prefix);
@@ -104,12 +109,13 @@
         let newer = records.filter(|(version, record)| self.tracker.is_newer(&record.lease, *version));
         let (versions, newer): (Vec<_>, Vec<LeaseRecord>) =
             newer.map(|(version, record)| ((record.lease.clone(), version), record)).unzip();
-        // Not received, it is reported at one of the next polls; who holds what goes by the same revision.
+        // If the channel is full, the delta is not applied, neither to the records nor to the
+        // holders, and a later poll requests it again.
         if !newer.is_empty() && lease_events.try_send(LeaseEvent::Records(newer)).is_err() {
             return;
         }
-        self.tracker.applied(voter, &part, &delta, versions);
-        if part == *prefix {
+        self.tracker.applied(voter, &requested_prefix, &delta, versions);
+        if requested_prefix == *prefix {
             let is_held = |stored: &wire::KeptDuty| has_holder(stored) && stored.left_us > 0;
             let slots = record.duties.iter().filter(is_slot);
             let slots = slots.map(|stored| (Rc::from(stored.duty.as_str()), is_held(stored)));
@@ -119,7 +125,8 @@
         }
     }
 
-    /// Reports of each followed lease the metadata that a majority stores, if it is other than before.
+    /// Reports the metadata that a majority of voters stores of each followed lease, if it differs
+    /// from the metadata last reported.
     fn report_followed(&mut self) {
         for lease in &self.followed {
             let stored = self.followed_metadata.iter().filter(|((followed, _), _)| followed == lease);
@@ -129,7 +136,7 @@
             if self.reported_metadata.get(lease) != Some(&version) {
                 let (lease, metadata) = (lease.clone(), metadata.bytes.clone());
                 let event = LeaseEvent::MetadataChanged { lease: lease.clone(), metadata };
-                // Not received, it is reported at the next poll.
+                // If the channel is full, the next poll reports the metadata.
                 if self.lease_events.as_ref().is_some_and(|events| events.try_send(event).is_ok()) {
                     self.reported_metadata.insert(lease, version);
                 }
--- a/planner/src/peer_links.rs
+++ b/planner/src/peer_links.rs
@@ -133,8 +133,8 @@
     /// Handles an event of the failover coordinator's lease.
     pub fn coordinator_event(&mut self, now_us: i64, state: &mut PlannerState, event: LeaseEvent) {
         self.zone_monitor.lease_event(now_us, event);
-        // The coordinator applies its decision once a majority stores it, because other planners may
-        // already have received it and rely on it.
+        // The coordinator applies its decision once a majority stores it, because other planners
+        // may already have received it and rely on it.
         state.hold_back_zones(now_us, self.zone_monitor.phases());
     }
 
@@ -257,7 +257,8 @@
         state.hold_back_zones(now_us, self.zone_monitor.phases());
     }
 
-    /// Handles a voter's copy of the failover decision, which the coordinator with this token wrote.
+    /// Handles a voter's copy of the failover decision, which the coordinator with this token
+    /// wrote.
     pub fn decision_from_voter(
         &mut self,
         now_us: i64,
@@ -311,7 +312,8 @@
         let peer = LinkedPeer { slot, token: peer.epoch, outbound: dialed.is_some() };
         let linked = self.gossip.link_up(now_us, link, peer);
         if let (Err(_), Some(slot)) = (&linked, dialed) {
-            // An immediate redial would be rejected in the same way, so gossip waits before the next.
+            // An immediate redial would be rejected in the same way, so gossip waits before the
+            // next.
             self.gossip.dial_failed(now_us, slot);
         }
         linked
--- a/planner/src/peer_links/status.rs
+++ b/planner/src/peer_links/status.rs
@@ -61,8 +61,8 @@
 }
 
 impl PeerLinks {
-    /// Returns the status for operators: for each slot the freshness, the age and the metrics of its
-    /// summary, and the same for each zone of which only a merged summary is known.
+    /// Returns the status for operators: for each slot the freshness, the age and the metrics of
+    /// its summary, and the same for each zone of which only a merged summary is known.
     pub fn view(&self, now_us: i64) -> Value {
         let status = PeersStatus {
             zone_states: self.zone_monitor.view(),
--- a/planner/src/service/mod.rs
+++ b/planner/src/service/mod.rs
@@ -67,8 +67,8 @@
     pub peer_links: Option<PeerLinksConfig>,
     /// Settings and traffic counters that all links of the process share.
     pub links: LinkConfig,
-    /// How the subset of the fleet that this planner links to is chosen, and the names of all slots;
-    /// `None` if the planner links to all machines.
+    /// How the subset of the fleet that this planner links to is chosen, and the names of all
+    /// slots; `None` if the planner links to all machines.
     pub subset: Option<(SubsetConfig, Vec<Rc<str>>)>,
 }
 
