--- a/planner/src/voter_server/stored.rs
+++ b/planner/src/voter_server/stored.rs
@@ -1,4 +1,5 @@
-//! What a voter stores, as frames: on the disk, for other voters, planners and operators.
+//! A voter's record of its votes, encoded as frames: for the disk, and for other voters, planners
+//! and operators.
 use super::{HolderHistory, VoterConfig};
 use crate::voter_links::boottime_us;
 use basaltpitch_agent::wire;
@@ -9,13 +10,15 @@
 use prost::Message;
 use std::rc::Rc;
 
-/// The name under which votes are stored, and their format.
+/// Name of the stored snapshot that holds the votes.
 const VOTES: &str = "votes";
+/// Version of the snapshot's format.
 const FORMAT: u32 = 1;
 
 type PlannerVoter = Voter<Rc<str>, Rc<str>>;
 
-/// A voter with what it stored, or one that has lost it, or never had any.
+/// Returns a voter with its stored votes and the history of holders. Without a store, or without
+/// readable votes in it, returns a voter that must recover its votes from the other voters.
 pub(super) fn restore(config: &VoterConfig) -> (PlannerVoter, HolderHistory) {
     let without_state = || {
         let voter = Voter::without_state(config.lease_config, boottime_us(), config.voters.len());
@@ -38,30 +41,39 @@
                 (Voter::restored(config.lease_config, boottime_us(), votes), history)
             }
             Err(e) => {
-                tracing::error!(error = %e, "stored votes make no sense; asking the other voters");
+                tracing::error!(
+                    error = %e,
+                    "cannot decode the stored votes; recovering them from the other voters"
+                );
                 without_state()
             }
         },
         Ok(None) => without_state(),
         Err(e) => {
-            tracing::error!(error = %e, "stored votes cannot be read; asking the other voters");
+            tracing::error!(error = %e, "cannot read the stored votes; recovering them from the other voters");
             without_state()
         }
     }
 }
 
-/// Whether everything that the voter stores was written to the disk.
-pub(super) fn save(store: &SnapshotStore, voter: &PlannerVoter, history: &HolderHistory, now: i64) -> bool {
+/// Writes the votes and the history of holders to the disk. Returns whether that succeeded.
+pub(super) fn save(
+    store: &SnapshotStore,
+    voter: &PlannerVoter,
+    history: &HolderHistory,
+    now_us: i64,
+) -> bool {
     let request = wire::Record::default();
-    let record = RecordReply { voter, history, now, request: &request, delta: RecordDelta::default() };
-    let saved = store.put(VOTES, FORMAT, now, &record.frame(|_| true).encode_to_vec());
+    let record = RecordReply { voter, history, now_us, request: &request, delta: RecordDelta::default() };
+    let saved = store.put(VOTES, FORMAT, now_us, &record.frame(|_| true).encode_to_vec());
     if let Err(e) = &saved {
-        tracing::error!(error = %e, "votes cannot be stored; none is said");
+        tracing::error!(error = %e, "cannot store the votes; not sending the replies that grant them");
     }
     saved.is_ok()
 }
 
-/// What another voter stores of a lease.
+/// Converts another voter's record of a lease. The holder is included only if it has renewed the
+/// lease.
 pub(super) fn recovered_vote(stored: wire::KeptDuty) -> RecoveredVote<Rc<str>, Rc<str>> {
     let (token, number) = (stored.note_token, stored.note_number);
     let metadata = LeaseMetadata { token, number, bytes: stored.note };
@@ -70,17 +82,18 @@
     RecoveredVote { lease: Rc::from(stored.duty), token: stored.token, holder, metadata }
 }
 
-/// A reply to a request for what a voter stores.
+/// A reply to a request for a voter's record.
 pub(super) struct RecordReply<'a> {
     pub voter: &'a PlannerVoter,
     pub history: &'a HolderHistory,
-    pub now: i64,
+    pub now_us: i64,
     pub request: &'a wire::Record,
     pub delta: RecordDelta,
 }
 
 impl RecordReply<'_> {
-    /// Leases whose names begin as requested, as far as the delta includes them.
+    /// Returns the frame, with the leases that have the requested name prefix and that `includes`
+    /// accepts.
     pub fn frame(&self, includes: impl Fn(&Rc<str>) -> bool) -> wire::Kept {
         let wire::Record { brief, prefix, .. } = self.request;
         let is_requested = |lease: &Rc<str>| lease.starts_with(prefix.as_str()) && includes(lease);
@@ -90,7 +103,7 @@
             duty: lease.to_string(),
             token: vote.token,
             holder: vote.holder.as_deref().unwrap_or_default().to_owned(),
-            left_us: if vote.holder.is_some() { (vote.expires_at_us - self.now).max(0) } else { 0 },
+            left_us: if vote.holder.is_some() { (vote.expires_at_us - self.now_us).max(0) } else { 0 },
             renewed: vote.renewed,
             note_token: vote.metadata.token,
             note_number: vote.metadata.number,
@@ -101,7 +114,7 @@
         let up_to = self.delta.up_to;
         wire::Kept {
             whole: self.voter.is_complete(),
-            votes_in_us: (self.voter.votes_from_us() - self.now).max(0),
+            votes_in_us: (self.voter.votes_from_us() - self.now_us).max(0),
             duties: votes.map(stored).collect(),
             life: up_to.incarnation,
             revision: up_to.revision,
