--- a/planner/src/peer_links.rs
+++ b/planner/src/peer_links.rs
@@ -113,7 +113,9 @@
             let lease = config.slots[config.own_slot].clone();
             let metadata = format!("{address} {zone}").into_bytes();
             if config.commands.try_send(LeaseCommand::WriteMetadata { lease, token, metadata }).is_err() {
-                tracing::error!("cannot queue the lease metadata with this planner's address; other planners will not connect to it");
+                tracing::error!(
+                    "cannot queue the lease metadata with this planner's address; other planners will not connect to it"
+                );
             }
         }
         let zone_monitor = ZoneMonitor::new(config.zones.clone(), config.commands.clone());
@@ -333,7 +335,7 @@
             Body::Summaries(summaries) => {
                 let (request_id, deltas) = summary_codec::decode_reply(peer, summaries)?;
                 let invalid = self.gossip.receive_reply(now_us, link, request_id, deltas);
-                invalid.iter().for_each(|error| self.log_invalid(now_us, error));
+                invalid.iter().for_each(|rejected| self.log_invalid(now_us, rejected));
                 Ok(())
             }
             _ => Ok(()),
@@ -393,9 +395,9 @@
 
     /// Sends a command to a link. A command that the link's full queue does not accept is dropped;
     /// the next gossip round repeats the request.
-    fn send_command(&self, link: u64, command: LinkCommand) {
+    fn send_command(&self, link: u64, link_command: LinkCommand) {
         if let Some(commands) = self.link_commands.get(&link) {
-            let _ = commands.try_send(command);
+            let _ = commands.try_send(link_command);
         }
     }
 }
--- a/planner/src/service/directory_sync.rs
+++ b/planner/src/service/directory_sync.rs
@@ -80,7 +80,10 @@
                 self.state.directory_synced(now_us, number, Some(result.sweep), result.problems);
             }
             SyncEvent::Ended(number, Err(error)) => {
-                tracing::info!(error = %error, "the directory sync failed; keeping the tenants of the last sync");
+                tracing::info!(
+                    error = %error,
+                    "the directory sync failed; keeping the tenants of the last sync"
+                );
                 self.state.directory_synced(now_us, number, None, vec![error.to_string()]);
             }
         }
--- a/planner/src/service/link_events.rs
+++ b/planner/src/service/link_events.rs
@@ -44,7 +44,11 @@
             }
         };
         if let Err(e) = handled {
-            tracing::info!(error = %e, help = e.advice(), "a hello or frame from another planner was rejected; closing the link");
+            tracing::info!(
+                error = %e,
+                help = e.advice(),
+                "a hello or frame from another planner was rejected; closing the link"
+            );
             self.close_connection(link, &e.to_string());
         }
     }
@@ -57,7 +61,10 @@
                 self.state.registry_up(now_us);
             }
             LinkEvent::Session(SessionEvent::Up(peer_identity)) => {
-                tracing::error!(role = ?peer_identity.role, "the process at the registry's address has another role; closing the link");
+                tracing::error!(
+                    role = ?peer_identity.role,
+                    "the process at the registry's address has another role; closing the link"
+                );
                 self.close_peer(REGISTRY, link, "role: expected a register");
             }
             LinkEvent::Session(SessionEvent::Frame(body)) => {
@@ -158,7 +165,11 @@
                     Some(fields)
                 };
                 if let Err(e) = view::client_frame(&mut self.state, now_us, connection, body, extra_fields) {
-                    tracing::warn!(conn = connection, error = %e, "invalid frame from a client or operator; closing the connection");
+                    tracing::warn!(
+                        conn = connection,
+                        error = %e,
+                        "invalid frame from a client or operator; closing the connection"
+                    );
                     self.close_connection(connection, &e.to_string());
                 }
             }
--- a/planner/src/voter_server/frames.rs
+++ b/planner/src/voter_server/frames.rs
@@ -47,10 +47,7 @@
     /// Handles one frame. Returns true if the voter must store its votes before it sends the
     /// replies.
     pub fn on_frame(&mut self, connection: u64, body: Body, replies: &mut Vec<Reply>) -> bool {
-        let Some(peer) = self.connections.get(&connection).and_then(|connection| connection.peer.clone())
-        else {
-            return false;
-        };
+        let Some(peer) = self.connections.get(&connection).and_then(|c| c.peer.clone()) else { return false };
         let process = process_name(&peer.name, peer.epoch);
         let is_too_long = |ballot: &wire::Ballot| {
             ballot.duty.len() > MAX_LEASE_NAME_BYTES || ballot.note.len() > LONGEST_METADATA
