--- a/planner/tests/clauses.rs
+++ b/planner/tests/clauses.rs
@@ -6,7 +6,7 @@
 use basaltpitch_agent::wire::{self, AnswerKind, Body};
 use basaltpitch_config::installation::load_texts;
 use basaltpitch_constraints::parse::parse;
-use net::{Net, BIG, ONCE, SMALL};
+use net::{SimulatedNetwork, BIG, ONCE, SMALL};
 
 const S: i64 = 1_000_000;
 const SITE: &str =
@@ -16,30 +16,30 @@
      {name: \"once\", repeat: \"repeatable\", goal: 600ms, limit: 6s}]\n";
 
 /// Six machines, in racks of two by turns of the halls; `labelled` bear the label ssd.
-fn begin(clauses: &str, labelled: &[usize]) -> Net {
+fn begin(clauses: &str, labelled: &[usize]) -> SimulatedNetwork {
     let text = format!("clauses: [\n{clauses}\n]\n");
     let site = load_texts(&[("site.rec", SITE), ("c.rec", &text)]).map_err(|e| format!("{:?}", e.1)).unwrap();
     let clauses = parse(&site.all).map_err(|e| format!("{e:?}")).unwrap();
     let places = clauses.iter().map(|c| c.name.clone()).collect();
-    let mut net = Net::bare(6);
-    net.core.set_constraints(clauses, places);
+    let mut net = SimulatedNetwork::without_list(6);
+    net.planner.set_constraints(clauses, places);
     for m in 0..6 {
         net.machines[m].cell = (m / 4) as u32;
     }
     labelled.iter().for_each(|&m| net.machines[m].labels = vec!["ssd".into()]);
-    net.list(true);
-    net.flow(40);
+    net.send_list(true);
+    net.run_rounds(40);
     net
 }
 
-fn ask(net: &mut Net, framework: &str, key: &str, ask: u64) -> Option<wire::Answer> {
-    net.heard.clear();
+fn ask(net: &mut SimulatedNetwork, framework: &str, key: &str, ask: u64) -> Option<wire::Answer> {
+    net.received_answers.clear();
     net.submit(framework, key, ask, 6 * S);
-    net.flow(20);
-    net.heard.iter().find(|a| a.key == key && a.ask == ask).cloned()
+    net.run_rounds(20);
+    net.received_answers.iter().find(|a| a.key == key && a.ask == ask).cloned()
 }
 
-fn placed(net: &mut Net, framework: &str, key: &str) -> String {
+fn placed(net: &mut SimulatedNetwork, framework: &str, key: &str) -> String {
     let a = ask(net, framework, key, 1).unwrap_or_else(|| panic!("no answer to {key}"));
     assert_eq!(a.kind, AnswerKind::Placed as i32, "{key}: {}", a.reason);
     a.machine
@@ -90,8 +90,8 @@
     );
     // The label arrives: a new asking goes through, a repeat of the old one is answered alike.
     net.machines[1].labels = vec!["ssd".into()];
-    net.list(true);
-    net.flow(10);
+    net.send_list(true);
+    net.run_rounds(10);
     assert_eq!(ask(&mut net, SMALL, "s", 2).unwrap().machine, "m1");
     assert_eq!(net.finish().0, []);
 }
@@ -108,16 +108,16 @@
     assert_eq!(ask(&mut net, SMALL, "c", 1), None, "it waits");
     // One ends, and the third takes its hall.
     let m: usize = first[1..].parse().unwrap();
-    let id = net.launched.iter().find(|l| l.key == "a").and_then(|l| l.id).unwrap();
-    net.ends(m, (id.epoch, id.number), wire::EndedHow::EndedDone);
-    net.flow(20);
-    net.pass(S);
-    net.flow(20);
-    let third = net.heard.iter().find(|a| a.key == "c").expect("an answer").clone();
+    let id = net.launches.iter().find(|l| l.key == "a").and_then(|l| l.id).unwrap();
+    net.end_attempt(m, (id.epoch, id.number), wire::EndedHow::EndedDone);
+    net.run_rounds(20);
+    net.advance(S);
+    net.run_rounds(20);
+    let third = net.received_answers.iter().find(|a| a.key == "c").expect("an answer").clone();
     assert_eq!((third.kind, hall(&third.machine)), (AnswerKind::Placed as i32, hall(&first)));
     assert_eq!(ask(&mut net, SMALL, "d", 1), None);
-    net.pass(7 * S);
-    let d = net.heard.iter().find(|a| a.key == "d").expect("an answer");
+    net.advance(7 * S);
+    let d = net.received_answers.iter().find(|a| a.key == "d").expect("an answer");
     assert_eq!(d.reason, "no machine had room in time; kept out by what runs, under: one a hall");
     assert_eq!(net.finish().0, []);
 }
@@ -132,10 +132,10 @@
     assert_ne!(hall(&two[0]), hall(&two[1]));
     let text = format!("clauses: [\n{clauses}\n]\n");
     let site = load_texts(&[("site.rec", SITE), ("c.rec", &text)]).map_err(|e| e.1).unwrap();
-    net.kill();
-    net.core.set_constraints(parse(&site.all).unwrap(), vec!["one a hall".into()]);
-    net.list(true);
-    net.flow(40);
+    net.kill_planner();
+    net.planner.set_constraints(parse(&site.all).unwrap(), vec!["one a hall".into()]);
+    net.send_list(true);
+    net.run_rounds(40);
     assert_eq!(ask(&mut net, BIG, "c", 1), None, "both halls have theirs");
     assert_eq!(net.finish().0, []);
 }
@@ -157,14 +157,14 @@
     let new = text("{name: \"b\", of: {framework: \"small\"}, in: {halls: [\"hall-b\"]}}");
     let say = |take| Body::Clauses(wire::Clauses { json: new.clone(), take });
     let broken = format!("[{{\"clauses\":[\"b\"],\"key\":\"a\",\"machine\":\"{first}\"}}]");
-    assert_eq!(net.ask(say(false)).unwrap(), format!("{{\"broken\":{broken},\"taken\":false}}"));
+    assert_eq!(net.operator_request(say(false)).unwrap(), format!("{{\"broken\":{broken},\"taken\":false}}"));
     assert_eq!(hall(&placed(&mut net, SMALL, "b")), 0, "not taken");
-    assert!(net.ask(Body::Clauses(wire::Clauses { json: "[3]".into(), take: true })).is_err());
+    assert!(net.operator_request(Body::Clauses(wire::Clauses { json: "[3]".into(), take: true })).is_err());
     assert_eq!(hall(&placed(&mut net, SMALL, "c")), 0, "nothing half-taken");
-    assert!(net.ask(say(true)).unwrap().contains("\"taken\":true"));
+    assert!(net.operator_request(say(true)).unwrap().contains("\"taken\":true"));
     assert_eq!(hall(&placed(&mut net, SMALL, "d")), 1);
     let about = "{\"key\":\"a\",\"machines\":true}".to_owned();
-    let told = net.ask(Body::Query(wire::Query { what: "explain".into(), about })).unwrap();
+    let told = net.operator_request(Body::Query(wire::Query { what: "explain".into(), about })).unwrap();
     let told: serde_json::Value = serde_json::from_str(&told).unwrap();
     assert_eq!((&told["clauses"][0]["clause"], &told["clauses"][0]["leaves"]), (&"b".into(), &3.into()));
     assert_eq!(told["machines"].as_array().unwrap().len(), 6);
--- a/planner/tests/hostile.rs
+++ b/planner/tests/hostile.rs
@@ -1,100 +1,125 @@
-//! A hostile network drawn by chance: whatever it does, the five rules hold, and once it is well again every
-//! asking has its one answer. A failing case prints what was drawn, and replays.
+//! A property test on a faulty network. Random steps cut links, restart machines and kill the
+//! planner; the invariants must hold throughout, and once the network is healthy again every
+//! request must have its one answer. A failing case prints its steps and can be replayed.
 mod net;
 use basaltpitch_agent::wire::EndedHow;
-use net::{Net, BIG, ONCE, SMALL};
+use net::{SimulatedNetwork, BIG, ONCE, SMALL};
 use proptest::prelude::*;
 
+/// A step of a random case. Tasks and machines are given by index.
 #[derive(Clone, Debug)]
 enum Step {
-    Pass(i64),
+    /// Time passes, in microseconds.
+    Advance(i64),
+    /// A client submits the next request for a task: framework and task.
     Submit(u8, u8),
-    Again(u8),
+    /// A client repeats the last request for a task.
+    Resubmit(u8),
+    /// A client withdraws the last request for a task.
     Withdraw(u8),
-    Dial,
+    /// The first pending dial succeeds or fails.
+    CompleteDial,
+    /// A machine reads a frame: the machine, and the age of the link by number of newer links.
     MachineReads(u8, u8),
+    /// The planner reads a frame from a machine.
     PlannerReads(u8),
-    Look(u8),
-    Cut(u8, u8),
-    Ends(u8, u8),
-    Restart(u8),
-    Drain(u8, bool),
-    Refuses(u8, bool),
-    Reachable(u8, bool),
-    Lists,
-    Kill,
-    Flow(u8),
+    /// A machine accepts or refuses a launch.
+    DecideLaunch(u8),
+    /// A link is cut: the machine, and the number of frames that were not sent.
+    CutLink(u8, u8),
+    /// An attempt ends: the machine, and the index of the attempt.
+    EndAttempt(u8, u8),
+    /// A machine restarts.
+    RestartMachine(u8),
+    /// A machine's drain starts or ends.
+    DrainMachine(u8, bool),
+    /// A machine starts or stops refusing launches.
+    RefuseLaunches(u8, bool),
+    /// A machine becomes reachable or unreachable.
+    SetReachable(u8, bool),
+    /// The registry sends a complete list.
+    SendList,
+    /// The planner is killed and a successor starts.
+    KillPlanner,
+    /// Some rounds run without new faults.
+    RunRounds(u8),
 }
 
+/// Generates one step.
 fn step() -> impl Strategy<Value = Step> {
     let small = 0u8..4;
     prop_oneof![
-        6 => (0i64..400_000).prop_map(Step::Pass),
-        2 => (0i64..4_000_000).prop_map(Step::Pass),
+        6 => (0i64..400_000).prop_map(Step::Advance),
+        2 => (0i64..4_000_000).prop_map(Step::Advance),
         8 => (0u8..3, 0u8..8).prop_map(|(f, k)| Step::Submit(f, k)),
-        3 => (0u8..8).prop_map(Step::Again),
+        3 => (0u8..8).prop_map(Step::Resubmit),
         1 => (0u8..8).prop_map(Step::Withdraw),
-        6 => Just(Step::Dial),
+        6 => Just(Step::CompleteDial),
         12 => (small.clone(), 0u8..3).prop_map(|(m, l)| Step::MachineReads(m, l)),
         10 => small.clone().prop_map(Step::PlannerReads),
-        8 => small.clone().prop_map(Step::Look),
-        3 => (small.clone(), 0u8..3).prop_map(|(m, n)| Step::Cut(m, n)),
-        3 => (small.clone(), 0u8..4).prop_map(|(m, n)| Step::Ends(m, n)),
-        1 => small.clone().prop_map(Step::Restart),
-        1 => (small.clone(), any::<bool>()).prop_map(|(m, on)| Step::Drain(m, on)),
-        1 => (small.clone(), any::<bool>()).prop_map(|(m, on)| Step::Refuses(m, on)),
-        1 => (small, any::<bool>()).prop_map(|(m, on)| Step::Reachable(m, on)),
-        1 => Just(Step::Lists),
-        1 => Just(Step::Kill),
-        3 => (1u8..20).prop_map(Step::Flow),
+        8 => small.clone().prop_map(Step::DecideLaunch),
+        3 => (small.clone(), 0u8..3).prop_map(|(m, n)| Step::CutLink(m, n)),
+        3 => (small.clone(), 0u8..4).prop_map(|(m, n)| Step::EndAttempt(m, n)),
+        1 => small.clone().prop_map(Step::RestartMachine),
+        1 => (small.clone(), any::<bool>()).prop_map(|(m, on)| Step::DrainMachine(m, on)),
+        1 => (small.clone(), any::<bool>()).prop_map(|(m, on)| Step::RefuseLaunches(m, on)),
+        1 => (small, any::<bool>()).prop_map(|(m, on)| Step::SetReachable(m, on)),
+        1 => Just(Step::SendList),
+        1 => Just(Step::KillPlanner),
+        3 => (1u8..20).prop_map(Step::RunRounds),
     ]
 }
 
-/// What one key was last asked for with.
+/// The last request for a task: its framework, its id (0 if there was none), the epoch of the
+/// planner that received it, and its time in microseconds.
 #[derive(Clone, Copy, Default)]
-struct Asked {
+struct LastRequest {
     framework: u8,
-    ask: u64,
+    request_id: u64,
     epoch: u64,
-    at: i64,
+    at_us: i64,
 }
 
-fn play(steps: &[Step]) -> Net {
-    let mut net = Net::new(4);
-    let mut asked = [Asked::default(); 8];
+/// Runs the steps on a network of four machines.
+fn play(steps: &[Step]) -> SimulatedNetwork {
+    let mut net = SimulatedNetwork::new(4);
+    let mut requests = [LastRequest::default(); 8];
     for step in steps {
         match *step {
-            Step::Pass(us) => net.pass(us),
+            Step::Advance(us) => net.advance(us),
             Step::Submit(f, k) => {
-                let a = &mut asked[k as usize];
-                if a.ask == 0 {
-                    a.framework = f;
+                let request = &mut requests[k as usize];
+                if request.request_id == 0 {
+                    request.framework = f;
                 }
-                // An owner of what must not run twice makes sure first, as long as the settings say.
-                let last = a.epoch != net.epoch && a.ask > 0;
-                if last && a.framework > 0 && net.now < a.at + 20_000_000 {
+                // After a planner's restart, a client waits 20 s before it submits a task again
+                // that must not run twice.
+                let is_after_restart = request.epoch != net.epoch && request.request_id > 0;
+                if is_after_restart && request.framework > 0 && net.now_us < request.at_us + 20_000_000 {
                     continue;
                 }
-                (a.ask, a.epoch, a.at) = (a.ask + 1, net.epoch, net.now);
-                let (framework, ask) = ([SMALL, BIG, ONCE][a.framework as usize], a.ask);
-                let limit = [6_000_000, 9_000_000, 8_000_000][a.framework as usize];
-                net.submit(framework, &format!("{framework}{k}"), ask, limit);
+                (request.request_id, request.epoch, request.at_us) =
+                    (request.request_id + 1, net.epoch, net.now_us);
+                let (framework, request_id) =
+                    ([SMALL, BIG, ONCE][request.framework as usize], request.request_id);
+                let time_left_us = [6_000_000, 9_000_000, 8_000_000][request.framework as usize];
+                net.submit(framework, &format!("{framework}{k}"), request_id, time_left_us);
             }
-            Step::Again(k) => {
-                let a = asked[k as usize];
-                if a.ask > 0 && a.epoch == net.epoch {
-                    let framework = [SMALL, BIG, ONCE][a.framework as usize];
-                    net.submit(framework, &format!("{framework}{k}"), a.ask, 5_000_000);
+            Step::Resubmit(k) => {
+                let request = requests[k as usize];
+                if request.request_id > 0 && request.epoch == net.epoch {
+                    let framework = [SMALL, BIG, ONCE][request.framework as usize];
+                    net.submit(framework, &format!("{framework}{k}"), request.request_id, 5_000_000);
                 }
             }
             Step::Withdraw(k) => {
-                let a = asked[k as usize];
-                if a.epoch == net.epoch && a.ask > 0 {
-                    let framework = [SMALL, BIG, ONCE][a.framework as usize];
-                    net.withdraw(&format!("{framework}{k}"), a.ask);
+                let request = requests[k as usize];
+                if request.epoch == net.epoch && request.request_id > 0 {
+                    let framework = [SMALL, BIG, ONCE][request.framework as usize];
+                    net.withdraw(&format!("{framework}{k}"), request.request_id);
                 }
             }
-            Step::Dial => net.dial(),
+            Step::CompleteDial => net.complete_dial(),
             Step::MachineReads(m, back) => {
                 let links: Vec<u64> = net.machines[m as usize].links.keys().rev().copied().collect();
                 if let Some(&link) = links.get(back as usize) {
@@ -102,53 +127,56 @@
                 }
             }
             Step::PlannerReads(m) => {
-                if let Some(link) = net.newest(m as usize) {
+                if let Some(link) = net.newest_link(m as usize) {
                     net.planner_reads(m as usize, link);
                 }
             }
-            Step::Look(m) => net.look(m as usize),
-            Step::Cut(m, unsent) => {
-                if let Some(link) = net.newest(m as usize) {
-                    net.cut(m as usize, link, unsent as usize);
+            Step::DecideLaunch(m) => net.decide_next_launch(m as usize),
+            Step::CutLink(m, unsent) => {
+                if let Some(link) = net.newest_link(m as usize) {
+                    net.cut_link(m as usize, link, unsent as usize);
                 }
             }
-            Step::Ends(m, n) => {
-                if let Some(&id) = net.machines[m as usize].runs.get(n as usize) {
+            Step::EndAttempt(m, n) => {
+                if let Some(&id) = net.machines[m as usize].running.get(n as usize) {
                     let how = [EndedHow::EndedDone, EndedHow::EndedEvicted, EndedHow::EndedSentAway];
-                    net.ends(m as usize, id, how[n as usize % 3]);
+                    net.end_attempt(m as usize, id, how[n as usize % 3]);
                 }
             }
-            Step::Restart(m) => net.restart(m as usize),
-            Step::Drain(m, on) => net.drain(m as usize, on),
-            Step::Refuses(m, on) => net.machines[m as usize].refuses = on,
-            Step::Reachable(m, on) => net.machines[m as usize].reachable = on,
-            Step::Lists => net.list(true),
-            Step::Kill => net.kill(),
-            Step::Flow(rounds) => net.flow(rounds as usize),
+            Step::RestartMachine(m) => net.restart_machine(m as usize),
+            Step::DrainMachine(m, on) => net.drain_machine(m as usize, on),
+            Step::RefuseLaunches(m, on) => net.machines[m as usize].refuses_launches = on,
+            Step::SetReachable(m, on) => net.machines[m as usize].reachable = on,
+            Step::SendList => net.send_list(true),
+            Step::KillPlanner => net.kill_planner(),
+            Step::RunRounds(rounds) => net.run_rounds(rounds as usize),
         }
     }
     net
 }
 
-/// The network is well again: links come up, what is in the air arrives, time limits pass.
-fn heal(net: &mut Net) {
+/// Ends all faults, then lets links come up, frames in flight arrive and time limits pass.
+fn heal(net: &mut SimulatedNetwork) {
     for m in 0..net.machines.len() {
-        (net.machines[m].reachable, net.machines[m].refuses, net.machines[m].draining) = (true, false, false);
+        (net.machines[m].reachable, net.machines[m].refuses_launches, net.machines[m].draining) =
+            (true, false, false);
     }
-    net.list(true);
+    net.send_list(true);
     for _ in 0..30 {
-        net.flow(20);
-        net.pass(480_000);
+        net.run_rounds(20);
+        net.advance(480_000);
     }
-    net.flow(50);
+    net.run_rounds(50);
 }
 
-/// The same cases each time; other ones, or more, by the environment.
-fn drawn() -> ProptestConfig {
-    let of = |name: &str, usual| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(usual);
+/// Returns the test configuration: a fixed seed and number of cases, unless the environment sets
+/// others.
+fn proptest_config() -> ProptestConfig {
+    let from_env =
+        |name: &str, fallback| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(fallback);
     ProptestConfig {
-        cases: of("BASALTPITCH_CASES", 3000) as u32,
-        rng_seed: proptest::test_runner::RngSeed::Fixed(of("BASALTPITCH_SEED", 1)),
+        cases: from_env("BASALTPITCH_CASES", 3000) as u32,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(from_env("BASALTPITCH_SEED", 1)),
         max_shrink_iters: 4000,
         failure_persistence: None,
         ..ProptestConfig::default()
@@ -156,18 +184,18 @@
 }
 
 proptest! {
-    #![proptest_config(drawn())]
+    #![proptest_config(proptest_config())]
 
     #[test]
-    fn the_rules_hold_on_a_hostile_network(steps in proptest::collection::vec(step(), 1..140)) {
+    fn invariants_hold_on_faulty_network(steps in proptest::collection::vec(step(), 1..140)) {
         let mut net = play(&steps);
         heal(&mut net);
         let (epoch, log) = (net.epoch, std::mem::take(&mut net.log));
-        prop_assert!(net.twice.is_none(), "{:?}\n{}", net.twice, log);
-        let open = net.core.open_requests();
-        let doubts = net.core.uncertain_attempts();
-        let (breaches, _) = net.finish();
-        prop_assert!(breaches.is_empty(), "{:#?}\nepoch {}\n{}", breaches, epoch, log);
-        prop_assert_eq!((open, doubts), (0, 0), "open askings and copies in doubt\n{}", log);
+        prop_assert!(net.duplicate_run.is_none(), "{:?}\n{}", net.duplicate_run, log);
+        let open = net.planner.open_requests();
+        let uncertain = net.planner.uncertain_attempts();
+        let (violations, _) = net.finish();
+        prop_assert!(violations.is_empty(), "{:#?}\nepoch {}\n{}", violations, epoch, log);
+        prop_assert_eq!((open, uncertain), (0, 0), "open requests and uncertain attempts\n{}", log);
     }
 }
--- a/planner/tests/recordings.rs
+++ b/planner/tests/recordings.rs
@@ -22,7 +22,7 @@
 fn recorded() -> String {
     let (sink, pieces) = channel();
     let who = Identity { name: "p".into(), epoch: 1, seed: 3, registry_address: "r".into() };
-    let mut core = PlannerState::new(who, net::given(), 50_000_000, Some(Box::new(Sink(sink))));
+    let mut core = PlannerState::new(who, net::placement_settings(), 50_000_000, Some(Box::new(Sink(sink))));
     let entry = |n: u32| wire::Entry {
         machine: format!("m{n}"),
         address: "a".into(),
