--- a/planner/tests/hard_cases.rs
+++ b/planner/tests/hard_cases.rs
@@ -87,7 +87,7 @@
     let m = last_launch(&net);
     // The planner sent the frame, but the machine never reads it.
     let link = net.newest_link(m).unwrap();
-    net.machines[m].links.get_mut(&link).unwrap().closed_by_machine = true;
+    net.machines[m].links.get_mut(&link).unwrap().machine_closed = true;
     net.cut_link(m, link, 0);
     net.advance(1_000_000);
     net.run_rounds(40);
--- a/planner/tests/net/mod.rs
+++ b/planner/tests/net/mod.rs
@@ -80,9 +80,9 @@
     /// Whether the machine has read the planner's hello.
     pub machine_got_hello: bool,
     /// Whether the planner's end of the link is closed.
-    pub closed_by_planner: bool,
+    pub planner_closed: bool,
     /// Whether the machine's end of the link is closed.
-    pub closed_by_machine: bool,
+    pub machine_closed: bool,
 }
 
 /// A simulated machine.
@@ -300,7 +300,7 @@
                         .links
                         .iter_mut()
                         .rev()
-                        .find(|(_, c)| c.planner_got_hello && !c.closed_by_planner);
+                        .find(|(_, c)| c.planner_got_hello && !c.planner_closed);
                     match (last, mark) {
                         (Some((&link, connection)), _) => {
                             connection.to_machine.push_back(body.clone());
@@ -363,7 +363,7 @@
                 Output::Disconnect { machine, .. } => {
                     let m = self.machine_of_peer[&machine];
                     let up =
-                        self.machines[m].links.iter().rev().find(|(_, c)| !c.closed_by_planner).map(|x| *x.0);
+                        self.machines[m].links.iter().rev().find(|(_, c)| !c.planner_closed).map(|x| *x.0);
                     if let Some(link) = up {
                         self.cut_link(m, link, 0);
                     }
@@ -392,10 +392,10 @@
     /// Closes the planner's end of a link. The last `unsent` frames to the machine are reported to
     /// the planner as not sent.
     pub fn cut_link(&mut self, m: usize, link: u64, unsent: usize) {
-        let Some(connection) = self.machines[m].links.get_mut(&link).filter(|c| !c.closed_by_planner) else {
+        let Some(connection) = self.machines[m].links.get_mut(&link).filter(|c| !c.planner_closed) else {
             return;
         };
-        connection.closed_by_planner = true;
+        connection.planner_closed = true;
         connection.to_planner.clear();
         let mut numbers = Vec::new();
         for _ in 0..unsent {
@@ -421,18 +421,18 @@
 
     /// Returns the newest link to a machine whose planner's end is open.
     pub fn newest_link(&self, m: usize) -> Option<u64> {
-        self.machines[m].links.iter().rev().find(|(_, c)| !c.closed_by_planner).map(|x| *x.0)
+        self.machines[m].links.iter().rev().find(|(_, c)| !c.planner_closed).map(|x| *x.0)
     }
 
     /// Lets the machine read one frame of a link, which may be an outdated link.
     pub fn machine_reads(&mut self, m: usize, link: u64) {
         let epoch = self.epoch;
         let machine = &mut self.machines[m];
-        let Some(connection) = machine.links.get_mut(&link).filter(|c| !c.closed_by_machine) else { return };
+        let Some(connection) = machine.links.get_mut(&link).filter(|c| !c.machine_closed) else { return };
         if !connection.machine_got_hello {
             connection.machine_got_hello = true;
             if !machine.attempts.admit_link(&"p".into(), epoch, link) {
-                connection.closed_by_machine = true;
+                connection.machine_closed = true;
                 return;
             }
             machine.queue.retain(|id| machine.attempts.state(&"p".into(), *id).is_some());
@@ -511,9 +511,8 @@
         let epoch = self.epoch;
         let is_current = |link: &u64| machine.attempts.is_current(&"p".into(), epoch, *link);
         let link = machine.links.keys().rev().find(|link| is_current(link)).copied();
-        if let Some(connection) = link
-            .and_then(|l| machine.links.get_mut(&l))
-            .filter(|c| !c.closed_by_planner && !c.closed_by_machine)
+        if let Some(connection) =
+            link.and_then(|l| machine.links.get_mut(&l)).filter(|c| !c.planner_closed && !c.machine_closed)
         {
             connection.to_planner.push_back(body);
         }
@@ -523,7 +522,7 @@
     pub fn planner_reads(&mut self, m: usize, link: u64) {
         let started_us = self.machines[m].started_us;
         let (name, peer) = (self.machines[m].name.clone(), self.peer_index(m));
-        let Some(connection) = self.machines[m].links.get_mut(&link).filter(|c| !c.closed_by_planner) else {
+        let Some(connection) = self.machines[m].links.get_mut(&link).filter(|c| !c.planner_closed) else {
             return;
         };
         if !connection.planner_got_hello {
@@ -600,7 +599,7 @@
         (machine.attempts, machine.started_us, machine.draining) =
             (AttemptTable::default(), self.now_us, false);
         machine.queue.clear();
-        machine.links.values_mut().for_each(|c| c.closed_by_machine = true);
+        machine.links.values_mut().for_each(|c| c.machine_closed = true);
         let name = machine.name.clone();
         self.log_event(format!("{name} restarts"));
     }
@@ -703,9 +702,11 @@
                         self.planner_reads(m, link);
                     }
                     // The planner notices that the machine's end is closed.
-                    if self.machines[m].links.get(&link).is_some_and(|connection| {
-                        connection.closed_by_machine && !connection.closed_by_planner
-                    }) {
+                    if self.machines[m]
+                        .links
+                        .get(&link)
+                        .is_some_and(|c| c.machine_closed && !c.planner_closed)
+                    {
                         self.cut_link(m, link, 0);
                     }
                 }
