--- a/planner/tests/net/mod.rs
+++ b/planner/tests/net/mod.rs
@@ -302,8 +302,8 @@
                         .rev()
                         .find(|(_, c)| c.planner_got_hello && !c.planner_closed);
                     match (last, mark) {
-                        (Some((&link, connection)), _) => {
-                            connection.to_machine.push_back(body.clone());
+                        (Some((&link, state)), _) => {
+                            state.to_machine.push_back(body.clone());
                             let name = machine.name.clone();
                             if let Body::Launch(launch) = &body {
                                 self.launches.push(launch.clone());
@@ -392,14 +392,12 @@
     /// Closes the planner's end of a link. The last `unsent` frames to the machine are reported to
     /// the planner as not sent.
     pub fn cut_link(&mut self, m: usize, link: u64, unsent: usize) {
-        let Some(connection) = self.machines[m].links.get_mut(&link).filter(|c| !c.planner_closed) else {
-            return;
-        };
-        connection.planner_closed = true;
-        connection.to_planner.clear();
+        let Some(state) = self.machines[m].links.get_mut(&link).filter(|c| !c.planner_closed) else { return };
+        state.planner_closed = true;
+        state.to_planner.clear();
         let mut numbers = Vec::new();
         for _ in 0..unsent {
-            if let Some(Body::Launch(launch)) = connection.to_machine.pop_back() {
+            if let Some(Body::Launch(launch)) = state.to_machine.pop_back() {
                 numbers.push(launch.id.unwrap().number);
             }
         }
@@ -428,30 +426,30 @@
     pub fn machine_reads(&mut self, m: usize, link: u64) {
         let epoch = self.epoch;
         let machine = &mut self.machines[m];
-        let Some(connection) = machine.links.get_mut(&link).filter(|c| !c.machine_closed) else { return };
-        if !connection.machine_got_hello {
-            connection.machine_got_hello = true;
+        let Some(state) = machine.links.get_mut(&link).filter(|c| !c.machine_closed) else { return };
+        if !state.machine_got_hello {
+            state.machine_got_hello = true;
             if !machine.attempts.admit_link(&"p".into(), epoch, link) {
-                connection.machine_closed = true;
+                state.machine_closed = true;
                 return;
             }
             machine.queue.retain(|id| machine.attempts.state(&"p".into(), *id).is_some());
             let (ended, held) = machine.attempts.inventory(&"p".into());
             for (id, reply) in ended {
-                connection.to_planner.push_back(reply_frame(id, reply));
+                state.to_planner.push_back(reply_frame(id, reply));
             }
             let held = held.into_iter().map(|(_, state, launch)| wire::Held {
                 launch: Some(launch),
                 accepted: state != AttemptState::Queued,
                 running: state == AttemptState::Running,
             });
-            connection.to_planner.push_back(Body::Inventory(wire::Inventory {
+            state.to_planner.push_back(Body::Inventory(wire::Inventory {
                 held: held.collect(),
                 draining: machine.draining,
             }));
             return;
         }
-        let Some(body) = connection.to_machine.pop_front() else { return };
+        let Some(body) = state.to_machine.pop_front() else { return };
         if !machine.attempts.is_current(&"p".into(), epoch, link) {
             return;
         }
@@ -511,10 +509,10 @@
         let epoch = self.epoch;
         let is_current = |link: &u64| machine.attempts.is_current(&"p".into(), epoch, *link);
         let link = machine.links.keys().rev().find(|link| is_current(link)).copied();
-        if let Some(connection) =
+        if let Some(state) =
             link.and_then(|l| machine.links.get_mut(&l)).filter(|c| !c.planner_closed && !c.machine_closed)
         {
-            connection.to_planner.push_back(body);
+            state.to_planner.push_back(body);
         }
     }
 
@@ -522,18 +520,16 @@
     pub fn planner_reads(&mut self, m: usize, link: u64) {
         let started_us = self.machines[m].started_us;
         let (name, peer) = (self.machines[m].name.clone(), self.peer_index(m));
-        let Some(connection) = self.machines[m].links.get_mut(&link).filter(|c| !c.planner_closed) else {
-            return;
-        };
-        if !connection.planner_got_hello {
-            connection.planner_got_hello = true;
+        let Some(state) = self.machines[m].links.get_mut(&link).filter(|c| !c.planner_closed) else { return };
+        if !state.planner_got_hello {
+            state.planner_got_hello = true;
             self.report_start(m);
             if !self.planner.machine_up(self.now_us, peer, link, &name, started_us as u64) {
                 self.cut_link(m, link, 0);
             }
             return self.carry_out();
         }
-        let Some(body) = connection.to_planner.pop_front() else { return };
+        let Some(body) = state.to_planner.pop_front() else { return };
         let (now_us, planner) = (self.now_us, self.planner_id());
         self.checker.machine_sent_and_delivered(now_us, &name, &planner, &body);
         self.planner.machine_frame(now_us, peer, link, body).expect("a valid frame");
