--- a/planner/tests/admission.rs
+++ b/planner/tests/admission.rs
@@ -44,7 +44,8 @@
         let launched = net.launches.iter().filter(|l| l.key == a.key && l.ask == a.ask).count();
         assert_eq!(launched, 0, "{} was launched", a.key);
     }
-    // The same request again gets the same answer, or a new decision; a task that runs is no new request.
+    // The same request again gets the same answer, or a new decision; a task that runs is no new
+    // request.
     let before = net.received_answers.len();
     net.submit(SMALL, "books", 2, 1);
     let books = net.received_answers[before..].iter().find(|a| a.key == "books").expect("an answer");
--- a/planner/tests/record.rs
+++ b/planner/tests/record.rs
@@ -1,4 +1,4 @@
-//! A voter on a real socket tells its record by what changed.
+//! A voter on a real socket sends its record as deltas of what changed.
 use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
 use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
 use basaltpitch_agent::wire::{self, Body, Role};
@@ -12,17 +12,18 @@
 
 const CONFIG: LeaseConfig = LeaseConfig { duration_us: 40_000, clock_drift_us: 2_000 };
 
-struct Talk {
-    orders: mpsc::Sender<LinkCommand>,
-    heard: mpsc::Receiver<LinkEvent>,
+/// A planner's connection to the voter.
+struct Connection {
+    commands: mpsc::Sender<LinkCommand>,
+    events: mpsc::Receiver<LinkEvent>,
 }
 
-impl Talk {
-    async fn to(address: &str) -> Talk {
+impl Connection {
+    async fn open(address: &str) -> Connection {
         let stream = TcpStream::connect(address).await.unwrap();
-        let (orders, inbox) = mpsc::channel(64);
-        let (news, heard) = mpsc::channel(64);
-        let me = PeerIdentity {
+        let (commands, inbox) = mpsc::channel(64);
+        let (event_sender, events) = mpsc::channel(64);
+        let identity = PeerIdentity {
             role: Role::Planner,
             name: "tester".into(),
             epoch: 1,
@@ -31,19 +32,20 @@
         };
         tokio::task::spawn_local(link::run(
             stream,
-            link::LinkContext::new(me, Clock::start()),
+            link::LinkContext::new(identity, Clock::start()),
             inbox,
-            news,
-            |n| n,
+            event_sender,
+            |event| event,
         ));
-        Talk { orders, heard }
+        Connection { commands, events }
     }
 
-    async fn ask(&mut self, body: Body) -> Body {
-        self.orders.send(LinkCommand::Send(body, None)).await.unwrap();
+    /// Sends a frame and returns the next frame from the voter.
+    async fn request(&mut self, body: Body) -> Body {
+        self.commands.send(LinkCommand::Send(body, None)).await.unwrap();
         loop {
-            let news = tokio::time::timeout(Duration::from_secs(20), self.heard.recv()).await;
-            match news.expect("a frame within 20 s").expect("a link that stands") {
+            let event = tokio::time::timeout(Duration::from_secs(20), self.events.recv()).await;
+            match event.expect("a frame within 20 s").expect("a link that is up") {
                 LinkEvent::Session(SessionEvent::Frame(body)) => return body,
                 LinkEvent::Session(_) => {}
                 LinkEvent::Ended { why, .. } => panic!("{why}"),
@@ -51,29 +53,31 @@
         }
     }
 
-    async fn record(&mut self, of: wire::Record) -> wire::Kept {
-        match self.ask(Body::Record(of)).await {
-            Body::Kept(kept) => kept,
+    /// Requests the voter's record.
+    async fn record(&mut self, request: wire::Record) -> wire::Kept {
+        match self.request(Body::Record(request)).await {
+            Body::Kept(record) => record,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Asks for a vote until it is granted: a voter that begins with nothing waits for a term.
-    async fn vote(&mut self, duty: &str, token: u64, note: Option<u64>) {
+    /// Requests a vote until it is granted: a voter that starts without state waits for a lease
+    /// duration first. `metadata` is the number and the text of the metadata to write.
+    async fn vote(&mut self, lease: &str, token: u64, metadata: Option<u64>) {
         loop {
             let ballot = wire::Ballot {
-                duty: duty.into(),
+                duty: lease.into(),
                 token,
                 round: 1,
-                note_number: note.unwrap_or(0),
-                note: note.map_or(Vec::new(), |n| n.to_string().into_bytes()),
+                note_number: metadata.unwrap_or(0),
+                note: metadata.map_or(Vec::new(), |n| n.to_string().into_bytes()),
                 renews: false,
             };
-            match self.ask(Body::Ballots(wire::Ballots { ballots: vec![ballot] })).await {
+            match self.request(Body::Ballots(wire::Ballots { ballots: vec![ballot] })).await {
                 Body::Votes(votes) if votes.votes[0].granted => return,
                 Body::Votes(votes) => {
-                    let left = votes.votes[0].left_us.clamp(1000, CONFIG.duration_us) as u64;
-                    tokio::time::sleep(Duration::from_micros(left)).await;
+                    let left_us = votes.votes[0].left_us.clamp(1000, CONFIG.duration_us) as u64;
+                    tokio::time::sleep(Duration::from_micros(left_us)).await;
                 }
                 other => panic!("{other:?}"),
             }
@@ -81,64 +85,71 @@
     }
 }
 
-fn names(kept: &wire::Kept) -> Vec<&str> {
-    kept.duties.iter().map(|d| d.duty.as_str()).collect()
+/// Returns the names of the leases in a record.
+fn lease_names(record: &wire::Kept) -> Vec<&str> {
+    record.duties.iter().map(|d| d.duty.as_str()).collect()
 }
 
 #[test]
-fn a_voter_tells_who_has_its_record_what_changed_and_all_others_all() {
+fn voter_sends_delta_to_known_revision_and_full_record_otherwise() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let voters = vec![VoterEndpoint { name: "v0".into(), address: address.clone() }];
-        let start = voter_server::VoterConfig {
+        let config = voter_server::VoterConfig {
             name: "v0".into(),
             lease_config: CONFIG,
             voters,
             index: 0,
             store: None,
         };
-        tokio::task::spawn_local(voter_server::serve(listener, start, std::future::pending()));
-        let mut talk = Talk::to(&address).await;
-        for duty in ["planner-0", "planner-1", "halls"] {
-            talk.vote(duty, 1, None).await;
-            talk.vote(duty, 1, None).await;
+        tokio::task::spawn_local(voter_server::serve(listener, config, std::future::pending()));
+        let mut connection = Connection::open(&address).await;
+        for lease in ["planner-0", "planner-1", "halls"] {
+            connection.vote(lease, 1, None).await;
+            connection.vote(lease, 1, None).await;
         }
-        let of = |life, revision| wire::Record { brief: true, prefix: "planner-".into(), life, revision };
-        let all = talk.record(of(0, 0)).await;
-        assert_eq!((names(&all), all.since), (vec!["planner-0", "planner-1"], 0));
+        let request =
+            |life, revision| wire::Record { brief: true, prefix: "planner-".into(), life, revision };
+        let all = connection.record(request(0, 0)).await;
+        assert_eq!((lease_names(&all), all.since), (vec!["planner-0", "planner-1"], 0));
         assert!(all.life > 0 && all.revision > 0 && all.prefix == "planner-", "{all:?}");
-        // A renewal is no change, and another duty's is none of these.
-        talk.vote("planner-0", 1, None).await;
-        talk.vote("halls", 1, Some(1)).await;
-        let same = talk.record(of(all.life, all.revision)).await;
-        assert_eq!((names(&same), same.since), (vec![], all.revision));
-        talk.vote("planner-1", 1, Some(1)).await;
-        let one = talk.record(of(same.life, same.revision)).await;
-        assert_eq!((names(&one), one.since), (vec!["planner-1"], same.revision));
+        // A renewal is not a change, and changes of a lease with another prefix are not included.
+        connection.vote("planner-0", 1, None).await;
+        connection.vote("halls", 1, Some(1)).await;
+        let same = connection.record(request(all.life, all.revision)).await;
+        assert_eq!((lease_names(&same), same.since), (vec![], all.revision));
+        connection.vote("planner-1", 1, Some(1)).await;
+        let one = connection.record(request(same.life, same.revision)).await;
+        assert_eq!((lease_names(&one), one.since), (vec!["planner-1"], same.revision));
         assert_eq!(one.duties[0].note, b"1");
-        // Who has not heard of that yet hears it, whatever was asked meanwhile.
-        let late = talk.record(of(all.life, all.revision)).await;
-        assert_eq!((names(&late), late.revision), (vec!["planner-1"], one.revision));
-        // Of another life; from the time to come; by an older build, which says neither.
+        // A request from an older revision gets the change too, whatever was requested meanwhile.
+        let older = connection.record(request(all.life, all.revision)).await;
+        assert_eq!((lease_names(&older), older.revision), (vec!["planner-1"], one.revision));
+        // A full record is sent to a request with the incarnation of another voter process, with a
+        // future revision, or from an older build, which sends neither.
         for (life, revision) in [(all.life + 1, one.revision), (all.life, one.revision + 1), (0, 0)] {
-            let kept = talk.record(of(life, revision)).await;
-            assert_eq!((names(&kept), kept.since), (vec!["planner-0", "planner-1"], 0));
+            let full = connection.record(request(life, revision)).await;
+            assert_eq!((lease_names(&full), full.since), (vec!["planner-0", "planner-1"], 0));
         }
-        // The note that stands there comes with a vote, unless its holder renews it.
-        for (renews, note) in [(false, &b"1"[..]), (true, b"")] {
+        // The reply to a ballot includes the stored metadata, unless the ballot renews the lease.
+        for (renews, metadata) in [(false, &b"1"[..]), (true, b"")] {
             let ballot = wire::Ballot { duty: "planner-1".into(), token: 1, renews, ..Default::default() };
-            let votes = talk.ask(Body::Ballots(wire::Ballots { ballots: vec![ballot] })).await;
+            let votes = connection.request(Body::Ballots(wire::Ballots { ballots: vec![ballot] })).await;
             assert!(
-                matches!(&votes, Body::Votes(v) if v.votes[0].granted && v.votes[0].note == note),
+                matches!(&votes, Body::Votes(v) if v.votes[0].granted && v.votes[0].note == metadata),
                 "{votes:?}"
             );
         }
-        // With the time that each is taken, which changes all the time, it tells all each time.
-        let record =
+        // A request for all leases gets a full record each time: it includes the remaining times,
+        // which change constantly.
+        let request =
             wire::Record { brief: true, life: all.life, revision: one.revision, ..Default::default() };
-        let kept = talk.record(record).await;
-        assert_eq!((names(&kept), kept.life, kept.revision), (vec!["halls", "planner-0", "planner-1"], 0, 0));
+        let full = connection.record(request).await;
+        assert_eq!(
+            (lease_names(&full), full.life, full.revision),
+            (vec!["halls", "planner-0", "planner-1"], 0, 0)
+        );
     });
 }
--- a/planner/tests/recordings.rs
+++ b/planner/tests/recordings.rs
@@ -1,4 +1,4 @@
-//! A recording replays to the last byte, or the first call that differs is named.
+//! Recordings: a recording replays up to its last byte, and the first call that differs is named.
 mod net;
 use basaltpitch_agent::wire::{self, Body};
 use basaltpitch_planner::recording::{replay, ReplayOutcome};
@@ -6,6 +6,7 @@
 use std::io::Write;
 use std::sync::mpsc::{channel, Sender};
 
+/// A writer that passes on what is written.
 struct Sink(Sender<Vec<u8>>);
 
 impl Write for Sink {
@@ -18,11 +19,12 @@
     }
 }
 
-/// A planner's first seconds with a list and tasks, recorded.
-fn recorded() -> String {
-    let (sink, pieces) = channel();
-    let who = Identity { name: "p".into(), epoch: 1, seed: 3, registry_address: "r".into() };
-    let mut core = PlannerState::new(who, net::placement_settings(), 50_000_000, Some(Box::new(Sink(sink))));
+/// Returns the recording of a planner's first seconds, with a machine list and tasks.
+fn recording_text() -> String {
+    let (sink, written) = channel();
+    let identity = Identity { name: "p".into(), epoch: 1, seed: 3, registry_address: "r".into() };
+    let mut planner =
+        PlannerState::new(identity, net::placement_settings(), 50_000_000, Some(Box::new(Sink(sink))));
     let entry = |n: u32| wire::Entry {
         machine: format!("m{n}"),
         address: "a".into(),
@@ -31,14 +33,15 @@
         started_us: 1,
         ..wire::Entry::default()
     };
-    core.registry_up(50_000_000);
+    planner.registry_up(50_000_000);
     let list = wire::List { whole: true, stamp: 1, entries: (0..3).map(entry).collect(), question: 0 };
-    core.registry_frame(50_000_000, Body::List(list)).unwrap();
-    core.advance_clock(50_000_000);
-    while let Some(out) = core.next_output() {
-        if let Output::Dial { peer, link, name, .. } = out {
-            if core.machine_up(50_001_000, peer, link, &name, 1) {
-                core.machine_frame(50_002_000, peer, link, Body::Inventory(wire::Inventory::default()))
+    planner.registry_frame(50_000_000, Body::List(list)).unwrap();
+    planner.advance_clock(50_000_000);
+    while let Some(output) = planner.next_output() {
+        if let Output::Dial { peer, link, name, .. } = output {
+            if planner.machine_up(50_001_000, peer, link, &name, 1) {
+                planner
+                    .machine_frame(50_002_000, peer, link, Body::Inventory(wire::Inventory::default()))
                     .unwrap();
             }
         }
@@ -54,29 +57,32 @@
             time_left_us: 6_000_000,
             ..wire::Submit::default()
         };
-        core.client_frame(50_010_000 + n as i64, 1, Body::Submit(submit)).unwrap();
+        planner.client_frame(50_010_000 + n as i64, 1, Body::Submit(submit)).unwrap();
     }
-    core.advance_clock(65_000_000);
-    drop(core);
-    String::from_utf8(pieces.iter().flatten().collect()).unwrap()
+    planner.advance_clock(65_000_000);
+    drop(planner);
+    String::from_utf8(written.iter().flatten().collect()).unwrap()
 }
 
 #[test]
-fn a_recording_replays_and_so_does_one_that_was_cut_off() {
-    let text = recorded();
-    let ReplayOutcome::Same { events: told, calls } = replay(text.as_bytes()).unwrap() else {
-        panic!("differs")
+fn replays_complete_and_truncated_recordings() {
+    let text = recording_text();
+    let ReplayOutcome::Same { events, calls } = replay(text.as_bytes()).unwrap() else {
+        panic!("the replay differs from the recording")
     };
-    assert!(told > 40 && calls > 40, "{told} told, {calls} calls");
-    let last = text.trim_end().rfind('\n').unwrap() + 1;
-    for end in [last, last + 5, text.len() - 2] {
-        assert!(matches!(replay(&text.as_bytes()[..end]), Ok(ReplayOutcome::Same { .. })), "cut at {end}");
+    assert!(events > 40 && calls > 40, "{events} events, {calls} calls");
+    let last_line = text.trim_end().rfind('\n').unwrap() + 1;
+    for end in [last_line, last_line + 5, text.len() - 2] {
+        assert!(
+            matches!(replay(&text.as_bytes()[..end]), Ok(ReplayOutcome::Same { .. })),
+            "truncated at byte {end}"
+        );
     }
 }
 
 #[test]
-fn the_first_call_that_differs_is_named() {
-    let text = recorded();
+fn names_first_call_that_differs() {
+    let text = recording_text();
     let launch = text.lines().position(|l| l.starts_with("> launch")).expect(&text);
     let forged: Vec<String> = text
         .lines()
@@ -88,22 +94,22 @@
             assert_eq!((line, recorded.as_str()), (launch + 1, "> launch 99 on 99 for 1"));
             assert!(now.starts_with("> launch "), "{now}");
         }
-        same => panic!("{same:?}"),
+        other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn what_is_no_recording_is_named_with_its_line() {
-    let text = recorded();
+fn rejects_invalid_recording_and_names_line() {
+    let text = recording_text();
     let broken = text.replacen("\"told\"", "\"tald\"", 1);
-    let wrong = [
+    let cases = [
         ("", "found the end of the file; expected # basaltpitch recording 1"),
         ("hello\n", "line 1: found \"hello\"; expected \"# basaltpitch recording 1\""),
         ("# basaltpitch recording 1\n{}\n", "line 2: found missing field `seed`"),
         (&broken, "expected what the module was told, or a call"),
     ];
-    for (text, want) in wrong {
-        let said = replay(text.as_bytes()).unwrap_err().to_string();
-        assert!(said.contains(want), "{said}");
+    for (text, expected) in cases {
+        let error = replay(text.as_bytes()).unwrap_err().to_string();
+        assert!(error.contains(expected), "{error}");
     }
 }
--- a/planner/tests/sockets.rs
+++ b/planner/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! A planner on real sockets, beside stand-ins in the same process. Nothing waits for luck: each test waits
-//! for the frame that it wants, within a bound.
+//! A planner on real sockets, beside stand-ins in the same process. Nothing waits for luck: each
+//! test waits for the frame that it wants, within a bound.
 use basaltpitch::host::{Settings, Value};
 use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
 use basaltpitch_agent::session::{LinkConfig, PeerIdentity, SessionEvent};
--- a/planner/tests/subset.rs
+++ b/planner/tests/subset.rs
@@ -61,8 +61,8 @@
     net.registry_frames.iter().filter_map(of).collect()
 }
 
-/// Each machine is heard once, for what an earlier life may have launched there; then only the part is
-/// linked, and only its machines get work.
+/// Each machine is heard once, for what an earlier life may have launched there; then only the part
+/// is linked, and only its machines get work.
 #[test]
 fn a_planner_links_to_its_part_alone_and_launches_there() {
     let mut net = begin("", &[]);
@@ -92,8 +92,8 @@
     assert_eq!(net.finish().0, []);
 }
 
-/// A seat's machines are taken on once it is vacant, and let go after it is held again; a task on one that
-/// leaves keeps its link, gets no company, and is found by the seat's next life.
+/// A seat's machines are taken on once it is vacant, and let go after it is held again; a task on
+/// one that leaves keeps its link, gets no company, and is found by the seat's next life.
 #[test]
 fn tasks_on_machines_that_leave_the_part_are_kept_and_found() {
     let mut net = begin("", &[]);
@@ -142,8 +142,8 @@
     assert_eq!(net.finish().0, []);
 }
 
-/// Of a task that clauses let go only to a machine outside the part, the register is asked at once; what it
-/// names is a guest, takes the task, and goes once it has held nothing for its time.
+/// Of a task that clauses let go only to a machine outside the part, the register is asked at once;
+/// what it names is a guest, takes the task, and goes once it has held nothing for its time.
 #[test]
 fn a_task_that_fits_only_outside_is_placed_on_a_guest() {
     let own = of_role(&mut begin("", &[]), "part");
--- a/planner/tests/summary_codec.rs
+++ b/planner/tests/summary_codec.rs
@@ -1,6 +1,6 @@
-//! Gossip as frames: drawn requests and replies come back as they were and cost as many bytes as gossip counts;
-//! lists that do not fit are refused; and a summary's metrics come back, of one planner and of several as one.
-//! A failing case prints its seed.
+//! Gossip as frames: drawn requests and replies come back as they were and cost as many bytes as
+//! gossip counts; lists that do not fit are refused; and a summary's metrics come back, of one
+//! planner and of several as one. A failing case prints its seed.
 use basaltpitch_admission::DemandSummary;
 use basaltpitch_agent::wire::{Body, Digest, Frame, Summaries};
 use basaltpitch_gossip::frame_size::frame_bytes;
@@ -116,8 +116,8 @@
     SharedMetrics { counts, own_zone: 2, decision, demand: share, zones }
 }
 
-/// What planners ask for is summed, what they believe of machines is fused to the middle, and the highest word
-/// counts whole; the other way round would make many fleets of one.
+/// What planners ask for is summed, what they believe of machines is fused to the middle, and the
+/// highest word counts whole; the other way round would make many fleets of one.
 #[test]
 fn several_planners_make_one_zone() {
     for seed in 0..500 {
@@ -155,8 +155,8 @@
     assert!(layout(99).metric_count() + 2 <= basaltpitch_gossip::MAX_METRICS && shared_zone_count(99) > 16);
 }
 
-/// A planner of an earlier build told whole texts in frames of other numbers: they are of no kind that is known
-/// here, which ends the link with one error, and are never misread.
+/// A planner of an earlier build told whole texts in frames of other numbers: they are of no kind
+/// that is known here, which ends the link with one error, and are never misread.
 #[test]
 fn frames_of_earlier_builds_are_of_no_kind() {
     for kind in [70u32, 71] {
--- a/planner/tests/tenants.rs
+++ b/planner/tests/tenants.rs
@@ -1,6 +1,6 @@
-//! A planner that learns its tenants, under a made-up clock and with the auditor on: the directory goes away
-//! under load and the planner restarts in the midst; a tenant is renamed and another takes its name; rights
-//! come and go between askings.
+//! A planner that learns its tenants, under a made-up clock and with the auditor on: the directory
+//! goes away under load and the planner restarts in the midst; a tenant is renamed and another
+//! takes its name; rights come and go between askings.
 mod net;
 
 use basaltpitch_agent::wire::{self, AnswerKind, Body};
@@ -167,8 +167,8 @@
     assert_eq!(scenario.net.finish().0, []);
 }
 
-/// Renamed while its tasks run, another created under its old name in the same sweep, and a successor that
-/// finds the tasks on machines, where the old name still stands.
+/// Renamed while its tasks run, another created under its old name in the same sweep, and a
+/// successor that finds the tasks on machines, where the old name still stands.
 #[test]
 fn a_renamed_tenant_keeps_its_tasks_over_a_restart_though_another_has_its_name() {
     let mut scenario = DirectoryScenario::new();
