--- a/planner/tests/clauses.rs
+++ b/planner/tests/clauses.rs
@@ -123,8 +123,8 @@
     assert_eq!((third.kind, zone_of(&third.machine)), (AnswerKind::Placed as i32, zone_of(&first)));
     assert_eq!(submit(&mut net, SMALL, "d", 1), None);
     net.advance(7 * SECOND_US);
-    let d = net.received_answers.iter().find(|a| a.key == "d").expect("an answer");
-    assert_eq!(d.reason, "no machine had room in time; kept out by what runs, under: one a hall");
+    let declined = net.received_answers.iter().find(|a| a.key == "d").expect("an answer");
+    assert_eq!(declined.reason, "no machine had room in time; kept out by what runs, under: one a hall");
     assert_eq!(net.finish().0, []);
 }
 
--- a/planner/tests/machine_availability.rs
+++ b/planner/tests/machine_availability.rs
@@ -1,9 +1,9 @@
-//! When a machine is offered work, and what a newer start of it means.
+//! When a machine is offered work, and how its restart changes its availability.
 use basaltpitch::host::Readiness;
 use basaltpitch_planner::machine_availability::{LinkState, MachineAvailability};
 
 #[test]
-fn work_is_offered_only_where_list_machine_and_link_agree() {
+fn offers_work_only_if_list_machine_and_link_allow_it() {
     let all = [None, Some(Readiness::Ready), Some(Readiness::Draining), Some(Readiness::Gone)];
     let links = [
         LinkState::None,
@@ -16,11 +16,12 @@
     for listed in all {
         for link in links {
             for draining in [false, true] {
-                let s = MachineAvailability { listed, link, draining, ..MachineAvailability::default() };
-                if s.readiness() == Readiness::Ready {
+                let availability =
+                    MachineAvailability { listed, link, draining, ..MachineAvailability::default() };
+                if availability.readiness() == Readiness::Ready {
                     ready.push((listed, link, draining));
                 }
-                assert!(!s.is_lost() || s.readiness() == Readiness::Gone);
+                assert!(!availability.is_lost() || availability.readiness() == Readiness::Gone);
             }
         }
     }
@@ -28,10 +29,10 @@
 }
 
 #[test]
-fn a_newer_start_takes_back_a_drain_and_an_older_one_says_nothing() {
-    let mut s = MachineAvailability { draining: true, ..MachineAvailability::default() };
-    assert!(!s.observe_start(5), "the first that is known loses nothing");
-    s.draining = true;
-    assert!(!s.observe_start(4) && s.draining);
-    assert!(s.observe_start(6) && !s.draining);
+fn newer_start_ends_drain_and_older_start_is_ignored() {
+    let mut availability = MachineAvailability { draining: true, ..MachineAvailability::default() };
+    assert!(!availability.observe_start(5), "the first known start is not a restart");
+    availability.draining = true;
+    assert!(!availability.observe_start(4) && availability.draining);
+    assert!(availability.observe_start(6) && !availability.draining);
 }
--- a/planner/tests/recordings.rs
+++ b/planner/tests/recordings.rs
@@ -109,7 +109,7 @@
         (&broken, "expected what the module was told, or a call"),
     ];
     for (text, expected) in cases {
-        let error = replay(text.as_bytes()).unwrap_err().to_string();
-        assert!(error.contains(expected), "{error}");
+        let message = replay(text.as_bytes()).unwrap_err().to_string();
+        assert!(message.contains(expected), "{message}");
     }
 }
--- a/planner/tests/tenants.rs
+++ b/planner/tests/tenants.rs
@@ -1,6 +1,6 @@
-//! A planner that learns its tenants, under a made-up clock and with the auditor on: the directory
-//! goes away under load and the planner restarts in the midst; a tenant is renamed and another
-//! takes its name; rights come and go between askings.
+//! A planner that reads its tenants from a directory, on a simulated network with the invariant
+//! checker. The directory becomes unreachable under load while the planner restarts; a tenant is
+//! renamed and another takes its name; permissions change between requests.
 mod net;
 
 use basaltpitch_agent::wire::{self, AnswerKind, Body};
@@ -12,20 +12,24 @@
 use net::{SimulatedNetwork, BIG, SMALL};
 use serde_json::Value;
 
-const S: i64 = 1_000_000;
+/// Microseconds in a second.
+const SECOND_US: i64 = 1_000_000;
 
-fn entry(id: u128, what: EntryKind, name: &str, members: &[&str], version: u32) -> Entry {
+/// Returns a directory entry.
+fn entry(id: u128, kind: EntryKind, name: &str, members: &[&str], version: u32) -> Entry {
     let members = members.iter().map(|m| format!("cn={m}")).collect();
     let stamp = format!("2026{version:010}Z");
-    Entry { id: Id(id), kind: what, name: name.into(), dn: format!("cn={name}"), members, stamp }
+    Entry { id: Id(id), kind, name: name.into(), dn: format!("cn={name}"), members, stamp }
 }
 
+/// Returns a tenant with a share of one half.
 fn tenant(id: u128, name: &str, members: &[&str], version: u32) -> Entry {
     entry(id, EntryKind::Tenant { share: 0.5 }, name, members, version)
 }
 
-/// Asha is in orders, Ravi in stores; Lena keeps the machines.
-fn begin() -> Vec<Entry> {
+/// Returns the initial entries: asha is a member of the tenant orders, ravi of stores, and lena is
+/// an operator.
+fn initial_entries() -> Vec<Entry> {
     let person = |id, name| entry(id, EntryKind::Person, name, &[], 1);
     vec![
         person(1, "asha"),
@@ -37,87 +41,92 @@
     ]
 }
 
-fn ways() -> DirectoryOptions {
-    let terms =
+/// Returns the options of the directory access.
+fn directory_options() -> DirectoryOptions {
+    let access_policy =
         AccessPolicy { operators: vec!["cn=keepers".into()], place_stale: true, ..AccessPolicy::default() };
     DirectoryOptions {
         servers: vec!["one".into(), "two".into()],
-        access_policy: terms,
+        access_policy,
         sync_schedule: DEFAULT_SYNC_SCHEDULE,
         change_guard: DEFAULT_CHANGE_GUARD,
     }
 }
 
+/// A simulated network with a simulated directory.
 struct DirectoryScenario {
     net: SimulatedNetwork,
-    /// What the directory says; none: it is away.
-    there: Option<Vec<Entry>>,
+    /// The entries of the directory; `None` while it is unreachable.
+    entries: Option<Vec<Entry>>,
 }
 
 impl DirectoryScenario {
     fn new() -> DirectoryScenario {
         let mut net = SimulatedNetwork::new(4);
-        let learnt = DirectoryAccess::new(1, net.now_us, ways(), None).unwrap();
-        net.planner.use_directory(net.now_us, learnt);
-        let mut scenario = DirectoryScenario { net, there: Some(begin()) };
+        let access = DirectoryAccess::new(1, net.now_us, directory_options(), None).unwrap();
+        net.planner.use_directory(net.now_us, access);
+        let mut scenario = DirectoryScenario { net, entries: Some(initial_entries()) };
         scenario.run_seconds(1);
         scenario
     }
 
-    /// Lets seconds pass; sweeps are answered at once.
+    /// Advances the time by some seconds. Directory syncs complete at once.
     fn run_seconds(&mut self, seconds: i64) {
         for _ in 0..seconds {
-            self.net.advance(S);
+            self.net.advance(SECOND_US);
             self.net.run_rounds(5);
             for task in std::mem::take(&mut self.net.directory_syncs) {
-                let sweep = self.there.clone().map(|e| Sweep::of(e, true));
-                let lacks = if sweep.is_some() { vec![] } else { vec!["no connection".to_owned()] };
-                self.net.planner.directory_synced(self.net.now_us, task.number, sweep, lacks);
+                let sweep = self.entries.clone().map(|e| Sweep::of(e, true));
+                let problems = if sweep.is_some() { vec![] } else { vec!["no connection".to_owned()] };
+                self.net.planner.directory_synced(self.net.now_us, task.number, sweep, problems);
                 self.net.advance(0);
             }
         }
     }
 
-    /// Someone asks for a task for a tenant.
-    fn ask(&mut self, login: &str, tenant: &str, key: &str, ask: u64) -> wire::Answer {
+    /// Submits a task for a tenant as a person, and returns the answer.
+    fn submit(&mut self, login: &str, tenant: &str, key: &str, request_id: u64) -> wire::Answer {
         self.net.planner.client_connected(1, login);
         self.net.tenant = tenant.into();
         self.net.received_answers.clear();
-        self.net.submit(SMALL, key, ask, 6 * S);
+        self.net.submit(SMALL, key, request_id, 6 * SECOND_US);
         self.net.run_rounds(20);
-        let answer = self.net.received_answers.iter().find(|a| a.key == key && a.ask == ask);
-        answer.unwrap_or_else(|| panic!("no answer to {key} {ask}")).clone()
+        let answer = self.net.received_answers.iter().find(|a| a.key == key && a.ask == request_id);
+        answer.unwrap_or_else(|| panic!("no answer to {key} {request_id}")).clone()
     }
 
-    fn see(&mut self, login: &str, what: &str, about: &str) -> Result<Value, String> {
+    /// Sends a query as a person, and returns the reply or the error.
+    fn query(&mut self, login: &str, what: &str, about: &str) -> Result<Value, String> {
         self.net.planner.client_connected(1, login);
-        let told =
+        let reply =
             self.net.operator_request(Body::Query(wire::Query { what: what.into(), about: about.into() }))?;
-        Ok(serde_json::from_str(&told).unwrap())
+        Ok(serde_json::from_str(&reply).unwrap())
     }
 
-    /// The planner is killed, and its successor begins with what it remembered.
+    /// Kills the planner, and starts its successor with the stored tenant snapshot.
     fn restart_planner(&mut self) {
-        let all = self.net.stored_snapshots.iter().rev().find_map(|m| m.1.clone()).unwrap();
-        let at = self.net.stored_snapshots.last().unwrap().0;
+        let snapshot = self.net.stored_snapshots.iter().rev().find_map(|m| m.1.clone()).unwrap();
+        let at_us = self.net.stored_snapshots.last().unwrap().0;
         self.net.kill_planner();
         self.net.directory_syncs.clear();
-        let learnt = DirectoryAccess::new(2, self.net.now_us, ways(), Some((at, &all))).unwrap();
-        self.net.planner.use_directory(self.net.now_us, learnt);
+        let access =
+            DirectoryAccess::new(2, self.net.now_us, directory_options(), Some((at_us, &snapshot))).unwrap();
+        self.net.planner.use_directory(self.net.now_us, access);
         self.net.run_rounds(40);
     }
 }
 
-fn placed(a: &wire::Answer) -> bool {
-    a.kind == AnswerKind::Placed as i32
+/// Returns whether the answer is that the task was placed.
+fn is_placed(answer: &wire::Answer) -> bool {
+    answer.kind == AnswerKind::Placed as i32
 }
 
 #[test]
-fn the_directory_is_away_under_load_and_the_planner_restarts_in_the_midst() {
+fn serves_stale_tenants_while_directory_is_unreachable_and_planner_restarts() {
     let mut scenario = DirectoryScenario::new();
-    let a = scenario.ask("asha", "orders", "a", 1);
-    assert!(placed(&a) && a.stale_us == 0);
-    scenario.there = None;
+    let answer = scenario.submit("asha", "orders", "a", 1);
+    assert!(is_placed(&answer) && answer.stale_us == 0);
+    scenario.entries = None;
     let mut n = 0;
     for minute in 1..=10 {
         if minute == 5 {
@@ -125,129 +134,143 @@
         }
         scenario.run_seconds(60);
         n += 1;
-        let a = scenario.ask("asha", "orders", &format!("away {n}"), 1);
-        assert!(placed(&a), "minute {minute}: {}", a.reason);
-        // PACE: stale after two minutes, and the last sweep was up to half a minute before.
-        assert_eq!(a.stale_us > 0, minute >= 2, "minute {minute}: {}", a.stale_us);
-        assert!(a.stale_us == 0 || (a.stale_us - minute * 60 * S).abs() < 32 * S);
+        let answer = scenario.submit("asha", "orders", &format!("away {n}"), 1);
+        assert!(is_placed(&answer), "minute {minute}: {}", answer.reason);
+        // By the default schedule, tenants are stale after two minutes, and the last sync was up to
+        // half a minute earlier.
+        assert_eq!(answer.stale_us > 0, minute >= 2, "minute {minute}: {}", answer.stale_us);
+        assert!(answer.stale_us == 0 || (answer.stale_us - minute * 60 * SECOND_US).abs() < 32 * SECOND_US);
     }
-    let a = scenario.ask("meera", "orders", "new", 1);
-    assert_eq!((a.not_allowed, a.reason.as_str()), (true, "the directory knows no such person"));
-    assert!(a.stale_us > 500 * S && a.retry_after_us >= S, "it says how old that is, and when to ask again");
-    assert_eq!(scenario.see("asha", "directory", "").unwrap()["state"], "stale");
-    // It comes back, with a new member, and the old one gone.
-    let mut now = begin();
-    now[3] = tenant(10, "orders", &["meera"], 2);
-    now.push(entry(4, EntryKind::Person, "meera", &[], 2));
-    scenario.there = Some(now);
+    let answer = scenario.submit("meera", "orders", "new", 1);
+    assert_eq!((answer.not_allowed, answer.reason.as_str()), (true, "the directory knows no such person"));
+    assert!(
+        answer.stale_us > 500 * SECOND_US && answer.retry_after_us >= SECOND_US,
+        "the answer states the age of the tenants and when to retry"
+    );
+    assert_eq!(scenario.query("asha", "directory", "").unwrap()["state"], "stale");
+    // The directory is reachable again, with a new member in the tenant and without the old one.
+    let mut changed = initial_entries();
+    changed[3] = tenant(10, "orders", &["meera"], 2);
+    changed.push(entry(4, EntryKind::Person, "meera", &[], 2));
+    scenario.entries = Some(changed);
     scenario.run_seconds(70);
-    assert_eq!(scenario.see("asha", "directory", "").unwrap()["state"], "fresh");
-    let a = scenario.ask("meera", "orders", "new", 2);
-    assert!(placed(&a) && a.stale_us == 0);
-    let a = scenario.ask("asha", "orders", "late", 1);
-    assert_eq!((a.not_allowed, a.reason.as_str(), a.stale_us), (true, "not a member of the tenant", 0));
+    assert_eq!(scenario.query("asha", "directory", "").unwrap()["state"], "fresh");
+    let answer = scenario.submit("meera", "orders", "new", 2);
+    assert!(is_placed(&answer) && answer.stale_us == 0);
+    let answer = scenario.submit("asha", "orders", "late", 1);
+    assert_eq!(
+        (answer.not_allowed, answer.reason.as_str(), answer.stale_us),
+        (true, "not a member of the tenant", 0)
+    );
     assert_eq!(scenario.net.finish().0, []);
 }
 
 #[test]
-fn what_was_answered_is_answered_alike_whatever_became_of_the_right() {
+fn repeated_request_keeps_answer_after_permission_is_revoked() {
     let mut scenario = DirectoryScenario::new();
-    let first = scenario.ask("asha", "orders", "a", 1);
-    assert!(placed(&first));
-    let mut now = begin();
-    now[3] = tenant(10, "orders", &[], 2);
-    scenario.there = Some(now);
+    let first = scenario.submit("asha", "orders", "a", 1);
+    assert!(is_placed(&first));
+    let mut changed = initial_entries();
+    changed[3] = tenant(10, "orders", &[], 2);
+    scenario.entries = Some(changed);
     scenario.run_seconds(40);
-    assert!(!placed(&scenario.ask("asha", "orders", "b", 1)));
-    // The repeat of what was answered, and a new asking for what runs.
-    assert_eq!(scenario.ask("asha", "orders", "a", 1).machine, first.machine);
-    assert_eq!(scenario.ask("asha", "orders", "a", 2).machine, first.machine, "it runs on");
-    assert!(scenario.see("ravi", "tasks", "").unwrap().as_array().unwrap().is_empty(), "not his");
-    assert_eq!(scenario.see("lena", "tasks", "").unwrap()[0]["tenant"], "orders");
+    assert!(!is_placed(&scenario.submit("asha", "orders", "b", 1)));
+    // A repeated request and a new request for a running task still get its placement.
+    assert_eq!(scenario.submit("asha", "orders", "a", 1).machine, first.machine);
+    assert_eq!(scenario.submit("asha", "orders", "a", 2).machine, first.machine, "the task keeps running");
+    assert!(
+        scenario.query("ravi", "tasks", "").unwrap().as_array().unwrap().is_empty(),
+        "the tasks of another tenant are hidden"
+    );
+    assert_eq!(scenario.query("lena", "tasks", "").unwrap()[0]["tenant"], "orders");
     assert_eq!(scenario.net.finish().0, []);
 }
 
-/// Renamed while its tasks run, another created under its old name in the same sweep, and a
-/// successor that finds the tasks on machines, where the old name still stands.
+/// A tenant is renamed while its tasks run, and the same sync brings another tenant with the old
+/// name. Machines still report the old name, so a planner that restarts could give the tasks to the
+/// wrong tenant.
 #[test]
-fn a_renamed_tenant_keeps_its_tasks_over_a_restart_though_another_has_its_name() {
+fn renamed_tenant_keeps_tasks_over_restart_when_another_takes_its_name() {
     let mut scenario = DirectoryScenario::new();
     scenario.net.tenant = "orders".into();
     scenario.net.planner.client_connected(1, "asha");
-    scenario.net.submit(BIG, "long", 1, 9 * S);
+    scenario.net.submit(BIG, "long", 1, 9 * SECOND_US);
     scenario.net.run_rounds(20);
-    assert!(placed(scenario.net.received_answers.last().unwrap()));
+    assert!(is_placed(scenario.net.received_answers.last().unwrap()));
     assert_eq!(scenario.net.launches.last().unwrap().tenant_id, Id(10).to_string());
-    let mut now = begin();
-    now[3] = tenant(10, "kitchen", &["asha"], 2);
-    now.push(tenant(12, "orders", &["ravi"], 2));
-    scenario.there = Some(now);
-    // Before the sweep the old name leads to it; after, it is another's.
-    assert!(placed(&scenario.ask("asha", "orders", "before", 1)));
+    let mut changed = initial_entries();
+    changed[3] = tenant(10, "kitchen", &["asha"], 2);
+    changed.push(tenant(12, "orders", &["ravi"], 2));
+    scenario.entries = Some(changed);
+    // Until the sync, the old name refers to the renamed tenant; afterwards to the other one.
+    assert!(is_placed(&scenario.submit("asha", "orders", "before", 1)));
     scenario.run_seconds(32);
-    assert!(scenario.ask("asha", "orders", "after", 1).not_allowed);
-    assert!(placed(&scenario.ask("asha", "kitchen", "after", 2)));
-    assert!(placed(&scenario.ask("asha", &Id(10).to_string(), "by id", 1)));
-    let shown = |scenario: &mut DirectoryScenario, login: &str| {
-        let rows = scenario.see(login, "tasks", "").unwrap();
+    assert!(scenario.submit("asha", "orders", "after", 1).not_allowed);
+    assert!(is_placed(&scenario.submit("asha", "kitchen", "after", 2)));
+    assert!(is_placed(&scenario.submit("asha", &Id(10).to_string(), "by id", 1)));
+    let shown_tenant = |scenario: &mut DirectoryScenario, login: &str| {
+        let rows = scenario.query(login, "tasks", "").unwrap();
         let long = rows.as_array().unwrap().iter().find(|r| r["key"] == "long").cloned();
         long.map(|r| (r["tenant"].clone(), r["tenant_was"].clone()))
     };
-    let both = Some(("kitchen".into(), "orders".into()));
-    assert_eq!((shown(&mut scenario, "asha"), shown(&mut scenario, "ravi")), (both.clone(), None));
+    let names = Some(("kitchen".into(), "orders".into()));
+    assert_eq!(
+        (shown_tenant(&mut scenario, "asha"), shown_tenant(&mut scenario, "ravi")),
+        (names.clone(), None)
+    );
     scenario.restart_planner();
-    assert_eq!((shown(&mut scenario, "asha"), shown(&mut scenario, "ravi")), (both, None));
+    assert_eq!((shown_tenant(&mut scenario, "asha"), shown_tenant(&mut scenario, "ravi")), (names, None));
     assert_eq!(scenario.net.finish().0, []);
 }
 
 #[test]
-fn what_operators_do_is_for_operators() {
+fn operator_requests_require_operator() {
     let mut scenario = DirectoryScenario::new();
     for login in ["asha", "", "nobody"] {
-        let said = scenario.see(login, "members", "stores").unwrap_err();
-        assert!(said.contains("expected a member, an auditor or an operator"), "{said}");
+        let rejection = scenario.query(login, "members", "stores").unwrap_err();
+        assert!(rejection.contains("expected a member, an auditor or an operator"), "{rejection}");
         scenario.net.planner.client_connected(1, login);
         let drain = Body::Drain(wire::Drain { machine: "m0".into(), on: true, ..wire::Drain::default() });
         assert!(scenario.net.operator_request(drain).unwrap_err().ends_with("expected an operator"));
         let accept = Body::Accept(wire::Accept {});
         assert!(scenario.net.operator_request(accept).unwrap_err().ends_with("expected an operator"));
     }
-    assert_eq!(scenario.see("ravi", "members", "stores").unwrap()[0]["login"], "ravi");
-    assert_eq!(scenario.see("lena", "why", "asha orders").unwrap()["may_submit"], true);
+    assert_eq!(scenario.query("ravi", "members", "stores").unwrap()[0]["login"], "ravi");
+    assert_eq!(scenario.query("lena", "why", "asha orders").unwrap()["may_submit"], true);
     assert_eq!(
-        scenario.see("lena", "tenant", "no such").unwrap_err(),
+        scenario.query("lena", "tenant", "no such").unwrap_err(),
         "tenant: found \"no such\"; expected the name or id of a tenant that is known"
     );
-    // A sudden lack of both tenants and most people is held until she says so.
-    scenario.there = Some(begin().into_iter().filter(|e| e.id.0 == 3 || e.id.0 == 20).collect());
-    scenario.there.as_mut().unwrap().push(entry(30, EntryKind::Group, "dc", &[], 9));
+    // Both tenants and two people disappear from the directory.
+    scenario.entries = Some(initial_entries().into_iter().filter(|e| e.id.0 == 3 || e.id.0 == 20).collect());
+    scenario.entries.as_mut().unwrap().push(entry(30, EntryKind::Group, "dc", &[], 9));
     scenario.run_seconds(32);
     let accept = || Body::Accept(wire::Accept {});
     scenario.net.planner.client_connected(1, "lena");
-    // Two tenants may go at once; two people too.
+    // Changes of this size are applied at once, so there is nothing to accept.
     assert!(scenario.net.operator_request(accept()).unwrap_err().contains("found nothing held"));
-    assert_eq!(scenario.see("lena", "tenants", "").unwrap().as_array().unwrap().len(), 0);
+    assert_eq!(scenario.query("lena", "tenants", "").unwrap().as_array().unwrap().len(), 0);
     assert_eq!(scenario.net.finish().0, []);
 }
 
 #[test]
-fn a_sudden_lack_is_held_and_an_operators_word_ends_it() {
+fn holds_large_removal_until_operator_accepts_it() {
     let mut scenario = DirectoryScenario::new();
-    let mut many = begin();
+    let mut many = initial_entries();
     many.extend((0..10).map(|n| tenant(100 + n, &format!("t{n}"), &["asha"], 2)));
-    scenario.there = Some(many);
+    scenario.entries = Some(many);
     scenario.run_seconds(40);
-    assert!(placed(&scenario.ask("asha", "t3", "held", 1)));
-    let mut few = begin();
+    assert!(is_placed(&scenario.submit("asha", "t3", "held", 1)));
+    let mut few = initial_entries();
     few.push(entry(30, EntryKind::Group, "dc", &[], 9));
-    scenario.there = Some(few);
+    scenario.entries = Some(few);
     scenario.run_seconds(40);
-    assert!(placed(&scenario.ask("asha", "t3", "still", 1)), "not believed yet");
-    let state = scenario.see("lena", "directory", "").unwrap();
+    assert!(is_placed(&scenario.submit("asha", "t3", "still", 1)), "the removal must not be applied yet");
+    let state = scenario.query("lena", "directory", "").unwrap();
     assert_eq!((state["held"]["entries"].as_u64(), state["state"].as_str()), (Some(10), Some("fresh")));
     scenario.net.planner.client_connected(1, "lena");
     scenario.net.operator_request(Body::Accept(wire::Accept {})).unwrap();
     scenario.run_seconds(40);
-    assert_eq!(scenario.ask("asha", "t3", "gone", 1).reason, "the directory knows no such tenant");
+    assert_eq!(scenario.submit("asha", "t3", "gone", 1).reason, "the directory knows no such tenant");
     assert_eq!(scenario.net.finish().0, []);
 }
