--- a/planner/src/lease_client.rs
+++ b/planner/src/lease_client.rs
@@ -81,7 +81,7 @@
     Acquired {
         /// The slot's name.
         slot: Rc<str>,
-        /// Its fencing token.
+        /// The slot's fencing token.
         token: u64,
         /// Events of the leases beside the slot, until the slot is lost.
         lease_events: mpsc::Receiver<LeaseEvent>,
@@ -109,7 +109,7 @@
     Acquired {
         /// The lease's name.
         lease: Rc<str>,
-        /// Its fencing token.
+        /// The lease's fencing token.
         token: u64,
         /// The metadata that the previous holder wrote.
         metadata: Vec<u8>,
--- a/planner/src/lease_client/actor.rs
+++ b/planner/src/lease_client/actor.rs
@@ -30,8 +30,9 @@
     pub voters: Vec<Option<mpsc::Sender<LinkCommand>>>,
     /// The deadline of the slot.
     pub deadline: LeaseDeadline,
+    /// Receives the events of the slot.
     pub slot_events: mpsc::Sender<SlotEvent>,
-    /// The held slot.
+    /// The held slot; `None` while the process holds none.
     pub slot: Option<Rc<str>>,
     /// Whether the process may acquire a slot; false after the loss of a slot, until its planner
     /// has stopped.
--- a/planner/src/voter_server/frames.rs
+++ b/planner/src/voter_server/frames.rs
@@ -19,7 +19,9 @@
 /// The reply to an operator's request to transfer a lease.
 #[derive(Serialize)]
 struct TransferReply {
+    /// The reason for which the request was not forwarded; `None` if it was.
     fault: Option<&'static str>,
+    /// Whether the request was forwarded to the holder.
     passed_on: bool,
 }
 
@@ -34,10 +36,12 @@
         self.peer.as_ref().is_some_and(|peer| process_name(&peer.name, peer.epoch) == *process)
     }
 
+    /// Returns whether the peer is a planner.
     fn is_planner(&self) -> bool {
         self.peer.as_ref().is_some_and(|peer| peer.role == Role::Planner)
     }
 
+    /// Returns whether the peer has this configured name.
     fn has_name(&self, name: &str) -> bool {
         self.peer.as_ref().is_some_and(|peer| peer.name == name)
     }
