--- a/planner/src/rolling_restart.rs
+++ b/planner/src/rolling_restart.rs
@@ -3,7 +3,7 @@
 //! and machine lists come in, lease metadata and frames for the registry go out. Times are
 //! microseconds.
 use crate::lease_client::{LeaseCommand, LeaseDeadline, LeaseEvent};
-use crate::voter_server::LONGEST_METADATA;
+use crate::voter_server::MAX_METADATA_BYTES;
 use basaltpitch_agent::wire::{self, Body, Entry, List, Readiness};
 use basaltpitch_rolling_restart::{
     ListedMachine, RestartAction, RestartConfig, RestartCoordinator, RestartPlan, RestartProgress,
@@ -208,7 +208,7 @@
                 RestartAction::RecordProgress(progress) => {
                     let metadata =
                         serde_json::to_vec(&progress).expect("progress serializes: its map keys are strings");
-                    let is_too_long = metadata.len() > LONGEST_METADATA;
+                    let is_too_long = metadata.len() > MAX_METADATA_BYTES;
                     let (lease, token) = (RESTART_LEASE.into(), coordination.token);
                     let write = LeaseCommand::WriteMetadata { lease, token, metadata };
                     if is_too_long || self.config.lease_commands.try_send(write).is_err() {
--- a/planner/src/voter_server.rs
+++ b/planner/src/voter_server.rs
@@ -30,7 +30,7 @@
 /// Limit on the length of a lease's name, in bytes.
 const MAX_LEASE_NAME_BYTES: usize = 200;
 /// Limit on the length of a lease's metadata, in bytes.
-pub const LONGEST_METADATA: usize = 64 << 10;
+pub const MAX_METADATA_BYTES: usize = 64 << 10;
 
 /// Configuration of a voter.
 pub struct VoterConfig {
--- a/planner/src/voter_server/frames.rs
+++ b/planner/src/voter_server/frames.rs
@@ -1,6 +1,6 @@
 //! How a voter handles each frame.
 use super::stored::RecordReply;
-use super::{Actor, Connection, LONGEST_METADATA, MAX_LEASE_NAME_BYTES};
+use super::{Actor, Connection, MAX_LEASE_NAME_BYTES, MAX_METADATA_BYTES};
 use crate::voter_links::{boottime_us, process_name};
 use basaltpitch_agent::link::{Clock, LinkCommand};
 use basaltpitch_agent::session::PeerIdentity;
@@ -54,7 +54,7 @@
         let Some(peer) = self.connections.get(&connection).and_then(|c| c.peer.clone()) else { return false };
         let process = process_name(&peer.name, peer.epoch);
         let is_too_long = |ballot: &wire::Ballot| {
-            ballot.duty.len() > MAX_LEASE_NAME_BYTES || ballot.note.len() > LONGEST_METADATA
+            ballot.duty.len() > MAX_LEASE_NAME_BYTES || ballot.note.len() > MAX_METADATA_BYTES
         };
         match body {
             Body::Ballots(ballots) if !ballots.ballots.iter().any(is_too_long) => {
