--- a/planner/src/peer_links/status.rs
+++ b/planner/src/peer_links/status.rs
@@ -10,39 +10,42 @@
 /// The state of the zones, the links, and the summaries of other planners.
 #[derive(Serialize)]
 struct PeersStatus<'a> {
-    #[serde(rename = "halls")]
     /// The state of all zones, and whether this planner coordinates their failover.
+    #[serde(rename = "halls")]
     zone_states: Value,
     /// The slots of the planners to which a link is up, by name.
     links: Vec<&'a str>,
+    /// All slots.
     #[serde(rename = "seats")]
     slots: Vec<SlotStatus<'a>>,
     /// Zones of which only the merged summary of their planners is known.
     zones: Vec<RemoteZoneStatus<'a>>,
-    #[serde(rename = "bytes_told")]
     /// Bytes of all gossip requests and replies sent so far.
+    #[serde(rename = "bytes_told")]
     bytes_sent: u64,
+    /// How many times the least change that is passed on is doubled, because the byte budget is
+    /// short.
     #[serde(rename = "coarser")]
-    /// How many times the least change that is passed on is doubled, for want of byte budget.
     coarseness: u32,
 }
 
 /// The freshness and the metrics of one slot's summary.
 #[derive(Serialize)]
 struct SlotStatus<'a> {
+    /// The name of the slot.
     #[serde(rename = "seat")]
     slot: &'a str,
     /// The freshness of the summary, or that the slot is this planner's own or idle.
     state: &'static str,
-    #[serde(rename = "epoch")]
     /// The fencing token of the slot's holder; `None` without a holder.
+    #[serde(rename = "epoch")]
     token: Option<u64>,
     /// The age of the summary in milliseconds; `None` without a summary.
     age_ms: Option<i64>,
     /// Task counts by name.
     counts: Value,
-    #[serde(rename = "halls")]
     /// By zone name, the holder's metrics of the zone and the phase code that it follows.
+    #[serde(rename = "halls")]
     zone_metrics: Value,
     /// The zone of the slot's holder; `None` if it is not known.
     zone: Option<&'a str>,
@@ -51,21 +54,23 @@
 /// The freshness and the metrics of a zone's merged summary.
 #[derive(Serialize)]
 struct RemoteZoneStatus<'a> {
+    /// The name of the zone.
     zone: Option<&'a str>,
     /// Whether a summary of the zone is known.
     state: &'static str,
-    #[serde(rename = "told_by")]
     /// The slot that made the summary; `None` without a summary, as in the fields below.
+    #[serde(rename = "told_by")]
     reporter: Option<&'a str>,
     /// The age in milliseconds of the oldest summary merged into this summary.
     age_ms: Option<i64>,
     /// The number of planners that the summary covers.
     planners: Option<usize>,
-    #[serde(rename = "unheard")]
     /// The number of the zone's planners that were stale when the summary was made.
+    #[serde(rename = "unheard")]
     stale_planners: Option<usize>,
     /// Merged task counts by name.
     counts: Value,
+    /// By zone name, the merged metrics of the zone and the phase code.
     #[serde(rename = "halls")]
     zone_metrics: Value,
 }
