--- a/planner/src/peer_links/status.rs
+++ b/planner/src/peer_links/status.rs
@@ -1,4 +1,5 @@
-//! What operators see of the other planners. The keys are those of the `-o json` output.
+//! The status of the other planners, as shown to operators. The keys are those of the `-o json`
+//! output.
 use super::PeerLinks;
 use crate::shared_metrics::{SharedMetrics, COUNTS};
 use basaltpitch_gossip::{Freshness, Metrics};
@@ -6,62 +7,82 @@
 use serde::Serialize;
 use serde_json::{json, Map, Value};
 
-/// All that is known of other planners.
+/// The state of the zones, the links, and the summaries of other planners.
 #[derive(Serialize)]
 struct PeersStatus<'a> {
+    /// The state of all zones, and whether this planner coordinates their failover.
     #[serde(rename = "halls")]
     zone_states: Value,
-    /// The slots of the planners to which a link is up.
+    /// The slots of the planners to which a link is up, by name.
     links: Vec<&'a str>,
+    /// All slots.
     #[serde(rename = "seats")]
     slots: Vec<SlotStatus<'a>>,
-    /// Zones of which only a summary is known.
+    /// Zones of which only the merged summary of their planners is known.
     zones: Vec<RemoteZoneStatus<'a>>,
+    /// Bytes of all gossip requests and replies sent so far.
     #[serde(rename = "bytes_told")]
     bytes_sent: u64,
+    /// How many times the least change that is passed on is doubled, because the byte budget is
+    /// short.
     #[serde(rename = "coarser")]
     coarseness: u32,
 }
 
-/// A slot: how fresh its summary is, and what it reports.
+/// The freshness and the metrics of one slot's summary.
 #[derive(Serialize)]
 struct SlotStatus<'a> {
+    /// The name of the slot.
     #[serde(rename = "seat")]
     slot: &'a str,
+    /// The freshness of the summary, or that the slot is this planner's own or idle.
     state: &'static str,
+    /// The fencing token of the slot's holder; `None` without a holder.
     #[serde(rename = "epoch")]
     token: Option<u64>,
+    /// The age of the summary in milliseconds; `None` without a summary.
     age_ms: Option<i64>,
+    /// Task counts by name.
     counts: Value,
+    /// By zone name, the holder's metrics of the zone and the phase code that it follows.
     #[serde(rename = "halls")]
     zone_metrics: Value,
+    /// The zone of the slot's holder; `None` if it is not known.
     zone: Option<&'a str>,
 }
 
-/// The same of a zone.
+/// The freshness and the metrics of a zone's merged summary.
 #[derive(Serialize)]
 struct RemoteZoneStatus<'a> {
+    /// The name of the zone.
     zone: Option<&'a str>,
+    /// Whether a summary of the zone is known.
     state: &'static str,
+    /// The slot that made the summary; `None` without a summary, as in the fields below.
     #[serde(rename = "told_by")]
     reporter: Option<&'a str>,
+    /// The age in milliseconds of the oldest summary merged into this summary.
     age_ms: Option<i64>,
+    /// The number of planners that the summary covers.
     planners: Option<usize>,
+    /// The number of the zone's planners that were stale when the summary was made.
     #[serde(rename = "unheard")]
     stale_planners: Option<usize>,
+    /// Merged task counts by name.
     counts: Value,
+    /// By zone name, the merged metrics of the zone and the phase code.
     #[serde(rename = "halls")]
     zone_metrics: Value,
 }
 
-/// To a thousandth, as it is printed.
+/// Rounds a metric to thousandths for the output.
 fn rounded(metric: f64) -> Value {
     json!((metric * 1000.0).round() / 1000.0)
 }
 
 impl PeerLinks {
-    /// What operators see: each slot, how fresh its summary is, how old, and what it reports; the same of each
-    /// zone of which only a summary is known.
+    /// Returns the status for operators: for each slot the freshness, the age and the metrics of
+    /// its summary, and the same for each zone of which only a merged summary is known.
     pub fn view(&self, now_us: i64) -> Value {
         let status = PeersStatus {
             zone_states: self.zone_monitor.view(),
@@ -71,7 +92,7 @@
             bytes_sent: self.gossip.bytes_sent(),
             coarseness: self.gossip.coarseness(),
         };
-        serde_json::to_value(status).expect("plain fields")
+        serde_json::to_value(status).expect("a status that serializes to JSON")
     }
 
     fn slot_status(&self, now_us: i64, slot: usize) -> SlotStatus<'_> {
@@ -84,7 +105,7 @@
         };
         let state = match freshness {
             _ if slot == self.config.own_slot => "this planner",
-            // No request is open with it.
+            // Metric 0 is the number of open requests: the planner is idle.
             Freshness::Fresh { metrics, .. } if metrics.get(0) == 0.0 => "quiet",
             freshness => freshness.label(),
         };
@@ -120,7 +141,8 @@
         self.config.zones.get(zone).map(String::as_str)
     }
 
-    /// Counts by name, and by zone its metrics and the decision; nothing of either where nothing is known.
+    /// Returns the counts by name, and by zone name the zone's metrics and phase code; two empty
+    /// objects without a summary.
     fn named_metrics(&self, metrics: Option<&Metrics>) -> (Value, Value) {
         let shared = metrics.and_then(|known| SharedMetrics::from_metrics(known, self.config.zones.len()));
         let Some(shared) = shared else { return (json!({}), json!({})) };
