--- a/agent/src/link.rs
+++ b/agent/src/link.rs
@@ -1,4 +1,5 @@
-//! Runs a session over a stream on tokio: reads, writes, ticks. It decides nothing.
+//! Runs a session over a stream on tokio: reads, writes and calls `tick` when it is due. All
+//! decisions are the session's.
 use crate::session::{LinkConfig, PeerIdentity, Session, SessionEvent};
 use crate::wire::Body;
 use std::ops::ControlFlow;
@@ -6,7 +7,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::mpsc;
 
-/// A clock of whole microseconds that starts at a given value and never goes back.
+/// Monotonic clock in whole microseconds, started at the wall clock's time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -14,81 +15,83 @@
 }
 
 impl Clock {
-    /// Microseconds since 1970 at start, then by the monotonic clock.
+    /// Starts a clock at the wall clock's time in microseconds since 1970. From then on it follows
+    /// the monotonic clock, so that it never goes back.
     pub fn start() -> Self {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         Clock { start: Instant::now(), start_us: since.map_or(0, |elapsed| elapsed.as_micros() as i64) }
     }
 
-    /// The time now, in microseconds.
+    /// Returns the current time in microseconds.
     pub fn now(&self) -> i64 {
         self.start_us + self.start.elapsed().as_micros() as i64
     }
 
-    /// A time of this clock, in microseconds, as tokio's timers take it.
+    /// Converts a time of this clock, in microseconds, to an instant for tokio's timers.
     pub fn at(&self, us: i64) -> tokio::time::Instant {
         let after = (us - self.start_us).max(0) as u64;
         tokio::time::Instant::from_std(self.start + Duration::from_micros(after))
     }
 }
 
-/// What the owner of a link may ask of it.
+/// Command to a link.
 #[derive(Debug)]
 pub enum LinkCommand {
-    /// Send a frame, with a mark if it must be known whether it was handed to the stream.
+    /// Send a frame. A frame with a mark is reported in `LinkEvent::Ended` if no byte of it was
+    /// written to the stream.
     Send(Body, Option<u64>),
-    /// Say goodbye for this reason, and end.
+    /// Send a goodbye with this reason and close the link.
     Close(String),
 }
 
-/// What a link reports to its owner: events of the session, then `Ended` once.
+/// Event of a link: events of its session, then `Ended` once.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// An event of the session.
+    /// Event of the session.
     Session(SessionEvent),
-    /// The link is gone.
+    /// The link is closed; no event follows.
     Ended {
-        /// Why, in words for an operator.
+        /// Reason, in words for operators.
         why: String,
-        /// Marks of frames of which no byte was handed to the stream.
+        /// Marks of the frames of which no byte was written to the stream.
         unsent: Vec<u64>,
     },
 }
 
-/// On whose behalf a link runs.
+/// Configuration, identity and clock of a link.
 #[derive(Clone, Debug)]
 pub struct LinkContext {
-    /// What the links of the process have in common.
+    /// Configuration shared by all links of the process.
     pub config: LinkConfig,
-    /// What this side says of itself.
+    /// Identity that this side sends in its hello.
     pub identity: PeerIdentity,
-    /// The clock that the session goes by.
+    /// Clock of the session.
     pub clock: Clock,
 }
 
 impl LinkContext {
-    /// A link by itself, with the usual settings.
+    /// Returns a context with the default configuration and traffic counters of its own.
     pub fn new(identity: PeerIdentity, clock: Clock) -> Self {
         LinkContext { config: LinkConfig::default(), identity, clock }
     }
 }
 
-/// Bytes that are read at once.
+/// Maximum bytes of one read from the stream.
 const READ_BYTES: usize = 16 * 1024;
-/// Commands that are taken at once, so that many frames share a write.
+/// Maximum number of commands handled before the next write, so that many frames share one write.
 const COMMANDS_AT_ONCE: usize = 64;
-/// How long a goodbye may take.
+/// Time limit for writing the goodbye when a link is closed.
 const GOODBYE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Why a link ends, and marks of frames that the session never took in.
+/// Reason for which a link ends, and the marks of frames that the session did not accept.
 struct LinkEnd {
     why: String,
     unsent: Vec<u64>,
 }
 
-/// Runs a session over a stream until it ends. Commands come and events go by bounded channels; `wrap` makes
-/// an event what the channel carries. While the owner does not take the events, the peer is granted nothing
-/// more.
+/// Runs a session over a stream until the link ends. Commands and events pass through bounded
+/// channels; `wrap` converts an event to the item type of the event channel. While the event
+/// channel is full, the link neither reads nor grants the peer more credit.
 pub async fn run<S, E>(
     mut stream: S,
     context: LinkContext,
@@ -112,11 +115,11 @@
             read = reader.read(&mut buffer) => match read {
                 Ok(0) => session.stream_ended("the peer closed the connection"),
                 Ok(count) => session.receive(clock.now(), &buffer[..count]),
-                Err(error) => session.stream_ended(&format!("the connection broke: {error}")),
+                Err(error) => session.stream_ended(&format!("the connection failed: {error}")),
             },
             written = writer.write(session.pending_output()), if has_output => match written {
                 Ok(count) => session.record_written(count),
-                Err(error) => session.stream_ended(&format!("the connection broke: {error}")),
+                Err(error) => session.stream_ended(&format!("the connection failed: {error}")),
             },
             command = commands.recv() => {
                 if let ControlFlow::Break(end) = take_commands(&mut session, command, &mut commands) {
@@ -130,7 +133,8 @@
     let _ = events.send(wrap(ended)).await;
 }
 
-/// Passes on the events of the session. Breaks with the reason once it is over or nobody takes them.
+/// Sends the session's events to the channel. Breaks with the reason if the session is closed or
+/// the receiver of the events was dropped.
 async fn deliver_events<E>(
     session: &mut Session,
     events: &mpsc::Sender<E>,
@@ -141,13 +145,15 @@
             return ControlFlow::Break(why);
         }
         if events.send(wrap(LinkEvent::Session(event))).await.is_err() {
-            return ControlFlow::Break("the owner of the link left".into());
+            return ControlFlow::Break("the receiver of the link's events was dropped".into());
         }
     }
     ControlFlow::Continue(())
 }
 
-/// Takes in a command and those that wait behind it; none: the owner left. Breaks when the peer takes nothing.
+/// Handles a command and those that wait in the channel behind it. `first` is `None` once all
+/// senders of commands were dropped. Breaks if the session
+/// is closed or has no room to queue a frame.
 fn take_commands(
     session: &mut Session,
     first: Option<LinkCommand>,
@@ -158,7 +164,8 @@
         match next {
             Some(LinkCommand::Send(body, mark)) => {
                 if let Err(full) = session.send(body, mark) {
-                    // Not taken in at all, so the mark is unsent, and the peer does not read.
+                    // The session did not accept the frame, so its mark counts as unsent. The link
+                    // is closed because the peer does not read.
                     let why = full.to_string();
                     session.goodbye(&why);
                     return ControlFlow::Break(LinkEnd { why, unsent: mark.into_iter().collect() });
@@ -178,7 +185,7 @@
     ControlFlow::Continue(())
 }
 
-/// Ends the stream, and collects the marks of all frames that were not handed to it.
+/// Shuts the stream down and collects the marks of all frames of which no byte was written to it.
 async fn close<S: AsyncWrite + Unpin>(
     mut session: Session,
     stream: &mut S,
@@ -192,7 +199,8 @@
             unsent.push(mark);
         }
     }
-    // One try for the goodbye; what was not handed over before is not handed over now, so it stays unsent.
+    // Tries once to write the goodbye, but only if no marked frame is unsent: writing now could
+    // send part of a frame that is reported as unsent.
     unsent.extend(session.unsent_marks());
     if unsent.is_empty() && !session.pending_output().is_empty() {
         let last = stream.write(session.pending_output());
--- a/agent/src/session.rs
+++ b/agent/src/session.rs
@@ -1,7 +1,11 @@
-//! One session of the agent protocol, without I/O: clock and bytes in, events and bytes out. The same state
-//! machine serves all roles. It says hello, keeps heartbeats and credits, judges silence, refuses what is no
-//! frame, and knows of each frame that its caller marked whether a byte of it was handed to the stream: only
-//! what was not is proved never to have been received. Times are whole microseconds.
+//! State machine of one side of a connection of the agent protocol, the same for all roles. Does no
+//! I/O: its inputs are the time and the bytes received, its outputs are events and the bytes to
+//! send. Times are whole microseconds.
+//!
+//! A session sends the hello and the heartbeats, keeps the credits of both directions, detects the
+//! failure of the link and closes the connection on invalid frames. For each frame that its caller
+//! marked it tracks whether any byte was written to the stream: only a frame of which no byte was
+//! written is certain not to have been received.
 use crate::link_health::{HealthMonitor, LinkHealth};
 use crate::traffic::{FrameKind, Traffic};
 use crate::wire::{Body, Credit, Frame, Goodbye, Heartbeat, Hello, Role};
@@ -12,44 +16,45 @@
 use std::rc::Rc;
 use tokio_util::codec::{Decoder, LengthDelimitedCodec};
 
-/// The usual period of heartbeats, which older builds go by.
+/// Default heartbeat period, and the period of older builds, whose hello carries none.
 pub const DEFAULT_HEARTBEAT_US: i64 = 250_000;
-/// Periods that are accepted; a side that says another one is refused.
+/// Range of heartbeat periods; a hello with another period is rejected.
 pub const HEARTBEAT_RANGE_US: std::ops::RangeInclusive<i64> = 10_000..=60_000_000;
-/// A hello must come within this time.
+/// Time from the start of the session within which the peer's hello must be received.
 pub const HELLO_TIMEOUT_US: i64 = 2_000_000;
-/// Bytes of frames that a side takes before it grants more.
+/// Receive window: bytes of frames that a side may send before it is granted more credit.
 pub const CREDIT_WINDOW_BYTES: u64 = 1 << 20;
-/// Bytes of frames that wait for a peer without credit, at most.
+/// Maximum bytes of frames queued for a peer that has granted too little credit.
 pub const MAX_QUEUED_BYTES: usize = 4 << 20;
-/// Credit that a peer may grant, at most, in bytes.
+/// Maximum credit of a peer in bytes; what is granted beyond it is ignored.
 const MAX_CREDIT_BYTES: u64 = 16 * CREDIT_WINDOW_BYTES;
-/// Bytes of a name or login in a hello, at most.
+/// Maximum bytes of a name or login in a hello.
 const MAX_NAME_BYTES: usize = 200;
-/// Bytes of the length before each frame.
+/// Bytes of the length prefix of a frame.
 const LENGTH_BYTES: u64 = 4;
 
-/// What a side says of itself in its hello.
+/// Identity of one side of a session, as sent in its hello.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PeerIdentity {
-    /// What it is.
+    /// Role of the process in the protocol.
     pub role: Role,
-    /// Its name.
+    /// Name of the process, such as the machine's or the planner's.
     pub name: String,
-    /// Fences its older incarnations.
+    /// Incarnation of a planner, or start time of a machine; a higher one fences off older links.
     pub epoch: u64,
-    /// The number of this link, higher for a later one of the same epoch.
+    /// Number of this link; a later link of the same epoch has a higher one.
     pub link: u64,
-    /// Clients and operators: on whose behalf they ask.
+    /// Clients and operators: login of the person on whose behalf the requests are made.
     pub login: String,
 }
 
-/// What all links of a process have in common.
+/// Configuration shared by all links of a process.
 #[derive(Clone, Debug)]
 pub struct LinkConfig {
-    /// The period of their heartbeats, in microseconds within `HEARTBEAT_RANGE_US`; a peer may say a longer one.
+    /// Heartbeat period in microseconds, within `HEARTBEAT_RANGE_US`. If the peer's period is
+    /// longer, both sides use that.
     pub heartbeat_us: i64,
-    /// Where they count what they carry.
+    /// Traffic counters to which the links add.
     pub traffic: Rc<Traffic>,
 }
 
@@ -59,20 +64,21 @@
     }
 }
 
-/// What a session reports to its caller.
+/// Event that a session reports to its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SessionEvent {
-    /// The peer said hello.
+    /// The peer's valid hello was received.
     Up(PeerIdentity),
-    /// A frame came.
+    /// A frame other than those that the session handles itself was received.
     Frame(Body),
     /// The health of the link changed.
     Health(LinkHealth),
-    /// It is over; the text says why, in words for an operator.
+    /// The session is closed; the text gives the reason for operators.
     Closed(String),
 }
 
-/// The peer takes nothing and the queue for it is full.
+/// A frame was not queued: the peer grants no credit and its queue is full, or the session is
+/// closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the peer takes nothing in and {MAX_QUEUED_BYTES} bytes wait for it")]
 pub struct SendBufferFull;
@@ -85,45 +91,50 @@
     codec: LengthDelimitedCodec,
     input: BytesMut,
     output: BytesMut,
-    /// Events, each with the bytes of the frame that it carries.
+    /// Events not yet taken by the caller, each with the size of its frame in bytes, or 0.
     events: VecDeque<(SessionEvent, u64)>,
     health: HealthMonitor,
+    /// State of the link that the last `Health` event reported.
     reported_health: LinkHealth,
     opened_us: i64,
-    /// The period that both sides go by.
+    /// Heartbeat period of both sides, as negotiated in the hellos.
     heartbeat_us: i64,
     next_heartbeat_us: i64,
-    /// The peer is an older build: heartbeats have numbers.
+    /// Whether heartbeats carry sequence numbers, as an older build expects.
     numbered_heartbeats: bool,
+    /// Sequence number of the last heartbeat sent.
     sent_seq: u64,
+    /// Highest sequence number of a heartbeat received.
     received_seq: u64,
-    /// Bytes that may still be sent.
+    /// Bytes of frames that the peer has granted and that are not sent yet.
     send_credit: u64,
-    /// Bytes taken in that were not granted anew.
+    /// Bytes of frames that the caller took and for which no new credit was granted yet.
     consumed: u64,
-    /// Bytes that the peer may still send.
+    /// Bytes of frames that the peer may still send.
     receive_credit: u64,
     /// Frames that wait for credit, with their marks.
     queued: VecDeque<(Frame, Option<u64>)>,
+    /// Size of the frames in `queued`.
     queued_bytes: usize,
-    /// Bytes ever put into the output.
+    /// Bytes appended to the output since the start of the session.
     encoded_bytes: u64,
-    /// Bytes ever handed to the stream.
+    /// Bytes written to the stream since the start of the session.
     written_bytes: u64,
-    /// Marks of frames, by the byte at which each begins.
+    /// Marked frames of which no byte is written yet: the position of the first byte in the output
+    /// since the start, and the mark.
     marks: VecDeque<(u64, u64)>,
-    /// Frames in the output, with the bytes of each that are not written yet.
+    /// Frames in the output, with the number of bytes of each that are not written yet.
     unwritten: VecDeque<(FrameKind, u64)>,
     closed: bool,
 }
 
 impl Session {
-    /// A session whose bytes are counted for itself alone.
+    /// Returns a session with the default configuration and traffic counters of its own.
     pub fn new(identity: PeerIdentity, now: i64) -> Self {
         Session::with_config(LinkConfig::default(), identity, now)
     }
 
-    /// The session of one of the links of a process.
+    /// Returns the session of one of the links of a process, with its hello in the output.
     pub fn with_config(config: LinkConfig, identity: PeerIdentity, now: i64) -> Self {
         let mut session = Session {
             codec: LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec(),
@@ -152,22 +163,23 @@
             config,
             identity,
         };
-        let me = &session.identity;
+        let identity = &session.identity;
         let hello = Hello {
             version: PROTOCOL_VERSION,
-            role: me.role as i32,
-            name: me.name.clone(),
-            epoch: me.epoch,
-            link: me.link,
+            role: identity.role as i32,
+            name: identity.name.clone(),
+            epoch: identity.epoch,
+            link: identity.link,
             credit: CREDIT_WINDOW_BYTES,
-            login: me.login.clone(),
+            login: identity.login.clone(),
             heartbeat_us: session.config.heartbeat_us,
         };
         session.encode(&Body::Hello(hello).into(), None);
         session
     }
 
-    /// Bytes that came from the stream. What is no frame of this protocol ends the session.
+    /// Handles bytes received from the stream. Closes the session on bytes that are not a valid
+    /// frame.
     pub fn receive(&mut self, now: i64, bytes: &[u8]) {
         self.config.traffic.record_read(bytes.len() as u64);
         if self.closed {
@@ -205,16 +217,16 @@
         match (body, self.peer.is_some()) {
             (Body::Hello(hello), false) => self.on_hello(now, hello),
             (Body::Hello(_), true) => self.refuse("a second hello; expected one a connection"),
-            (Body::Goodbye(bye), _) => self.close(format!("the peer said goodbye: {}", bye.reason)),
+            (Body::Goodbye(goodbye), _) => self.close(format!("the peer said goodbye: {}", goodbye.reason)),
             (_, false) => self.refuse("a frame before the hello; expected a hello first"),
-            (Body::Heartbeat(beat), _) if beat.seq == 0 && !self.numbered_heartbeats => {}
-            (Body::Heartbeat(beat), _) if beat.seq <= self.received_seq => {
+            (Body::Heartbeat(heartbeat), _) if heartbeat.seq == 0 && !self.numbered_heartbeats => {}
+            (Body::Heartbeat(heartbeat), _) if heartbeat.seq <= self.received_seq => {
                 self.refuse(&format!(
                     "heartbeat {} after {}; expected a higher number",
-                    beat.seq, self.received_seq
+                    heartbeat.seq, self.received_seq
                 ));
             }
-            (Body::Heartbeat(beat), _) => self.received_seq = beat.seq,
+            (Body::Heartbeat(heartbeat), _) => self.received_seq = heartbeat.seq,
             (Body::Credit(credit), _) => {
                 self.send_credit = self.send_credit.saturating_add(credit.bytes).min(MAX_CREDIT_BYTES);
                 self.send_queued();
@@ -251,7 +263,8 @@
                 return self
                     .refuse(&format!("hello: heartbeat_us of {found}; expected {least} to {most}, or none"));
             }
-            // The longer one: an older build aside, both sides come to the same.
+            // Both sides take the longer period and so agree on one. Only an older build, which
+            // sends none, is left at the default.
             (self.heartbeat_us, self.numbered_heartbeats) =
                 (self.config.heartbeat_us.max(hello.heartbeat_us), false);
             self.health = HealthMonitor::new(now, self.heartbeat_us);
@@ -264,10 +277,11 @@
         self.send_queued();
     }
 
-    /// Sends a frame, or keeps it until the peer takes more. A `mark` lets `unsent_marks` name it later.
+    /// Sends a frame, or queues it until the peer grants enough credit. `unsent_marks` reports the
+    /// `mark` while no byte of the frame is written.
     ///
     /// # Errors
-    /// When the session is closed, or too much waits for the peer already.
+    /// If the session is closed, or the frame would take the queue over `MAX_QUEUED_BYTES`.
     pub fn send(&mut self, body: Body, mark: Option<u64>) -> Result<(), SendBufferFull> {
         if self.closed {
             return Err(SendBufferFull);
@@ -308,13 +322,14 @@
         let size = frame.encoded_len();
         self.output.extend_from_slice(&(size as u32).to_be_bytes());
         self.output.reserve(size);
-        frame.encode(&mut self.output).expect("a buffer that grows");
+        frame.encode(&mut self.output).expect("a growable buffer has room for any frame");
         let size = size as u64 + LENGTH_BYTES;
         self.encoded_bytes += size;
         self.unwritten.push_back((FrameKind::from_body(body), size));
     }
 
-    /// The next event. A frame counts as taken in here, so that a caller who takes no events grants nothing.
+    /// Returns the next event. The credit of a frame is granted anew only after the frame was taken
+    /// here, so that a caller that falls behind stops the peer from sending.
     pub fn next_event(&mut self) -> Option<SessionEvent> {
         let (event, size) = self.events.pop_front()?;
         self.consumed += size;
@@ -326,12 +341,12 @@
         Some(event)
     }
 
-    /// Bytes to be written to the stream; `record_written` takes away those that were.
+    /// Returns the bytes to write to the stream. `record_written` removes those that were written.
     pub fn pending_output(&self) -> &[u8] {
         &self.output
     }
 
-    /// So many bytes of the output were handed to the stream.
+    /// Records that this number of bytes at the start of the output was written to the stream.
     pub fn record_written(&mut self, bytes: usize) {
         self.output.advance(bytes);
         self.written_bytes += bytes as u64;
@@ -350,7 +365,8 @@
         }
     }
 
-    /// Lets time pass: heartbeats go out, silence is judged.
+    /// Does what is due at the time `now`: closes the session if the hello is missing or the link
+    /// is lost, sends a heartbeat and reports a change of the link's health.
     pub fn tick(&mut self, now: i64) {
         if self.closed {
             return;
@@ -365,21 +381,22 @@
             self.sent_seq += u64::from(self.numbered_heartbeats);
             let heartbeat = Heartbeat { seq: self.sent_seq, seen: self.received_seq };
             self.encode(&Body::Heartbeat(heartbeat).into(), None);
-            // By the clock, not after the last one; heartbeats that were missed are not made up. Also where
-            // another frame went out a moment ago: only heartbeats tell how regular the link is.
+            // Heartbeats keep a fixed schedule, whenever the last one went out, and missed ones are
+            // not sent later. They are sent even right after another frame, because the peer
+            // estimates the gaps of the link from heartbeats alone.
             self.next_heartbeat_us =
                 (self.next_heartbeat_us + self.heartbeat_us).max(now + self.heartbeat_us / 2);
         }
         let state = self.health.judge(now);
         if state == LinkHealth::Lost {
-            self.close(format!("nothing heard for {} ms", self.health.lost_after_us() / 1000));
+            self.close(format!("no frame received for {} ms", self.health.lost_after_us() / 1000));
         } else if state != self.reported_health {
             self.reported_health = state;
             self.events.push_back((SessionEvent::Health(state), 0));
         }
     }
 
-    /// The time at which `tick` has something to do.
+    /// Returns the time at which `tick` must be called next.
     pub fn next_tick_at(&self) -> i64 {
         match self.peer {
             None => self.opened_us + HELLO_TIMEOUT_US,
@@ -387,7 +404,7 @@
         }
     }
 
-    /// Ends the session from this side, with a goodbye that names the reason.
+    /// Closes the session from this side and sends a goodbye with the reason.
     pub fn goodbye(&mut self, reason: &str) {
         if !self.closed {
             self.encode(&Body::Goodbye(Goodbye { reason: reason.to_owned() }).into(), None);
@@ -400,7 +417,7 @@
         self.goodbye(&format!("{peer}: {what}"));
     }
 
-    /// The stream ended, for this reason.
+    /// Closes the session because its stream ended or failed, without a goodbye.
     pub fn stream_ended(&mut self, why: &str) {
         self.close(why.to_owned());
     }
@@ -412,12 +429,12 @@
         }
     }
 
-    /// Whether the session is over.
+    /// Returns whether the session is closed.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// Marks of frames of which no byte was handed to the stream.
+    /// Returns the marks of the frames of which no byte was written to the stream.
     pub fn unsent_marks(&self) -> Vec<u64> {
         let encoded = self.marks.iter().filter(|(at, _)| *at >= self.written_bytes).map(|&(_, mark)| mark);
         encoded.chain(self.queued.iter().filter_map(|(_, mark)| *mark)).collect()
