--- a/agent/src/acceptor.rs
+++ b/agent/src/acceptor.rs
@@ -1,27 +1,27 @@
-//! Accepts connections.
+//! Accepts TCP connections, with a pause after a failed `accept`.
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// How long no connection is accepted after one could not be.
+/// Pause after a failed `accept` call.
 const BACKOFF: Duration = Duration::from_millis(10);
 
-/// A listener that backs off for a moment when a connection could not be accepted: a process that is out of
-/// descriptors goes on with everything else.
+/// A listener that pauses after a failed `accept` call, so that a process without free file
+/// descriptors does not spin on the error and its other work goes on.
 pub struct Acceptor {
     listener: TcpListener,
     paused_until: Option<Instant>,
 }
 
 impl Acceptor {
-    /// Accepts what connects to this listener.
+    /// Returns an acceptor for the connections of this listener.
     pub fn new(listener: TcpListener) -> Self {
         Acceptor { listener, paused_until: None }
     }
 
-    /// The next connection, without delay of small writes. May be dropped at any time: no connection is lost,
-    /// and a backoff goes on with the next call.
+    /// Returns the next connection, with `TCP_NODELAY` set. Cancel safe: dropping the future loses
+    /// no connection, and a pause continues with the next call.
     pub async fn accept(&mut self) -> (TcpStream, SocketAddr) {
         loop {
             if let Some(until) = self.paused_until {
@@ -34,7 +34,7 @@
                     return (stream, from);
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "a connection could not be accepted");
+                    tracing::warn!(%error, "accepting a connection failed; pausing before the next attempt");
                     self.paused_until = Some(Instant::now() + BACKOFF);
                 }
             }
--- a/agent/src/attempt_table.rs
+++ b/agent/src/attempt_table.rs
@@ -1,42 +1,44 @@
-//! The attempts that a machine holds, by planner: their states, and the reply when one is asked for again. No
-//! I/O. An attempt takes effect once however often its frame comes; older incarnations of a planner are
-//! fenced off; an ending is repeated until the planner has acknowledged it; an inventory holds everything
-//! that could still run.
+//! The attempts known to a machine, by planner: their states, and the reply to a repeated launch
+//! frame. Does no I/O.
+//!
+//! An attempt takes effect once, however often its launch frame is received. Links of older epochs
+//! of a planner are fenced off. An outcome is sent on every new link until the planner has
+//! acknowledged it. An inventory lists every attempt that may still run.
 use std::collections::BTreeMap;
 
-/// A planner's epoch and the number of an attempt in it.
+/// Identifies an attempt of a planner: the planner's epoch and the number of the attempt in it.
 pub type AttemptId = (u64, u64);
 
-/// Endings that no planner acknowledged are kept up to this number a planner, the newest ones.
+/// Maximum number of unacknowledged outcomes kept for each planner; the oldest are dropped.
 pub const MAX_UNACKNOWLEDGED: usize = 20_000;
 
-/// How far an attempt has come.
+/// State of an attempt on the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptState {
-    /// It waits to be considered; the planner has no reply yet.
+    /// Waits for the machine's decision; no reply was sent to the planner yet.
     Queued,
-    /// The machine takes it.
+    /// The machine has accepted the attempt; the task does not run yet.
     Accepted,
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It could not be started.
+    /// The task could not be started.
     Failed,
-    /// It ended; how is the caller's number.
+    /// The task ended; the number is the caller's code for the way it ended.
     Ended(u8),
 }
 
-/// What to reply about an attempt.
+/// Reply to a planner about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptReply {
-    /// Nothing yet.
+    /// No reply yet: the attempt is queued.
     Nothing,
-    /// The machine took it.
+    /// The machine has accepted the attempt, and the task may run.
     Accepted,
-    /// It never ran here and never will.
+    /// The task never ran here under this attempt and never will.
     NotHere,
-    /// It could not be started.
+    /// The task could not be started.
     Failed,
-    /// It ended; how is the caller's number.
+    /// The task ended; the number is the caller's code for the way it ended.
     Ended(u8),
 }
 
@@ -47,10 +49,10 @@
     attempts: BTreeMap<AttemptId, (AttemptState, D)>,
 }
 
-/// Endings that were not acknowledged, and the attempts that have not ended.
+/// Inventory of one planner: the unacknowledged outcomes, then the attempts that have not ended.
 pub type Inventory<D> = (Vec<(AttemptId, AttemptReply)>, Vec<(AttemptId, AttemptState, D)>);
 
-/// A machine's attempts. `P` identifies planners, `D` is what came with an attempt.
+/// The attempts known to a machine. `P` identifies a planner, `D` is the payload of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptTable<P, D> {
     planners: BTreeMap<P, PlannerAttempts<D>>,
@@ -72,8 +74,9 @@
 }
 
 impl<P: Ord + Clone, D: Clone> AttemptTable<P, D> {
-    /// A planner opens a link. False: it is an older incarnation, or an older link, of one that was here since.
-    /// On true every older link is out of use, and what an earlier incarnation left queued is dropped.
+    /// Admits a new link of a planner. Returns false if a link of a later epoch, or a later link of
+    /// the same epoch, was admitted before. On true, frames of older links no longer count, and a
+    /// new epoch drops the attempts that earlier epochs left queued.
     pub fn admit_link(&mut self, planner: &P, epoch: u64, link: u64) -> bool {
         let new = || PlannerAttempts { epoch, link, attempts: BTreeMap::new() };
         let held = self.planners.entry(planner.clone()).or_insert_with(new);
@@ -87,12 +90,13 @@
         true
     }
 
-    /// Whether frames of this link still count.
+    /// Returns whether this link is the planner's latest one, so that its frames still count.
     pub fn is_current(&self, planner: &P, epoch: u64, link: u64) -> bool {
         self.planners.get(planner).is_some_and(|held| (held.epoch, held.link) == (epoch, link))
     }
 
-    /// An attempt came: the reply, and whether it is new. `Nothing`: it is queued now, or was already.
+    /// Records a launch frame. Returns the reply, and whether the attempt is new and was queued.
+    /// The reply is `Nothing` for an attempt that is queued, now or already before.
     pub fn launch(&mut self, planner: &P, id: AttemptId, payload: D) -> (AttemptReply, bool) {
         let Some(held) = self.planners.get_mut(planner) else { return (AttemptReply::NotHere, false) };
         if let Some((state, _)) = held.attempts.get(&id) {
@@ -105,7 +109,8 @@
         (AttemptReply::Nothing, true)
     }
 
-    /// The planner waits no longer: what is still queued is dropped; the reply says what became of the rest.
+    /// Drops the attempt if it is still queued, because the planner no longer waits for it. Returns
+    /// the reply that tells the planner the attempt's state.
     pub fn cancel(&mut self, planner: &P, id: AttemptId) -> AttemptReply {
         match self.state(planner, id) {
             None => AttemptReply::NotHere,
@@ -117,17 +122,18 @@
         }
     }
 
-    /// The state of an attempt; none where it is not known here.
+    /// Returns the state of an attempt, or `None` if it is unknown here.
     pub fn state(&self, planner: &P, id: AttemptId) -> Option<AttemptState> {
         Some(self.planners.get(planner)?.attempts.get(&id)?.0)
     }
 
-    /// What came with an attempt; none where it is not known here.
+    /// Returns the payload of an attempt, or `None` if it is unknown here.
     pub fn payload(&self, planner: &P, id: AttemptId) -> Option<&D> {
         Some(&self.planners.get(planner)?.attempts.get(&id)?.1)
     }
 
-    /// An attempt came to a new state. Endings that nobody acknowledges are bounded: the oldest one goes.
+    /// Sets the state of an attempt. With more than `MAX_UNACKNOWLEDGED` unacknowledged outcomes of
+    /// the planner, drops the oldest one.
     pub fn set_state(&mut self, planner: &P, id: AttemptId, state: AttemptState) {
         let Some(held) = self.planners.get_mut(planner) else { return };
         if let Some(entry) = held.attempts.get_mut(&id) {
@@ -145,22 +151,23 @@
         }
     }
 
-    /// Removes an attempt. A refusal needs no memory: what is not known here never ran.
+    /// Removes an attempt. A refused attempt need not be kept, since an attempt that is unknown
+    /// here never ran.
     pub fn forget(&mut self, planner: &P, id: AttemptId) {
         if let Some(held) = self.planners.get_mut(planner) {
             held.attempts.remove(&id);
         }
     }
 
-    /// The planner has acknowledged an ending.
+    /// Removes an attempt whose outcome the planner has acknowledged.
     pub fn acknowledge(&mut self, planner: &P, id: AttemptId) {
         if matches!(self.state(planner, id), Some(AttemptState::Failed | AttemptState::Ended(_))) {
             self.forget(planner, id);
         }
     }
 
-    /// What a new link begins with: endings that were not acknowledged, to be sent first, then every attempt
-    /// that has not ended.
+    /// Returns what is sent first on a new link of the planner: the unacknowledged outcomes, then
+    /// every attempt that has not ended.
     pub fn inventory(&self, planner: &P) -> Inventory<D> {
         let (mut endings, mut active) = (Vec::new(), Vec::new());
         for (&id, (state, payload)) in self.planners.get(planner).iter().flat_map(|held| &held.attempts) {
@@ -172,7 +179,7 @@
         (endings, active)
     }
 
-    /// Attempts of all planners that have not ended.
+    /// Returns the number of attempts of all planners that have not ended.
     pub fn active_count(&self) -> usize {
         let active = |held: &PlannerAttempts<D>| {
             held.attempts
--- a/agent/src/dial_queue.rs
+++ b/agent/src/dial_queue.rs
@@ -1,26 +1,29 @@
-//! When a planner connects to its peers, and connects again. No I/O; times are whole microseconds.
-//! Each peer backs off by itself, with jitter; over all peers a bucket of tokens bounds the attempts in a
-//! second, so that the whole fleet does not reconnect at once when a switch recovers.
+//! Schedules the connection attempts of a planner to its peers. Does no I/O; times are whole
+//! microseconds.
+//!
+//! Each peer has its own exponential backoff with jitter. A token bucket over all peers limits the
+//! attempts per second, so that a planner does not reconnect to the whole fleet at once when a
+//! switch recovers.
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Backoff of one peer, and the rate limit over all peers.
+/// Settings of the backoff of each peer and of the rate limit over all peers.
 #[derive(Clone, Copy, Debug)]
 pub struct DialConfig {
-    /// The pause after the first failure; it doubles with each.
+    /// Backoff in microseconds after a stable link ended; doubled with each consecutive failure.
     pub first_backoff_us: i64,
-    /// The longest pause.
+    /// Maximum backoff in microseconds.
     pub max_backoff_us: i64,
-    /// Attempts in a second over all peers.
+    /// Connection attempts per second over all peers.
     pub attempts_per_s: f64,
-    /// Attempts that may come at once.
+    /// Size of the token bucket: connection attempts that may be made at once.
     pub burst: f64,
-    /// A link must be up for so long before its peer's failures are forgotten.
+    /// Microseconds for which a link must be up before the failure count of its peer is reset.
     pub stable_after_us: i64,
 }
 
 impl DialConfig {
-    /// What a planner goes by.
+    /// Settings of a planner.
     pub const DEFAULT: DialConfig = DialConfig {
         first_backoff_us: 50_000,
         max_backoff_us: 5_000_000,
@@ -32,24 +35,29 @@
 
 #[derive(Clone, Debug, Default)]
 struct Peer {
+    /// Consecutive failures.
     failures: u32,
+    /// Time of the next attempt; `None` while an attempt is under way or the link is up.
     due_us: Option<i64>,
+    /// Time since which the link is up; `None` while it is not.
     up_since_us: Option<i64>,
 }
 
-/// The peers that a planner wants to be connected to.
+/// The peers to which a planner connects, each with the time of its next connection attempt.
 pub struct DialQueue {
     config: DialConfig,
     rng: StdRng,
     peers: BTreeMap<usize, Peer>,
-    /// Peers that wait, by the time at which they are due.
+    /// Peers that wait for an attempt, ordered by the time at which it is due.
     queue: BTreeSet<(i64, usize)>,
+    /// Tokens in the bucket of the rate limit, one for each attempt.
     tokens: f64,
+    /// Time at which the bucket was last refilled.
     refilled_us: i64,
 }
 
 impl DialQueue {
-    /// A queue without peers. The generator that spreads the attempts begins from `seed`.
+    /// Returns a queue without peers. `seed` initialises the generator of the jitter.
     pub fn new(seed: u64, now: i64, config: DialConfig) -> Self {
         DialQueue {
             config,
@@ -61,7 +69,7 @@
         }
     }
 
-    /// Adds a peer, due at once; nothing changes if it is there already.
+    /// Adds a peer that is due at once. Does nothing if the peer was added before.
     pub fn add(&mut self, peer: usize, now: i64) {
         self.peers.entry(peer).or_insert_with(|| {
             self.queue.insert((now, peer));
@@ -69,21 +77,22 @@
         });
     }
 
-    /// Removes a peer: it is not dialled any more.
+    /// Removes a peer, to which no more attempts are made.
     pub fn remove(&mut self, peer: usize) {
         if let Some(due) = self.peers.remove(&peer).and_then(|state| state.due_us) {
             self.queue.remove(&(due, peer));
         }
     }
 
-    /// The link to a peer is up.
+    /// Records that the link to a peer is up.
     pub fn link_up(&mut self, peer: usize, now: i64) {
         if let Some(state) = self.peers.get_mut(&peer) {
             state.up_since_us = Some(now);
         }
     }
 
-    /// An attempt failed, or a link ended: the peer waits, the longer the more often that happened in a row.
+    /// Records that an attempt failed or a link ended, and schedules the next attempt after a
+    /// backoff that grows with the number of consecutive failures.
     pub fn link_down(&mut self, peer: usize, now: i64) {
         let Some(state) = self.peers.get_mut(&peer) else { return };
         if state.due_us.is_some() {
@@ -98,7 +107,7 @@
         self.queue.insert((due, peer));
     }
 
-    /// The next peer to connect to now, if one is due and the rate limit allows it.
+    /// Returns the peer to connect to now, if one is due and the rate limit allows an attempt.
     pub fn next_due(&mut self, now: i64) -> Option<usize> {
         let since_s = (now - self.refilled_us).max(0) as f64 / 1e6;
         self.tokens = (self.tokens + since_s * self.config.attempts_per_s).min(self.config.burst);
@@ -115,7 +124,7 @@
         Some(peer)
     }
 
-    /// When `next_due` may have a peer, if nothing else happens.
+    /// Returns the earliest time at which `next_due` can return a peer, or `None` if none waits.
     pub fn next_due_at(&self) -> Option<i64> {
         let &(due, _) = self.queue.first()?;
         let missing = (1.0 - self.tokens).max(0.0);
--- a/agent/src/frame_decoder.rs
+++ b/agent/src/frame_decoder.rs
@@ -19,13 +19,14 @@
 }
 
 impl FrameDecoder {
-    /// Takes in the next bytes of the stream.
+    /// Appends the next bytes of the stream.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole frame: its bytes with their length before them, and its body where it can be decoded.
-    /// `None` also for what can never become a frame.
+    /// Returns the next complete frame: its bytes with the length prefix, and its body, which is
+    /// `None` if it cannot be decoded. Returns `None` while no frame is complete, and also if the
+    /// announced length is over the limit.
     pub fn next_frame(&mut self) -> Option<(Vec<u8>, Option<Body>)> {
         let frame = self.codec.decode(&mut self.buffer).ok()??;
         let mut bytes = (frame.len() as u32).to_be_bytes().to_vec();
--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -1,7 +1,14 @@
-//! The agent protocol: between a planner and machines, the registry, clients and operators. `session` is the
-//! protocol without I/O, `link_health` judges silence, `dial_queue` says when to connect again, `link` runs a
-//! session over a stream on tokio, `acceptor` accepts connections, `attempt_table` is a machine's memory of
-//! its attempts, `traffic` counts what all links carry. The frames are published in `proto/agent.proto`.
+//! The agent protocol, spoken between a planner and machines, the registry, voters, other planners,
+//! clients and operators. The frames are defined in `proto/agent.proto`.
+//!
+//! - `session`: state machine of one side of a connection, without I/O
+//! - `link`: runs a session over a stream on tokio
+//! - `link_health`: failure detector of a link
+//! - `dial_queue`: schedules connection attempts
+//! - `acceptor`: accepts connections
+//! - `attempt_table`: the attempts known to a machine
+//! - `frame_decoder`: decodes frames for an observer of a connection
+//! - `traffic`: counters of frames and bytes of all links of a process
 pub mod acceptor;
 pub mod attempt_table;
 pub mod dial_queue;
@@ -29,19 +36,20 @@
     }
 }
 
-/// The version of the protocol that this code speaks.
+/// Version of the protocol that this code implements.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// The largest frame that is read, in bytes without its length.
+/// Maximum size of a received frame in bytes, without the length prefix.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
-/// Why a machine refused an attempt, as in `Refused.why`; the placement module reads the same numbers.
+/// Reasons for which a machine refuses an attempt, sent in `Refused.why`. The placement module
+/// reads the same numbers.
 pub mod refusal_reason {
-    /// Too few cores are free.
+    /// The machine has too few free cores.
     pub const NO_CORES: u32 = 1;
-    /// Too little memory is free.
+    /// The machine has too little free memory.
     pub const NO_MEMORY: u32 = 2;
-    /// Too many attempts wait already.
+    /// Too many attempts are queued on the machine.
     pub const QUEUE_TOO_LONG: u32 = 3;
-    /// Wrong kind of machine, draining, too late, another attempt of the task is there, or the planner's epoch
-    /// is an older one.
+    /// The machine is of the wrong kind or draining, the attempt timed out, another attempt of the
+    /// task is active, or the planner's epoch is not the latest one.
     pub const NOT_HERE: u32 = 4;
 }
--- a/agent/src/traffic.rs
+++ b/agent/src/traffic.rs
@@ -1,36 +1,39 @@
-//! What the links of a process carry, counted by kind of frame, lengths before the frames included: bytes as
-//! they are read from streams and written to them, so that the sum over all kinds is what the streams carried
-//! at any moment. For one thread: no atomics.
+//! Counters of the frames and bytes that the links of a process read and write, by kind of frame.
+//!
+//! The length prefixes of frames are included, and bytes are counted when they are read from or
+//! written to a stream, so that at any time the sum over all kinds equals the bytes that the
+//! streams carried. Single-threaded: the counters are not atomic.
 use crate::wire::Body;
 use std::cell::Cell;
 
-/// Kinds of frames, as operators see them.
+/// Kind of a frame, as traffic counters are shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
-    /// Heartbeats of either side.
+    /// Heartbeats, of both directions.
     Heartbeats,
-    /// Hello, credit, goodbye.
+    /// Frames that manage a link: hello, credit and goodbye.
     Links,
-    /// Requests of clients and their answers; attempts on machines and what becomes of them.
+    /// Requests of clients and their answers; attempts on machines and their outcomes.
     Tasks,
-    /// What a machine runs, when a link begins.
+    /// Inventories, which a machine sends when a link is set up.
     Inventories,
-    /// Health checks of machines and their answers.
+    /// Probes of machines and their answers.
     HealthChecks,
-    /// The registry's: watch, fetch, list.
+    /// Queries to the registry and its machine lists: watch, fetch and list.
     MachineLists,
-    /// Votes, leases and the voters' records.
+    /// Lease requests, votes and the voters' records.
     Leases,
     /// Digests and summaries between planners.
     Summaries,
-    /// Questions and commands of operators, drains among them.
+    /// Queries and commands of operators, including drains.
     Operators,
-    /// Bytes read that are no whole frame yet. What ends in the middle of a frame, or is none, stays here.
+    /// Bytes read that do not belong to a decoded frame: the beginning of a frame that is not yet
+    /// complete, a frame that the stream's end cut off, and bytes that are not a valid frame.
     Incomplete,
 }
 
 impl FrameKind {
-    /// All kinds, in the order in which operators see them.
+    /// All kinds, in the order in which they are shown to operators.
     pub const ALL: [FrameKind; 10] = [
         FrameKind::Heartbeats,
         FrameKind::Links,
@@ -44,7 +47,7 @@
         FrameKind::Incomplete,
     ];
 
-    /// The key under which operators see this kind.
+    /// Returns the key of this kind in the traffic counters that operators see.
     pub fn label(self) -> &'static str {
         match self {
             FrameKind::Heartbeats => "heartbeats",
@@ -60,7 +63,7 @@
         }
     }
 
-    /// The kind of a frame.
+    /// Returns the kind of the frame with this body.
     pub fn from_body(body: &Body) -> FrameKind {
         match body {
             Body::Heartbeat(_) => FrameKind::Heartbeats,
@@ -85,20 +88,21 @@
     }
 }
 
-/// What was carried since the process began. A frame counts once its last byte is read or written.
+/// Bytes and frames since the start of the process. A frame is counted once its last byte was read
+/// or written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCount {
     /// Bytes read.
     pub bytes_in: u64,
     /// Bytes written.
     pub bytes_out: u64,
-    /// Whole frames read.
+    /// Complete frames read.
     pub frames_in: u64,
-    /// Whole frames written.
+    /// Complete frames written.
     pub frames_out: u64,
 }
 
-/// The counts of all links of a process.
+/// Traffic counters of all links of a process.
 #[derive(Debug, Default)]
 pub struct Traffic {
     counts: [Cell<TrafficCount>; FrameKind::ALL.len()],
@@ -112,12 +116,12 @@
         cell.set(count);
     }
 
-    /// Bytes were read from a stream; which frames they belong to shows later.
+    /// Counts bytes read from a stream as `Incomplete`, until they are decoded as frames.
     pub fn record_read(&self, bytes: u64) {
         self.update(FrameKind::Incomplete, |count| count.bytes_in += bytes);
     }
 
-    /// Bytes that were read are a whole frame of this kind.
+    /// Moves the bytes of a decoded frame from `Incomplete` to the frame's kind.
     pub fn record_frame_read(&self, kind: FrameKind, bytes: u64) {
         self.update(FrameKind::Incomplete, |count| count.bytes_in -= bytes);
         self.update(kind, |count| {
@@ -126,7 +130,8 @@
         });
     }
 
-    /// Bytes of a frame of this kind were written to a stream; `complete` if its last is among them.
+    /// Counts bytes of a frame of this kind that were written to a stream; `complete` if they
+    /// include its last byte.
     pub fn record_written(&self, kind: FrameKind, bytes: u64, complete: bool) {
         self.update(kind, |count| {
             count.bytes_out += bytes;
@@ -134,12 +139,12 @@
         });
     }
 
-    /// What was carried of one kind.
+    /// Returns the counters of one kind.
     pub fn count(&self, kind: FrameKind) -> TrafficCount {
         self.counts[kind as usize].get()
     }
 
-    /// Over all kinds: what the streams carried.
+    /// Returns the sum of the counters over all kinds.
     pub fn total(&self) -> TrafficCount {
         let all = FrameKind::ALL.into_iter().map(|kind| self.count(kind));
         all.fold(TrafficCount::default(), |sum, count| TrafficCount {
--- a/agent/tests/dial_queue.rs
+++ b/agent/tests/dial_queue.rs
@@ -1,41 +1,50 @@
-//! When a planner connects again: bounded over all peers, and later after each failure. A made-up clock.
+//! Schedule of connection attempts: limited over all peers, and with a backoff that grows with each
+//! failure of a peer. The clock is simulated.
 use basaltpitch_agent::dial_queue::{DialConfig, DialQueue};
 
-/// Attempts of a thousand peers that all fail for ten seconds after a switch broke.
+/// A switch failure makes all attempts to a thousand peers fail for ten seconds. Guards against a
+/// storm of attempts to all peers at once.
 #[test]
-fn a_healed_switch_is_no_storm() {
-    let mut dials = DialQueue::new(3, 0, DialConfig::DEFAULT);
-    (0..1000).for_each(|peer| dials.add(peer, 0));
+fn limits_attempts_per_second_when_all_peers_fail() {
+    let mut queue = DialQueue::new(3, 0, DialConfig::DEFAULT);
+    (0..1000).for_each(|peer| queue.add(peer, 0));
     let (mut times, mut now) = (Vec::new(), 0);
     while now < 10_000_000 {
-        while let Some(peer) = dials.next_due(now) {
+        while let Some(peer) = queue.next_due(now) {
             times.push(now);
-            dials.link_down(peer, now);
+            queue.link_down(peer, now);
         }
-        now = dials.next_due_at().unwrap().max(now + 1);
+        now = queue.next_due_at().unwrap().max(now + 1);
     }
     for (i, &at) in times.iter().enumerate() {
-        let within = times[i..].iter().take_while(|&&t| t < at + 1_000_000).count();
-        assert!(within <= 250, "{within} attempts in the second from {at} us");
+        let attempts = times[i..].iter().take_while(|&&t| t < at + 1_000_000).count();
+        assert!(attempts <= 250, "{attempts} attempts in the second from {at} us");
     }
-    assert!(times.len() > 1500, "the bound is used: {}", times.len());
+    assert!(
+        times.len() > 1500,
+        "expected over 1500 attempts, so that the limit is reached; found {}",
+        times.len()
+    );
 }
 
 #[test]
-fn a_link_that_falls_at_once_does_not_reset_the_wait() {
-    let mut dials = DialQueue::new(3, 0, DialConfig::DEFAULT);
-    dials.add(0, 0);
-    let (mut now, mut waits) = (0, Vec::new());
+fn short_lived_link_does_not_reset_backoff() {
+    let mut queue = DialQueue::new(3, 0, DialConfig::DEFAULT);
+    queue.add(0, 0);
+    let (mut now, mut backoffs) = (0, Vec::new());
     for _ in 0..6 {
-        assert_eq!(dials.next_due(now), Some(0));
-        dials.link_up(0, now);
-        dials.link_down(0, now + 1000);
-        waits.push(dials.next_due_at().unwrap() - now);
-        now = dials.next_due_at().unwrap();
+        assert_eq!(queue.next_due(now), Some(0));
+        queue.link_up(0, now);
+        queue.link_down(0, now + 1000);
+        backoffs.push(queue.next_due_at().unwrap() - now);
+        now = queue.next_due_at().unwrap();
     }
-    assert!(waits.windows(2).all(|w| w[1] > w[0] / 2) && waits[5] > 8 * waits[0], "{waits:?}");
-    assert_eq!(dials.next_due(now), Some(0));
-    dials.link_up(0, now);
-    dials.link_down(0, now + 3_000_000);
-    assert!(dials.next_due_at().unwrap() - now - 3_000_000 <= 50_000, "it stood: soon again");
+    assert!(
+        backoffs.windows(2).all(|pair| pair[1] > pair[0] / 2) && backoffs[5] > 8 * backoffs[0],
+        "{backoffs:?}"
+    );
+    assert_eq!(queue.next_due(now), Some(0));
+    queue.link_up(0, now);
+    queue.link_down(0, now + 3_000_000);
+    assert!(queue.next_due_at().unwrap() - now - 3_000_000 <= 50_000, "a stable link resets the backoff");
 }
--- a/agent/tests/golden_frames.rs
+++ b/agent/tests/golden_frames.rs
@@ -1,11 +1,13 @@
-//! The bytes of frames, as an earlier build wrote them: `golden/frames.txt` holds a line for each frame here,
-//! with the number of its kind and its bytes in hex. The file is never edited; other builds may be on the
-//! other side.
+//! Frames are encoded to the same bytes as by earlier builds, and those bytes are decoded to the
+//! same frames. `golden/frames.txt` has one line for each frame of this test, with the field number
+//! of its kind and its bytes in hex. The file is never edited, because peers may run an earlier
+//! build.
 use basaltpitch_agent::wire::{self, Body, Frame};
 use prost::Message;
 
-/// The number of a frame's kind on the wire. A new kind must be named here, and so in the file.
-fn number(body: &Body) -> u32 {
+/// Returns the field number of a frame's kind. The match is exhaustive, so that a new kind must be
+/// added here and thus to the file.
+fn frame_number(body: &Body) -> u32 {
     match body {
         Body::Hello(_) => 1,
         Body::Heartbeat(_) => 2,
@@ -48,7 +50,7 @@
     }
 }
 
-const NUMBERS: [u32; 38] = [
+const FRAME_NUMBERS: [u32; 38] = [
     1, 2, 3, 4, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 30, 31, 32, 40, 41, 42, 43, 50, 51,
     52, 53, 60, 61, 62, 63, 64, 65, 66, 72, 73,
 ];
@@ -123,7 +125,7 @@
     })
 }
 
-fn life(how: wire::LifeHow) -> Body {
+fn task_change(how: wire::LifeHow) -> Body {
     Body::Life(wire::Life { key: "task-1".into(), ask: 2, how: how.into() })
 }
 
@@ -162,7 +164,7 @@
     all
 }
 
-fn register() -> Vec<Body> {
+fn registry() -> Vec<Body> {
     use wire::Readiness::*;
     let fetch = wire::Fetch {
         question: 1,
@@ -182,7 +184,7 @@
     ]
 }
 
-fn owners() -> Vec<Body> {
+fn clients() -> Vec<Body> {
     use wire::{AnswerKind, LifeHow};
     let submit = wire::Submit {
         key: "task-1".into(),
@@ -196,7 +198,7 @@
         time_left_us: 6_000_000,
     };
     let answers = [AnswerKind::AnswerUnknown, AnswerKind::Placed, AnswerKind::Declined, AnswerKind::Aborted];
-    let lives = [
+    let task_changes = [
         LifeHow::LifeUnknown,
         LifeHow::LifeEnded,
         LifeHow::LifeLost,
@@ -206,7 +208,7 @@
     ];
     let mut all = vec![Body::Submit(submit)];
     all.extend(answers.into_iter().map(answer));
-    all.extend(lives.into_iter().map(life));
+    all.extend(task_changes.into_iter().map(task_change));
     all.push(Body::Withdraw(wire::Withdraw { key: "task-1".into(), ask: 2 }));
     all
 }
@@ -220,7 +222,7 @@
     ]
 }
 
-fn kept() -> wire::Kept {
+fn stored_votes() -> wire::Kept {
     let past = wire::Holding { holder: "planner-1#2".into(), token: 3, since_us: 4 };
     let duty = wire::KeptDuty {
         past: vec![past],
@@ -244,7 +246,7 @@
     }
 }
 
-fn council() -> Vec<Body> {
+fn voters() -> Vec<Body> {
     let duty = || "planner-0".to_owned();
     let ballot =
         wire::Ballot { duty: duty(), token: 2, round: 3, note_number: 4, note: vec![5, 255], renews: true };
@@ -264,7 +266,7 @@
         Body::GiveBack(wire::GiveBack { duty: duty(), token: 2, to: "spare-1".into() }),
         Body::Freed(wire::Freed { duty: duty(), handed: true }),
         Body::Record(wire::Record { brief: true, prefix: "planner-".into(), life: 3, revision: 4 }),
-        Body::Kept(kept()),
+        Body::Kept(stored_votes()),
         Body::HandOn(wire::HandOn { duty: duty(), to: "spare-1".into(), token: 3 }),
     ]
 }
@@ -286,59 +288,62 @@
     vec![Body::Digest(digest), Body::Summaries(summaries)]
 }
 
-/// Every kind of frame, each field with a value of its own, and every value of each enumeration.
+/// Returns frames of every kind, with a distinct value in each field and every value of each
+/// enumeration.
 fn frames() -> Vec<Frame> {
-    let parts = [connection(), machines(), register(), owners(), operators(), council(), planners()];
+    let parts = [connection(), machines(), registry(), clients(), operators(), voters(), planners()];
     parts.into_iter().flatten().map(Frame::from).collect()
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hex digits");
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
-fn number_of(frame: &Frame) -> u32 {
-    number(frame.body.as_ref().expect("a body"))
+fn number_of_frame(frame: &Frame) -> u32 {
+    frame_number(frame.body.as_ref().expect("every frame has a body"))
 }
 
-/// The lines of the file: number of the kind, bytes.
-fn golden() -> Vec<(u32, Vec<u8>)> {
+/// Returns the lines of the file: the field number of the kind and the bytes.
+fn golden_lines() -> Vec<(u32, Vec<u8>)> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/frames.txt");
-    let text = std::fs::read_to_string(path).expect("golden/frames.txt");
+    let text = std::fs::read_to_string(path).expect("golden/frames.txt is readable");
     let line = |line: &str| {
-        let (number, hex) = line.split_once(' ').expect("a number and hex digits");
-        (number.parse().expect("a number"), bytes(hex))
+        let (number, hex) = line.split_once(' ').expect("a line is a number, a space and hex digits");
+        (number.parse().expect("the first column is a number"), decode_hex(hex))
     };
     text.lines().map(line).collect()
 }
 
 #[test]
-fn every_kind_of_frame_is_in_the_file() {
-    let mut found: Vec<u32> = golden().iter().map(|line| line.0).collect();
+fn golden_file_has_every_kind_of_frame() {
+    let mut found: Vec<u32> = golden_lines().iter().map(|line| line.0).collect();
     found.sort_unstable();
     found.dedup();
-    assert_eq!(found, NUMBERS);
+    assert_eq!(found, FRAME_NUMBERS);
 }
 
 #[test]
-fn frames_are_written_as_the_earlier_build_wrote_them() {
-    let line = |number: u32, bytes: &[u8]| format!("{number} {}", hex(bytes));
+fn encodes_frames_to_bytes_of_earlier_build() {
+    let line = |number: u32, bytes: &[u8]| format!("{number} {}", encode_hex(bytes));
     let written: Vec<String> =
-        frames().iter().map(|frame| line(number_of(frame), &frame.encode_to_vec())).collect();
-    let expected: Vec<String> = golden().iter().map(|(number, bytes)| line(*number, bytes)).collect();
+        frames().iter().map(|frame| line(number_of_frame(frame), &frame.encode_to_vec())).collect();
+    let expected: Vec<String> = golden_lines().iter().map(|(number, bytes)| line(*number, bytes)).collect();
     assert_eq!(written, expected);
 }
 
 #[test]
-fn what_the_earlier_build_wrote_is_read_whole() {
-    let read: Vec<Frame> =
-        golden().iter().map(|(_, bytes)| Frame::decode(&bytes[..]).expect("a frame")).collect();
+fn decodes_and_reencodes_bytes_of_earlier_build() {
+    let read: Vec<Frame> = golden_lines()
+        .iter()
+        .map(|(_, bytes)| Frame::decode(&bytes[..]).expect("the bytes decode as a frame"))
+        .collect();
     assert_eq!(read, frames());
-    for (frame, (number, bytes)) in read.iter().zip(golden()) {
-        assert_eq!((number_of(frame), frame.encode_to_vec()), (number, bytes));
+    for (frame, (number, bytes)) in read.iter().zip(golden_lines()) {
+        assert_eq!((number_of_frame(frame), frame.encode_to_vec()), (number, bytes));
     }
 }
--- a/agent/tests/traffic.rs
+++ b/agent/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! What links count is what their streams carry, at any moment and however a link ends.
+//! Traffic counters equal the bytes that the streams carry, at any time and however a link ends.
 use basaltpitch_agent::link::{run, Clock, LinkCommand, LinkContext, LinkEvent};
 use basaltpitch_agent::session::{LinkConfig, PeerIdentity, Session, SessionEvent};
 use basaltpitch_agent::traffic::{FrameKind, TrafficCount};
@@ -13,11 +13,12 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::sync::mpsc;
 
-fn party(role: Role, name: &str) -> PeerIdentity {
+fn identity(role: Role, name: &str) -> PeerIdentity {
     PeerIdentity { role, name: name.into(), epoch: 1, link: 1, login: String::new() }
 }
 
-/// A frame of each kind that credit is needed for, with a text of so many bytes where it takes one.
+/// Returns a frame body of one of the kinds that need credit, with a text of `size` bytes if it has
+/// a text field.
 fn body(kind: usize, size: usize) -> Body {
     let text = "x".repeat(size);
     match kind {
@@ -31,7 +32,7 @@
     }
 }
 
-const KINDS: [FrameKind; 7] = [
+const FRAME_KINDS: [FrameKind; 7] = [
     FrameKind::Tasks,
     FrameKind::Inventories,
     FrameKind::HealthChecks,
@@ -41,69 +42,71 @@
     FrameKind::Operators,
 ];
 
-fn length(body: &Body) -> u64 {
+fn framed_length(body: &Body) -> u64 {
     Frame::from(body.clone()).encoded_len() as u64 + 4
 }
 
-/// Moves up to `most` bytes; how many went.
-fn carry(from: &mut Session, to: &mut Session, most: usize) -> u64 {
-    let n = from.pending_output().len().min(most);
-    let bytes = from.pending_output()[..n].to_vec();
-    from.record_written(n);
+/// Moves up to `max_bytes` bytes from one session to the other and returns their number.
+fn transfer_output(from: &mut Session, to: &mut Session, max_bytes: usize) -> u64 {
+    let count = from.pending_output().len().min(max_bytes);
+    let bytes = from.pending_output()[..count].to_vec();
+    from.record_written(count);
     to.receive(0, &bytes);
     while to.next_event().is_some() {}
-    n as u64
+    count as u64
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// After each piece of a stream that is cut anywhere, two links on one count and their two peers on
-    /// another; and by kind once all has come.
+    /// Two links share one set of counters, their two peers another. The totals must equal the
+    /// bytes carried after each piece of streams that are cut at random positions, and the counters
+    /// by kind must be exact once all frames were received.
     #[test]
-    fn counts_sum_to_what_streams_carry(
+    fn totals_equal_bytes_carried_by_streams(
         frames in proptest::collection::vec((0usize..7, 0usize..4000), 1..60),
         cuts in proptest::collection::vec(1usize..3000, 1..40),
         ends_after in 1usize..400,
     ) {
-        let (ours, theirs) = (LinkConfig::default(), LinkConfig::default());
-        let link = |links: &LinkConfig, role, name| Session::with_config(links.clone(), party(role, name), 0);
-        let mut near = [link(&ours, Role::Planner, "p"), link(&ours, Role::Planner, "p")];
-        let mut far = [link(&theirs, Role::Machine, "m"), link(&theirs, Role::Register, "r")];
-        let mut want = [(0u64, 0u64); KINDS.len()];
+        let (near_config, far_config) = (LinkConfig::default(), LinkConfig::default());
+        let session =
+            |config: &LinkConfig, role, name| Session::with_config(config.clone(), identity(role, name), 0);
+        let mut near = [session(&near_config, Role::Planner, "p"), session(&near_config, Role::Planner, "p")];
+        let mut far = [session(&far_config, Role::Machine, "m"), session(&far_config, Role::Register, "r")];
+        let mut expected = [(0u64, 0u64); FRAME_KINDS.len()];
         for (i, &(kind, size)) in frames.iter().enumerate() {
             let body = body(kind, size);
-            want[kind] = (want[kind].0 + length(&body), want[kind].1 + 1);
+            expected[kind] = (expected[kind].0 + framed_length(&body), expected[kind].1 + 1);
             prop_assert!(near[i % 2].send(body, None).is_ok());
         }
-        let (mut out, mut back) = (0, 0);
+        let (mut sent_bytes, mut returned_bytes) = (0, 0);
         for (step, cut) in cuts.iter().cycle().take(4 * ends_after).enumerate() {
-            let n = step % 2;
-            out += carry(&mut near[n], &mut far[n], *cut);
-            back += carry(&mut far[n], &mut near[n], *cut);
-            let (here, there) = (ours.traffic.total(), theirs.traffic.total());
-            prop_assert_eq!((here.bytes_out, here.bytes_in), (out, back));
-            prop_assert_eq!((there.bytes_in, there.bytes_out), (out, back));
+            let link = step % 2;
+            sent_bytes += transfer_output(&mut near[link], &mut far[link], *cut);
+            returned_bytes += transfer_output(&mut far[link], &mut near[link], *cut);
+            let (near_total, far_total) = (near_config.traffic.total(), far_config.traffic.total());
+            prop_assert_eq!((near_total.bytes_out, near_total.bytes_in), (sent_bytes, returned_bytes));
+            prop_assert_eq!((far_total.bytes_in, far_total.bytes_out), (sent_bytes, returned_bytes));
         }
-        if near.iter().all(|s| s.pending_output().is_empty()) {
-            for (kind, want) in KINDS.into_iter().zip(want) {
-                let (sent, got) = (ours.traffic.count(kind), theirs.traffic.count(kind));
-                prop_assert_eq!((sent.bytes_out, sent.frames_out), want);
-                prop_assert_eq!((got.bytes_in, got.frames_in), want);
+        if near.iter().all(|session| session.pending_output().is_empty()) {
+            for (kind, expected) in FRAME_KINDS.into_iter().zip(expected) {
+                let (sent, received) = (near_config.traffic.count(kind), far_config.traffic.count(kind));
+                prop_assert_eq!((sent.bytes_out, sent.frames_out), expected);
+                prop_assert_eq!((received.bytes_in, received.frames_in), expected);
             }
-            prop_assert_eq!(theirs.traffic.count(FrameKind::Incomplete), TrafficCount::default());
+            prop_assert_eq!(far_config.traffic.count(FrameKind::Incomplete), TrafficCount::default());
         }
     }
 }
 
-/// A stream that counts what goes through it.
-struct Counted<S> {
+/// A stream that counts the bytes read from and written to it.
+struct CountingStream<S> {
     stream: S,
-    read: Rc<Cell<u64>>,
-    wrote: Rc<Cell<u64>>,
+    bytes_read: Rc<Cell<u64>>,
+    bytes_written: Rc<Cell<u64>>,
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -111,16 +114,16 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let done = Pin::new(&mut self.stream).poll_read(cx, buf);
-        self.read.set(self.read.get() + (buf.filled().len() - before) as u64);
+        self.bytes_read.set(self.bytes_read.get() + (buf.filled().len() - before) as u64);
         done
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountingStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        if let Poll::Ready(Ok(n)) = done {
-            self.wrote.set(self.wrote.get() + n as u64);
+        if let Poll::Ready(Ok(count)) = done {
+            self.bytes_written.set(self.bytes_written.get() + count as u64);
         }
         done
     }
@@ -134,30 +137,35 @@
     }
 }
 
-fn raw(body: Body) -> Vec<u8> {
+fn encoded_frame(body: Body) -> Vec<u8> {
     let frame = Frame::from(body);
     let mut bytes = (frame.encoded_len() as u32).to_be_bytes().to_vec();
     frame.encode(&mut bytes).unwrap();
     bytes
 }
 
-/// A link whose peer reads so many bytes, says what it is given to say, and is gone; what was counted, and
-/// what the stream carried.
-fn link_cut_after(reads: usize, says: &[u8]) -> (TrafficCount, TrafficCount, (u64, u64)) {
+/// Runs a link whose peer reads `reads` bytes, writes `reply` and closes the stream. Returns the
+/// total and the `Incomplete` counters of the link, and the bytes read from and written to the
+/// stream.
+fn link_cut_after(reads: usize, reply: &[u8]) -> (TrafficCount, TrafficCount, (u64, u64)) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (links, (read, wrote)) = (LinkConfig::default(), (Rc::default(), Rc::default()));
+        let (config, (bytes_read, bytes_written)) = (LinkConfig::default(), (Rc::default(), Rc::default()));
         let (near, mut far) = tokio::io::duplex(700);
-        let stream = Counted { stream: near, read: Rc::clone(&read), wrote: Rc::clone(&wrote) };
-        let (orders, inbox) = mpsc::channel(16);
-        let (news, mut heard) = mpsc::channel(16);
-        let me = party(Role::Planner, "p");
+        let stream = CountingStream {
+            stream: near,
+            bytes_read: Rc::clone(&bytes_read),
+            bytes_written: Rc::clone(&bytes_written),
+        };
+        let (commands, command_receiver) = mpsc::channel(16);
+        let (event_sender, mut events) = mpsc::channel(16);
+        let identity = identity(Role::Planner, "p");
         tokio::task::spawn_local(run(
             stream,
-            LinkContext { config: links.clone(), identity: me, clock: Clock::start() },
-            inbox,
-            news,
-            |n| n,
+            LinkContext { config: config.clone(), identity, clock: Clock::start() },
+            command_receiver,
+            event_sender,
+            |event| event,
         ));
         let hello = wire::Hello {
             version: 1,
@@ -166,40 +174,50 @@
             credit: 1 << 20,
             ..wire::Hello::default()
         };
-        let hello = raw(Body::Hello(hello));
+        let hello = encoded_frame(Body::Hello(hello));
         far.write_all(&hello).await.unwrap();
-        let up = heard.recv().await;
+        let up = events.recv().await;
         assert!(matches!(up, Some(LinkEvent::Session(SessionEvent::Up(_)))), "{up:?}");
-        orders.send(LinkCommand::Send(body(0, 5000), Some(1))).await.unwrap();
-        let mut taken = vec![0; reads];
-        far.read_exact(&mut taken).await.unwrap();
-        far.write_all(says).await.unwrap();
-        // What is cut before it was read was not carried.
-        let all = (hello.len() + says.len()) as u64;
-        for _ in (0..100_000).take_while(|_| read.get() < all) {
+        commands.send(LinkCommand::Send(body(0, 5000), Some(1))).await.unwrap();
+        let mut read_bytes = vec![0; reads];
+        far.read_exact(&mut read_bytes).await.unwrap();
+        far.write_all(reply).await.unwrap();
+        // Waits until the link has read everything: bytes lost in the cut would not be counted.
+        let sent_to_link = (hello.len() + reply.len()) as u64;
+        for _ in (0..100_000).take_while(|_| bytes_read.get() < sent_to_link) {
             tokio::task::yield_now().await;
         }
-        assert_eq!(read.get(), all, "the link reads all that comes");
+        assert_eq!(bytes_read.get(), sent_to_link, "the link reads all bytes sent to it");
         drop(far);
-        while let Some(news) = heard.recv().await {
-            if matches!(news, LinkEvent::Ended { .. }) {
+        while let Some(event) = events.recv().await {
+            if matches!(event, LinkEvent::Ended { .. }) {
                 break;
             }
         }
-        (links.traffic.total(), links.traffic.count(FrameKind::Incomplete), (read.get(), wrote.get()))
+        (
+            config.traffic.total(),
+            config.traffic.count(FrameKind::Incomplete),
+            (bytes_read.get(), bytes_written.get()),
+        )
     })
 }
 
 #[test]
-fn a_link_that_is_cut_in_the_middle_has_counted_what_its_stream_carried() {
-    // Within the hello, within the launch, and within the frame that comes back.
-    let launch = raw(body(0, 300));
-    for (reads, says) in [(3, &launch[..0]), (200, &launch[..2]), (2000, &launch[..100]), (2000, &launch[..])]
+fn totals_equal_bytes_carried_when_link_is_cut_within_a_frame() {
+    // The cut is within the hello, within the launch, and within or after the frame of the peer.
+    let launch = encoded_frame(body(0, 300));
+    for (reads, reply) in
+        [(3, &launch[..0]), (200, &launch[..2]), (2000, &launch[..100]), (2000, &launch[..])]
     {
-        let (sum, unfinished, (read, wrote)) = link_cut_after(reads, says);
-        assert_eq!((sum.bytes_in, sum.bytes_out), (read, wrote), "cut after {reads} and {}", says.len());
-        let rest = if says.len() == launch.len() { 0 } else { says.len() as u64 };
-        assert_eq!(unfinished, TrafficCount { bytes_in: rest, ..TrafficCount::default() });
-        assert!(wrote >= reads as u64 && wrote < 5000, "{wrote} bytes were handed over");
+        let (total, incomplete, (bytes_read, bytes_written)) = link_cut_after(reads, reply);
+        assert_eq!(
+            (total.bytes_in, total.bytes_out),
+            (bytes_read, bytes_written),
+            "cut after {reads} and {}",
+            reply.len()
+        );
+        let expected_incomplete = if reply.len() == launch.len() { 0 } else { reply.len() as u64 };
+        assert_eq!(incomplete, TrafficCount { bytes_in: expected_incomplete, ..TrafficCount::default() });
+        assert!(bytes_written >= reads as u64 && bytes_written < 5000, "{bytes_written} bytes were written");
     }
 }
