--- a/ldap/src/settings.rs
+++ b/ldap/src/settings.rs
@@ -1,6 +1,6 @@
-//! The record `directory` of an installation's files: how a directory is reached, and what the decisions go
-//! by. What types alone do not find is checked here: addresses, filters, names and times that make no sense
-//! together.
+//! Reads the record `directory` of an installation's files: the servers, and the settings of
+//! authorization and sync. Checks what the types of the schema do not cover: addresses, filters,
+//! names, and times that contradict each other.
 use crate::{plain_dn, AttributeNames, LdapSource};
 use basaltpitch_config::{ConfigError, PlainValue, ResolvedValue};
 use basaltpitch_tenants::authorization::AccessPolicy;
@@ -9,20 +9,21 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// All that the record says.
+/// Settings of the record `directory`.
 #[derive(Clone, Debug)]
 pub struct DirectorySettings {
-    /// How the directory is reached and asked.
+    /// Servers of the directory, and how they are queried.
     pub source: LdapSource,
-    /// Who may do what, and what holds while the directory is away.
+    /// Permissions of operators and auditors, and the policy while the directory is not available.
     pub terms: AccessPolicy,
-    /// When it is read.
+    /// Schedule of the syncs with the directory.
     pub pace: SyncSchedule,
-    /// Which changes are held back until they are confirmed.
+    /// Which removals are held back until they are confirmed.
     pub caution: ChangeGuard,
 }
 
-/// A description of an attribute or class, or its number (RFC 4512).
+/// Returns whether a text is the name of an attribute or object class, or its numeric object
+/// identifier (RFC 4512).
 fn is_name(name: &str) -> bool {
     let is_description = name.starts_with(|char: char| char.is_ascii_alphabetic())
         && name.chars().all(|char| char.is_ascii_alphanumeric() || char == '-');
@@ -31,7 +32,8 @@
     is_description || is_number
 }
 
-/// A distinguished name, as far as it can be told without the directory's schema.
+/// Returns whether a text is a distinguished name, as far as that can be checked without the schema
+/// of the directory. A text with a backslash is accepted, because a comma in it may be escaped.
 fn is_dn(dn: &str) -> bool {
     let is_part = |part: &str| {
         part.split_once('=').is_some_and(|(name, value)| is_name(name.trim()) && !value.trim().is_empty())
@@ -39,7 +41,7 @@
     dn.split(',').all(is_part) || dn.contains('\\')
 }
 
-/// The record `directory`, with what is wrong with it.
+/// Reader of the record `directory`, with the errors found so far.
 struct SettingsReader<'a> {
     record: &'a ResolvedValue,
     errors: Vec<ConfigError>,
@@ -89,16 +91,16 @@
             let scheme = url.split("://").next().unwrap_or("");
             let host = url.split_once("://").map_or("", |(_, rest)| rest).trim_end_matches('/');
             if !["ldap", "ldaps"].contains(&scheme) || host.is_empty() || host.contains(['/', ' ', '@']) {
-                let expected = "ldap:// or ldaps://, a host and perhaps a port";
+                let expected = "ldap:// or ldaps:// followed by a host and optionally a port";
                 self.invalid("servers", format!("{url:?}"), expected);
             } else if urls[..index].contains(url) {
                 self.invalid("servers", format!("{url:?} twice"), "each server once");
             } else if scheme == "ldaps" && self.flag("starttls") {
-                let expected = "false with ldaps, which is TLS from the start";
+                let expected = "false with ldaps, whose connections always use TLS";
                 self.invalid("starttls", format!("true beside {url:?}"), expected);
             } else if scheme == "ldap" && !self.flag("starttls") && !self.flag("clear") {
-                let found = format!("{url:?}, which sends the password in the clear");
-                self.invalid("servers", found, "ldaps, starttls, or clear");
+                let found = format!("{url:?}, which sends the password in clear text");
+                self.invalid("servers", found, "an ldaps:// address, starttls: true or clear: true");
             }
         }
     }
@@ -121,7 +123,7 @@
     fn check_filter(&mut self) {
         let filter = self.text("filter");
         if ldap3::parse_filter(&filter).is_err() {
-            let expected = "a filter as RFC 4515 writes it, such as (objectClass=person)";
+            let expected = "a filter of RFC 4515, such as (objectClass=person)";
             self.invalid("filter", format!("{filter:?}"), expected);
         }
     }
@@ -133,7 +135,7 @@
                 let PlainValue::Text(name) = &value.value else { continue };
                 let absent = field == "mark" && name.is_empty();
                 if !absent && !is_name(name) {
-                    let expected = "a name of letters, digits and dashes, or a number";
+                    let expected = "a name of letters, digits and hyphens that begins with a letter, or an object identifier";
                     self.invalid(&format!("{part}.{field}"), format!("{name:?}"), expected);
                 }
             }
@@ -143,12 +145,12 @@
     fn check_times(&mut self) {
         let (fresh_us, every_us) = (self.duration_us("fresh"), self.duration_us("every"));
         if fresh_us <= every_us {
-            let found = format!("{fresh_us} us, with a sweep every {every_us} us");
-            self.invalid("fresh", found, "more than the time from sweep to sweep");
+            let found = format!("{fresh_us} us, with a sync every {every_us} us");
+            self.invalid("fresh", found, "more than the period of syncs (every)");
         }
         let most_wait_us = self.duration_us("most_wait");
         if most_wait_us < self.duration_us("first_wait") {
-            self.invalid("most_wait", format!("{most_wait_us} us"), "no less than first_wait");
+            self.invalid("most_wait", format!("{most_wait_us} us"), "at least first_wait");
         }
     }
 
@@ -197,7 +199,7 @@
             },
             pace: SyncSchedule {
                 every_us: self.duration_us("every"),
-                // A sync is many pages, each of which may take its timeout.
+                // A sync reads many pages, each of which may take up to the timeout of a page.
                 patience_us: self.duration_us("whole"),
                 fresh_us: self.duration_us("fresh"),
                 first_wait_us: self.duration_us("first_wait"),
@@ -214,10 +216,10 @@
     }
 }
 
-/// Reads the record `directory`, if the files have one.
+/// Reads the record `directory`; `None` if the files have none.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// Lists all errors of the record.
 pub fn read_settings(all: &ResolvedValue) -> Result<Option<DirectorySettings>, Vec<ConfigError>> {
     let Some(record) = all.get("directory") else { return Ok(None) };
     let mut reader = SettingsReader { record, errors: Vec::new() };
--- a/ldap/tests/settings.rs
+++ b/ldap/tests/settings.rs
@@ -1,34 +1,35 @@
-//! The record `directory`: what is wrong in it is named with its place, all of it at once.
+//! The record `directory` of the settings: all its errors are reported at once, each with its
+//! field.
 use basaltpitch_config::installation::load_texts;
 use basaltpitch_ldap::read_settings;
 use expect_test::{expect, Expect};
 
-const SITE: &str = "zones: [\"z\"]\nkinds: [{name: \"std\", cores: 16, memory: 32}]\n\
+const INSTALLATION: &str = "zones: [\"z\"]\nkinds: [{name: \"std\", cores: 16, memory: 32}]\n\
      frameworks: [{name: \"small\", repeat: \"repeatable\", goal: 600ms, limit: 6s}]\n";
-const GOOD: &str = "directory: {\n\tservers: [\"ldaps://one.example\", \"ldaps://two.example:1636/\"]\n\
+const DIRECTORY: &str = "directory: {\n\tservers: [\"ldaps://one.example\", \"ldaps://two.example:1636/\"]\n\
      \tbind: \"cn=planner,dc=campus\"\n\tpassword_file: \"/run/secret\"\n\tbase: \"DC=Campus\"\n\
      \toperators: [\"CN=Keepers, dc=campus\"]\n";
 
-fn said(more: &str) -> String {
-    let text = format!("{GOOD}{more}}}\n");
-    let site = match load_texts(&[("site.rec", SITE), ("directory.rec", &text)]) {
-        Ok(site) => site,
-        Err((sources, faults)) => {
-            return faults.iter().map(|f| format!("{}\n", f.render(&sources))).collect();
+fn render_settings(more: &str) -> String {
+    let text = format!("{DIRECTORY}{more}}}\n");
+    let installation = match load_texts(&[("site.rec", INSTALLATION), ("directory.rec", &text)]) {
+        Ok(installation) => installation,
+        Err((sources, errors)) => {
+            return errors.iter().map(|error| format!("{}\n", error.render(&sources))).collect();
         }
     };
-    match read_settings(&site.all) {
-        Ok(d) => format!("{:#?}\n", d.map(|d| (d.terms, d.pace, d.source.names.mark))),
-        Err(faults) => faults.iter().map(|f| format!("{}\n", f.message)).collect(),
+    match read_settings(&installation.all) {
+        Ok(directory) => format!("{:#?}\n", directory.map(|d| (d.terms, d.pace, d.source.names.mark))),
+        Err(errors) => errors.iter().map(|error| format!("{}\n", error.message)).collect(),
     }
 }
 
-fn check(more: &str, want: Expect) {
-    want.assert_eq(&said(more));
+fn check(more: &str, expected: Expect) {
+    expected.assert_eq(&render_settings(more));
 }
 
 #[test]
-fn a_right_one_lays_out() {
+fn reads_valid_directory_record() {
     check(
         "attributes: mark: \"contextCSN\"\n",
         expect![[r#"
@@ -61,19 +62,19 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn reports_every_invalid_field() {
     check(
         "starttls: true\nfilter: \"(cn=*\"\nauditors: [\"keepers\"]\nfresh: 10s\nfirst_wait: 90s\n\
          attributes: {id: \"entry UUID\", login: \"\", class: \"2.5.4.0\"}\n",
         expect![[r#"
-            directory.starttls: found true beside "ldaps://one.example"; expected false with ldaps, which is TLS from the start
-            directory.starttls: found true beside "ldaps://two.example:1636/"; expected false with ldaps, which is TLS from the start
+            directory.starttls: found true beside "ldaps://one.example"; expected false with ldaps, whose connections always use TLS
+            directory.starttls: found true beside "ldaps://two.example:1636/"; expected false with ldaps, whose connections always use TLS
             directory.auditors: found "keepers"; expected distinguished names of groups
-            directory.filter: found "(cn=*"; expected a filter as RFC 4515 writes it, such as (objectClass=person)
-            directory.attributes.id: found "entry UUID"; expected a name of letters, digits and dashes, or a number
-            directory.attributes.login: found ""; expected a name of letters, digits and dashes, or a number
-            directory.fresh: found 10000000 us, with a sweep every 30000000 us; expected more than the time from sweep to sweep
-            directory.most_wait: found 60000000 us; expected no less than first_wait
+            directory.filter: found "(cn=*"; expected a filter of RFC 4515, such as (objectClass=person)
+            directory.attributes.id: found "entry UUID"; expected a name of letters, digits and hyphens that begins with a letter, or an object identifier
+            directory.attributes.login: found ""; expected a name of letters, digits and hyphens that begins with a letter, or an object identifier
+            directory.fresh: found 10000000 us, with a sync every 30000000 us; expected more than the period of syncs (every)
+            directory.most_wait: found 60000000 us; expected at least first_wait
         "#]],
     );
     check(
@@ -93,18 +94,21 @@
 }
 
 #[test]
-fn a_password_in_the_clear_must_be_wanted() {
-    let clear = |more: &str| {
-        let text = format!("{GOOD}{more}}}\n").replace("ldaps://one.example", "ldap://one.example");
-        let site = load_texts(&[("site.rec", SITE), ("directory.rec", &text)]).map_err(|e| e.1).unwrap();
-        read_settings(&site.all).map(|d| d.unwrap().source.urls.len()).map_err(|f| f[0].message.clone())
+fn rejects_password_in_clear_text_unless_allowed() {
+    let read_with_clear_text_server = |more: &str| {
+        let text = format!("{DIRECTORY}{more}}}\n").replace("ldaps://one.example", "ldap://one.example");
+        let installation =
+            load_texts(&[("site.rec", INSTALLATION), ("directory.rec", &text)]).map_err(|e| e.1).unwrap();
+        read_settings(&installation.all)
+            .map(|d| d.unwrap().source.urls.len())
+            .map_err(|f| f[0].message.clone())
     };
-    assert_eq!(clear("clear: true\n"), Ok(2));
-    expect![[r#"directory.servers: found "ldap://one.example", which sends the password in the clear; expected ldaps, starttls, or clear"#]].assert_eq(&clear("").unwrap_err());
+    assert_eq!(read_with_clear_text_server("clear: true\n"), Ok(2));
+    expect![[r#"directory.servers: found "ldap://one.example", which sends the password in clear text; expected an ldaps:// address, starttls: true or clear: true"#]].assert_eq(&read_with_clear_text_server("").unwrap_err());
 }
 
 #[test]
-fn a_list_of_tenants_beside_a_directory() {
+fn rejects_list_of_tenants_beside_directory() {
     check(
         "}\ntenants: [{name: \"t\", share: 1}]\nrules: {\n",
         expect![[r#"
