--- a/ldap/src/entry.rs
+++ b/ldap/src/entry.rs
@@ -1,32 +1,35 @@
-//! Reads one entry of the directory, with care: what is huge, doubled, missing or binary where text is wanted
-//! is an error that names the entry, the attribute, what was found and what was expected.
+//! Converts an LDAP entry to an entry of the tenant directory. An attribute that is too large,
+//! missing, binary instead of text, or has several values where one is expected is an error that
+//! names the entry, the attribute, the value found and the value expected.
 use basaltpitch_tenants::{Entry, EntryKind, Id};
 use std::collections::HashMap;
 
-/// The attributes that are read, and the object classes that tell what an entry is. Compared without case.
+/// Names of the attributes that are read and of the object classes that determine the kind of an
+/// entry. Compared without case.
 #[derive(Clone, Debug)]
 pub struct AttributeNames {
-    /// The id of an entry, which it keeps when it is renamed.
+    /// Attribute with the stable id of an entry, which does not change when the entry is renamed.
     pub id: String,
-    /// When an entry changed last.
+    /// Attribute with the time of the last change of an entry.
     pub stamp: String,
-    /// The classes of an entry.
+    /// Attribute with the object classes of an entry.
     pub class: String,
-    /// The name of a tenant or group.
+    /// Attribute with the name of a tenant or group.
     pub name: String,
-    /// The login of a person.
+    /// Attribute with the login of a person.
     pub login: String,
-    /// Members of a group or tenant.
+    /// Attribute with the distinguished names of the members of a group or tenant.
     pub member: String,
-    /// The share of a tenant, from 0 to 1.
+    /// Attribute with the share of a tenant, from 0 to 1.
     pub share: String,
-    /// The class of tenants.
+    /// Object class of tenants.
     pub tenant_class: String,
-    /// The class of groups.
+    /// Object class of groups.
     pub group_class: String,
-    /// The class of people.
+    /// Object class of people.
     pub person_class: String,
-    /// Of the base's entry: how far the server is, such as `contextCSN`. Operational; none: it is not asked.
+    /// Operational attribute of the base entry with the server's replication progress, such as
+    /// `contextCSN`. `None`: the progress is not queried.
     pub mark: Option<String>,
 }
 
@@ -49,48 +52,49 @@
 }
 
 impl AttributeNames {
-    /// The attributes that are asked for of each entry.
+    /// Returns the attributes requested for each entry.
     pub fn all(&self) -> Vec<String> {
         let all = [&self.id, &self.stamp, &self.class, &self.name, &self.login, &self.member, &self.share];
         all.into_iter().cloned().collect()
     }
 }
 
-/// An entry as it came.
+/// Entry as received from the server.
 #[derive(Clone, Debug, Default)]
 pub struct RawEntry {
-    /// Its distinguished name.
+    /// Distinguished name of the entry.
     pub dn: String,
-    /// The values of attributes that are text.
+    /// Values of the attributes whose values are all UTF-8 text, by attribute.
     pub texts: HashMap<String, Vec<String>>,
-    /// The values of the others.
+    /// Values of the other attributes, by attribute.
     pub bytes: HashMap<String, Vec<Vec<u8>>>,
 }
 
-/// An entry that makes no sense.
+/// Error of an entry with an invalid attribute.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("entry {entry:?}: {attribute}: found {found}; expected {expected}")]
 pub struct InvalidEntry {
-    /// The beginning of its distinguished name.
+    /// Beginning of the distinguished name of the entry.
     pub entry: String,
-    /// The attribute that is wrong.
+    /// Name of the invalid attribute.
     pub attribute: String,
-    /// What it holds.
+    /// Value or number of values found.
     pub found: String,
-    /// What it should hold.
+    /// Value or number of values expected.
     pub expected: String,
 }
 
-/// Bytes of a value, at most.
+/// Maximum bytes of an attribute value, other than a member.
 const MAX_VALUE_BYTES: usize = 500;
-/// Bytes of a distinguished name, at most.
+/// Maximum bytes of a distinguished name.
 const MAX_DN_BYTES: usize = 10 * MAX_VALUE_BYTES;
-/// Characters of a distinguished name that an error shows.
+/// Maximum characters of a distinguished name in an error text.
 const SHOWN_DN_CHARS: usize = 80;
-/// Members of an entry, at most.
+/// Maximum number of members of an entry.
 const MAX_MEMBERS: usize = 1_000_000;
 
-/// A distinguished name in one spelling: without case, and without blanks around its parts.
+/// Normalizes a distinguished name, so that spellings that differ in case or in spaces around its
+/// parts compare equal.
 pub fn plain_dn(dn: &str) -> String {
     let mut plain = String::with_capacity(dn.len());
     let mut chars = dn.trim().chars().peekable();
@@ -102,7 +106,7 @@
             }
             ',' | '=' | '+' => {
                 let trimmed = plain.trim_end().len();
-                // A blank that was escaped stays.
+                // An escaped space before the separator is part of the value and kept.
                 if !plain[..trimmed].ends_with('\\') {
                     plain.truncate(trimmed);
                 }
@@ -117,20 +121,20 @@
     plain
 }
 
-/// Reads the attributes of one entry.
+/// Reads and checks the attributes of one entry.
 struct EntryReader<'a> {
     raw: &'a RawEntry,
 }
 
-/// The id and stamp of an entry.
+/// Id and time of the last change of an entry.
 pub(crate) struct EntryStamp {
     pub(crate) id: Id,
-    /// The id as it came.
+    /// Id in the spelling of the server.
     pub(crate) id_text: String,
     pub(crate) stamp: String,
 }
 
-/// Whether a text is a time as RFC 4517 writes it in UTC.
+/// Returns whether a text is a generalized time of RFC 4517 in UTC.
 fn is_stamp(text: &str) -> bool {
     text.len() >= 15 && text.ends_with('Z') && text.as_bytes()[..14].iter().all(u8::is_ascii_digit)
 }
@@ -186,14 +190,15 @@
         Ok(EntryStamp { id, id_text: text.to_owned(), stamp: stamp.to_owned() })
     }
 
-    /// What an entry is by its classes, and its name.
+    /// Returns the kind of the entry, from its object classes, and its name.
     fn kind_and_name(&self, names: &AttributeNames) -> Result<(EntryKind, &'a str), InvalidEntry> {
         let classes = self.values(&names.class)?;
         let has_class = |class: &str| classes.iter().any(|name| name.eq_ignore_ascii_case(class));
         if has_class(&names.tenant_class) {
             Ok((EntryKind::Tenant { share: self.share(names)? }, self.required(&names.name)?))
         } else if has_class(&names.group_class) {
-            // A group may have several names; it goes by its distinguished name.
+            // A group may have several names. Only the first is kept, since groups are identified
+            // by their distinguished names.
             Ok((EntryKind::Group, self.values(&names.name)?.first().map_or("", String::as_str)))
         } else if has_class(&names.person_class) {
             Ok((EntryKind::Person, self.required(&names.login)?))
@@ -219,23 +224,23 @@
     }
 }
 
-/// Id and stamp of an entry of which nothing else was asked for.
+/// Reads id and time of the last change of an entry for which no other attribute was requested.
 pub(crate) fn read_stamp(names: &AttributeNames, raw: &RawEntry) -> Result<EntryStamp, InvalidEntry> {
     EntryReader::new(raw)?.stamp(names)
 }
 
-/// Reads an entry.
+/// Converts an entry as received from the server.
 ///
-/// # Errors
-/// The first attribute that is huge, doubled, missing or binary where text is wanted.
+/// # Errors Names the first attribute that is too large, missing, binary instead of text, or has
+/// several values where one is expected.
 pub fn read(names: &AttributeNames, raw: RawEntry) -> Result<Entry, InvalidEntry> {
     let reader = EntryReader::new(&raw)?;
     let EntryStamp { id, stamp, .. } = reader.stamp(names)?;
-    let (what, name) = reader.kind_and_name(names)?;
+    let (kind, name) = reader.kind_and_name(names)?;
     let members = reader.members(names)?;
     Ok(Entry {
         id,
-        kind: what,
+        kind,
         name: name.to_owned(),
         dn: plain_dn(&raw.dn),
         members: members.iter().map(|member| plain_dn(member)).collect(),
--- a/ldap/src/lib.rs
+++ b/ldap/src/lib.rs
@@ -1,10 +1,13 @@
-//! Reads an LDAP directory (RFC 4511): binds, asks for people, groups and tenants, and hands over what came
-//! with whether it is all. An entry that makes no sense is left out and named, and the sync is then not
-//! complete: what cannot be read is never read as a deletion. It decides nothing else.
+//! Reads people, groups and tenants from an LDAP directory (RFC 4511). The result holds the entries
+//! and whether they are complete. An invalid entry is left out and reported, and makes the result
+//! incomplete, so that an unreadable entry is never taken for a deleted one.
 //!
-//! Three ways to read: everything, in pages (RFC 2696); a list of ids and stamps, and then only what differs
-//! from the last list; or content synchronisation (RFC 4533) from a cookie on, where the settings say that
-//! the servers offer it.
+//! A directory is read in one of three ways:
+//!
+//! - everything, in pages (RFC 2696);
+//! - a list of ids and modification times, then only the entries that differ from the last list;
+//! - the changes since a cookie by content synchronisation (RFC 4533), if the settings say that the
+//!   servers support it.
 mod entry;
 mod problem;
 mod session;
@@ -25,95 +28,98 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How a directory is reached and asked. Filters are the settings' own text; values enter them escaped.
+/// Servers of a directory, and how they are queried. Filters are taken from the settings as they
+/// are; values inserted into them are escaped.
 #[derive(Clone, Debug)]
 pub struct LdapSource {
-    /// `ldap://` (with StartTLS where `starttls` is set) or `ldaps://`, in order.
+    /// Addresses of the servers (`ldap://` or `ldaps://`), in order of preference.
     pub urls: Vec<String>,
-    /// Whether `ldap://` connections go over to TLS before the bind.
+    /// Whether `ldap://` connections are upgraded to TLS by StartTLS before the bind.
     pub starttls: bool,
-    /// A file with the certificates (PEM) that vouch for the servers, read anew at each sync; none: the
-    /// system's.
+    /// PEM file with the trusted CA certificates, read at each sync. `None`: the system's
+    /// certificates are trusted.
     pub ca_file: Option<PathBuf>,
-    /// The name to bind as.
+    /// Distinguished name for the bind.
     pub bind_dn: String,
-    /// The file that holds the password, read anew at each sync, so that it may change in service.
+    /// File with the password for the bind, read at each sync, so that the password can change
+    /// without a restart.
     pub password: PathBuf,
-    /// The entry under which everything is.
+    /// Distinguished name of the entry at which searches start.
     pub base: String,
-    /// Which entries are read.
+    /// Filter for the entries to read.
     pub filter: String,
-    /// What attributes and classes are called.
+    /// Names of attributes and object classes.
     pub names: AttributeNames,
-    /// Entries a page.
+    /// Entries in a page.
     pub page: i32,
-    /// Servers offer content synchronisation.
+    /// Whether the servers support content synchronisation.
     pub sync: bool,
-    /// A connection, and each page, must come within this time.
+    /// Time limit for setting up a connection, for each response and for each page.
     pub timeout: Duration,
 }
 
-/// What a server gave before, by id: a hash of stamp and name. Empty: nothing.
+/// Entries received from a server by the last sync, by id: a hash of distinguished name and
+/// modification time. Empty: none.
 pub type SeenEntries = HashMap<u128, u64>;
 
-/// What an earlier sync of the same server left; nothing: everything is read.
+/// State left by an earlier sync of the same server. If it is empty, everything is read.
 #[derive(Clone, Debug, Default)]
 pub struct SyncState {
-    /// What the server gave.
+    /// Entries that the server sent.
     pub seen: SeenEntries,
-    /// The cookie of content synchronisation.
+    /// Cookie of content synchronisation.
     pub cookie: Option<Vec<u8>>,
 }
 
-/// Why a sync brought nothing.
+/// Error of a sync that received no entries.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SyncError {
-    /// The password or the certificates cannot be read.
+    /// The file with the password or the certificates cannot be read.
     #[error("{file}: {reason}")]
     File {
-        /// The path.
+        /// Path of the file.
         file: String,
-        /// What is wrong with it.
+        /// Error of the file.
         reason: String,
     },
-    /// No connection came about.
+    /// The connection was not set up.
     #[error("{url}: no connection: {reason}")]
     Connect {
-        /// The server.
+        /// Address of the server.
         url: String,
-        /// What went wrong.
+        /// Error of the connection.
         reason: String,
     },
     /// The server refused the bind.
     #[error("{url}: bind as {dn}: found result {rc} ({text}); expected 0")]
     Bind {
-        /// The server.
+        /// Address of the server.
         url: String,
-        /// The name.
+        /// Distinguished name of the bind.
         dn: String,
-        /// The result code.
+        /// Result code of RFC 4511.
         rc: u32,
-        /// The server's own text.
+        /// Diagnostic message of the server.
         text: String,
     },
-    /// The search ended before anything came.
+    /// The search failed before an entry was received.
     #[error("{url}: the search broke off: {reason}")]
     Search {
-        /// The server.
+        /// Address of the server.
         url: String,
-        /// All that went wrong.
+        /// All errors of the search.
         reason: String,
     },
 }
 
-/// What a sync brought.
+/// Result of a sync.
 #[derive(Clone, Debug, Default)]
 pub struct SyncResult {
-    /// The entries, and whether they are all.
+    /// Entries received, and whether they are complete.
     pub sweep: Sweep,
-    /// Why it is not complete, where it is not; one text a cause.
+    /// Reasons for which the entries are incomplete; empty if they are complete.
     pub problems: Vec<String>,
-    /// What this server has now, for the next sync.
+    /// State of the server's entries, for the next sync.
     pub seen: SeenEntries,
 }
 
@@ -123,7 +129,7 @@
     }
 }
 
-/// Ends the connection's task whatever way the sync ends.
+/// Aborts the task of a connection when the sync ends, also on an early return.
 struct AbortOnDrop(JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
@@ -132,10 +138,10 @@
     }
 }
 
-/// A connection with the task that drives it.
+/// Connection with the task that drives it.
 struct Connection {
     ldap: Ldap,
-    /// Turns true once the connection is gone.
+    /// True once the connection is closed.
     ended: watch::Receiver<bool>,
     _driver: AbortOnDrop,
 }
@@ -149,25 +155,26 @@
     if let Some(path) = &source.ca_file {
         settings = settings.set_config(tls::client_config(path).map_err(|error| file_error(path, error))?);
     }
-    let failed = |reason: String| SyncError::Connect { url: url.to_owned(), reason };
+    let connect_error = |reason: String| SyncError::Connect { url: url.to_owned(), reason };
     let opened = tokio::time::timeout(source.timeout, LdapConnAsync::with_settings(settings, url)).await;
-    let opened = opened.map_err(|_| failed("nothing came in time".into()))?;
-    let (connection, ldap) = opened.map_err(|error| failed(error.to_string()))?;
-    let (ends, ended) = watch::channel(false);
+    let opened = opened.map_err(|_| connect_error("nothing came in time".into()))?;
+    let (connection, ldap) = opened.map_err(|error| connect_error(error.to_string()))?;
+    let (ended_sender, ended) = watch::channel(false);
     let driver = tokio::task::spawn_local(async move {
         if let Err(error) = connection.drive().await {
-            tracing::debug!(%error, "the directory's connection ended");
+            tracing::debug!(%error, "the connection to the directory server failed");
         }
-        let _ = ends.send(true);
+        let _ = ended_sender.send(true);
     });
     Ok(Connection { ldap, ended, _driver: AbortOnDrop(driver) })
 }
 
-/// Reads one server. Pages that came before a break are handed over as an incomplete sync. `answered` is
-/// called once something came.
+/// Reads the directory from one server. If the connection fails after some entries were received,
+/// these are returned as an incomplete result. `answered` is called once the first entry or message
+/// was received.
 ///
 /// # Errors
-/// When nothing came at all, and why.
+/// If nothing was received.
 pub async fn sync(
     source: &LdapSource,
     server: usize,
--- a/ldap/src/session.rs
+++ b/ldap/src/session.rs
@@ -1,5 +1,5 @@
-//! One connection to a server, and the ways of reading it: everything, what changed, or content
-//! synchronisation.
+//! A connection to a directory server, and the three ways to read it: everything, the entries that
+//! changed since the last list, or content synchronisation.
 use crate::entry::{self, plain_dn, read, RawEntry};
 use crate::problem::SyncProblem;
 use crate::{LdapSource, SeenEntries, SyncResult};
@@ -16,25 +16,25 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Ids that are asked for in one search.
+/// Maximum number of entry ids in the filter of one search.
 const IDS_AT_ONCE: usize = 100;
 
-/// What is called once the server has answered with something.
+/// Callback for the first entry or message received from the server.
 pub(crate) type OnAnswer = Box<dyn FnOnce()>;
 
-/// One connection that is bound.
+/// A connection after its bind.
 pub(crate) struct DirectorySession<'a> {
     pub(crate) source: &'a LdapSource,
     pub(crate) ldap: Ldap,
     pub(crate) url: String,
-    /// Turns true once the connection is gone.
+    /// True once the connection is closed.
     pub(crate) ended: watch::Receiver<bool>,
     pub(crate) on_answer: Option<OnAnswer>,
 }
 
-/// What comes next, unless the timeout or the connection ends first. What came before the connection ended
-/// goes first.
-async fn within<T>(
+/// Waits for the next message until the timeout or the end of the connection. A message received
+/// before the connection ended is returned first.
+async fn next_within<T>(
     timeout: Duration,
     ended: &mut watch::Receiver<bool>,
     next: impl Future<Output = T>,
@@ -46,30 +46,34 @@
     }
 }
 
-/// A filter for entries with these ids, which may be any text, among those of another filter.
+/// Returns a filter for the entries that match `filter` and have one of these ids. The ids may be
+/// any text; they are escaped.
 pub fn filter_of_ids(filter: &str, attribute: &str, ids: &[String]) -> String {
-    let each: String = ids.iter().map(|id| format!("({attribute}={})", ldap_escape(id.as_str()))).collect();
-    format!("(&{filter}(|{each}))")
+    let alternatives: String =
+        ids.iter().map(|id| format!("({attribute}={})", ldap_escape(id.as_str()))).collect();
+    format!("(&{filter}(|{alternatives}))")
 }
 
-/// An entry of a list: its id, the hash of its stamp and name, and the stamp.
+/// Entry of a list: id, hash of distinguished name and modification time, and modification time.
 type ListedEntry = (Id, u64, String);
 
-/// A hash by which a change of an entry's stamp or name shows.
+/// Returns a hash that differs when the entry's distinguished name or modification time changed.
 fn entry_hash(dn: &str, stamp: &str) -> u64 {
     let mut hasher = std::hash::DefaultHasher::new();
     (plain_dn(dn), stamp).hash(&mut hasher);
     hasher.finish()
 }
 
-/// Two changes within one tick of a server's clock bear one stamp: an entry with the newest of all stamps may
-/// change again under it, and is read again.
+/// Returns the list without the entries that have the newest modification time, so that the next
+/// sync reads them again: two changes within one second of the server's clock carry the same time,
+/// so an entry may change again without a new time.
 fn without_newest(list: Vec<ListedEntry>) -> SeenEntries {
     let newest = list.iter().map(|entry| entry.2.clone()).max().unwrap_or_default();
     list.into_iter().filter(|entry| entry.2 != newest).map(|entry| (entry.0 .0, entry.1)).collect()
 }
 
-/// The client panics on bytes that make no sense; that is no reason to end the process.
+/// Calls a parser of the LDAP client and returns `None` if it panics, as it does on invalid bytes.
+/// Input from a server must not end the process.
 fn parse<T>(parse: impl FnOnce() -> T) -> Option<T> {
     catch_unwind(AssertUnwindSafe(parse)).ok()
 }
@@ -88,7 +92,7 @@
 }
 
 impl DirectorySession<'_> {
-    /// Searches in pages; each entry that came goes to `take`. What is wrong, in texts.
+    /// Searches in pages and passes each entry to `take`. Returns the texts of the problems met.
     async fn search_pages(
         &mut self,
         filter: &str,
@@ -106,7 +110,7 @@
             Err(error) => return vec![error.to_string()],
         };
         loop {
-            match within(source.timeout, &mut self.ended, stream.next()).await {
+            match next_within(source.timeout, &mut self.ended, stream.next()).await {
                 Err(problem) => problems.push(problem.to_string()),
                 Ok(Err(error)) => problems.push(error.to_string()),
                 Ok(Ok(Some(entry))) => {
@@ -128,7 +132,7 @@
         }
     }
 
-    /// How far the server says that it is, where settings name the attribute that says it.
+    /// Reads the replication progress of the server, if the settings name an attribute for it.
     pub(crate) async fn read_progress(&mut self) -> Result<Mark, SyncProblem> {
         let Some(attribute) = &self.source.names.mark else { return Ok(Mark::new()) };
         let search = self.ldap.with_timeout(self.source.timeout);
@@ -143,7 +147,7 @@
         let mut progress = Mark::new();
         for entry in found.0 {
             for value in raw_entry(entry)?.texts.into_values().flatten() {
-                // time#count#server#modification
+                // Format of a contextCSN value: time#count#server#modification.
                 let server = value.split('#').nth(2).unwrap_or_default().to_owned();
                 progress.insert(server, value);
             }
@@ -151,7 +155,7 @@
         Ok(progress)
     }
 
-    /// Reads everything, in pages.
+    /// Reads all entries, in pages.
     pub(crate) async fn read_all(&mut self) -> SyncResult {
         let (mut result, mut list) = (SyncResult::default(), Vec::new());
         let names = &self.source.names;
@@ -168,7 +172,7 @@
         result
     }
 
-    /// Reads ids and stamps, and then what differs from what was seen before.
+    /// Reads ids and modification times of all entries, then the entries that differ from `before`.
     pub(crate) async fn read_changes(&mut self, before: SeenEntries) -> SyncResult {
         let (mut result, mut list, mut changed) = (SyncResult::default(), Vec::new(), Vec::new());
         let names = &self.source.names;
@@ -201,7 +205,8 @@
         result
     }
 
-    /// Content synchronisation, refresh only: what changed since the cookie, or everything without one.
+    /// Reads the changes since the cookie by content synchronisation in `refreshOnly` mode, or all
+    /// entries without a cookie.
     pub(crate) async fn read_synchronised(&mut self, cookie: Option<Vec<u8>>) -> SyncResult {
         let mut result = SyncResult::default();
         let timeout = self.source.timeout;
@@ -218,7 +223,7 @@
         };
         let mut deleted = BTreeSet::new();
         loop {
-            match within(timeout, &mut self.ended, stream.next()).await {
+            match next_within(timeout, &mut self.ended, stream.next()).await {
                 Err(problem) => result.add_problem(problem),
                 Ok(Err(error)) => result.add_problem(error),
                 Ok(Ok(Some(message))) => {
@@ -235,7 +240,7 @@
     }
 }
 
-/// Takes in the end of a content synchronisation.
+/// Handles the end of a content synchronisation.
 fn take_sync_end(end: LdapResult, result: &mut SyncResult, deleted: BTreeSet<Id>) {
     if let Err(problem) = check_end(&end) {
         result.add_problem(problem);
@@ -247,7 +252,8 @@
     match done {
         Some(done) => {
             result.sweep.cookie = done.cookie;
-            // Deletions were named, and all else is as it was; or all that is there was named.
+            // With `refreshDeletes`, the server listed the deleted entries and all others still
+            // exist. Without it, the server listed every existing entry.
             result.sweep.gone = done.refresh_deletes.then(|| deleted.into_iter().collect());
         }
         None => result.add_problem(SyncProblem::MissingSyncDone),
@@ -259,7 +265,7 @@
     Ok(Id(u128::from_be_bytes(bytes)))
 }
 
-/// Takes in one message of a content synchronisation.
+/// Handles one message of a content synchronisation.
 fn take_sync_message(
     source: &LdapSource,
     message: ResultEntry,
--- a/ldap/src/tls.rs
+++ b/ldap/src/tls.rs
@@ -1,24 +1,24 @@
-//! Trust in the certificates of a file.
+//! TLS configuration that trusts the certificates of a file.
 use rustls::pki_types::pem::{self, PemObject};
 use rustls::pki_types::CertificateDer;
 use std::path::Path;
 use std::sync::Arc;
 
-/// Why a file of certificates is of no use.
+/// Error of a file of CA certificates.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CaFileError {
-    /// It cannot be read, or is no PEM.
+    /// The file cannot be read or is not valid PEM.
     #[error(transparent)]
     Pem(#[from] pem::Error),
-    /// A certificate in it, or the configuration with them, is refused.
+    /// A certificate, or the TLS configuration with the certificates, is rejected.
     #[error(transparent)]
     Tls(#[from] rustls::Error),
-    /// It holds none.
+    /// The file holds no certificate.
     #[error("found no certificate; expected at least one in PEM")]
     Empty,
 }
 
-/// Trust in the certificates of a file, and in no others.
+/// Returns a TLS configuration that trusts the certificates of a file and no others.
 pub(crate) fn client_config(path: &Path) -> Result<Arc<rustls::ClientConfig>, CaFileError> {
     let mut roots = rustls::RootCertStore::empty();
     for certificate in CertificateDer::pem_file_iter(path)? {
--- a/ldap/tests/over_a_restart.rs
+++ b/ldap/tests/over_a_restart.rs
@@ -1,6 +1,6 @@
-//! The whole way on loopback: a directory is swept, remembered in a store, goes away, and a successor serves
-//! on.
-#![allow(clippy::too_many_lines, reason = "one scenario, told in order")]
+//! Sync of a directory on loopback, snapshot of the tenants in a store, and restart of the planner
+//! while the directory server does not answer.
+#![allow(clippy::too_many_lines, reason = "one scenario in order")]
 use basaltpitch_ldap::{sync, AttributeNames, LdapSource, SyncState};
 use basaltpitch_snapshot_store::{OpenOutcome, SnapshotStore};
 use basaltpitch_tenants::authorization::{AccessPolicy, Operation};
@@ -12,23 +12,23 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-const S: i64 = 1_000_000;
+const SECOND_US: i64 = 1_000_000;
 
-fn names(n: usize) -> Vec<String> {
-    (0..n).map(|i| format!("server {i}")).collect()
+fn server_names(count: usize) -> Vec<String> {
+    (0..count).map(|index| format!("server {index}")).collect()
 }
 
 #[test]
-fn a_successor_serves_on_from_the_store_while_the_directory_is_away() {
+fn authorizes_from_snapshot_after_restart_while_directory_is_unavailable() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("restart");
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("secret"), "s").unwrap();
-        let there = ldap_server::start("s").await.unwrap();
+        let server = ldap_server::start("s").await.unwrap();
         let stamp: (&str, &[&str]) = ("modifyTimestamp", &["20261201120000Z"]);
-        *there.entries.borrow_mut() = vec![
+        *server.entries.borrow_mut() = vec![
             ldap_entry(
                 "uid=asha,dc=x",
                 &[
@@ -50,7 +50,7 @@
             ),
         ];
         let source = LdapSource {
-            urls: vec![format!("ldap://{}", there.address)],
+            urls: vec![format!("ldap://{}", server.address)],
             starttls: false,
             ca_file: None,
             sync: false,
@@ -63,44 +63,62 @@
             timeout: Duration::from_millis(300),
         };
         let path = folder.join("planner.store");
-        let terms = AccessPolicy { place_stale: true, ..AccessPolicy::default() };
-        let asks = Operation::Submit { tenant: "orders" };
+        let access_policy = AccessPolicy { place_stale: true, ..AccessPolicy::default() };
+        let operation = Operation::Submit { tenant: "orders" };
         {
             let (store, _) = SnapshotStore::open(&path).unwrap();
-            let mut k =
-                TenantDirectory::new(1, 0, &names(1), None, DEFAULT_SYNC_SCHEDULE, DEFAULT_CHANGE_GUARD)
-                    .unwrap();
-            assert_eq!(k.next(0), Some(0));
-            k.swept(S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
-            assert!(k.authorize(S, &terms, "asha", asks).may);
-            let (at, bytes) = k.memory().unwrap();
+            let mut directory = TenantDirectory::new(
+                1,
+                0,
+                &server_names(1),
+                None,
+                DEFAULT_SYNC_SCHEDULE,
+                DEFAULT_CHANGE_GUARD,
+            )
+            .unwrap();
+            assert_eq!(directory.next(0), Some(0));
+            directory.swept(
+                SECOND_US,
+                sync(&source, 0, SyncState::default(), || ()).await.ok().map(|result| result.sweep),
+            );
+            assert!(directory.authorize(SECOND_US, &access_policy, "asha", operation).may);
+            let (at, bytes) = directory.memory().unwrap();
             store.put("tenants", FORMAT, at, &bytes).unwrap();
         }
-        there.fault.set(DirectoryFault::Stalls);
-        let (store, found) = SnapshotStore::open(&path).unwrap();
-        assert_eq!(found, OpenOutcome::Opened);
-        let kept = store.get("tenants", FORMAT).unwrap().unwrap();
-        let mut k = TenantDirectory::new(
+        server.fault.set(DirectoryFault::Stalls);
+        let (store, outcome) = SnapshotStore::open(&path).unwrap();
+        assert_eq!(outcome, OpenOutcome::Opened);
+        let snapshot = store.get("tenants", FORMAT).unwrap().unwrap();
+        let mut directory = TenantDirectory::new(
             2,
-            400 * S,
-            &names(1),
-            Some((kept.time_us, &kept.bytes)),
+            400 * SECOND_US,
+            &server_names(1),
+            Some((snapshot.time_us, &snapshot.bytes)),
             DEFAULT_SYNC_SCHEDULE,
             DEFAULT_CHANGE_GUARD,
         )
         .unwrap();
-        assert_eq!(k.next(400 * S), Some(0));
-        k.swept(401 * S, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep));
-        let r = k.authorize(401 * S, &terms, "asha", asks);
-        assert_eq!((r.may, r.stale, k.state(401 * S)), (true, true, DirectoryState::Stale));
-        there.fault.set(DirectoryFault::None);
-        let at = k.next_at();
-        assert_eq!(k.next(at), Some(0));
+        assert_eq!(directory.next(400 * SECOND_US), Some(0));
+        directory.swept(
+            401 * SECOND_US,
+            sync(&source, 0, SyncState::default(), || ()).await.ok().map(|result| result.sweep),
+        );
+        let decision = directory.authorize(401 * SECOND_US, &access_policy, "asha", operation);
+        assert_eq!(
+            (decision.may, decision.stale, directory.state(401 * SECOND_US)),
+            (true, true, DirectoryState::Stale)
+        );
+        server.fault.set(DirectoryFault::None);
+        let at = directory.next_at();
+        assert_eq!(directory.next(at), Some(0));
         assert_eq!(
-            k.swept(at, sync(&source, 0, SyncState::default(), || ()).await.ok().map(|s| s.sweep)),
+            directory.swept(
+                at,
+                sync(&source, 0, SyncState::default(), || ()).await.ok().map(|result| result.sweep)
+            ),
             [],
-            "nothing changed"
+            "the directory has not changed since the snapshot"
         );
-        assert!(!k.authorize(at, &terms, "asha", asks).stale);
+        assert!(!directory.authorize(at, &access_policy, "asha", operation).stale);
     });
 }
--- a/ldap/tests/ways.rs
+++ b/ldap/tests/ways.rs
@@ -1,5 +1,5 @@
-//! The three ways to read a directory beside each other, under random edits and cuts; TLS; two servers that
-//! disagree.
+//! The three ways to read a directory give the same entries under random changes and server faults.
+//! Also TLS, and two servers with different replication progress.
 use basaltpitch_ldap::{filter_of_ids, sync, AttributeNames, LdapSource, SeenEntries, SyncError, SyncState};
 use basaltpitch_tenants::change_guard::ChangeGuard;
 use basaltpitch_tenants::sync_schedule::SyncSchedule;
@@ -17,23 +17,23 @@
 use tokio::task::LocalSet;
 use tokio_rustls::TlsAcceptor;
 
-const S: i64 = 1_000_000;
-const PACE: SyncSchedule = SyncSchedule {
-    every_us: S,
-    patience_us: 10 * S,
-    fresh_us: 5 * S,
+const SECOND_US: i64 = 1_000_000;
+const SCHEDULE: SyncSchedule = SyncSchedule {
+    every_us: SECOND_US,
+    patience_us: 10 * SECOND_US,
+    fresh_us: 5 * SECOND_US,
     first_wait_us: 1,
     most_wait_us: 1,
     slower: 4,
 };
-const BOLD: ChangeGuard = ChangeGuard { few: 1000, percent: 100, sweeps: 1, over_us: 0 };
+const ACCEPT_ALL: ChangeGuard = ChangeGuard { few: 1000, percent: 100, sweeps: 1, over_us: 0 };
 
-fn on_sockets(test: impl std::future::Future<Output = ()>) {
+fn run_async(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
     path
@@ -45,7 +45,7 @@
         starttls: false,
         ca_file: None,
         bind_dn: "cn=planner,dc=campus".into(),
-        password: file(&format!("{name}.secret"), "s"),
+        password: write_file(&format!("{name}.secret"), "s"),
         base: "dc=campus".into(),
         filter: "(objectClass=*)".into(),
         names: AttributeNames::default(),
@@ -55,50 +55,51 @@
     }
 }
 
-/// A directory that changes by chance: version numbers of entries, and a clock of whole seconds that lags
-/// behind them.
-struct There {
+/// Reference model of a directory with random changes. Each entry has a modification time, a name
+/// and members; the clock has whole seconds, so that several changes share a time.
+struct ReferenceDirectory {
     all: BTreeMap<u32, (u32, String, Vec<u32>)>,
     clock: u32,
 }
 
-impl There {
-    fn new() -> There {
-        There { all: (0..12).map(|n| (n, (0, format!("e{n}"), vec![]))).collect(), clock: 0 }
+impl ReferenceDirectory {
+    fn new() -> ReferenceDirectory {
+        ReferenceDirectory { all: (0..12).map(|n| (n, (0, format!("e{n}"), vec![]))).collect(), clock: 0 }
     }
 
-    fn edit(&mut self, chance: &mut StdRng) {
-        // Often two changes in one second.
-        self.clock += chance.random_range(0..2);
-        let n = chance.random_range(0..12);
-        match chance.random_range(0..6) {
+    fn change_randomly(&mut self, rng: &mut StdRng) {
+        // Two changes are often made in the same second.
+        self.clock += rng.random_range(0..2);
+        let n = rng.random_range(0..12);
+        match rng.random_range(0..6) {
             0 => {
                 self.all.remove(&n);
             }
             1 => {
-                // A move changes the name and no stamp.
-                if let Some(e) = self.all.get_mut(&n) {
-                    e.1 = format!("e{n}v{}", chance.random_range(0..3));
+                // A rename changes the distinguished name but not the modification time.
+                if let Some(entry) = self.all.get_mut(&n) {
+                    entry.1 = format!("e{n}v{}", rng.random_range(0..3));
                 }
             }
             2 => {
                 self.all.entry(n).or_insert((self.clock, format!("e{n}"), vec![]));
             }
             _ => {
-                if let Some(e) = self.all.get_mut(&n) {
-                    *e = (self.clock, e.1.clone(), (0..chance.random_range(0..4)).collect());
+                if let Some(entry) = self.all.get_mut(&n) {
+                    *entry = (self.clock, entry.1.clone(), (0..rng.random_range(0..4)).collect());
                 }
             }
         }
     }
 
-    fn laid(&self) -> Vec<LdapEntry> {
+    fn ldap_entries(&self) -> Vec<LdapEntry> {
         let entry = |(n, (clock, name, members)): (&u32, &(u32, String, Vec<u32>))| {
             let class = if *n < 4 { "basaltpitchTenant" } else { "inetOrgPerson" };
             let (id, stamp) = (format!("{n:032x}"), format!("2026{clock:010}Z"));
-            let members: Vec<String> = members.iter().map(|m| format!("cn=e{},dc=campus", m + 4)).collect();
+            let members: Vec<String> =
+                members.iter().map(|member| format!("cn=e{},dc=campus", member + 4)).collect();
             let members: Vec<&str> = members.iter().map(String::as_str).collect();
-            let of: [(&str, &[&str]); 6] = [
+            let attributes: [(&str, &[&str]); 6] = [
                 ("objectClass", &[class]),
                 ("cn", &[name]),
                 ("uid", &[name]),
@@ -106,7 +107,7 @@
                 ("modifyTimestamp", &[&stamp]),
                 ("member", &members),
             ];
-            ldap_entry(&format!("cn={name},dc=campus"), &of)
+            ldap_entry(&format!("cn={name},dc=campus"), &attributes)
         };
         self.all.iter().map(entry).collect()
     }
@@ -117,174 +118,187 @@
             let texts = attributes.into_iter().map(|(k, v)| (k, v.into_iter().map(text).collect()));
             basaltpitch_ldap::RawEntry { dn, texts: texts.collect(), bytes: Default::default() }
         };
-        let all = self.laid().into_iter().map(|l| basaltpitch_ldap::read(names, raw(l)).unwrap());
+        let all = self.ldap_entries().into_iter().map(|l| basaltpitch_ldap::read(names, raw(l)).unwrap());
         all.map(|e| (e.id, e)).collect()
     }
 }
 
-/// A keeper with its edge, as a planner has them.
-struct Ours {
-    keeper: TenantDirectory,
+/// The tenant directory of a planner with the sync state of each server.
+struct SyncedDirectory {
+    directory: TenantDirectory,
     seen: Vec<SeenEntries>,
     now: i64,
 }
 
-impl Ours {
-    fn new(source: &LdapSource) -> Ours {
-        let keeper = TenantDirectory::new(1, 0, &source.urls, None, PACE, BOLD).unwrap();
-        Ours { keeper, seen: vec![SeenEntries::default(); source.urls.len()], now: 0 }
+impl SyncedDirectory {
+    fn new(source: &LdapSource) -> SyncedDirectory {
+        let directory = TenantDirectory::new(1, 0, &source.urls, None, SCHEDULE, ACCEPT_ALL).unwrap();
+        SyncedDirectory { directory, seen: vec![SeenEntries::default(); source.urls.len()], now: 0 }
     }
 
-    async fn sweep(&mut self, source: &LdapSource) -> Result<(), SyncError> {
-        self.now = self.keeper.next_at().max(self.now + 1);
-        let server = self.keeper.next(self.now).expect("time for a sweep");
-        let seen = if self.keeper.whole() { SeenEntries::default() } else { self.seen[server].clone() };
-        let before = SyncState { seen, cookie: self.keeper.cookie() };
+    async fn sync_when_due(&mut self, source: &LdapSource) -> Result<(), SyncError> {
+        self.now = self.directory.next_at().max(self.now + 1);
+        let server = self.directory.next(self.now).expect("a sync is due");
+        let seen = if self.directory.whole() { SeenEntries::default() } else { self.seen[server].clone() };
+        let before = SyncState { seen, cookie: self.directory.cookie() };
         match sync(source, server, before, || ()).await {
-            Ok(swept) => {
-                self.seen[server] = swept.seen;
-                self.keeper.swept(self.now + 1, Some(swept.sweep));
+            Ok(result) => {
+                self.seen[server] = result.seen;
+                self.directory.swept(self.now + 1, Some(result.sweep));
                 Ok(())
             }
-            Err(e) => {
-                self.keeper.swept(self.now + 1, None);
-                Err(e)
+            Err(error) => {
+                self.directory.swept(self.now + 1, None);
+                Err(error)
             }
         }
     }
 
     fn entries(&self) -> BTreeMap<Id, Entry> {
-        self.keeper.tenants().ids().map(|(id, e)| (id, e.clone())).collect()
+        self.directory.tenants().ids().map(|(id, e)| (id, e.clone())).collect()
     }
 }
 
-/// Random edits, cuts and lost cookies: after each whole answer both agree; a cut one loses nobody that is
-/// there.
-async fn same_under_edits(sync: bool, seed: u64) {
-    let there = ldap_server::start("s").await.unwrap();
-    let mut source = source(&format!("edits {sync}"), vec![format!("ldap://{}", there.address)]);
+/// Applies random changes and server faults. After each complete sync the tenant directory must
+/// equal the reference; an incomplete one must not remove an entry that still exists.
+async fn compare_under_random_changes(sync: bool, seed: u64) {
+    let server = ldap_server::start("s").await.unwrap();
+    let mut source = source(&format!("edits {sync}"), vec![format!("ldap://{}", server.address)]);
     source.sync = sync;
-    let (mut chance, mut reference, mut ours) =
-        (StdRng::seed_from_u64(seed), There::new(), Ours::new(&source));
-    let mut there_were = 0;
+    let (mut rng, mut reference, mut synced) =
+        (StdRng::seed_from_u64(seed), ReferenceDirectory::new(), SyncedDirectory::new(&source));
+    let mut existing_entries = 0;
     for round in 0..60 {
-        for _ in 0..chance.random_range(0..4) {
-            reference.edit(&mut chance);
+        for _ in 0..rng.random_range(0..4) {
+            reference.change_randomly(&mut rng);
         }
-        *there.entries.borrow_mut() = reference.laid();
-        there_were += reference.all.len() as u32;
-        let trouble = match chance.random_range(0..8) {
-            0 => DirectoryFault::CutsAfter(chance.random_range(0..12)),
+        *server.entries.borrow_mut() = reference.ldap_entries();
+        existing_entries += reference.all.len() as u32;
+        let fault = match rng.random_range(0..8) {
+            0 => DirectoryFault::CutsAfter(rng.random_range(0..12)),
             1 if sync => DirectoryFault::NamesPresent,
             2 if sync => DirectoryFault::ForgetsCookies,
-            3 => DirectoryFault::SizeLimit(chance.random_range(0..12)),
+            3 => DirectoryFault::SizeLimit(rng.random_range(0..12)),
             _ => DirectoryFault::None,
         };
-        there.fault.set(trouble);
-        let before = ours.entries();
-        let fault = ours.sweep(&source).await.err();
-        let broke = matches!(
-            trouble,
+        server.fault.set(fault);
+        let before = synced.entries();
+        let error = synced.sync_when_due(&source).await.err();
+        let incomplete = matches!(
+            fault,
             DirectoryFault::CutsAfter(_) | DirectoryFault::SizeLimit(_) | DirectoryFault::ForgetsCookies
         );
-        let (got, want) = (ours.entries(), reference.entries(&source.names));
-        let place = format!("seed {seed}, round {round}, {trouble:?}, {fault:?}");
-        if !broke {
-            assert_eq!(got, want, "{place}");
-        } else if let Some(lost) = before.keys().find(|id| want.contains_key(id) && !got.contains_key(id)) {
-            panic!("{place}: {lost} is there and was lost");
+        let (entries, expected) = (synced.entries(), reference.entries(&source.names));
+        let context = format!("seed {seed}, round {round}, {fault:?}, {error:?}");
+        if !incomplete {
+            assert_eq!(entries, expected, "{context}");
+        } else if let Some(lost) =
+            before.keys().find(|id| expected.contains_key(id) && !entries.contains_key(id))
+        {
+            panic!("{context}: {lost} still exists and was removed");
         }
     }
-    let sent = there.sent.get();
-    assert!(sent * 3 < there_were * 2, "what did not change is mostly not sent: {sent} of {there_were}");
+    let sent = server.sent.get();
+    assert!(
+        sent * 3 < existing_entries * 2,
+        "unchanged entries are mostly not sent: {sent} sent, {existing_entries} existing"
+    );
 }
 
 #[test]
-fn reading_changes_gives_what_reading_everything_gives() {
-    on_sockets(async {
+fn reading_changes_gives_same_entries_as_reading_everything() {
+    run_async(async {
         for seed in 1..=20 {
-            same_under_edits(false, seed).await;
+            compare_under_random_changes(false, seed).await;
         }
     });
 }
 
 #[test]
-fn synchronising_gives_what_reading_everything_gives() {
-    on_sockets(async {
+fn content_synchronisation_gives_same_entries_as_reading_everything() {
+    run_async(async {
         for seed in 1..=20 {
-            same_under_edits(true, seed).await;
+            compare_under_random_changes(true, seed).await;
         }
     });
 }
 
 #[test]
-fn a_cookie_survives_a_restart() {
-    on_sockets(async {
-        let there = ldap_server::start("s").await.unwrap();
-        let mut source = source("cookie", vec![format!("ldap://{}", there.address)]);
+fn continues_content_synchronisation_from_cookie_after_restart() {
+    run_async(async {
+        let server = ldap_server::start("s").await.unwrap();
+        let mut source = source("cookie", vec![format!("ldap://{}", server.address)]);
         source.sync = true;
-        let (mut reference, mut ours) = (There::new(), Ours::new(&source));
-        *there.entries.borrow_mut() = reference.laid();
-        ours.sweep(&source).await.unwrap();
-        let (at, kept) = ours.keeper.memory().unwrap();
+        let (mut reference, mut synced) = (ReferenceDirectory::new(), SyncedDirectory::new(&source));
+        *server.entries.borrow_mut() = reference.ldap_entries();
+        synced.sync_when_due(&source).await.unwrap();
+        let (at, snapshot) = synced.directory.memory().unwrap();
         reference.all.remove(&3);
         reference.all.get_mut(&0).unwrap().0 = 9;
-        *there.entries.borrow_mut() = reference.laid();
-        there.sent.set(0);
-        let mut later = Ours::new(&source);
-        later.keeper = TenantDirectory::new(2, at + 1, &source.urls, Some((at, &kept)), PACE, BOLD).unwrap();
-        later.now = at + 1;
-        later.sweep(&source).await.unwrap();
-        assert_eq!((later.entries(), there.sent.get()), (reference.entries(&source.names), 1));
-        // Another server under the same number does not get it.
+        *server.entries.borrow_mut() = reference.ldap_entries();
+        server.sent.set(0);
+        let mut restarted = SyncedDirectory::new(&source);
+        restarted.directory =
+            TenantDirectory::new(2, at + 1, &source.urls, Some((at, &snapshot)), SCHEDULE, ACCEPT_ALL)
+                .unwrap();
+        restarted.now = at + 1;
+        restarted.sync_when_due(&source).await.unwrap();
+        assert_eq!((restarted.entries(), server.sent.get()), (reference.entries(&source.names), 1));
+        // The cookie belongs to one server and is not sent to another server with the same index.
         let other = vec!["ldap://other".to_owned()];
-        let mut k = TenantDirectory::new(2, at + 1, &other, Some((at, &kept)), PACE, BOLD).unwrap();
-        assert_eq!((k.next(at + 1), k.cookie(), k.whole()), (Some(0), None, true));
+        let mut other_directory =
+            TenantDirectory::new(2, at + 1, &other, Some((at, &snapshot)), SCHEDULE, ACCEPT_ALL).unwrap();
+        assert_eq!(
+            (other_directory.next(at + 1), other_directory.cookie(), other_directory.whole()),
+            (Some(0), None, true)
+        );
     });
 }
 
-/// The answers to a sync end after each byte of them, in each way of reading: nobody who is there is lost,
-/// and unless all came it is not taken for all.
+/// The connection ends after each byte of the responses, with pages and with content
+/// synchronisation. Guards against an incomplete sync that is taken for complete, so that the
+/// missing entries are deleted.
 #[test]
-fn a_page_cut_at_each_byte_loses_no_tenant() {
-    on_sockets(async {
+fn sync_cut_at_any_byte_is_incomplete_and_removes_no_entry() {
+    run_async(async {
         for sync in [false, true] {
-            let there = ldap_server::start("s").await.unwrap();
-            let mut source = source("bytes", vec![format!("ldap://{}", there.address)]);
+            let server = ldap_server::start("s").await.unwrap();
+            let mut source = source("bytes", vec![format!("ldap://{}", server.address)]);
             (source.sync, source.page) = (sync, 3);
-            let mut reference = There::new();
+            let mut reference = ReferenceDirectory::new();
             reference.all.retain(|n, _| n % 2 == 0);
-            *there.entries.borrow_mut() = reference.laid();
-            let want = reference.entries(&source.names);
-            let mut ours = Ours::new(&source);
-            ours.sweep(&source).await.unwrap();
-            assert_eq!(ours.entries(), want);
-            let all = there.bytes.get();
-            for most in 0..all {
-                there.bytes.set(0);
-                there.fault.set(DirectoryFault::CutsAtByte(most));
-                let swept = basaltpitch_ldap::sync(&source, 0, SyncState::default(), || ()).await;
-                let whole = swept.as_ref().is_ok_and(|s| s.sweep.complete);
-                assert!(!whole, "byte {most} of {all}, synchronised: {sync}");
-                ours.now = ours.keeper.next_at().max(ours.now + 1);
-                ours.keeper.next(ours.now).unwrap();
-                ours.keeper.swept(ours.now, swept.ok().map(|s| s.sweep));
-                assert_eq!(ours.entries(), want, "byte {most} of {all}, synchronised: {sync}");
+            *server.entries.borrow_mut() = reference.ldap_entries();
+            let expected = reference.entries(&source.names);
+            let mut synced = SyncedDirectory::new(&source);
+            synced.sync_when_due(&source).await.unwrap();
+            assert_eq!(synced.entries(), expected);
+            let total_bytes = server.bytes.get();
+            for cut in 0..total_bytes {
+                server.bytes.set(0);
+                server.fault.set(DirectoryFault::CutsAtByte(cut));
+                let result = basaltpitch_ldap::sync(&source, 0, SyncState::default(), || ()).await;
+                let complete = result.as_ref().is_ok_and(|s| s.sweep.complete);
+                assert!(!complete, "byte {cut} of {total_bytes}, synchronised: {sync}");
+                synced.now = synced.directory.next_at().max(synced.now + 1);
+                synced.directory.next(synced.now).unwrap();
+                synced.directory.swept(synced.now, result.ok().map(|s| s.sweep));
+                assert_eq!(synced.entries(), expected, "byte {cut} of {total_bytes}, synchronised: {sync}");
             }
         }
     });
 }
 
-/// The second server is older, and is turned to when the first fails: nothing goes back behind what was seen.
+/// The first server fails and the sync continues with a second server whose replication is behind.
+/// Guards against entries that are reverted to the older state of that server.
 #[test]
-fn of_two_servers_that_disagree_the_older_takes_nothing_back() {
-    on_sockets(async {
+fn server_behind_in_replication_does_not_revert_entries() {
+    run_async(async {
         for mark in [false, true] {
             let servers = [ldap_server::start("s").await.unwrap(), ldap_server::start("s").await.unwrap()];
-            let urls = servers.iter().map(|d| format!("ldap://{}", d.address)).collect();
+            let urls = servers.iter().map(|server| format!("ldap://{}", server.address)).collect();
             let mut source = source("two", urls);
             source.names.mark = mark.then(|| "contextCSN".into());
-            let lay = |d: &Rc<LdapServer>, t: &There, at: u32| {
+            let serve = |server: &Rc<LdapServer>, reference: &ReferenceDirectory, at: u32| {
                 let csn = format!("2026{at:010}.000000Z#000000#001#000000");
                 let base = ldap_entry(
                     "dc=campus",
@@ -295,89 +309,92 @@
                         ("modifyTimestamp", &["20260000000000Z"]),
                     ],
                 );
-                *d.entries.borrow_mut() = t.laid();
-                d.entries.borrow_mut().push(base);
+                *server.entries.borrow_mut() = reference.ldap_entries();
+                server.entries.borrow_mut().push(base);
             };
-            let (mut reference, mut ours) = (There::new(), Ours::new(&source));
-            lay(&servers[1], &reference, 1);
+            let (mut reference, mut synced) = (ReferenceDirectory::new(), SyncedDirectory::new(&source));
+            serve(&servers[1], &reference, 1);
             reference.all.get_mut(&0).unwrap().0 = 5;
             reference.all.insert(11, (6, "new".into(), vec![]));
-            lay(&servers[0], &reference, 6);
-            ours.sweep(&source).await.unwrap();
-            let seen = ours.entries();
+            serve(&servers[0], &reference, 6);
+            synced.sync_when_due(&source).await.unwrap();
+            let seen = synced.entries();
             servers[0].fault.set(DirectoryFault::Refuses);
-            assert!(ours.sweep(&source).await.is_err());
-            ours.sweep(&source).await.unwrap();
-            assert_eq!(ours.entries(), seen, "mark {mark}");
-            assert!(ours.keeper.is_behind());
-            // Once it has caught up, what was deleted meanwhile goes.
+            assert!(synced.sync_when_due(&source).await.is_err());
+            synced.sync_when_due(&source).await.unwrap();
+            assert_eq!(synced.entries(), seen, "mark {mark}");
+            assert!(synced.directory.is_behind());
+            // Once the second server has caught up, the entry deleted meanwhile is removed.
             reference.all.remove(&2);
             reference.all.get_mut(&1).unwrap().0 = 9;
-            lay(&servers[1], &reference, 9);
-            while ours.keeper.tenants().entry(Id(2)).is_some() {
-                let _ = ours.sweep(&source).await;
-                assert!(ours.now < 100 * S, "it goes in the end");
+            serve(&servers[1], &reference, 9);
+            while synced.directory.tenants().entry(Id(2)).is_some() {
+                let _ = synced.sync_when_due(&source).await;
+                assert!(synced.now < 100 * SECOND_US, "the deleted entry is removed within 100 s");
             }
-            assert!(!ours.keeper.is_behind());
+            assert!(!synced.directory.is_behind());
         }
     });
 }
 
-/// A key that vouches for 127.0.0.1, and its certificate in PEM.
-fn shield() -> (TlsAcceptor, String) {
-    let made = rcgen::generate_simple_self_signed(vec!["127.0.0.1".into(), "localhost".into()]).unwrap();
-    let key = rustls::pki_types::PrivateKeyDer::try_from(made.signing_key.serialize_der()).unwrap();
+/// Returns a TLS acceptor with a new key for 127.0.0.1, and its certificate in PEM.
+fn tls_identity() -> (TlsAcceptor, String) {
+    let certified = rcgen::generate_simple_self_signed(vec!["127.0.0.1".into(), "localhost".into()]).unwrap();
+    let key = rustls::pki_types::PrivateKeyDer::try_from(certified.signing_key.serialize_der()).unwrap();
     let ring = Arc::new(rustls::crypto::ring::default_provider());
     let config =
         rustls::ServerConfig::builder_with_provider(ring).with_safe_default_protocol_versions().unwrap();
-    let config = config.with_no_client_auth().with_single_cert(vec![made.cert.der().clone()], key).unwrap();
-    (TlsAcceptor::from(Arc::new(config)), made.cert.pem())
+    let config =
+        config.with_no_client_auth().with_single_cert(vec![certified.cert.der().clone()], key).unwrap();
+    (TlsAcceptor::from(Arc::new(config)), certified.cert.pem())
 }
 
 #[test]
-fn tls_from_the_start_and_after_starttls_and_only_with_who_is_vouched_for() {
-    on_sockets(async {
-        let ((one, pem), (_, stranger)) = (shield(), shield());
+fn connects_by_tls_and_starttls_only_to_servers_with_trusted_certificate() {
+    run_async(async {
+        let ((acceptor, pem), (_, untrusted_pem)) = (tls_identity(), tls_identity());
         for starttls in [false, true] {
-            let shield = if starttls {
-                TransportSecurity::StartTls(one.clone())
+            let security = if starttls {
+                TransportSecurity::StartTls(acceptor.clone())
             } else {
-                TransportSecurity::Tls(one.clone())
+                TransportSecurity::Tls(acceptor.clone())
             };
-            let there = ldap_server::start_with_security("s", shield).await.unwrap();
-            *there.entries.borrow_mut() = There::new().laid();
+            let server = ldap_server::start_with_security("s", security).await.unwrap();
+            *server.entries.borrow_mut() = ReferenceDirectory::new().ldap_entries();
             let scheme = if starttls { "ldap" } else { "ldaps" };
-            let mut source = source("tls", vec![format!("{scheme}://{}", there.address)]);
+            let mut source = source("tls", vec![format!("{scheme}://{}", server.address)]);
             source.starttls = starttls;
-            source.ca_file = Some(file("one.pem", &pem));
-            let swept = sync(&source, 0, SyncState::default(), || ()).await.unwrap();
-            assert_eq!((swept.sweep.entries.len(), swept.sweep.complete), (12, true));
-            // The same file with another's certificate: it is read anew, and the server is not believed.
-            file("one.pem", &stranger);
-            let said = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err();
-            assert!(matches!(said, SyncError::Connect { .. }), "{said}");
-            file("one.pem", "no certificate");
-            let said = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err().to_string();
-            assert!(said.contains("found no certificate; expected at least one in PEM"), "{said}");
+            source.ca_file = Some(write_file("one.pem", &pem));
+            let result = sync(&source, 0, SyncState::default(), || ()).await.unwrap();
+            assert_eq!((result.sweep.entries.len(), result.sweep.complete), (12, true));
+            // The file now holds another certificate. The file is read at each sync, so the server
+            // is no longer trusted.
+            write_file("one.pem", &untrusted_pem);
+            let error = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err();
+            assert!(matches!(error, SyncError::Connect { .. }), "{error}");
+            write_file("one.pem", "no certificate");
+            let error = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err().to_string();
+            assert!(error.contains("found no certificate; expected at least one in PEM"), "{error}");
         }
-        // A server that wants TLS gets no password without it.
-        let there = ldap_server::start_with_security("s", TransportSecurity::StartTls(one)).await.unwrap();
-        let source = source("clear", vec![format!("ldap://{}", there.address)]);
-        let said = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err().to_string();
-        assert!(said.contains("found result 13"), "{said}");
+        // A server that requires TLS rejects a bind without it.
+        let server =
+            ldap_server::start_with_security("s", TransportSecurity::StartTls(acceptor)).await.unwrap();
+        let source = source("clear", vec![format!("ldap://{}", server.address)]);
+        let error = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err().to_string();
+        assert!(error.contains("found result 13"), "{error}");
     });
 }
 
 #[test]
-fn hostile_names_stay_values_in_a_filter() {
-    let hostile = ["*", "x)(uid=*", "a\\b", "nul\0", "(", "))(|(cn=*"].map(str::to_owned);
-    for name in &hostile {
-        let filter = filter_of_ids("(objectClass=*)", "entryUUID", std::slice::from_ref(name));
+fn escapes_special_characters_of_ids_in_filters() {
+    let special_ids = ["*", "x)(uid=*", "a\\b", "nul\0", "(", "))(|(cn=*"].map(str::to_owned);
+    for id in &special_ids {
+        let filter = filter_of_ids("(objectClass=*)", "entryUUID", std::slice::from_ref(id));
         assert!(ldap3::parse_filter(&filter).is_ok(), "{filter}");
         let value = &filter["(&(objectClass=*)(|(entryUUID=".len()..filter.len() - 3];
         assert!(!value.contains(['*', '(', ')', '\0']), "{value}");
-        assert_eq!(ldap3::ldap_unescape(value).unwrap(), *name);
+        assert_eq!(ldap3::ldap_unescape(value).unwrap(), *id);
     }
-    let all = filter_of_ids("(objectClass=*)", "entryUUID", &hostile);
-    assert_eq!(all.matches("(entryUUID=").count(), hostile.len());
+    let all = filter_of_ids("(objectClass=*)", "entryUUID", &special_ids);
+    assert_eq!(all.matches("(entryUUID=").count(), special_ids.len());
 }
