--- a/ldap/tests/settings.rs
+++ b/ldap/tests/settings.rs
@@ -15,12 +15,12 @@
     let installation = match load_texts(&[("site.rec", INSTALLATION), ("directory.rec", &text)]) {
         Ok(installation) => installation,
         Err((sources, errors)) => {
-            return errors.iter().map(|error| format!("{}\n", error.render(&sources))).collect();
+            return errors.iter().map(|err| format!("{}\n", err.render(&sources))).collect();
         }
     };
     match read_settings(&installation.all) {
         Ok(directory) => format!("{:#?}\n", directory.map(|d| (d.terms, d.pace, d.source.names.mark))),
-        Err(errors) => errors.iter().map(|error| format!("{}\n", error.message)).collect(),
+        Err(errors) => errors.iter().map(|err| format!("{}\n", err.message)).collect(),
     }
 }
 
--- a/ldap/tests/sweeps.rs
+++ b/ldap/tests/sweeps.rs
@@ -112,11 +112,8 @@
                     assert!(!result.sweep.complete, "cut after {count}: {:?}", result.problems);
                     assert_eq!(tenants_after(result), 4, "cut after {count}");
                 }
-                Err(error) => {
-                    assert!(
-                        count == 0 && matches!(error, SyncError::Search { .. }),
-                        "cut after {count}: {error}"
-                    )
+                Err(err) => {
+                    assert!(count == 0 && matches!(err, SyncError::Search { .. }), "cut after {count}: {err}")
                 }
             }
         }
@@ -185,7 +182,7 @@
 fn raw_entry(attributes: &[(&str, &[&str])]) -> RawEntry {
     let texts = attributes
         .iter()
-        .map(|(name, values)| ((*name).to_owned(), values.iter().map(|value| (*value).to_owned()).collect()));
+        .map(|(name, values)| ((*name).to_owned(), values.iter().map(|text| (*text).to_owned()).collect()));
     RawEntry { dn: "cn=x,dc=campus".into(), texts: texts.collect(), bytes: HashMap::new() }
 }
 
--- a/ldap/tests/ways.rs
+++ b/ldap/tests/ways.rs
@@ -147,9 +147,9 @@
                 self.directory.swept(self.now + 1, Some(result.sweep));
                 Ok(())
             }
-            Err(error) => {
+            Err(err) => {
                 self.directory.swept(self.now + 1, None);
-                Err(error)
+                Err(err)
             }
         }
     }
@@ -183,13 +183,13 @@
         };
         server.fault.set(fault);
         let before = synced.entries();
-        let error = synced.sync_when_due(&source).await.err();
+        let sync_error = synced.sync_when_due(&source).await.err();
         let incomplete = matches!(
             fault,
             DirectoryFault::CutsAfter(_) | DirectoryFault::SizeLimit(_) | DirectoryFault::ForgetsCookies
         );
         let (entries, expected) = (synced.entries(), reference.entries(&source.names));
-        let context = format!("seed {seed}, round {round}, {fault:?}, {error:?}");
+        let context = format!("seed {seed}, round {round}, {fault:?}, {sync_error:?}");
         if !incomplete {
             assert_eq!(entries, expected, "{context}");
         } else if let Some(lost) =
@@ -370,18 +370,18 @@
             // The file now holds another certificate. The file is read at each sync, so the server
             // is no longer trusted.
             write_file("one.pem", &untrusted_pem);
-            let error = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err();
-            assert!(matches!(error, SyncError::Connect { .. }), "{error}");
+            let err = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err();
+            assert!(matches!(err, SyncError::Connect { .. }), "{err}");
             write_file("one.pem", "no certificate");
-            let error = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err().to_string();
-            assert!(error.contains("found no certificate; expected at least one in PEM"), "{error}");
+            let err = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err().to_string();
+            assert!(err.contains("found no certificate; expected at least one in PEM"), "{err}");
         }
         // A server that requires TLS rejects a bind without it.
         let server =
             ldap_server::start_with_security("s", TransportSecurity::StartTls(acceptor)).await.unwrap();
         let source = source("clear", vec![format!("ldap://{}", server.address)]);
-        let error = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err().to_string();
-        assert!(error.contains("found result 13"), "{error}");
+        let err = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err().to_string();
+        assert!(err.contains("found result 13"), "{err}");
     });
 }
 
