--- a/json_fields/src/lib.rs
+++ b/json_fields/src/lib.rs
@@ -1,31 +1,32 @@
-//! Reads fields of JSON objects as their types or says which is missing or mistyped, flattens settings into
-//! dotted names, and finds names in the settings' lists. Used by every protocol that speaks JSON.
+//! Typed access to the fields of JSON objects, conversion of nested settings to settings with
+//! dotted names, and lookup of names in the lists of the settings. Used by the protocols that use
+//! JSON.
 use basaltpitch::host::{Settings, Value as Setting};
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// The lists of names in the settings, by the list's own name.
+/// Lists of names in the settings, by the name of the list.
 pub type NameLists = HashMap<&'static str, Vec<String>>;
 
-/// Why a field could not be read.
+/// Error of a field that could not be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
-    /// A field that must be there is absent or null.
+    /// A required field is absent or null.
     #[error("field '{field}' is missing")]
     Missing {
-        /// The field's name.
+        /// Name of the field.
         field: String,
     },
-    /// A field has a value of another type than is expected.
+    /// The value of a field has another type than expected.
     #[error("field '{field}' is of the wrong type")]
     WrongType {
-        /// The field's name.
+        /// Name of the field.
         field: String,
     },
-    /// A field names an item that is not in the settings' list.
+    /// The value of a field is not a name in the list of the settings.
     #[error("field '{field}' names nothing in the settings")]
     UnknownName {
-        /// The field's name.
+        /// Name of the field.
         field: String,
     },
 }
@@ -36,23 +37,24 @@
     }
 }
 
-/// One object's fields, read as their types or reported as missing or mistyped.
+/// Fields of a JSON object.
 #[derive(Clone, Copy)]
 pub struct Fields<'a>(pub &'a Value);
 
 impl<'a> Fields<'a> {
-    /// A field that must be there. `read` says none for a value of the wrong type.
+    /// Reads a required field. `read` returns `None` for a value of the wrong type.
     ///
     /// # Errors
-    /// When it is missing or of the wrong type.
+    /// If the field is missing or of the wrong type.
     pub fn get<T>(&self, name: &str, read: impl Fn(&'a Value) -> Option<T>) -> Result<T, FieldError> {
         self.optional(name, read)?.ok_or_else(|| FieldError::Missing { field: name.to_owned() })
     }
 
-    /// A field that may be absent or null. `read` says none for a value of the wrong type.
+    /// Reads a field that may be absent or null. `read` returns `None` for a value of the wrong
+    /// type.
     ///
     /// # Errors
-    /// When it is of the wrong type.
+    /// If the field is of the wrong type.
     pub fn optional<T>(
         &self,
         name: &str,
@@ -66,50 +68,51 @@
         }
     }
 
-    /// A whole number.
+    /// Reads a required integer.
     ///
     /// # Errors
-    /// When it is missing or of the wrong type.
+    /// If the field is missing or of the wrong type.
     pub fn integer(&self, name: &str) -> Result<i64, FieldError> {
         self.get(name, Value::as_i64)
     }
 
-    /// A number.
+    /// Reads a required number.
     ///
     /// # Errors
-    /// When it is missing or of the wrong type.
+    /// If the field is missing or of the wrong type.
     pub fn number(&self, name: &str) -> Result<f64, FieldError> {
         self.get(name, Value::as_f64)
     }
 
-    /// A text, borrowed.
+    /// Reads a required text, borrowed.
     ///
     /// # Errors
-    /// When it is missing or of the wrong type.
+    /// If the field is missing or of the wrong type.
     pub fn str(&self, name: &str) -> Result<&'a str, FieldError> {
         self.get(name, Value::as_str)
     }
 
-    /// A text.
+    /// Reads a required text.
     ///
     /// # Errors
-    /// When it is missing or of the wrong type.
+    /// If the field is missing or of the wrong type.
     pub fn string(&self, name: &str) -> Result<String, FieldError> {
         self.str(name).map(str::to_owned)
     }
 
-    /// True or false; false where it is absent.
+    /// Reads a boolean; false if the field is absent or null.
     ///
     /// # Errors
-    /// When it is of the wrong type.
+    /// If the field is of the wrong type.
     pub fn flag(&self, name: &str) -> Result<bool, FieldError> {
         Ok(self.optional(name, Value::as_bool)?.unwrap_or(false))
     }
 
-    /// The index of a name in a list of the settings; `None` where the field is absent or 0.
+    /// Reads a name and returns its index in a list of the settings; `None` if the field is absent,
+    /// null or 0.
     ///
     /// # Errors
-    /// When it is of the wrong type, or the list does not hold it.
+    /// If the field is of the wrong type or its name is not in the list.
     pub fn optional_name_index(
         &self,
         field: &str,
@@ -127,22 +130,22 @@
         }
     }
 
-    /// The index of a name in a list of the settings.
+    /// Reads a required name and returns its index in a list of the settings.
     ///
     /// # Errors
-    /// When it is missing or of the wrong type, or the list does not hold it.
+    /// If the field is missing, 0 or of the wrong type, or its name is not in the list.
     pub fn name_index(&self, field: &str, list: &str, names: &NameLists) -> Result<usize, FieldError> {
         let index = self.optional_name_index(field, list, names)?;
         index.ok_or_else(|| FieldError::Missing { field: field.to_owned() })
     }
 }
 
-/// The index of a name in a list, if it holds it.
+/// Returns the index of a name in a list; `None` if the list or the name is unknown.
 pub fn name_index(names: &NameLists, list: &str, name: &str) -> Option<usize> {
     names.get(list)?.iter().position(|item| item == name)
 }
 
-/// The names that the settings give to frameworks, tenants, zones and kinds of machine.
+/// Returns the names of the frameworks, tenants, zones and kinds of machine in the settings.
 pub fn names(settings: &Value) -> NameLists {
     let name = |item: &Value| item.as_str().or_else(|| item.get("name")?.as_str()).unwrap_or("").to_owned();
     let read_list = |list| {
@@ -152,7 +155,8 @@
     ["classes", "tenants", "localities", "machineTypes"].into_iter().map(read_list).collect()
 }
 
-/// Flattens settings into dotted names: objects by key, lists by position.
+/// Converts nested settings to settings with dotted names, with the key of an object's field or the
+/// index of a list item as the part after the dot.
 pub fn flatten(settings: &Value) -> Settings {
     let mut flattened = Settings::new();
     flatten_under("", settings, &mut flattened);
