--- a/cli/tests/commands.rs
+++ b/cli/tests/commands.rs
@@ -32,7 +32,7 @@
     let cases: [(&[&str], &str); 7] = [
         (
             &["check", "days/campus.rec", &wrong],
-            "wrong.rec:2:16: rules.answer_grace: found 3; expected 250ms or a time",
+            "wrong.rec:2:16: rules.answer_grace: found 3; expected 250ms or a duration",
         ),
         (&["check", "days/no-such.rec"], "cannot be read"),
         (&["drill", "days/campus.rec"], "found no field day"),
--- a/config/src/installation.rs
+++ b/config/src/installation.rs
@@ -1,52 +1,53 @@
-//! The files of an installation: their types, checks that types alone don't express, and how they flatten into
-//! the dotted names that the placement module reads.
+//! The configuration of an installation: its types, checks that types cannot express, and the
+//! conversion to the settings with dotted names that the placement module reads.
 mod checks;
 mod flatten;
 
 use crate::{read, ConfigError, PlainValue, ResolvedValue, Sources, Span};
 use std::path::Path;
 
+/// Types of an installation.
 const SCHEMA: &str = include_str!("schema.rec");
-/// The definition in `schema.rec` that an installation is unified with.
+/// Definition in `schema.rec` with which an installation is unified.
 const SCHEMA_DEFINITION: &str = "#Installation";
-/// What a machine reports when an installation does not say: cores and memory that are not in use.
+/// Fields of a machine's report if the installation names none: free cores and free memory.
 const DEFAULT_REPORTS: [&str; 2] = ["x0", "x1"];
-/// The period of heartbeats when an installation does not say.
+/// Heartbeat period if the installation sets none.
 const DEFAULT_HEARTBEAT_US: i64 = 250_000;
 
-/// A checked installation.
+/// Configuration of an installation, after all checks.
 #[derive(Clone, Debug)]
 pub struct Installation {
-    /// The record that all files unify to.
+    /// Record that results from unifying all files.
     pub all: ResolvedValue,
-    /// The texts that it was read from, to show locations in.
+    /// Files from which the record was read, to render locations of errors.
     pub sources: Sources,
 }
 
-/// A number or a text under a dotted name of the placement module.
+/// Value of a setting of the placement module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FlattenedValue {
-    /// A number, a time in microseconds, or 1 and 0 for true and false.
+    /// Number, duration in microseconds, or 1 and 0 for true and false.
     Number(f64),
-    /// A text.
+    /// Text.
     Text(String),
 }
 
-/// One planner among those of an installation.
+/// Slot of a planner in an installation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlannerSlot {
-    /// Its number, from 0.
+    /// Index of the slot, from 0.
     pub number: usize,
-    /// How many planners there are.
+    /// Number of planners.
     pub planners: usize,
-    /// The name of its zone.
+    /// Name of the planner's zone.
     pub zone: String,
 }
 
-/// Reads and checks files.
+/// Reads and checks the files of an installation.
 ///
 /// # Errors
-/// All errors that were found, with the sources to show them in.
+/// Returns all errors found, with the sources to render them.
 pub fn load(files: &[impl AsRef<Path>]) -> Result<Installation, (Sources, Vec<ConfigError>)> {
     let mut sources = Sources::default();
     sources.add("built-in types", SCHEMA);
@@ -56,7 +57,7 @@
             Ok(text) => sources.add(&name, &text),
             Err(error) => {
                 let at = Span { file: sources.add(&name, ""), from: 0, to: 0 };
-                let message = format!("cannot be read ({error}); expected a file of records");
+                let message = format!("the file cannot be read ({error}); expected a configuration file");
                 return Err((sources, vec![ConfigError::new(at, message)]));
             }
         };
@@ -64,10 +65,10 @@
     read_sources(sources)
 }
 
-/// The same for texts with names.
+/// Reads and checks an installation from texts with file names.
 ///
 /// # Errors
-/// All errors that were found, with the sources to show them in.
+/// Returns all errors found, with the sources to render them.
 pub fn load_texts(texts: &[(&str, &str)]) -> Result<Installation, (Sources, Vec<ConfigError>)> {
     let mut sources = Sources::default();
     sources.add("built-in types", SCHEMA);
@@ -90,7 +91,7 @@
     }
 }
 
-/// The text that an item of a list is, if it is one.
+/// Returns the text of a list item; `None` if the item is not a text.
 fn plain_text(item: &ResolvedValue) -> Option<&str> {
     match &item.value {
         PlainValue::Text(text) => Some(text),
@@ -98,19 +99,21 @@
     }
 }
 
-/// The name of an item of a list: its field `name`, or the item itself.
+/// Returns the name of a list item: its field `name`, or the item itself if it is a text.
 fn item_name(item: &ResolvedValue) -> Option<&str> {
     item.text("name").or(plain_text(item))
 }
 
 impl Installation {
-    /// Names of a list, in order: their places are the indices that the placement module uses.
+    /// Returns the names of the items of a list, in order. Their positions are the indexes that the
+    /// placement module uses.
     pub fn names(&self, list: &str) -> Vec<String> {
         let items = self.all.list(list).iter();
         items.filter_map(|item| item_name(item).map(str::to_owned)).collect()
     }
 
-    /// Each region's name and zones, by their places among the zones; one region `all` where none is named.
+    /// Returns the name of each region and the indexes of its zones; one region `all` with every
+    /// zone if the installation names none.
     pub fn regions(&self) -> Vec<(String, Vec<usize>)> {
         let zones = self.names("zones");
         let read_region = |region: &ResolvedValue| {
@@ -124,22 +127,23 @@
         }
     }
 
-    /// The period of heartbeats, in microseconds.
+    /// Returns the heartbeat period in microseconds.
     pub fn heartbeat_us(&self) -> i64 {
         self.all.duration_us("heartbeat").unwrap_or(DEFAULT_HEARTBEAT_US)
     }
 
-    /// How many planners' subsets each machine is in; none: every planner works with the whole fleet.
+    /// Returns the number of planners whose subsets contain a given machine. `None`: every planner
+    /// uses the whole fleet.
     pub fn planners_per_machine(&self) -> Option<usize> {
         self.all.number("parts.copies").map(|count| count as usize)
     }
 
-    /// Bytes a second that a planner may spend for control traffic; none: no budget is set.
+    /// Returns the budget of a planner for control traffic in bytes per second. `None`: no limit.
     pub fn control_bytes_per_s(&self) -> Option<f64> {
         self.all.number("control.bytes_a_second")
     }
 
-    /// The fields that machines report.
+    /// Returns the names of the fields that machines report.
     pub fn reports(&self) -> Vec<String> {
         let named = self.names("machines.reports");
         if named.is_empty() {
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -1,7 +1,11 @@
-//! CUE-like typed records: values, types and bounds are written alike, and several files are unified into
-//! one. `syntax` parses text, `unify` puts values together, `installation` holds the types of a planner's
-//! files and of fault scenarios, and flattens them. Every error names file and line, what was found and what
-//! was expected, and the other side of a conflict.
+//! Configuration language of typed records, similar to CUE: values, types and bounds share one
+//! syntax, and several files are unified into one record. Every error names the file and line, what
+//! was found and what was expected, and for a conflict the location of the other side.
+//!
+//! - `syntax`: parser
+//! - `unify`: unification of values and types
+//! - `installation`: types and checks of installations and fault scenarios, and their conversion to
+//!   settings of the placement module
 pub mod installation;
 mod syntax;
 mod unify;
@@ -11,29 +15,30 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// A file and a stretch of bytes in it.
+/// Range of bytes in a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub struct Span {
-    /// The number of the file among the sources.
+    /// Index of the file among the sources.
     pub file: usize,
-    /// Its first byte.
+    /// Offset of the first byte.
     pub from: usize,
-    /// The byte behind its last one.
+    /// Offset after the last byte.
     pub to: usize,
 }
 
-/// The texts that are unified, in order.
+/// Names and texts of the files that are unified, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Sources(Vec<(String, Rc<str>)>);
 
 impl Sources {
-    /// Adds a text under a name; the number that spans of it have.
+    /// Adds a text under a name. Returns its index, which is the `file` of its spans.
     pub fn add(&mut self, name: &str, text: &str) -> usize {
         self.0.push((name.to_owned(), text.into()));
         self.0.len() - 1
     }
 
-    /// File, line and column of the first byte, both from 1.
+    /// Returns the name of the file and the line and column of the first byte of a span, both
+    /// counted from 1.
     pub fn location(&self, at: Span) -> (String, usize, usize) {
         let (name, text) = &self.0[at.file];
         let before = &text[..at.from.min(text.len())];
@@ -47,30 +52,30 @@
     }
 }
 
-/// Something wrong in the files.
+/// Error in the files of a configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigError {
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
-    /// Where.
+    /// Location of the error.
     pub at: Span,
-    /// Another place that it has to do with, and how.
+    /// Related location, with a description; `None` if there is none.
     pub note: Option<(Span, String)>,
 }
 
 impl ConfigError {
-    /// An error at a place.
+    /// Returns an error at a location.
     pub fn new(at: Span, message: impl Into<String>) -> Self {
         ConfigError { message: message.into(), at, note: None }
     }
 
-    /// The same with another place that it has to do with.
+    /// Adds a related location with its description.
     pub fn with_note(mut self, at: Span, note: impl Into<String>) -> Self {
         self.note = Some((at, note.into()));
         self
     }
 
-    /// A line for the error and one for its note, if any: `file:line:column: message`.
+    /// Renders the error and its note on one line each: `file:line:column: message`.
     pub fn render(&self, sources: &Sources) -> String {
         let (file, line, column) = sources.location(self.at);
         let mut text = format!("{file}:{line}:{column}: {}", self.message);
@@ -81,7 +86,7 @@
         text
     }
 
-    /// The same with the lines of the files around it.
+    /// Returns a report that also shows the source lines around the locations.
     pub fn report(&self, sources: &Sources) -> miette::Report {
         let labelled = |at: Span, message: &str| LabelledSource {
             message: message.to_owned(),
@@ -96,7 +101,7 @@
     }
 }
 
-/// A place in the files with its message, as `miette` shows it.
+/// Message with its source location, in the form that `miette` prints.
 #[derive(Debug)]
 struct LabelledSource {
     message: String,
@@ -129,34 +134,34 @@
     }
 }
 
-/// A value in which nothing is open any more.
+/// Concrete value with its location, after defaults were applied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedValue {
-    /// Where it was written.
+    /// Location at which the value is written.
     pub at: Span,
-    /// What it is.
+    /// The value itself.
     pub value: PlainValue,
 }
 
-/// A value without its location.
+/// Concrete value without a location.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlainValue {
-    /// True or false.
+    /// Boolean.
     Boolean(bool),
-    /// A number without unit, or in the unit's own terms: GiB, or parts of one for percent.
+    /// Number, with its unit applied: sizes of memory are in GiB, percentages are fractions of 1.
     Number(f64),
-    /// A time in whole microseconds.
+    /// Duration in whole microseconds.
     DurationUs(i64),
-    /// A text.
+    /// Text.
     Text(String),
-    /// Items, in order.
+    /// List of items, in order.
     List(Vec<ResolvedValue>),
-    /// Fields by name, in order.
+    /// Record: fields by name, in order.
     Record(IndexMap<String, ResolvedValue>),
 }
 
 impl ResolvedValue {
-    /// The value under a dotted path of field names.
+    /// Returns the value at a path of field names separated by dots.
     pub fn get(&self, path: &str) -> Option<&ResolvedValue> {
         path.split('.').try_fold(self, |record, name| match &record.value {
             PlainValue::Record(fields) => fields.get(name),
@@ -164,7 +169,7 @@
         })
     }
 
-    /// The number under a path, if it is one.
+    /// Returns the number at a path; `None` if there is none.
     pub fn number(&self, path: &str) -> Option<f64> {
         match self.get(path)?.value {
             PlainValue::Number(number) => Some(number),
@@ -172,7 +177,7 @@
         }
     }
 
-    /// The time under a path in whole microseconds, if it is one.
+    /// Returns the duration at a path in microseconds; `None` if there is none.
     pub fn duration_us(&self, path: &str) -> Option<i64> {
         match self.get(path)?.value {
             PlainValue::DurationUs(us) => Some(us),
@@ -180,7 +185,7 @@
         }
     }
 
-    /// The text under a path, if it is one.
+    /// Returns the text at a path; `None` if there is none.
     pub fn text(&self, path: &str) -> Option<&str> {
         match &self.get(path)?.value {
             PlainValue::Text(text) => Some(text),
@@ -188,7 +193,7 @@
         }
     }
 
-    /// Whether the value under a path is true, if it is true or false.
+    /// Returns the boolean at a path; `None` if there is none.
     pub fn boolean(&self, path: &str) -> Option<bool> {
         match self.get(path)?.value {
             PlainValue::Boolean(value) => Some(value),
@@ -196,7 +201,7 @@
         }
     }
 
-    /// The items of the list under a path; none where it is no list.
+    /// Returns the items of the list at a path; empty if there is none.
     pub fn list(&self, path: &str) -> &[ResolvedValue] {
         match self.get(path).map(|found| &found.value) {
             Some(PlainValue::List(items)) => items,
@@ -204,7 +209,7 @@
         }
     }
 
-    /// The texts of the list under a path, with their locations.
+    /// Returns the texts in the list at a path, with their locations.
     pub fn texts(&self, path: &str) -> Vec<(String, Span)> {
         let text = |item: &ResolvedValue| match &item.value {
             PlainValue::Text(text) => Some((text.clone(), item.at)),
@@ -213,7 +218,7 @@
         self.list(path).iter().filter_map(text).collect()
     }
 
-    /// The fields of a record, in order; none where it is no record.
+    /// Returns the fields of a record, in order; empty if the value is not a record.
     pub fn fields(&self) -> impl Iterator<Item = (&String, &ResolvedValue)> {
         let fields = match &self.value {
             PlainValue::Record(fields) => Some(fields),
@@ -223,10 +228,10 @@
     }
 }
 
-/// Parses texts, unifies them in order with the definition `schema`, and resolves what is left.
+/// Parses the texts, unifies them in order with the definition `schema`, and applies defaults.
 ///
 /// # Errors
-/// The first error of syntax or conflict, or all values that are still open.
+/// Returns the first syntax error or conflict, or else every field without a value.
 pub fn read(sources: &Sources, schema: &str) -> Result<ResolvedValue, Vec<ConfigError>> {
     let mut all = Vec::new();
     for (file, (_, text)) in sources.0.iter().enumerate() {
--- a/config/src/syntax.rs
+++ b/config/src/syntax.rs
@@ -1,10 +1,10 @@
-//! Parses the text of records into expressions.
+//! Parser of configuration files. Grammar:
 //!
 //! ```text
 //!     file   = { field }
-//!     field  = name [ "?" ] ":" expr [ "," ]          a field of a field: a: b: 1
-//!     expr   = both { "|" both }                        one of these; "*" marks the default
-//!     both   = one { "&" one }                          all of these
+//!     field  = name [ "?" ] ":" expr [ "," ]          nested fields in short: a: b: 1
+//!     expr   = both { "|" both }                        alternatives; "*" marks the default
+//!     both   = one { "&" one }                          unification
 //!     one    = number [ unit ] | "text" | true | false | name of a type | #Name | record | list
 //!            | ( "<" | "<=" | ">" | ">=" | "!=" ) number [ unit ]
 //!     list   = "[" { expr "," } [ "..." expr ] "]"     record = "{" { field } "}"
@@ -12,7 +12,7 @@
 use crate::{ConfigError, Span};
 use logos::Logos;
 
-/// A token, with its text where that matters.
+/// Token, with its text if it has no fixed text.
 #[derive(Logos, Clone, Debug, PartialEq)]
 #[logos(skip r"[ \t\r\n]+")]
 #[logos(skip r"//[^\n]*")]
@@ -22,13 +22,13 @@
     #[regex(r#""([^"\\\n]|\\.)*""#, |lex| lex.slice().to_owned())]
     Text(String),
     #[regex(r"#[A-Za-z][A-Za-z0-9_]*", |lex| lex.slice().to_owned())]
-    Defined(String),
+    DefinitionName(String),
     #[regex(r"[A-Za-z_][A-Za-z0-9_]*", |lex| lex.slice().to_owned())]
     Name(String),
     #[token("{")]
-    Open,
+    BraceOpen,
     #[token("}")]
-    Close,
+    BraceClose,
     #[token("[")]
     ListOpen,
     #[token("]")]
@@ -63,14 +63,14 @@
     Above,
 }
 
-/// An expression, and where it stands.
+/// Expression with its location.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expr {
     pub at: Span,
     pub kind: ExprKind,
 }
 
-/// A field of a record.
+/// Field of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Field {
     pub name: String,
@@ -79,7 +79,7 @@
     pub value: Expr,
 }
 
-/// The type of a scalar.
+/// Type of a scalar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Type {
     Number,
@@ -89,7 +89,7 @@
     Boolean,
 }
 
-/// How a bound compares a value with its limit.
+/// Relation between a value and the limit of a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
     Below,
@@ -99,30 +99,31 @@
     Not,
 }
 
-/// What an expression is.
+/// Kind of an expression, with its parts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExprKind {
-    /// `_`
+    /// Any value, written `_`.
     Any,
     Type(Type),
     Boolean(bool),
     Number(f64),
-    /// A time in microseconds.
+    /// Duration in microseconds.
     DurationUs(i64),
     Text(String),
     Bound(Comparison, Box<Expr>),
     Record(Vec<Field>),
-    /// Items, and what further ones may be.
+    /// List items, and the type of further items if the list allows them.
     List(Vec<Expr>, Option<Box<Expr>>),
-    /// One of these; true marks a default.
+    /// Alternatives; true marks a default.
     OneOf(Vec<(Expr, bool)>),
-    /// All of these.
+    /// Unification of all parts.
     AllOf(Vec<Expr>),
-    /// The definition of this name.
+    /// Reference to the definition of this name.
     Reference(String),
 }
 
-/// Units of time in microseconds, and of amounts in the unit itself (memory units are GiB).
+/// Returns the factor of a unit: for durations in microseconds, for memory in GiB, for percentages
+/// as a fraction of 1.
 fn unit(name: &str) -> Option<ExprKind> {
     Some(match name {
         "" => ExprKind::Number(1.0),
@@ -149,13 +150,13 @@
     text: &'a str,
 }
 
-/// Records nested deeper than this are refused.
+/// Maximum nesting of records, lists and groups.
 const MAX_DEPTH: usize = 64;
 
-/// The record that a file is.
+/// Parses a file into a record.
 ///
 /// # Errors
-/// The first place that does not parse.
+/// Returns the first syntax error.
 pub fn parse(file: usize, text: &str) -> Result<Expr, ConfigError> {
     let mut tokens = Vec::new();
     for (token, range) in Token::lexer(text).spanned() {
@@ -166,7 +167,7 @@
                 let found = &text[range];
                 return Err(ConfigError::new(
                     at,
-                    format!("found {found:?}; expected a name, a value or a mark of records"),
+                    format!("found {found:?}; expected a name, a value or an operator"),
                 ));
             }
         }
@@ -196,9 +197,9 @@
     }
 
     fn take(&mut self, token: &Token) -> bool {
-        let is = self.peek() == Some(token);
-        self.position += usize::from(is);
-        is
+        let matches = self.peek() == Some(token);
+        self.position += usize::from(matches);
+        matches
     }
 
     fn expect(&mut self, token: &Token, expected: &str) -> Result<(), ConfigError> {
@@ -211,29 +212,29 @@
 
     fn fields(&mut self) -> Result<Vec<Field>, ConfigError> {
         let mut fields = Vec::new();
-        while matches!(self.peek(), Some(Token::Name(_) | Token::Defined(_) | Token::Text(_))) {
+        while matches!(self.peek(), Some(Token::Name(_) | Token::DefinitionName(_) | Token::Text(_))) {
             fields.push(self.field()?);
             self.take(&Token::Comma);
         }
         Ok(fields)
     }
 
-    /// One field; in `a: b: 1` the value of `a` is a record of one field.
+    /// Parses a field. In `a: b: 1`, the value of `a` is a record with the field `b`.
     fn field(&mut self) -> Result<Field, ConfigError> {
         let at = self.here();
         let name = match self.peek() {
-            Some(Token::Name(name) | Token::Defined(name)) => name.clone(),
+            Some(Token::Name(name) | Token::DefinitionName(name)) => name.clone(),
             Some(Token::Text(text)) => unquote(text),
             _ => return Err(self.unexpected("a field")),
         };
         self.position += 1;
         let optional = self.take(&Token::Optional);
         self.expect(&Token::Colon, "':' after the field's name")?;
-        let names = matches!(self.peek(), Some(Token::Name(_) | Token::Text(_)));
-        let chain =
-            names && matches!(self.tokens.get(self.position + 1), Some((Token::Colon | Token::Optional, _)));
+        let name_follows = matches!(self.peek(), Some(Token::Name(_) | Token::Text(_)));
+        let nested = name_follows
+            && matches!(self.tokens.get(self.position + 1), Some((Token::Colon | Token::Optional, _)));
         let from = self.here();
-        let value = if chain {
+        let value = if nested {
             let inner = vec![self.field()?];
             Expr { at: Span { to: self.last_to(), ..from }, kind: ExprKind::Record(inner) }
         } else {
@@ -249,7 +250,7 @@
     fn expr(&mut self) -> Result<Expr, ConfigError> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
-            return Err(self.unexpected(&format!("at most {MAX_DEPTH} levels")));
+            return Err(self.unexpected(&format!("at most {MAX_DEPTH} levels of nesting")));
         }
         let from = self.here();
         let mut parts = Vec::new();
@@ -286,7 +287,7 @@
         let kind = match token {
             Token::Number(text) => self.number(&text, at)?,
             Token::Text(text) => ExprKind::Text(unquote(&text)),
-            Token::Defined(name) => ExprKind::Reference(name),
+            Token::DefinitionName(name) => ExprKind::Reference(name),
             Token::Name(name) => match name.as_str() {
                 "true" => ExprKind::Boolean(true),
                 "false" => ExprKind::Boolean(false),
@@ -313,14 +314,14 @@
                 if !matches!(limit.kind, ExprKind::Number(_) | ExprKind::DurationUs(_) | ExprKind::Text(_)) {
                     return Err(ConfigError::new(
                         limit.at,
-                        "found no plain value; expected a number, a time or a text",
+                        "found a limit that is not a scalar; expected a number, a duration or a text",
                     ));
                 }
                 ExprKind::Bound(comparison, Box::new(limit))
             }
-            Token::Open => {
+            Token::BraceOpen => {
                 let fields = self.fields()?;
-                self.expect(&Token::Close, "a field or '}'")?;
+                self.expect(&Token::BraceClose, "a field or '}'")?;
                 ExprKind::Record(fields)
             }
             Token::ListOpen => self.list()?,
@@ -343,7 +344,7 @@
             if self.take(&Token::Rest) {
                 rest = Some(Box::new(self.expr()?));
                 self.take(&Token::Comma);
-                self.expect(&Token::ListClose, "']' after the rest")?;
+                self.expect(&Token::ListClose, "']' after the type of further items")?;
                 break;
             }
             items.push(self.expr()?);
@@ -357,23 +358,23 @@
     fn number(&self, text: &str, at: Span) -> Result<ExprKind, ConfigError> {
         let digits = text.trim_end_matches(|char: char| char.is_ascii_alphabetic() || char == '%');
         let unit_name = &text[digits.len()..];
-        let wrong = |expected: &str| ConfigError::new(at, format!("found {text}; expected {expected}"));
-        let number: f64 = digits.replace('_', "").parse().map_err(|_| wrong("a number"))?;
+        let invalid = |expected: &str| ConfigError::new(at, format!("found {text}; expected {expected}"));
+        let number: f64 = digits.replace('_', "").parse().map_err(|_| invalid("a number"))?;
         match unit(unit_name) {
             Some(ExprKind::DurationUs(us)) => {
                 let us = number * us as f64;
                 if us.abs() > 9.0e15 || us.fract() != 0.0 {
-                    return Err(wrong("a time of whole microseconds"));
+                    return Err(invalid("a duration of whole microseconds"));
                 }
                 Ok(ExprKind::DurationUs(us as i64))
             }
-            Some(ExprKind::Number(times)) => Ok(ExprKind::Number(number * times)),
-            _ => Err(wrong("a unit of us, ms, s, m, h, KiB, MiB, GiB, TiB or %")),
+            Some(ExprKind::Number(factor)) => Ok(ExprKind::Number(number * factor)),
+            _ => Err(invalid("a unit of us, ms, s, m, h, KiB, MiB, GiB, TiB or %")),
         }
     }
 }
 
-/// The text within quotes, with its escapes resolved.
+/// Removes the quotes of a text and resolves its escapes.
 fn unquote(text: &str) -> String {
     let inner = &text[1..text.len() - 1];
     let mut out = String::new();
--- a/config/src/unify.rs
+++ b/config/src/unify.rs
@@ -1,5 +1,6 @@
-//! Unifies values: two that say the same or narrow one another become one; two that differ are a conflict with
-//! both locations named. A record that comes from a definition (`#Name`) is closed: it takes no other fields.
+//! Unification of values and types: the result is the value or type that satisfies both sides. If
+//! there is none, the conflict names the locations of both. A record from a definition (`#Name`) is
+//! closed: it allows no other fields.
 mod describe;
 mod evaluate;
 mod merge;
@@ -11,38 +12,48 @@
 use indexmap::IndexMap;
 use merge::unify;
 
-/// A value that may still be open, and where it stands.
+/// Value or type, with its location. It may still allow several concrete values.
 #[derive(Clone, Debug)]
 struct Node {
     at: Span,
     value: Value,
 }
 
+/// Set of concrete values that a node allows.
 #[derive(Clone, Debug)]
 enum Value {
+    /// Any value.
     Any,
+    /// Any scalar of a type.
     Type(Type),
+    /// One concrete scalar.
     Exact(PlainValue),
-    /// A type with bounds, each with its own location.
+    /// Scalars of a type within bounds.
     Bounds(Type, Vec<Bound>),
-    /// Items, and the type of further ones where the list takes them.
+    /// List items, and the type of further items if the list allows them.
     List(Vec<Node>, Option<Box<Node>>),
+    /// Record.
     Record {
         fields: Fields,
+        /// Whether other fields are rejected.
         closed: bool,
     },
-    /// One of these; true marks a default.
+    /// One of the alternatives; true marks a default.
     OneOf(Vec<(Node, bool)>),
 }
 
+/// Fields of a record, by name.
 type Fields = IndexMap<String, FieldNode>;
 
+/// Field of a record.
 #[derive(Clone, Debug)]
 struct FieldNode {
     node: Node,
+    /// Whether the field may be left out; every declaration of it must say so.
     optional: bool,
 }
 
+/// Bound of a scalar.
 #[derive(Clone, Debug)]
 struct Bound {
     comparison: Comparison,
@@ -50,7 +61,7 @@
     at: Span,
 }
 
-/// The path of a field of a record.
+/// Returns the path of a field of the record at the path `record`.
 fn field_path(record: &str, field: &str) -> String {
     if record.is_empty() {
         field.to_owned()
@@ -59,11 +70,11 @@
     }
 }
 
-/// Unifies files with the definition `schema`, and resolves the rest: defaults are taken, and nothing may be
-/// open.
+/// Unifies the files with the definition `schema` and applies defaults, after which every field
+/// must have a concrete value.
 ///
 /// # Errors
-/// The first conflict, or all values that are still open.
+/// Returns the first conflict, or else every field without a value.
 pub fn resolve(files: Vec<Expr>, schema: &str) -> Result<ResolvedValue, Vec<ConfigError>> {
     let mut definitions = Definitions::new();
     let mut records = Vec::new();
@@ -94,7 +105,8 @@
     Ok(all)
 }
 
-/// Takes defaults and reports whatever is still open. `within` is the location of the record around it.
+/// Applies defaults and reports values that are not concrete. `within` is the location of the
+/// enclosing record or list.
 fn resolve_node(
     node: &Node,
     path: &str,
@@ -113,7 +125,7 @@
         }
         Value::Record { fields, .. } => {
             let mut resolved = IndexMap::new();
-            // A field that is optional and never given is not there, whatever defaults its type has.
+            // An optional field that no file gives is left out, even if its type has a default.
             for (name, field) in fields.iter().filter(|(_, field)| !field.optional) {
                 if let Some(value) = resolve_node(&field.node, &field_path(path, name), node.at, errors) {
                     resolved.insert(name.clone(), value);
@@ -124,7 +136,8 @@
         Value::List(items, _) => {
             let mut resolve_item =
                 |(index, item)| resolve_node(item, &format!("{path}[{index}]"), node.at, errors);
-            // All items first, so that each one that is open is reported.
+            // Resolves all items before checking the results, so that every missing value is
+            // reported.
             let resolved: Vec<Option<ResolvedValue>> =
                 items.iter().enumerate().map(&mut resolve_item).collect();
             PlainValue::List(resolved.into_iter().collect::<Option<Vec<_>>>()?)
@@ -138,6 +151,6 @@
 }
 
 fn missing(node: &Node, path: &str, within: Span) -> ConfigError {
-    let message = format!("{path} is not given; expected {}", describe(node));
-    ConfigError::new(within, message).with_note(node.at, "its type stands here")
+    let message = format!("{path} is missing; expected {}", describe(node));
+    ConfigError::new(within, message).with_note(node.at, "type declared here")
 }
--- a/config/src/unify/describe.rs
+++ b/config/src/unify/describe.rs
@@ -1,9 +1,9 @@
-//! Values in words, for error messages.
+//! Descriptions of values and types for error messages.
 use super::{Bound, Node, Value};
 use crate::syntax::{Comparison, Type};
 use crate::PlainValue;
 
-/// What a value is or takes.
+/// Describes the values that a node allows.
 pub(super) fn describe(node: &Node) -> String {
     match &node.value {
         Value::Any => "anything".into(),
@@ -13,7 +13,7 @@
             let bounds: Vec<_> = bounds.iter().map(describe_bound).collect();
             format!("{} {}", describe_type(*expected), bounds.join(" and "))
         }
-        Value::List(items, None) => format!("a list of {}", items.len()),
+        Value::List(items, None) => format!("a list of {} items", items.len()),
         Value::List(..) => "a list".into(),
         Value::Record { .. } => "a record".into(),
         Value::OneOf(alternatives) => {
@@ -26,8 +26,8 @@
     match expected {
         Type::Number => "a number",
         Type::Int => "a whole number",
-        Type::Duration => "a time such as 600ms",
-        Type::Text => "a text in quotes",
+        Type::Duration => "a duration such as 600ms",
+        Type::Text => "a quoted text",
         Type::Boolean => "true or false",
     }
 }
--- a/config/src/unify/evaluate.rs
+++ b/config/src/unify/evaluate.rs
@@ -1,17 +1,18 @@
-//! Evaluates expressions into nodes: references are replaced by what they are defined as.
+//! Evaluation of expressions to nodes: references are replaced by the definitions they name.
 use super::merge::{type_of, unify};
 use super::{Bound, FieldNode, Fields, Node, Value};
 use crate::syntax::{Comparison, Expr, ExprKind, Field};
 use crate::{ConfigError, PlainValue};
 use std::collections::HashMap;
 
-/// References nested deeper than this are refused: they hold themselves.
+/// Maximum nesting of expressions. A reference nested deeper is rejected as a definition that
+/// contains itself.
 const MAX_DEPTH: usize = 100;
 
-/// Definitions by name, of all files.
+/// Definitions of all files, by name.
 pub(super) type Definitions = HashMap<String, Vec<Expr>>;
 
-/// The value of an expression that is nested so deep.
+/// Evaluates an expression. `depth` is its level of nesting.
 pub(super) fn evaluate(expr: &Expr, definitions: &Definitions, depth: usize) -> Result<Node, ConfigError> {
     let inner = |part: &Expr| evaluate(part, definitions, depth + 1);
     let value = match &expr.kind {
@@ -36,11 +37,14 @@
         ExprKind::AllOf(parts) => unify_all(parts, "", inner)?.value,
         ExprKind::Reference(name) => {
             let Some(bodies) = definitions.get(name) else {
-                let message = format!("found {name}; expected a definition that is in these files");
+                let message = format!("found {name}; expected a definition of these files");
                 return Err(ConfigError::new(expr.at, message));
             };
             if depth > MAX_DEPTH {
-                return Err(ConfigError::new(expr.at, format!("{name} holds itself without end")));
+                return Err(ConfigError::new(
+                    expr.at,
+                    format!("found {name}, which contains itself; expected a definition without recursion"),
+                ));
             }
             let mut all = unify_all(bodies, name, inner)?;
             close(&mut all);
@@ -50,7 +54,7 @@
     Ok(Node { at: expr.at, value })
 }
 
-/// Unifies parts, of which there is at least one, in order.
+/// Unifies the parts in order. There must be at least one.
 fn unify_all(
     parts: &[Expr],
     path: &str,
@@ -64,18 +68,18 @@
 }
 
 fn evaluate_bound(expr: &Expr, comparison: Comparison, limit: Node) -> Value {
-    let Value::Exact(limit) = limit.value else { unreachable!("the parser takes plain values only") };
+    let Value::Exact(limit) = limit.value else { unreachable!("the parser accepts only scalars as limits") };
     Value::Bounds(type_of(&limit), vec![Bound { comparison, limit, at: expr.at }])
 }
 
-/// The fields of a record; those that are written several times are unified.
+/// Evaluates the fields of a record. Repeated fields are unified.
 fn evaluate_fields(
-    written: &[Field],
+    declared: &[Field],
     definitions: &Definitions,
     depth: usize,
 ) -> Result<Fields, ConfigError> {
     let mut fields = Fields::new();
-    for field in written {
+    for field in declared {
         let node = evaluate(&field.value, definitions, depth + 1)?;
         let unified = match fields.get(&field.name) {
             None => FieldNode { node, optional: field.optional },
@@ -89,7 +93,7 @@
     Ok(fields)
 }
 
-/// A definition closes all records written in it.
+/// Closes a record of a definition and all records in it.
 fn close(node: &mut Node) {
     match &mut node.value {
         Value::Record { fields, closed } => {
--- a/config/src/unify/merge.rs
+++ b/config/src/unify/merge.rs
@@ -1,11 +1,11 @@
-//! Unifies two nodes.
+//! Unification of two nodes.
 use super::describe::describe;
 use super::{field_path, Bound, FieldNode, Fields, Node, Value};
 use crate::syntax::{Comparison, Type};
 use crate::{ConfigError, PlainValue, Span};
 
-/// What both say, or why they say different things. An error points at the side of the later file, which is
-/// `second`.
+/// Returns the node that satisfies both nodes. A conflict is reported at the location of `second`,
+/// which is from the later file, with the location of `first` as its note.
 pub(super) fn unify(first: &Node, second: &Node, path: &str) -> Result<Node, ConfigError> {
     use Value::{Any, Bounds, Exact, List, OneOf, Record};
     let conflict = || conflict(first, second, path);
@@ -51,7 +51,7 @@
 
 fn conflict(first: &Node, second: &Node, path: &str) -> ConfigError {
     let message = format!("{}found {}; expected {}", prefix(path), describe(second), describe(first));
-    ConfigError::new(second.at, message).with_note(first.at, "this is what it was to be unified with")
+    ConfigError::new(second.at, message).with_note(first.at, "conflicts with this declaration")
 }
 
 fn prefix(path: &str) -> String {
@@ -62,7 +62,7 @@
     }
 }
 
-/// The type of a plain value; of one that is no scalar, text.
+/// Returns the type of a scalar. Lists and records, for which it is not called, count as text.
 pub(super) fn type_of(value: &PlainValue) -> Type {
     match value {
         PlainValue::Boolean(_) => Type::Boolean,
@@ -72,7 +72,7 @@
     }
 }
 
-/// The type that both types allow, if there is one.
+/// Returns the type whose values both types allow; `None` if there is none.
 fn narrower_type(one: Type, other: Type) -> Option<Type> {
     match (one, other) {
         (Type::Number, Type::Int) | (Type::Int, Type::Number) => Some(Type::Int),
@@ -88,13 +88,14 @@
     type_of(value) == expected || (expected == Type::Int && is_whole(value))
 }
 
-/// Whether a value is within all bounds of a type; the location of one that it breaks, where one stands.
+/// Checks a value against a type and bounds. The error is the location of the first violated bound,
+/// or `None` if only the type is violated.
 fn check_bounds(expected: Type, bounds: &[Bound], value: &PlainValue) -> Result<(), Option<Span>> {
-    let broken = bounds.iter().find(|bound| !satisfies(value, bound));
-    if broken.is_none() && (expected != Type::Int || is_whole(value)) {
+    let violated = bounds.iter().find(|bound| !satisfies(value, bound));
+    if violated.is_none() && (expected != Type::Int || is_whole(value)) {
         Ok(())
     } else {
-        Err(broken.map(|bound| bound.at))
+        Err(violated.map(|bound| bound.at))
     }
 }
 
@@ -116,10 +117,11 @@
 
 fn out_of_bounds(value: &Node, bounds: &Node, at: Span, path: &str) -> ConfigError {
     let message = format!("{}found {}; expected {}", prefix(path), describe(value), describe(bounds));
-    ConfigError::new(value.at, message).with_note(at, "the bound stands here")
+    ConfigError::new(value.at, message).with_note(at, "bound declared here")
 }
 
-/// Lists of the same length, or of which the shorter one takes further items, item by item.
+/// Unifies two lists item by item. If the lengths differ, the shorter list must allow further
+/// items.
 fn unify_lists(first: &Node, second: &Node, path: &str) -> Result<Value, ConfigError> {
     let (Value::List(one, one_rest), Value::List(other, other_rest)) = (&first.value, &second.value) else {
         return Err(conflict(first, second, path));
@@ -141,7 +143,7 @@
     Ok(Value::List(items, rest))
 }
 
-/// Records field by field; a closed one takes no field that it does not know.
+/// Unifies two records field by field. A closed record allows no additional fields.
 fn unify_records(first: &Node, second: &Node, path: &str) -> Result<Value, ConfigError> {
     let (
         Value::Record { fields: one, closed: one_closed },
@@ -176,11 +178,12 @@
 fn unknown_field(path: &str, field: &FieldNode, known: &Fields, closed_at: Span) -> ConfigError {
     let names: Vec<&str> = known.keys().map(String::as_str).collect();
     let message = format!("found field {path}; expected one of {}", names.join(", "));
-    ConfigError::new(field.node.at, message).with_note(closed_at, "the record is closed here")
+    ConfigError::new(field.node.at, message).with_note(closed_at, "this record allows no other fields")
 }
 
-/// The alternatives that unify stay. Where none does, the error of the only record among them says more than
-/// the conflict with all.
+/// Keeps the alternatives that unify with a node. If there are none, returns the conflict, or, if
+/// the node is a record and one alternative is a record, the more specific error of unifying these
+/// two.
 fn choose(
     alternatives: &[(Node, bool)],
     with: &Node,
--- a/config/tests/records.rs
+++ b/config/tests/records.rs
@@ -1,8 +1,9 @@
-//! What the reader of records says, good and bad, as an operator sees it.
+//! Reading of installations: the resulting settings, and the errors as they are shown to an
+//! operator.
 use basaltpitch_config::installation::{load_texts, FlattenedValue, Installation, PlannerSlot};
 use expect_test::expect;
 
-const GOOD: &str = r#"
+const INSTALLATION: &str = r#"
 zones: ["hall-a", "hall-b"]
 kinds: [{name: "std", cores: 32, memory: 64GiB}]
 frameworks: [
@@ -11,24 +12,24 @@
 ]
 "#;
 
-fn faults(texts: &[(&str, &str)]) -> String {
+fn render_errors(texts: &[(&str, &str)]) -> String {
     match load_texts(texts) {
         Ok(_) => "none\n".into(),
-        Err((sources, faults)) => faults.iter().map(|f| f.render(&sources) + "\n").collect(),
+        Err((sources, errors)) => errors.iter().map(|e| e.render(&sources) + "\n").collect(),
     }
 }
 
-fn with(more: &str) -> String {
-    faults(&[("a.rec", GOOD), ("b.rec", more)])
+fn errors_with(additional: &str) -> String {
+    render_errors(&[("a.rec", INSTALLATION), ("b.rec", additional)])
 }
 
 #[test]
-fn several_files_become_one_and_lay_out_under_dotted_names() {
-    let more =
+fn unifies_files_and_flattens_them_to_dotted_names() {
+    let additional =
         "rules: cold: 20s\nplanners: 3\ntenants: [{name: \"x\", share: 40%}, {name: \"y\", share: 0.6}]";
-    let all = load_texts(&[("a.rec", GOOD), ("b.rec", more)]).unwrap();
-    let laid = all.flatten(&PlannerSlot { number: 2, planners: 3, zone: "hall-b".into() });
-    let get = |name: &str| laid.iter().find(|x| x.0 == name).map(|x| x.1.clone());
+    let all = load_texts(&[("a.rec", INSTALLATION), ("b.rec", additional)]).unwrap();
+    let settings = all.flatten(&PlannerSlot { number: 2, planners: 3, zone: "hall-b".into() });
+    let get = |name: &str| settings.iter().find(|s| s.0 == name).map(|s| s.1.clone());
     assert_eq!(get("rules.coldUs"), Some(FlattenedValue::Number(20e6)));
     assert_eq!(get("classes.1.windowUs"), Some(FlattenedValue::Number(6e6)));
     assert_eq!(get("classes.1.semantics"), Some(FlattenedValue::Text("dedup".into())));
@@ -39,60 +40,61 @@
 }
 
 #[test]
-fn types_bounds_and_closed_records() {
+fn rejects_wrong_types_values_out_of_bounds_and_unknown_fields() {
     expect![[r#"
-        b.rec:1:14: rules.cold: found "soon"; expected 14s or a time such as 600ms at least 0s
-          built-in types:190:16: this is what it was to be unified with
+        b.rec:1:14: rules.cold: found "soon"; expected 14s or a duration such as 600ms at least 0s
+          built-in types:190:16: conflicts with this declaration
     "#]]
-    .assert_eq(&with("rules: cold: \"soon\""));
+    .assert_eq(&errors_with("rules: cold: \"soon\""));
     expect![[r#"
         b.rec:1:17: launches.most: found 40; expected 3 or a whole number at least 1 and at most 16
-          built-in types:197:12: this is what it was to be unified with
+          built-in types:197:12: conflicts with this declaration
     "#]]
-    .assert_eq(&with("launches: most: 40"));
+    .assert_eq(&errors_with("launches: most: 40"));
     expect![[r#"
         b.rec:1:14: found field rules.cald; expected one of drain_grace, answer_grace, cold, cold_offers, cold_window, settle
-          built-in types:184:9: the record is closed here
+          built-in types:184:9: this record allows no other fields
     "#]]
-    .assert_eq(&with("rules: cald: 3s"));
+    .assert_eq(&errors_with("rules: cald: 3s"));
 }
 
 #[test]
-fn a_conflict_names_both_sides() {
+fn conflict_names_location_of_both_sides() {
     expect![[r#"
         b.rec:1:9: zones[0]: found "hall-c"; expected "hall-a"
-          a.rec:2:9: this is what it was to be unified with
+          a.rec:2:9: conflicts with this declaration
     "#]]
-    .assert_eq(&with("zones: [\"hall-c\"]"));
-    let text = faults(&[("a.rec", GOOD), ("b.rec", "planners: 2"), ("c.rec", "\nplanners: 3")]);
+    .assert_eq(&errors_with("zones: [\"hall-c\"]"));
+    let text =
+        render_errors(&[("a.rec", INSTALLATION), ("b.rec", "planners: 2"), ("c.rec", "\nplanners: 3")]);
     expect![[r#"
         c.rec:2:11: planners: found 3; expected 2
-          b.rec:1:11: this is what it was to be unified with
+          b.rec:1:11: conflicts with this declaration
     "#]]
     .assert_eq(&text);
 }
 
 #[test]
-fn what_does_not_parse_is_named_with_its_place() {
+fn syntax_errors_name_their_location() {
     expect![[r#"
         b.rec:2:8: found }; expected a value or a type
     "#]]
-    .assert_eq(&with("rules: {\n cold: }"));
+    .assert_eq(&errors_with("rules: {\n cold: }"));
     expect![[r#"
         b.rec:1:14: found 3parsec; expected a unit of us, ms, s, m, h, KiB, MiB, GiB, TiB or %
     "#]]
-    .assert_eq(&with("rules: cold: 3parsec"));
+    .assert_eq(&errors_with("rules: cold: 3parsec"));
     expect![[r#"
         b.rec:1:14: found the end of the file; expected a field or '}'
     "#]]
-    .assert_eq(&with("rules: cold:{"));
-    let deep = format!("rules: cold: {}", "[".repeat(5000));
-    assert!(with(&deep).contains("at most 64 levels"));
+    .assert_eq(&errors_with("rules: cold:{"));
+    let nested = format!("rules: cold: {}", "[".repeat(5000));
+    assert!(errors_with(&nested).contains("at most 64 levels"));
 }
 
 #[test]
-fn what_types_alone_do_not_find() {
-    let late = r#"
+fn rejects_contradictory_values_that_fit_their_types() {
+    let contradictory = r#"
 zones: ["a", "a"]
 kinds: [{name: "std", cores: 32, memory: 64}]
 tenants: [{name: "x", share: 0.7}, {name: "y", share: 0.7}]
@@ -103,76 +105,81 @@
 "#;
     expect![[r#"
         a.rec:2:14: zones: found "a" twice; expected each name once
-          a.rec:2:9: the first
-        a.rec:6:54: big: found a latency goal of 5000000 us over the time limit; expected at most 4000000 us
-          a.rec:6:65: the time limit
-        a.rec:6:41: big: found a window of 100000 us; expected over 250000 us, the time that a connection may take
+          a.rec:2:9: first occurrence
+        a.rec:6:54: big: found a latency objective (goal) of 5000000 us over the time limit; expected at most 4000000 us
+          a.rec:6:65: time limit declared here
+        a.rec:6:41: big: found a window of 100000 us; expected over 250000 us, the connection timeout
         a.rec:6:75: big: found kind "huge"; expected one of std
-        a.rec:7:69: one: found a time limit of 400000 us; expected over 500000 us, a connection's time there and back
-        a.rec:7:45: one: found a window; expected none, as only keyed tasks are known by a mark
-          a.rec:7:24: how often it may run
-        a.rec:4:10: tenants: found shares that add up to 1.4; expected 1
+        a.rec:7:69: one: found a time limit of 400000 us; expected over 500000 us, twice the connection timeout
+        a.rec:7:45: one: found a window; expected none, because only keyed tasks are deduplicated
+          a.rec:7:24: idempotency declared here
+        a.rec:4:10: tenants: found shares with the sum 1.4; expected 1
     "#]]
-    .assert_eq(&faults(&[("a.rec", late)]));
+    .assert_eq(&render_errors(&[("a.rec", contradictory)]));
 }
 
 #[test]
-fn what_is_missing_is_named() {
+fn reports_every_missing_field() {
     expect![[r#"
-        a.rec:2:14: frameworks[0].goal is not given; expected a time such as 600ms above 0s
-          built-in types:8:12: its type stands here
-        a.rec:2:14: frameworks[0].limit is not given; expected a time such as 600ms above 0s
-          built-in types:9:12: its type stands here
+        a.rec:2:14: frameworks[0].goal is missing; expected a duration such as 600ms above 0s
+          built-in types:8:12: type declared here
+        a.rec:2:14: frameworks[0].limit is missing; expected a duration such as 600ms above 0s
+          built-in types:9:12: type declared here
     "#]]
-    .assert_eq(&faults(&[("a.rec", "zones: [\"a\"] kinds: [{name: \"s\", cores: 1, memory: 1}]\nframeworks: [{name: \"x\", repeat: \"repeatable\"}]")]));
+    .assert_eq(&render_errors(&[("a.rec", "zones: [\"a\"] kinds: [{name: \"s\", cores: 1, memory: 1}]\nframeworks: [{name: \"x\", repeat: \"repeatable\"}]")]));
 }
 
 #[test]
-fn regions_hold_each_zone_once_and_parts_need_a_council() {
-    let all = load_texts(&[("a.rec", GOOD)]).unwrap();
-    assert_eq!(all.regions(), [("all".to_owned(), vec![0, 1])], "one region where none is named");
+fn checks_regions_and_subsets_and_applies_defaults() {
+    let all = load_texts(&[("a.rec", INSTALLATION)]).unwrap();
+    assert_eq!(all.regions(), [("all".to_owned(), vec![0, 1])], "one region if none is named");
     assert_eq!(
         (all.heartbeat_us(), all.planners_per_machine(), all.control_bytes_per_s()),
         (250_000, None, None)
     );
     let view = |all: &Installation| {
-        let laid = all.flatten(&PlannerSlot { number: 0, planners: 1, zone: "hall-a".into() });
-        laid.into_iter().find(|x| x.0 == "familyInfo.view").map(|x| x.1)
+        let settings = all.flatten(&PlannerSlot { number: 0, planners: 1, zone: "hall-a".into() });
+        settings.into_iter().find(|s| s.0 == "familyInfo.view").map(|s| s.1)
     };
-    assert_eq!(view(&all), Some(FlattenedValue::Number(1.0)), "the list shows room by default");
-    let council = "council: voters: [{name: \"v0\", address: \"127.0.0.1:1\"}]\n";
-    let more = "regions: [{name: \"east\", zones: [\"hall-b\"]}, {name: \"west\", zones: [\"hall-a\"]}]\n\
+    assert_eq!(
+        view(&all),
+        Some(FlattenedValue::Number(1.0)),
+        "the machine list shows free capacity by default"
+    );
+    let voters = "council: voters: [{name: \"v0\", address: \"127.0.0.1:1\"}]\n";
+    let additional =
+        "regions: [{name: \"east\", zones: [\"hall-b\"]}, {name: \"west\", zones: [\"hall-a\"]}]\n\
                 heartbeat: 2s\nparts: copies: 2\ncontrol: bytes_a_second: 4000\n";
-    let all = load_texts(&[("a.rec", GOOD), ("b.rec", more), ("c.rec", council)]).unwrap();
+    let all = load_texts(&[("a.rec", INSTALLATION), ("b.rec", additional), ("c.rec", voters)]).unwrap();
     assert_eq!(all.regions(), [("east".to_owned(), vec![1]), ("west".to_owned(), vec![0])]);
     assert_eq!((all.heartbeat_us(), all.planners_per_machine()), (2_000_000, Some(2)));
     assert_eq!(
         view(&all),
         Some(FlattenedValue::Number(0.0)),
-        "the brief list of planners with parts tells no room"
+        "the machine list of planners with subsets shows no free capacity"
     );
     assert_eq!(all.control_bytes_per_s(), Some(4000.0));
-    let wrong = with(
+    let errors = errors_with(
         "regions: [{name: \"east\", zones: [\"hall-a\", \"hall-c\"]}, {name: \"west\", zones: [\"hall-a\"]}]\n\
          parts: copies: 3",
     );
     expect![[r#"
         b.rec:1:44: region east: found zone "hall-c"; expected one of hall-a, hall-b
-        b.rec:1:79: region west: found zone "hall-a" a second time; expected it in one region
-          b.rec:1:34: the first
-        a.rec:2:19: zone hall-b: found it in no region; expected it in one
-        b.rec:2:8: parts: found them without a council; expected one, as parts are dealt among its seats
+        b.rec:1:79: region west: found zone "hall-a" twice; expected each zone in one region
+          b.rec:1:34: first occurrence
+        a.rec:2:19: zone hall-b: found in no region; expected in exactly one
+        b.rec:2:8: parts: found without the record council; expected both, because slots need voters
     "#]]
-    .assert_eq(&wrong);
+    .assert_eq(&errors);
     expect![[r#"
-        b.rec:1:12: heartbeat: found 1ms; expected 250ms or a time such as 600ms at least 10ms and at most 60s
-          built-in types:164:13: this is what it was to be unified with
+        b.rec:1:12: heartbeat: found 1ms; expected 250ms or a duration such as 600ms at least 10ms and at most 60s
+          built-in types:164:13: conflicts with this declaration
     "#]]
-    .assert_eq(&with("heartbeat: 1ms"));
+    .assert_eq(&errors_with("heartbeat: 1ms"));
     expect![[r#"
-        b.rec:1:11: region east: found no zone; expected at least one
-        a.rec:2:9: zone hall-a: found it in no region; expected it in one
-        a.rec:2:19: zone hall-b: found it in no region; expected it in one
+        b.rec:1:11: region east: found no zones; expected at least one
+        a.rec:2:9: zone hall-a: found in no region; expected in exactly one
+        a.rec:2:19: zone hall-b: found in no region; expected in exactly one
     "#]]
-    .assert_eq(&with("regions: [{name: \"east\", zones: []}]"));
+    .assert_eq(&errors_with("regions: [{name: \"east\", zones: []}]"));
 }
--- a/constraints/tests/reading.rs
+++ b/constraints/tests/reading.rs
@@ -113,7 +113,7 @@
         "clauses: [{name: \"x\", spread: {over: \"table\", most: 0}}]\n",
         expect![[r#"
         clauses.rec:1:38: clauses[0].spread.over: found "table"; expected "machine" or "rack" or "hall"
-          built-in types:51:8: this is what it was to be unified with
+          built-in types:51:8: conflicts with this declaration
     "#]],
     );
 }
--- a/ldap/tests/settings.rs
+++ b/ldap/tests/settings.rs
@@ -81,14 +81,14 @@
         "servers: [\"http://x\", \"x\"]\n",
         expect![[r#"
         directory.rec:7:11: servers[0]: found "http://x"; expected "ldaps://one.example"
-          directory.rec:2:12: this is what it was to be unified with
+          directory.rec:2:12: conflicts with this declaration
     "#]],
     );
     check(
         "place_stale: 3\n",
         expect![[r#"
             directory.rec:7:14: directory.place_stale: found 3; expected true or true or false
-              built-in types:128:15: this is what it was to be unified with
+              built-in types:128:15: conflicts with this declaration
         "#]],
     );
 }
@@ -112,8 +112,8 @@
     check(
         "}\ntenants: [{name: \"t\", share: 1}]\nrules: {\n",
         expect![[r#"
-        directory.rec:8:11: tenants: found a list beside a directory; expected one of them
-          directory.rec:1:12: the directory
+        directory.rec:8:11: tenants: found a list beside a directory; expected only one of them
+          directory.rec:1:12: directory declared here
     "#]],
     );
 }
