--- a/agent/src/link_health.rs
+++ b/agent/src/link_health.rs
@@ -94,7 +94,7 @@
     }
 
     /// Updates and returns the state of the link at the time `now`. `Lost` is final.
-    pub fn judge(&mut self, now: i64) -> LinkHealth {
+    pub fn update_state(&mut self, now: i64) -> LinkHealth {
         let silence = now - self.last_frame_us;
         if self.state == LinkHealth::Lost || silence >= self.lost_after_us() {
             self.state = LinkHealth::Lost;
@@ -105,9 +105,9 @@
         self.state
     }
 
-    /// Returns the next time at which `judge` can return another state, if no frame is received
+    /// Returns the next time at which `update_state` can return another state, if no frame is received
     /// before.
-    pub fn next_at(&self) -> i64 {
+    pub fn next_change_at(&self) -> i64 {
         match self.state {
             LinkHealth::Healthy => self.last_frame_us + self.suspect_after_us(),
             _ => self.last_frame_us + self.lost_after_us(),
--- a/agent/src/session.rs
+++ b/agent/src/session.rs
@@ -387,7 +387,7 @@
             self.next_heartbeat_us =
                 (self.next_heartbeat_us + self.heartbeat_us).max(now + self.heartbeat_us / 2);
         }
-        let state = self.health.judge(now);
+        let state = self.health.update_state(now);
         if state == LinkHealth::Lost {
             self.close(format!("no frame received for {} ms", self.health.lost_after_us() / 1000));
         } else if state != self.reported_health {
@@ -400,7 +400,7 @@
     pub fn next_tick_at(&self) -> i64 {
         match self.peer {
             None => self.opened_us + HELLO_TIMEOUT_US,
-            Some(_) => self.next_heartbeat_us.min(self.health.next_at()),
+            Some(_) => self.next_heartbeat_us.min(self.health.next_change_at()),
         }
     }
 
--- a/agent/tests/heartbeat.rs
+++ b/agent/tests/heartbeat.rs
@@ -137,7 +137,7 @@
                 health.record_frame(now, true);
             }
         }
-        assert_eq!(health.judge(now), LinkHealth::Healthy, "at {now} us");
+        assert_eq!(health.update_state(now), LinkHealth::Healthy, "at {now} us");
         now = a.next_tick_at().min(seq as i64 * DEFAULT_HEARTBEAT_US);
     }
     assert!(highest_received >= 40, "{highest_received} heartbeats in 40 periods");
--- a/cli/src/tenants.rs
+++ b/cli/src/tenants.rs
@@ -62,7 +62,7 @@
             .block_on(&runtime, sync(&directory.source, server, SyncState::default(), || ()));
         let took_ms = began.elapsed().as_millis() as u64;
         let (entries, lacks) = match swept {
-            Ok(swept) => (swept.sweep.entries, swept.problems),
+            Ok(swept) => (swept.update.entries, swept.problems),
             Err(fault) => (Vec::new(), vec![fault.to_string()]),
         };
         wrong += usize::from(!lacks.is_empty());
--- a/ldap/src/entry.rs
+++ b/ldap/src/entry.rs
@@ -95,7 +95,7 @@
 
 /// Normalizes a distinguished name, so that spellings that differ in case or in spaces around its
 /// parts compare equal.
-pub fn plain_dn(dn: &str) -> String {
+pub fn normalize_dn(dn: &str) -> String {
     let mut plain = String::with_capacity(dn.len());
     let mut chars = dn.trim().chars().peekable();
     while let Some(char) = chars.next() {
@@ -233,7 +233,7 @@
 ///
 /// # Errors Names the first attribute that is too large, missing, binary instead of text, or has
 /// several values where one is expected.
-pub fn read(names: &AttributeNames, raw: RawEntry) -> Result<Entry, InvalidEntry> {
+pub fn read_entry(names: &AttributeNames, raw: RawEntry) -> Result<Entry, InvalidEntry> {
     let reader = EntryReader::new(&raw)?;
     let EntryStamp { id, stamp, .. } = reader.stamp(names)?;
     let (kind, name) = reader.kind_and_name(names)?;
@@ -242,8 +242,8 @@
         id,
         kind,
         name: name.to_owned(),
-        dn: plain_dn(&raw.dn),
-        members: members.iter().map(|member| plain_dn(member)).collect(),
+        dn: normalize_dn(&raw.dn),
+        members: members.iter().map(|member| normalize_dn(member)).collect(),
         stamp,
     })
 }
--- a/ldap/src/lib.rs
+++ b/ldap/src/lib.rs
@@ -14,7 +14,7 @@
 mod settings;
 mod tls;
 
-pub use entry::{plain_dn, read, AttributeNames, InvalidEntry, RawEntry};
+pub use entry::{normalize_dn, read_entry, AttributeNames, InvalidEntry, RawEntry};
 pub use session::filter_of_ids;
 pub use settings::{read_settings, DirectorySettings};
 
@@ -43,7 +43,7 @@
     pub bind_dn: String,
     /// File with the password for the bind, read at each sync, so that the password can change
     /// without a restart.
-    pub password: PathBuf,
+    pub password_file: PathBuf,
     /// Distinguished name of the entry at which searches start.
     pub base: String,
     /// Filter for the entries to read.
@@ -51,9 +51,9 @@
     /// Names of attributes and object classes.
     pub names: AttributeNames,
     /// Entries in a page.
-    pub page: i32,
+    pub page_size: i32,
     /// Whether the servers support content synchronisation.
-    pub sync: bool,
+    pub content_sync: bool,
     /// Time limit for setting up a connection, for each response and for each page.
     pub timeout: Duration,
 }
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SyncResult {
     /// Entries received, and whether they are complete.
-    pub sweep: Sweep,
+    pub update: Sweep,
     /// Reasons for which the entries are incomplete; empty if they are complete.
     pub problems: Vec<String>,
     /// State of the server's entries, for the next sync.
@@ -182,8 +182,8 @@
     answered: impl FnOnce() + 'static,
 ) -> Result<SyncResult, SyncError> {
     let url = source.urls[server].clone();
-    let password =
-        std::fs::read_to_string(&source.password).map_err(|error| file_error(&source.password, error))?;
+    let password = std::fs::read_to_string(&source.password_file)
+        .map_err(|error| file_error(&source.password_file, error))?;
     let Connection { mut ldap, ended, _driver } = connect(source, &url).await?;
     let bound = ldap.with_timeout(source.timeout).simple_bind(&source.bind_dn, password.trim_end()).await;
     let bound = bound.map_err(|error| SyncError::Connect { url: url.clone(), reason: error.to_string() })?;
@@ -193,7 +193,7 @@
     let on_answer: session::OnAnswer = Box::new(answered);
     let mut session = DirectorySession { source, ldap, url, ended, on_answer: Some(on_answer) };
     let progress = session.read_progress().await;
-    let mut result = if source.sync {
+    let mut result = if source.content_sync {
         session.read_synchronised(before.cookie).await
     } else if before.seen.is_empty() {
         session.read_all().await
@@ -201,13 +201,13 @@
         session.read_changes(before.seen).await
     };
     match progress {
-        Ok(progress) => result.sweep.mark = progress,
+        Ok(progress) => result.update.mark = progress,
         Err(problem) => result.add_problem(problem),
     }
     let _ = session.ldap.with_timeout(source.timeout).unbind().await;
-    if result.sweep.entries.is_empty() && result.sweep.present.is_empty() && !result.problems.is_empty() {
+    if result.update.entries.is_empty() && result.update.present.is_empty() && !result.problems.is_empty() {
         return Err(SyncError::Search { url: session.url, reason: result.problems.join("; ") });
     }
-    result.sweep.complete = result.problems.is_empty();
+    result.update.complete = result.problems.is_empty();
     Ok(result)
 }
--- a/ldap/src/session.rs
+++ b/ldap/src/session.rs
@@ -1,6 +1,6 @@
 //! A connection to a directory server, and the three ways to read it: everything, the entries that
 //! changed since the last list, or content synchronisation.
-use crate::entry::{self, plain_dn, read, RawEntry};
+use crate::entry::{self, normalize_dn, read_entry, RawEntry};
 use crate::problem::SyncProblem;
 use crate::{LdapSource, SeenEntries, SyncResult};
 use basaltpitch_tenants::{Id, Mark};
@@ -60,7 +60,7 @@
 /// Returns a hash that differs when the entry's distinguished name or modification time changed.
 fn entry_hash(dn: &str, stamp: &str) -> u64 {
     let mut hasher = std::hash::DefaultHasher::new();
-    (plain_dn(dn), stamp).hash(&mut hasher);
+    (normalize_dn(dn), stamp).hash(&mut hasher);
     hasher.finish()
 }
 
@@ -101,7 +101,7 @@
     ) -> Vec<String> {
         let (source, mut problems) = (self.source, Vec::new());
         let adapters: Vec<Box<dyn Adapter<_, _>>> =
-            vec![Box::new(EntriesOnly::new()), Box::new(PagedResults::new(source.page))];
+            vec![Box::new(EntriesOnly::new()), Box::new(PagedResults::new(source.page_size))];
         let search = self.ldap.with_timeout(source.timeout);
         let opened =
             search.streaming_search_with(adapters, &source.base, Scope::Subtree, filter, attributes).await;
@@ -162,9 +162,9 @@
         let filter = self.source.filter.clone();
         result.problems = self
             .search_pages(&filter, names.all(), |raw| {
-                let entry = read(names, raw)?;
+                let entry = read_entry(names, raw)?;
                 list.push((entry.id, entry_hash(&entry.dn, &entry.stamp), entry.stamp.clone()));
-                result.sweep.entries.push(entry);
+                result.update.entries.push(entry);
                 Ok(())
             })
             .await;
@@ -184,7 +184,7 @@
                 let hash = entry_hash(&raw.dn, &stamped.stamp);
                 list.push((stamped.id, hash, stamped.stamp));
                 if before.get(&stamped.id.0) == Some(&hash) {
-                    result.sweep.present.push(stamped.id);
+                    result.update.present.push(stamped.id);
                 } else {
                     changed.push(stamped.id_text);
                 }
@@ -195,7 +195,7 @@
             let filter = filter_of_ids(&filter, &names.id, ids);
             let problems = self
                 .search_pages(&filter, names.all(), |raw| {
-                    result.sweep.entries.push(read(names, raw)?);
+                    result.update.entries.push(read_entry(names, raw)?);
                     Ok(())
                 })
                 .await;
@@ -251,10 +251,10 @@
     });
     match done {
         Some(done) => {
-            result.sweep.cookie = done.cookie;
+            result.update.cookie = done.cookie;
             // With `refreshDeletes`, the server listed the deleted entries and all others still
             // exist. Without it, the server listed every existing entry.
-            result.sweep.gone = done.refresh_deletes.then(|| deleted.into_iter().collect());
+            result.update.gone = done.refresh_deletes.then(|| deleted.into_iter().collect());
         }
         None => result.add_problem(SyncProblem::MissingSyncDone),
     }
@@ -283,7 +283,7 @@
                 if refresh_deletes {
                     deleted.insert(id);
                 } else {
-                    result.sweep.present.push(id);
+                    result.update.present.push(id);
                 }
             }
         }
@@ -296,9 +296,9 @@
     let state = state.ok_or(SyncProblem::MissingSyncState)?;
     match state.state {
         EntryState::Add | EntryState::Modify => {
-            result.sweep.entries.push(read(&source.names, raw_entry(message)?)?);
+            result.update.entries.push(read_entry(&source.names, raw_entry(message)?)?);
         }
-        EntryState::Present => result.sweep.present.push(read_uuid(&state.entry_uuid)?),
+        EntryState::Present => result.update.present.push(read_uuid(&state.entry_uuid)?),
         EntryState::Delete => {
             deleted.insert(read_uuid(&state.entry_uuid)?);
         }
--- a/ldap/src/settings.rs
+++ b/ldap/src/settings.rs
@@ -1,7 +1,7 @@
 //! Reads the record `directory` of an installation's files: the servers, and the settings of
 //! authorization and sync. Checks what the types of the schema do not cover: addresses, filters,
 //! names, and times that contradict each other.
-use crate::{plain_dn, AttributeNames, LdapSource};
+use crate::{normalize_dn, AttributeNames, LdapSource};
 use basaltpitch_config::{ConfigError, PlainValue, ResolvedValue};
 use basaltpitch_tenants::authorization::AccessPolicy;
 use basaltpitch_tenants::change_guard::ChangeGuard;
@@ -15,11 +15,11 @@
     /// Servers of the directory, and how they are queried.
     pub source: LdapSource,
     /// Permissions of operators and auditors, and the policy while the directory is not available.
-    pub terms: AccessPolicy,
+    pub access_policy: AccessPolicy,
     /// Schedule of the syncs with the directory.
-    pub pace: SyncSchedule,
+    pub sync_schedule: SyncSchedule,
     /// Which removals are held back until they are confirmed.
-    pub caution: ChangeGuard,
+    pub change_guard: ChangeGuard,
 }
 
 /// Returns whether a text is the name of an attribute or object class, or its numeric object
@@ -73,7 +73,7 @@
     }
 
     fn dns(&self, list: &str) -> Vec<String> {
-        self.texts(list).iter().map(|dn| plain_dn(dn)).collect()
+        self.texts(list).iter().map(|dn| normalize_dn(dn)).collect()
     }
 
     fn invalid(&mut self, field: &str, found: String, expected: &str) {
@@ -177,12 +177,12 @@
             starttls: self.flag("starttls"),
             ca_file: self.path("vouchers"),
             bind_dn: self.text("bind"),
-            password: self.path("password_file").unwrap_or_default(),
+            password_file: self.path("password_file").unwrap_or_default(),
             base: self.text("base"),
             filter: self.text("filter"),
             names: self.attribute_names(),
-            page: self.count("page") as i32,
-            sync: self.flag("sync"),
+            page_size: self.count("page") as i32,
+            content_sync: self.flag("sync"),
             timeout: Duration::from_micros(self.duration_us("patience") as u64),
         }
     }
@@ -190,14 +190,14 @@
     fn settings(&self) -> DirectorySettings {
         DirectorySettings {
             source: self.source(),
-            terms: AccessPolicy {
+            access_policy: AccessPolicy {
                 operators: self.dns("operators").into_iter().collect(),
                 auditors: self.dns("auditors").into_iter().collect(),
                 always: self.texts("always").into_iter().collect(),
                 place_blind: self.flag("place_blind"),
                 place_stale: self.flag("place_stale"),
             },
-            pace: SyncSchedule {
+            sync_schedule: SyncSchedule {
                 every_us: self.duration_us("every"),
                 // A sync reads many pages, each of which may take up to the timeout of a page.
                 patience_us: self.duration_us("whole"),
@@ -206,7 +206,7 @@
                 most_wait_us: self.duration_us("most_wait"),
                 slower: self.count("slower") as i64,
             },
-            caution: ChangeGuard {
+            change_guard: ChangeGuard {
                 few: self.count("caution.few"),
                 percent: self.count("caution.percent"),
                 sweeps: self.count("caution.sweeps") as u32,
--- a/ldap/tests/over_a_restart.rs
+++ b/ldap/tests/over_a_restart.rs
@@ -53,13 +53,13 @@
             urls: vec![format!("ldap://{}", server.address)],
             starttls: false,
             ca_file: None,
-            sync: false,
+            content_sync: false,
             bind_dn: "cn=p".into(),
-            password: folder.join("secret"),
+            password_file: folder.join("secret"),
             base: "dc=x".into(),
             filter: "(objectClass=*)".into(),
             names: AttributeNames::default(),
-            page: 100,
+            page_size: 100,
             timeout: Duration::from_millis(300),
         };
         let path = folder.join("planner.store");
@@ -79,7 +79,7 @@
             assert_eq!(directory.next(0), Some(0));
             directory.swept(
                 SECOND_US,
-                sync(&source, 0, SyncState::default(), || ()).await.ok().map(|result| result.sweep),
+                sync(&source, 0, SyncState::default(), || ()).await.ok().map(|result| result.update),
             );
             assert!(directory.authorize(SECOND_US, &access_policy, "asha", operation).may);
             let (at, bytes) = directory.memory().unwrap();
@@ -101,7 +101,7 @@
         assert_eq!(directory.next(400 * SECOND_US), Some(0));
         directory.swept(
             401 * SECOND_US,
-            sync(&source, 0, SyncState::default(), || ()).await.ok().map(|result| result.sweep),
+            sync(&source, 0, SyncState::default(), || ()).await.ok().map(|result| result.update),
         );
         let decision = directory.authorize(401 * SECOND_US, &access_policy, "asha", operation);
         assert_eq!(
@@ -114,7 +114,7 @@
         assert_eq!(
             directory.swept(
                 at,
-                sync(&source, 0, SyncState::default(), || ()).await.ok().map(|result| result.sweep)
+                sync(&source, 0, SyncState::default(), || ()).await.ok().map(|result| result.update)
             ),
             [],
             "the directory has not changed since the snapshot"
--- a/ldap/tests/sweeps.rs
+++ b/ldap/tests/sweeps.rs
@@ -1,7 +1,7 @@
 //! Syncs with a simulated directory server on loopback, with and without faults of the server, and
 //! the reading of invalid entries.
 use basaltpitch_ldap::{
-    plain_dn, read, sync, AttributeNames, LdapSource, RawEntry, SyncError, SyncResult, SyncState,
+    normalize_dn, read_entry, sync, AttributeNames, LdapSource, RawEntry, SyncError, SyncResult, SyncState,
 };
 use basaltpitch_tenants::change_guard::{ChangeReview, DEFAULT_CHANGE_GUARD};
 use basaltpitch_tenants::{EntryKind, Id, Tenants};
@@ -64,13 +64,13 @@
         urls: vec![format!("ldap://{}", server.address)],
         starttls: false,
         ca_file: None,
-        sync: false,
+        content_sync: false,
         bind_dn: "cn=planner,dc=campus".into(),
-        password,
+        password_file: password,
         base: "dc=campus".into(),
         filter: "(|(objectClass=inetOrgPerson)(objectClass=groupOfNames))".into(),
         names: AttributeNames::default(),
-        page: 7,
+        page_size: 7,
         timeout: Duration::from_millis(400),
     };
     (server, source)
@@ -81,10 +81,13 @@
     run_async(async {
         let (server, source) = start_server("all").await;
         let result = sync(&source, 0, SyncState::default(), || ()).await.unwrap();
-        assert_eq!((result.sweep.entries.len(), result.problems.len(), result.sweep.complete), (44, 0, true));
+        assert_eq!(
+            (result.update.entries.len(), result.problems.len(), result.update.complete),
+            (44, 0, true)
+        );
         assert_eq!(server.searches.get(), 7);
         let (mut tenants, mut review) = (Tenants::default(), ChangeReview::default());
-        let accepted = review.judge(0, &tenants, result.sweep, DEFAULT_CHANGE_GUARD);
+        let accepted = review.judge(0, &tenants, result.update, DEFAULT_CHANGE_GUARD);
         tenants.take(0, accepted.entries, &accepted.gone);
         let team = tenants.find("team 2", 0).unwrap();
         assert_eq!(tenants.tenant(team, 0).unwrap().members, 10);
@@ -100,7 +103,7 @@
         let (server, source) = start_server("cut").await;
         let (mut tenants, mut review) = (Tenants::default(), ChangeReview::default());
         let mut tenants_after = |result: SyncResult| {
-            let accepted = review.judge(0, &tenants, result.sweep, DEFAULT_CHANGE_GUARD);
+            let accepted = review.judge(0, &tenants, result.update, DEFAULT_CHANGE_GUARD);
             tenants.take(0, accepted.entries, &accepted.gone);
             tenants.tenants(0).count()
         };
@@ -109,7 +112,7 @@
             server.fault.set(DirectoryFault::CutsAfter(count));
             match sync(&source, 0, SyncState::default(), || ()).await {
                 Ok(result) => {
-                    assert!(!result.sweep.complete, "cut after {count}: {:?}", result.problems);
+                    assert!(!result.update.complete, "cut after {count}: {:?}", result.problems);
                     assert_eq!(tenants_after(result), 4, "cut after {count}");
                 }
                 Err(err) => {
@@ -137,7 +140,7 @@
         ));
         server.fault.set(DirectoryFault::Slow(20));
         assert!(
-            sync(&source, 0, SyncState::default(), || ()).await.unwrap().sweep.complete,
+            sync(&source, 0, SyncState::default(), || ()).await.unwrap().update.complete,
             "a slow server is read completely"
         );
         server.fault.set(DirectoryFault::None);
@@ -147,12 +150,12 @@
             message.contains("bind as cn=planner,dc=campus: found result 49") && !message.contains("sesame"),
             "{message}"
         );
-        std::fs::write(&source.password, "changed").unwrap();
+        std::fs::write(&source.password_file, "changed").unwrap();
         assert!(
-            sync(&source, 0, SyncState::default(), || ()).await.unwrap().sweep.complete,
+            sync(&source, 0, SyncState::default(), || ()).await.unwrap().update.complete,
             "the password file is read at each sync"
         );
-        source.password = "/no/such/secret".into();
+        source.password_file = "/no/such/secret".into();
         assert!(matches!(sync(&source, 0, SyncState::default(), || ()).await, Err(SyncError::File { .. })));
     });
 }
@@ -171,7 +174,7 @@
         );
         server.entries.borrow_mut().insert(5, invalid);
         let result = sync(&source, 0, SyncState::default(), || ()).await.unwrap();
-        assert_eq!((result.sweep.entries.len(), result.sweep.complete), (44, false));
+        assert_eq!((result.update.entries.len(), result.update.complete), (44, false));
         assert_eq!(
             result.problems,
             ["entry \"cn=odd,dc=campus\": entryUUID: found \"seven\"; expected 32 hex digits"]
@@ -196,13 +199,13 @@
         ("cn", &["x"]),
         ("basaltpitchShare", &["0.4"]),
     ];
-    let entry = read(&AttributeNames::default(), raw_entry(&valid)).unwrap();
+    let entry = read_entry(&AttributeNames::default(), raw_entry(&valid)).unwrap();
     assert_eq!((entry.id, entry.kind), (Id(7), EntryKind::Tenant { share: 0.4 }));
     let oversized = "x".repeat(600);
     let error_with = |index: usize, values: &[&str]| {
         let mut all = valid;
         all[index].1 = values;
-        read(&AttributeNames::default(), raw_entry(&all)).unwrap_err().to_string()
+        read_entry(&AttributeNames::default(), raw_entry(&all)).unwrap_err().to_string()
     };
     let cases = [
         (error_with(3, &[]), "cn: found none; expected one value"),
@@ -220,7 +223,7 @@
     }
     let mut binary = raw_entry(&valid);
     binary.bytes.insert("cn".into(), vec![vec![0xff, 0xfe]]);
-    assert!(read(&AttributeNames::default(), binary)
+    assert!(read_entry(&AttributeNames::default(), binary)
         .unwrap_err()
         .to_string()
         .contains("cn: found bytes that are no text"));
@@ -228,9 +231,9 @@
 
 #[test]
 fn normalizes_distinguished_names() {
-    assert_eq!(plain_dn(" CN=Team 2 ,  OU = Tenants,dc=campus "), "cn=team 2,ou=tenants,dc=campus");
-    assert_eq!(plain_dn("cn=a\\, b,dc=x"), "cn=a\\, b,dc=x");
-    assert_ne!(plain_dn("cn=a\\,ou=b"), plain_dn("cn=a,ou=b"));
+    assert_eq!(normalize_dn(" CN=Team 2 ,  OU = Tenants,dc=campus "), "cn=team 2,ou=tenants,dc=campus");
+    assert_eq!(normalize_dn("cn=a\\, b,dc=x"), "cn=a\\, b,dc=x");
+    assert_ne!(normalize_dn("cn=a\\,ou=b"), normalize_dn("cn=a,ou=b"));
 }
 
 proptest! {
@@ -243,10 +246,10 @@
         dn in ".{0,60}",
         texts in proptest::collection::hash_map("entryUUID|modifyTimestamp|objectClass|cn|uid|member|basaltpitchShare", proptest::collection::vec(".{0,40}|inetOrgPerson|20261201120000Z|[0-9a-f]{32}", 0..4), 0..8),
     ) {
-        let normalized = plain_dn(&dn);
-        prop_assert_eq!(&plain_dn(&normalized), &normalized);
+        let normalized = normalize_dn(&dn);
+        prop_assert_eq!(&normalize_dn(&normalized), &normalized);
         let raw = RawEntry { dn, texts, bytes: HashMap::new() };
-        if let Err(error) = read(&AttributeNames::default(), raw) {
+        if let Err(error) = read_entry(&AttributeNames::default(), raw) {
             let message = error.to_string();
             prop_assert!(message.contains("found") && message.contains("expected"), "{}", message);
         }
--- a/ldap/tests/ways.rs
+++ b/ldap/tests/ways.rs
@@ -45,12 +45,12 @@
         starttls: false,
         ca_file: None,
         bind_dn: "cn=planner,dc=campus".into(),
-        password: write_file(&format!("{name}.secret"), "s"),
+        password_file: write_file(&format!("{name}.secret"), "s"),
         base: "dc=campus".into(),
         filter: "(objectClass=*)".into(),
         names: AttributeNames::default(),
-        page: 5,
-        sync: false,
+        page_size: 5,
+        content_sync: false,
         timeout: Duration::from_millis(500),
     }
 }
@@ -118,7 +118,8 @@
             let texts = attributes.into_iter().map(|(k, v)| (k, v.into_iter().map(text).collect()));
             basaltpitch_ldap::RawEntry { dn, texts: texts.collect(), bytes: Default::default() }
         };
-        let all = self.ldap_entries().into_iter().map(|l| basaltpitch_ldap::read(names, raw(l)).unwrap());
+        let all =
+            self.ldap_entries().into_iter().map(|l| basaltpitch_ldap::read_entry(names, raw(l)).unwrap());
         all.map(|e| (e.id, e)).collect()
     }
 }
@@ -144,7 +145,7 @@
         match sync(source, server, before, || ()).await {
             Ok(result) => {
                 self.seen[server] = result.seen;
-                self.directory.swept(self.now + 1, Some(result.sweep));
+                self.directory.swept(self.now + 1, Some(result.update));
                 Ok(())
             }
             Err(err) => {
@@ -164,7 +165,7 @@
 async fn compare_under_random_changes(sync: bool, seed: u64) {
     let server = ldap_server::start("s").await.unwrap();
     let mut source = source(&format!("edits {sync}"), vec![format!("ldap://{}", server.address)]);
-    source.sync = sync;
+    source.content_sync = sync;
     let (mut rng, mut reference, mut synced) =
         (StdRng::seed_from_u64(seed), ReferenceDirectory::new(), SyncedDirectory::new(&source));
     let mut existing_entries = 0;
@@ -228,7 +229,7 @@
     run_async(async {
         let server = ldap_server::start("s").await.unwrap();
         let mut source = source("cookie", vec![format!("ldap://{}", server.address)]);
-        source.sync = true;
+        source.content_sync = true;
         let (mut reference, mut synced) = (ReferenceDirectory::new(), SyncedDirectory::new(&source));
         *server.entries.borrow_mut() = reference.ldap_entries();
         synced.sync_when_due(&source).await.unwrap();
@@ -264,7 +265,7 @@
         for sync in [false, true] {
             let server = ldap_server::start("s").await.unwrap();
             let mut source = source("bytes", vec![format!("ldap://{}", server.address)]);
-            (source.sync, source.page) = (sync, 3);
+            (source.content_sync, source.page_size) = (sync, 3);
             let mut reference = ReferenceDirectory::new();
             reference.all.retain(|n, _| n % 2 == 0);
             *server.entries.borrow_mut() = reference.ldap_entries();
@@ -277,11 +278,11 @@
                 server.bytes.set(0);
                 server.fault.set(DirectoryFault::CutsAtByte(cut));
                 let result = basaltpitch_ldap::sync(&source, 0, SyncState::default(), || ()).await;
-                let complete = result.as_ref().is_ok_and(|s| s.sweep.complete);
+                let complete = result.as_ref().is_ok_and(|s| s.update.complete);
                 assert!(!complete, "byte {cut} of {total_bytes}, synchronised: {sync}");
                 synced.now = synced.directory.next_at().max(synced.now + 1);
                 synced.directory.next(synced.now).unwrap();
-                synced.directory.swept(synced.now, result.ok().map(|s| s.sweep));
+                synced.directory.swept(synced.now, result.ok().map(|s| s.update));
                 assert_eq!(synced.entries(), expected, "byte {cut} of {total_bytes}, synchronised: {sync}");
             }
         }
@@ -366,7 +367,7 @@
             source.starttls = starttls;
             source.ca_file = Some(write_file("one.pem", &pem));
             let result = sync(&source, 0, SyncState::default(), || ()).await.unwrap();
-            assert_eq!((result.sweep.entries.len(), result.sweep.complete), (12, true));
+            assert_eq!((result.update.entries.len(), result.update.complete), (12, true));
             // The file now holds another certificate. The file is read at each sync, so the server
             // is no longer trusted.
             write_file("one.pem", &untrusted_pem);
--- a/planner/src/service/directory_sync.rs
+++ b/planner/src/service/directory_sync.rs
@@ -74,7 +74,7 @@
                 if let Some(syncs) = &mut self.directory_syncs {
                     syncs.finish(number, &mut result);
                 }
-                self.state.directory_synced(now_us, number, Some(result.sweep), result.problems);
+                self.state.directory_synced(now_us, number, Some(result.update), result.problems);
             }
             SyncEvent::Ended(number, Err(error)) => {
                 tracing::info!(error = %error, "a sync of the directory failed");
--- a/planner/src/service/tenant_snapshots.rs
+++ b/planner/src/service/tenant_snapshots.rs
@@ -59,9 +59,9 @@
 ) -> DirectoryAccess {
     let ways = DirectoryOptions {
         servers: directory.source.urls.clone(),
-        terms: directory.terms.clone(),
-        pace: directory.pace,
-        caution: directory.caution,
+        terms: directory.access_policy.clone(),
+        pace: directory.sync_schedule,
+        caution: directory.change_guard,
     };
     let stored = store.and_then(load);
     let restored = DirectoryAccess::new(seed, now_us, ways.clone(), stored.as_ref().map(|s| (s.0, &s.1[..])));
