--- a/agent/src/link.rs
+++ b/agent/src/link.rs
@@ -152,8 +152,7 @@
 }
 
 /// Handles a command and those that wait in the channel behind it. `first` is `None` once all
-/// senders of commands were dropped. Breaks if the session
-/// is closed or has no room to queue a frame.
+/// senders of commands were dropped. Breaks if the session is closed or its queue is full.
 fn take_commands(
     session: &mut Session,
     first: Option<LinkCommand>,
--- a/agent/src/session.rs
+++ b/agent/src/session.rs
@@ -322,7 +322,7 @@
         let size = frame.encoded_len();
         self.output.extend_from_slice(&(size as u32).to_be_bytes());
         self.output.reserve(size);
-        frame.encode(&mut self.output).expect("a growable buffer has room for any frame");
+        frame.encode(&mut self.output).expect("a growable buffer can hold any frame");
         let size = size as u64 + LENGTH_BYTES;
         self.encoded_bytes += size;
         self.unwritten.push_back((FrameKind::from_body(body), size));
--- a/agent/tests/golden_frames.rs
+++ b/agent/tests/golden_frames.rs
@@ -224,7 +224,7 @@
 
 fn stored_votes() -> wire::Kept {
     let past = wire::Holding { holder: "planner-1#2".into(), token: 3, since_us: 4 };
-    let duty = wire::KeptDuty {
+    let stored_vote = wire::KeptDuty {
         past: vec![past],
         duty: "planner-0".into(),
         token: 2,
@@ -238,7 +238,7 @@
     wire::Kept {
         whole: true,
         votes_in_us: 2,
-        duties: vec![duty],
+        duties: vec![stored_vote],
         life: 4,
         revision: 5,
         since: 6,
@@ -247,11 +247,11 @@
 }
 
 fn voters() -> Vec<Body> {
-    let duty = || "planner-0".to_owned();
+    let lease = || "planner-0".to_owned();
     let ballot =
-        wire::Ballot { duty: duty(), token: 2, round: 3, note_number: 4, note: vec![5, 255], renews: true };
+        wire::Ballot { duty: lease(), token: 2, round: 3, note_number: 4, note: vec![5, 255], renews: true };
     let vote = wire::Vote {
-        duty: duty(),
+        duty: lease(),
         round: 2,
         granted: true,
         token: 4,
@@ -263,11 +263,11 @@
     vec![
         Body::Ballots(wire::Ballots { ballots: vec![ballot] }),
         Body::Votes(wire::Votes { votes: vec![vote], term_us: 1_200_000 }),
-        Body::GiveBack(wire::GiveBack { duty: duty(), token: 2, to: "spare-1".into() }),
-        Body::Freed(wire::Freed { duty: duty(), handed: true }),
+        Body::GiveBack(wire::GiveBack { duty: lease(), token: 2, to: "spare-1".into() }),
+        Body::Freed(wire::Freed { duty: lease(), handed: true }),
         Body::Record(wire::Record { brief: true, prefix: "planner-".into(), life: 3, revision: 4 }),
         Body::Kept(stored_votes()),
-        Body::HandOn(wire::HandOn { duty: duty(), to: "spare-1".into(), token: 3 }),
+        Body::HandOn(wire::HandOn { duty: lease(), to: "spare-1".into(), token: 3 }),
     ]
 }
 
--- a/config/src/installation/checks.rs
+++ b/config/src/installation/checks.rs
@@ -76,22 +76,22 @@
         let message = "parts: found without the record council; expected both, because slots need voters";
         errors.push(ConfigError::new(subsets.at, message));
     }
-    let Some(council) = all.get("council") else { return };
-    let voters = council.list("voters");
+    let Some(voter_settings) = all.get("council") else { return };
+    let voters = voter_settings.list("voters");
     check_unique(voters, "council.voters", errors);
     if ![1, 3, 5].contains(&voters.len()) {
         let message =
             format!("council.voters: found {} voters; expected 3 or 5, or 1 for a trial", voters.len());
-        errors.push(ConfigError::new(council.at, message));
+        errors.push(ConfigError::new(voter_settings.at, message));
     }
-    let duration_us = |field: &str| council.duration_us(field).unwrap_or(0);
+    let duration_us = |field: &str| voter_settings.duration_us(field).unwrap_or(0);
     if 4 * duration_us("drift") > duration_us("term") {
         let message = format!(
             "council.drift: found {} us; expected at most a quarter of the lease duration (term) of {} us",
             duration_us("drift"),
             duration_us("term")
         );
-        errors.push(ConfigError::new(field_span(council, "drift"), message));
+        errors.push(ConfigError::new(field_span(voter_settings, "drift"), message));
     }
 }
 
