--- a/ldap/tests/settings.rs
+++ b/ldap/tests/settings.rs
@@ -19,9 +19,7 @@
         }
     };
     match read_settings(&installation.all) {
-        Ok(found) => {
-            format!("{:#?}\n", found.map(|d| (d.access_policy, d.sync_schedule, d.source.names.mark)))
-        }
+        Ok(dir) => format!("{:#?}\n", dir.map(|d| (d.access_policy, d.sync_schedule, d.source.names.mark))),
         Err(errors) => errors.iter().map(|err| format!("{}\n", err.message)).collect(),
     }
 }
