--- a/planner/src/service/tenant_snapshots.rs
+++ b/planner/src/service/tenant_snapshots.rs
@@ -66,9 +66,9 @@
 ) -> DirectoryAccess {
     let options = DirectoryOptions {
         servers: directory.source.urls.clone(),
-        access_policy: directory.terms.clone(),
-        sync_schedule: directory.pace,
-        change_guard: directory.caution,
+        access_policy: directory.access_policy.clone(),
+        sync_schedule: directory.sync_schedule,
+        change_guard: directory.change_guard,
     };
     let stored = store.and_then(load);
     let restored =
