--- a/ldap/src/lib.rs
+++ b/ldap/src/lib.rs
@@ -103,7 +103,7 @@
         text: String,
     },
     /// The search failed before an entry was received.
-    #[error("{url}: the search broke off: {reason}")]
+    #[error("{url}: the search failed: {reason}")]
     Search {
         /// Address of the server.
         url: String,
@@ -157,7 +157,7 @@
     }
     let connect_error = |reason: String| SyncError::Connect { url: url.to_owned(), reason };
     let opened = tokio::time::timeout(source.timeout, LdapConnAsync::with_settings(settings, url)).await;
-    let opened = opened.map_err(|_| connect_error("nothing came in time".into()))?;
+    let opened = opened.map_err(|_| connect_error("the connection timed out".into()))?;
     let (connection, ldap) = opened.map_err(|error| connect_error(error.to_string()))?;
     let (ended_sender, ended) = watch::channel(false);
     let driver = tokio::task::spawn_local(async move {
--- a/ldap/tests/sweeps.rs
+++ b/ldap/tests/sweeps.rs
@@ -132,7 +132,7 @@
         assert_eq!(result.problems, ["the search ended with result 4 (); expected 0"]);
         server.fault.set(DirectoryFault::Stalls);
         let message = sync(&source, 0, SyncState::default(), || ()).await.unwrap_err().to_string();
-        assert!(message.contains("the search broke off"), "{message}");
+        assert!(message.contains("the search failed"), "{message}");
         server.fault.set(DirectoryFault::Refuses);
         assert!(matches!(
             sync(&source, 0, SyncState::default(), || ()).await,
