--- a/cli/src/ask.rs
+++ b/cli/src/ask.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 
 #[derive(clap::Args, Clone)]
-pub struct At {
+pub struct PlannerConnection {
     /// Where the planner listens
     #[arg(long, default_value = "127.0.0.1:7410")]
     pub planner: String,
@@ -21,7 +21,7 @@
 #[derive(clap::Args)]
 pub struct Tasks {
     #[command(flatten)]
-    at: At,
+    at: PlannerConnection,
     /// Only the task with this key
     key: Option<String>,
 }
@@ -29,7 +29,7 @@
 #[derive(clap::Args)]
 pub struct Drain {
     #[command(flatten)]
-    at: At,
+    at: PlannerConnection,
     machine: String,
     /// Take the drain back
     #[arg(long)]
@@ -39,7 +39,7 @@
 #[derive(clap::Args)]
 pub struct Submit {
     #[command(flatten)]
-    at: At,
+    at: PlannerConnection,
     /// The owner's key for the task
     key: String,
     #[arg(long)]
@@ -65,8 +65,8 @@
 }
 
 /// Connects, sends one frame and gives back the first answer.
-pub fn ask(at: &At, role: Role, body: Body, within: Duration) -> Result<Body, Failure> {
-    let At { planner, login } = at;
+pub fn ask(at: &PlannerConnection, role: Role, body: Body, within: Duration) -> Result<Body, Failure> {
+    let PlannerConnection { planner, login } = at;
     let failed = |e: String| Failure::Failed(format!("{planner}: {e}"));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| failed(e.to_string()))?;
@@ -90,7 +90,9 @@
             while let Some(news) = heard.recv().await {
                 match news {
                     LinkEvent::Session(SessionEvent::Frame(body)) => return Ok(body),
-                    LinkEvent::Ended { why, .. } => return Err(Failure::Wrong(format!("{planner}: {why}"))),
+                    LinkEvent::Ended { why, .. } => {
+                        return Err(Failure::InvalidInput(format!("{planner}: {why}")))
+                    }
                     LinkEvent::Session(_) => {}
                 }
             }
@@ -107,7 +109,7 @@
     runtime.block_on(talk)
 }
 
-pub fn question(at: &At, body: Body) -> Result<Value, Failure> {
+pub fn query(at: &PlannerConnection, body: Body) -> Result<Value, Failure> {
     match ask(at, Role::Operator, body, Duration::from_secs(10))? {
         Body::Told(told) => serde_json::from_str(&told.json).map_err(|e| Failure::Failed(e.to_string())),
         _ => Err(Failure::Failed(format!("{}: another answer than was asked for", at.planner))),
@@ -136,21 +138,21 @@
     "memory",
 ];
 
-pub fn plain(v: &Value) -> String {
+pub fn value_text(v: &Value) -> String {
     match v {
         Value::String(s) => s.clone(),
         Value::Null => "-".into(),
         Value::Array(items) if items.is_empty() => "-".into(),
-        Value::Array(items) => items.iter().map(plain).collect::<Vec<_>>().join(", "),
+        Value::Array(items) => items.iter().map(value_text).collect::<Vec<_>>().join(", "),
         Value::Object(fields) if fields.contains_key("machine") => {
-            format!("{} {}", plain(&v["machine"]), plain(&v["state"]))
+            format!("{} {}", value_text(&v["machine"]), value_text(&v["state"]))
         }
         v => v.to_string(),
     }
 }
 
 /// A list as a table, a single record as lines.
-pub fn show(value: &Value, json: bool) {
+pub fn print_value(value: &Value, json: bool) {
     match value {
         _ if json => println!("{value}"),
         Value::Array(rows) => {
@@ -158,7 +160,7 @@
             let mut names: Vec<&String> = first.keys().collect();
             names.sort_by_key(|n| FIRST.iter().position(|f| f == n).unwrap_or(FIRST.len()));
             let cells: Vec<Vec<String>> =
-                rows.iter().map(|r| names.iter().map(|n| plain(&r[n.as_str()])).collect()).collect();
+                rows.iter().map(|r| names.iter().map(|n| value_text(&r[n.as_str()])).collect()).collect();
             let wide = |i: usize| cells.iter().map(|r| r[i].len()).chain([names[i].len()]).max().unwrap_or(0);
             let widths: Vec<usize> = (0..names.len()).map(wide).collect();
             let line = |r: Vec<&str>| {
@@ -168,15 +170,15 @@
             line(names.iter().map(|n| n.as_str()).collect());
             cells.iter().for_each(|r| line(r.iter().map(String::as_str).collect()));
         }
-        Value::Object(fields) => fields.iter().for_each(|(k, v)| println!("{k:16}{}", plain(v))),
-        v => println!("{}", plain(v)),
+        Value::Object(fields) => fields.iter().for_each(|(k, v)| println!("{k:16}{}", value_text(v))),
+        v => println!("{}", value_text(v)),
     }
 }
 
-impl At {
+impl PlannerConnection {
     pub fn run(self, what: &str, json: bool) -> Result<(), Failure> {
-        let query = wire::Query { what: what.into(), about: String::new() };
-        show(&question(&self, Body::Query(query))?, json);
+        let request = wire::Query { what: what.into(), about: String::new() };
+        print_value(&query(&self, Body::Query(request))?, json);
         Ok(())
     }
 }
@@ -184,8 +186,8 @@
 impl Tasks {
     pub fn run(self, json: bool) -> Result<(), Failure> {
         let what = if self.key.is_some() { "task" } else { "tasks" };
-        let query = wire::Query { what: what.into(), about: self.key.unwrap_or_default() };
-        show(&question(&self.at, Body::Query(query))?, json);
+        let request = wire::Query { what: what.into(), about: self.key.unwrap_or_default() };
+        print_value(&query(&self.at, Body::Query(request))?, json);
         Ok(())
     }
 }
@@ -193,7 +195,7 @@
 impl Drain {
     pub fn run(self, json: bool) -> Result<(), Failure> {
         let drain = wire::Drain { machine: self.machine, on: !self.off, ..wire::Drain::default() };
-        show(&question(&self.at, Body::Drain(drain))?, json);
+        print_value(&query(&self.at, Body::Drain(drain))?, json);
         Ok(())
     }
 }
@@ -201,7 +203,7 @@
 impl Submit {
     pub fn run(self, json: bool) -> Result<(), Failure> {
         if !(self.within > 0.0 && self.within < 1e6 && self.runs > 0.0 && self.runs < 1e9) {
-            return Err(Failure::Wrong("--within, --runs: expected seconds over 0".into()));
+            return Err(Failure::InvalidInput("--within, --runs: expected seconds over 0".into()));
         }
         let submit = wire::Submit {
             key: self.key,
@@ -228,7 +230,7 @@
             "retry_after_ms": a.retry_after_us / 1000, "not_allowed": a.not_allowed,
             "stale_ms": if a.stale_us < 0 { Value::Null } else { (a.stale_us / 1000).into() },
         });
-        show(&told, json);
+        print_value(&told, json);
         if kind == "placed" {
             Ok(())
         } else {
--- a/cli/src/constraints.rs
+++ b/cli/src/constraints.rs
@@ -1,6 +1,6 @@
 //! `basaltpitch constraints`: what clauses say, what they would break, and clauses taken in service.
-use crate::ask::{plain, question, show, At};
-use crate::{clauses_of, load, Failure};
+use crate::ask::{print_value, query, value_text, PlannerConnection};
+use crate::{load, named_constraints, Failure};
 use basaltpitch_agent::wire::{self, Body};
 use std::path::PathBuf;
 
@@ -23,24 +23,24 @@
 #[derive(clap::Args)]
 pub struct Changed {
     #[command(flatten)]
-    at: At,
+    at: PlannerConnection,
     #[arg(required = true)]
     files: Vec<PathBuf>,
 }
 
 impl Changed {
     fn run(self, take: bool, json: bool) -> Result<(), Failure> {
-        let clauses = clauses_of(&load(&self.files)?)?;
+        let clauses = named_constraints(&load(&self.files)?)?;
         let text = serde_json::to_string(&clauses).map_err(|e| Failure::Failed(e.to_string()))?;
-        let told = question(&self.at, Body::Clauses(wire::Clauses { json: text, take }))?;
+        let told = query(&self.at, Body::Clauses(wire::Clauses { json: text, take }))?;
         let broken = told["broken"].as_array().map_or(0, Vec::len);
         if json {
-            show(&told, true);
+            print_value(&told, true);
         } else {
             let word = if take { "taken" } else { "not taken" };
             println!("{} clauses, {word}; {broken} that run break them", clauses.len());
             if broken > 0 {
-                show(&told["broken"], false);
+                print_value(&told["broken"], false);
             }
         }
         Ok(())
@@ -51,13 +51,13 @@
     pub fn run(self, json: bool) -> Result<(), Failure> {
         match self {
             Constraints::Check { files } => {
-                let clauses = clauses_of(&load(&files)?)?;
+                let clauses = named_constraints(&load(&files)?)?;
                 let rows = clauses.iter().map(|(c, place)| {
                     let how = c.preference_rank.map_or("must".to_owned(), |rank| format!("prefer {rank}"));
                     let rule = serde_json::to_value(&c.rule).unwrap_or_default();
                     serde_json::json!({"clause": place, "how": how, "rule": rule})
                 });
-                show(&rows.collect(), json);
+                print_value(&rows.collect(), json);
                 Ok(())
             }
             Constraints::Explain(explain) => explain.run(json),
@@ -70,7 +70,7 @@
 #[derive(clap::Args)]
 pub struct Explain {
     #[command(flatten)]
-    at: At,
+    at: PlannerConnection,
     /// The key of a task that the planner knows
     #[arg(required_unless_present = "framework")]
     key: Option<String>,
@@ -93,23 +93,23 @@
             None => serde_json::json!({"framework": self.framework, "tenant": self.tenant,
                 "service": self.service, "machines": self.machines}),
         };
-        let query = wire::Query { what: "explain".into(), about: about.to_string() };
-        let told = question(&self.at, Body::Query(query))?;
+        let request = wire::Query { what: "explain".into(), about: about.to_string() };
+        let told = query(&self.at, Body::Query(request))?;
         if json {
-            show(&told, true);
+            print_value(&told, true);
             return Ok(());
         }
         match told["verdict"].as_str() {
             Some(words) => println!("{words}"),
             None => println!(
                 "no machine that is known could ever meet together: {}",
-                plain(&told["verdict"]["never"])
+                value_text(&told["verdict"]["never"])
             ),
         }
         for part in ["clauses", "machines"] {
             if !told[part].as_array().is_none_or(Vec::is_empty) {
                 println!();
-                show(&told[part], false);
+                print_value(&told[part], false);
             }
         }
         Ok(())
--- a/cli/src/council.rs
+++ b/cli/src/council.rs
@@ -1,5 +1,5 @@
 //! `basaltpitch voter` and `basaltpitch council`: the agreed record of who holds what.
-use crate::ask::{ask, show, At};
+use crate::ask::{ask, print_value, PlannerConnection};
 use crate::{load, Failure};
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{self, Body, Role};
@@ -44,7 +44,7 @@
 }
 
 /// How long votes are valid and where the voters are, where an installation has voters.
-pub fn council_of(found: &Installation) -> Option<(LeaseConfig, Vec<VoterEndpoint>)> {
+pub fn quorum_settings(found: &Installation) -> Option<(LeaseConfig, Vec<VoterEndpoint>)> {
     let council = found.all.get("council")?;
     let time = |field: &str| council.duration_us(field).unwrap_or(0);
     let text = |v: &basaltpitch_config::ResolvedValue, field: &str| v.text(field).unwrap_or("").to_owned();
@@ -56,25 +56,25 @@
 }
 
 /// What the names of all slots begin with.
-pub const SEATS: &str = "planner-";
+pub const SLOT_PREFIX: &str = "planner-";
 
 /// The slots of an installation, by the number of the planner.
 pub fn seats(found: &Installation) -> Vec<Rc<str>> {
     let planners = found.all.number("planners").unwrap_or(1.0) as usize;
-    (0..planners).map(|n| format!("{SEATS}{n}").into()).collect()
+    (0..planners).map(|n| format!("{SLOT_PREFIX}{n}").into()).collect()
 }
 
 /// How long votes are valid and where the voters are; an error where an installation has none.
-pub fn needed(found: &Installation) -> Result<(LeaseConfig, Vec<VoterEndpoint>), Failure> {
-    let none = || Failure::Wrong("council: found none in these files; expected its voters".into());
-    council_of(found).ok_or_else(none)
+pub fn required_quorum_settings(found: &Installation) -> Result<(LeaseConfig, Vec<VoterEndpoint>), Failure> {
+    let none = || Failure::InvalidInput("council: found none in these files; expected its voters".into());
+    quorum_settings(found).ok_or_else(none)
 }
 
 /// Opens a store in a folder; a file that could not be read is set aside and named.
 pub fn open(folder: &Path, name: &str) -> Result<SnapshotStore, Failure> {
-    let wrong = |e: String| Failure::Wrong(format!("--state {}: {e}", folder.display()));
+    let wrong = |e: String| Failure::InvalidInput(format!("--state {}: {e}", folder.display()));
     if name.contains(['/', '\\']) || name.starts_with('.') {
-        return Err(Failure::Wrong(format!("--name: found {name:?}; expected a plain name")));
+        return Err(Failure::InvalidInput(format!("--name: found {name:?}; expected a plain name")));
     }
     std::fs::create_dir_all(folder).map_err(|e| wrong(e.to_string()))?;
     let (store, found) =
@@ -86,7 +86,7 @@
 }
 
 /// Done at SIGINT or SIGTERM.
-pub async fn told_to_stop() {
+pub async fn stop_signal() {
     let term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate());
     let Ok(mut term) = term else { return drop(tokio::signal::ctrl_c().await) };
     tokio::select! {
@@ -97,17 +97,18 @@
 
 impl Vote {
     pub fn run(self, json: bool) -> Result<(), Failure> {
-        let (terms, voters) = needed(&load(&self.files)?)?;
+        let (terms, voters) = required_quorum_settings(&load(&self.files)?)?;
         let names: Vec<&str> = voters.iter().map(|v| v.name.as_str()).collect();
         let none = || format!("--name: found {:?}; expected one of {}", self.name, names.join(", "));
-        let me = names.iter().position(|n| *n == self.name).ok_or_else(|| Failure::Wrong(none()))?;
+        let me = names.iter().position(|n| *n == self.name).ok_or_else(|| Failure::InvalidInput(none()))?;
         let store = self.state.as_ref().map(|folder| open(folder, &self.name)).transpose()?;
         let address = voters[me].address.clone();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| Failure::Failed(e.to_string()))?;
         runtime.block_on(async {
             let listener = tokio::net::TcpListener::bind(&address).await;
-            let listener = listener.map_err(|e| Failure::Wrong(format!("council.voters: {address}: {e}")))?;
+            let listener =
+                listener.map_err(|e| Failure::InvalidInput(format!("council.voters: {address}: {e}")))?;
             if json {
                 println!("{}", json!({"listening": address, "name": self.name}));
             } else {
@@ -115,19 +116,19 @@
             }
             let _ = std::io::stdout().flush();
             let start = VoterConfig { name: self.name, lease_config: terms, voters, index: me, store };
-            voter_server::serve(listener, start, told_to_stop()).await;
+            voter_server::serve(listener, start, stop_signal()).await;
             Ok(())
         })
     }
 }
 
 /// By voter's name: what came of a question to it, or why nothing did.
-type ByVoter<T> = Vec<(String, Result<T, String>)>;
+type PerVoter<T> = Vec<(String, Result<T, String>)>;
 
 /// What each voter answers to a frame, by its name; a voter that does not is named with the reason.
-pub fn ask_all(voters: &[VoterEndpoint], body: &Body) -> Result<ByVoter<Body>, Failure> {
+pub fn send_to_all(voters: &[VoterEndpoint], body: &Body) -> Result<PerVoter<Body>, Failure> {
     let one = |way: &VoterEndpoint| {
-        let at = At { planner: way.address.clone(), login: String::new() };
+        let at = PlannerConnection { planner: way.address.clone(), login: String::new() };
         match ask(&at, Role::Operator, body.clone(), Duration::from_secs(2)) {
             Ok(body) => Ok((way.name.clone(), Ok(body))),
             Err(Failure::Failed(why)) => Ok((way.name.clone(), Err(why))),
@@ -138,13 +139,13 @@
 }
 
 /// What each voter keeps; notes and who held what only where asked for.
-pub fn records(voters: &[VoterEndpoint], brief: bool) -> Result<ByVoter<wire::Kept>, Failure> {
+pub fn records(voters: &[VoterEndpoint], brief: bool) -> Result<PerVoter<wire::Kept>, Failure> {
     let kept = |(name, answer): (String, Result<Body, String>)| match answer {
         Ok(Body::Kept(kept)) => (name, Ok(kept)),
         Ok(_) => (name, Err("another answer than was asked for".into())),
         Err(why) => (name, Err(why)),
     };
-    let all = ask_all(voters, &Body::Record(wire::Record { brief, ..wire::Record::default() }))?;
+    let all = send_to_all(voters, &Body::Record(wire::Record { brief, ..wire::Record::default() }))?;
     Ok(all.into_iter().map(kept).collect())
 }
 
@@ -158,7 +159,7 @@
 
 impl Show {
     pub fn run(self, as_json: bool) -> Result<(), Failure> {
-        let (terms, voters) = needed(&load(&self.files)?)?;
+        let (terms, voters) = required_quorum_settings(&load(&self.files)?)?;
         match self.hand_on {
             Some(duty) => hand_on(&terms, &voters, &duty, self.to, as_json),
             None if self.history => history(&voters, as_json),
@@ -188,7 +189,7 @@
             Err(why) => rows.push(row("", "", 0, 0, &why)),
         }
     }
-    show(&Value::Array(rows), as_json);
+    print_value(&Value::Array(rows), as_json);
     Ok(())
 }
 
@@ -212,7 +213,7 @@
         let ago = (now - since) / 1_000_000;
         json!({"duty": duty, "holder": holder, "token": token, "since_s_ago": ago, "since_us": since})
     };
-    show(&Value::Array(all.into_iter().map(row).collect()), as_json);
+    print_value(&Value::Array(all.into_iter().map(row).collect()), as_json);
     Ok(())
 }
 
@@ -229,7 +230,7 @@
     };
     let wish = wire::HandOn { duty: duty.to_owned(), to: to.unwrap_or_default(), token };
     let mut faults = Vec::new();
-    for (voter, answer) in ask_all(voters, &Body::HandOn(wish))? {
+    for (voter, answer) in send_to_all(voters, &Body::HandOn(wish))? {
         let told = match answer {
             Ok(Body::Told(told)) => serde_json::from_str(&told.json).unwrap_or(Value::Null),
             Ok(_) => json!({"fault": "another answer than was asked for"}),
@@ -246,7 +247,7 @@
     let until = std::time::Instant::now() + Duration::from_micros(3 * terms.recovery_wait_us() as u64);
     while std::time::Instant::now() < until {
         if let Some((holder, newer)) = holder(voters, duty)?.filter(|h| h.1 > token) {
-            show(&json!({"duty": duty, "from": from, "holder": holder, "token": newer}), as_json);
+            print_value(&json!({"duty": duty, "from": from, "holder": holder, "token": newer}), as_json);
             return Ok(());
         }
         std::thread::sleep(Duration::from_millis(20));
--- a/cli/src/drill.rs
+++ b/cli/src/drill.rs
@@ -43,7 +43,9 @@
     pub fn run(self, json: bool) -> Result<(), Failure> {
         let installation = load(&self.files)?;
         if installation.all.get("day").is_none() {
-            return Err(Failure::Wrong("found no field day in these files; expected one for a drill".into()));
+            return Err(Failure::InvalidInput(
+                "found no field day in these files; expected one for a drill".into(),
+            ));
         }
         let binary = std::env::current_exe().map_err(|e| Failure::Failed(e.to_string()))?;
         let config =
--- a/cli/src/machine.rs
+++ b/cli/src/machine.rs
@@ -32,7 +32,10 @@
             if known.contains(&name) {
                 return Ok(name);
             }
-            Err(Failure::Wrong(format!("{flag}: found {name:?}; expected one of {}", known.join(", "))))
+            Err(Failure::InvalidInput(format!(
+                "{flag}: found {name:?}; expected one of {}",
+                known.join(", ")
+            )))
         };
         let (kind, zone) = (one_of("kinds", "--kind", self.kind)?, one_of("zones", "--zone", self.zone)?);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -70,9 +70,9 @@
     /// Show open and placed tasks, or one
     Tasks(ask::Tasks),
     /// Show what a planner believes of each machine
-    Machines(ask::At),
+    Machines(ask::PlannerConnection),
     /// Show a planner's name, epoch and counts
-    Planner(ask::At),
+    Planner(ask::PlannerConnection),
     /// Drain a machine, or take that back
     Drain(ask::Drain),
     /// Clauses on where tasks may run
@@ -101,7 +101,7 @@
     /// 1: it was tried and did not work out.
     Failed(String),
     /// 2: the input was wrong.
-    Wrong(String),
+    InvalidInput(String),
 }
 
 fn main() -> ExitCode {
@@ -110,7 +110,10 @@
     let filter = match filter {
         Ok(filter) => filter,
         Err(e) => {
-            return fail(Failure::Wrong(format!("--log: found {:?} ({e}); expected such as info", cli.log)))
+            return fail(Failure::InvalidInput(format!(
+                "--log: found {:?} ({e}); expected such as info",
+                cli.log
+            )))
         }
     };
     let logs = tracing_subscriber::fmt()
@@ -160,7 +163,7 @@
 fn fail(failure: Failure) -> ExitCode {
     let (text, code) = match failure {
         Failure::Failed(text) => (text, 1),
-        Failure::Wrong(text) => (text, 2),
+        Failure::InvalidInput(text) => (text, 2),
     };
     if !text.is_empty() {
         eprintln!("{}", text.trim_end());
@@ -176,16 +179,18 @@
 /// All that is wrong with files, each with its lines.
 fn wrong(sources: &Sources, faults: &[ConfigError]) -> Failure {
     let text = faults.iter().map(|f| format!("{}\n{:?}", f.render(sources), f.report(sources)));
-    Failure::Wrong(text.collect::<Vec<_>>().join("\n"))
+    Failure::InvalidInput(text.collect::<Vec<_>>().join("\n"))
 }
 
 /// The directory that an installation's files name, or all that is wrong with it.
-fn directory_of(found: &Installation) -> Result<Option<basaltpitch_ldap::DirectorySettings>, Failure> {
+fn directory_settings(found: &Installation) -> Result<Option<basaltpitch_ldap::DirectorySettings>, Failure> {
     basaltpitch_ldap::read_settings(&found.all).map_err(|faults| wrong(&found.sources, &faults))
 }
 
 /// The clauses of an installation's files with a name and place of each, or all that is wrong with them.
-fn clauses_of(found: &Installation) -> Result<Vec<(basaltpitch_constraints::Constraint, String)>, Failure> {
+fn named_constraints(
+    found: &Installation,
+) -> Result<Vec<(basaltpitch_constraints::Constraint, String)>, Failure> {
     let read =
         basaltpitch_constraints::parse::parse(&found.all).map_err(|faults| wrong(&found.sources, &faults))?;
     let placed = |c: basaltpitch_constraints::Constraint| {
@@ -198,10 +203,11 @@
 
 fn check(files: &[PathBuf], ask: bool, json: bool) -> Result<(), Failure> {
     let found = load(files)?;
-    clauses_of(&found)?;
-    let directory = directory_of(&found)?;
+    named_constraints(&found)?;
+    let directory = directory_settings(&found)?;
     if ask {
-        let none = || Failure::Wrong("--directory: found no directory in these files; expected one".into());
+        let none =
+            || Failure::InvalidInput("--directory: found no directory in these files; expected one".into());
         return tenants::try_directory(&directory.ok_or_else(none)?, json);
     }
     let count = |list: &str| found.names(list).len();
@@ -225,9 +231,10 @@
 
 fn replay(path: &std::path::Path, json: bool) -> Result<(), Failure> {
     use basaltpitch_planner::recording::{replay, ReplayOutcome};
-    let file = std::fs::File::open(path).map_err(|e| Failure::Wrong(format!("{}: {e}", path.display())))?;
+    let file =
+        std::fs::File::open(path).map_err(|e| Failure::InvalidInput(format!("{}: {e}", path.display())))?;
     let found = replay(std::io::BufReader::new(file));
-    match found.map_err(|e| Failure::Wrong(format!("{}: {e}", path.display())))? {
+    match found.map_err(|e| Failure::InvalidInput(format!("{}: {e}", path.display())))? {
         ReplayOutcome::Same { events, calls } if json => {
             println!("{}", serde_json::json!({"same": true, "told": events, "calls": calls}))
         }
--- a/cli/src/measure.rs
+++ b/cli/src/measure.rs
@@ -335,9 +335,9 @@
     /// Waits until it has a link to every machine.
     fn linked(&self, machines: usize) -> Result<(), Failure> {
         for _ in 0..600 {
-            let at = crate::ask::At { planner: self.address.clone(), login: String::new() };
-            let query = wire::Query { what: "machines".into(), about: String::new() };
-            let rows = crate::ask::question(&at, Body::Query(query))?;
+            let at = crate::ask::PlannerConnection { planner: self.address.clone(), login: String::new() };
+            let request = wire::Query { what: "machines".into(), about: String::new() };
+            let rows = crate::ask::query(&at, Body::Query(request))?;
             let well = |r: &&serde_json::Value| r["state"] == "ready";
             if rows.as_array().is_some_and(|rows| rows.iter().filter(well).count() >= machines.min(1000)) {
                 return Ok(());
@@ -416,7 +416,7 @@
 
         if self.people > 0 {
             let found = self.tenants(&files, folder, &register, zero, most.per_s / 2.0)?;
-            crate::ask::show(&found, json);
+            crate::ask::print_value(&found, json);
             return Ok(());
         }
         let (per_conn, per_task) = self.memory(&files, &register, zero)?;
--- a/cli/src/measure_council.rs
+++ b/cli/src/measure_council.rs
@@ -1,7 +1,7 @@
 //! `basaltpitch measure-council`: what the council costs each member and each voter, and what it costs
 //! members to tell each other how they are, by the number of members, with all of them as processes of this
 //! binary on loopback, each under a seat; and what the look at the term costs a launch.
-use crate::processes::{measured, site, Process, Used};
+use crate::processes::{measure_and_print, site, Process, Usage};
 use crate::Failure;
 use basaltpitch_planner::lease_client::LeaseDeadline;
 use basaltpitch_testbed::process_harness::free_addresses;
@@ -34,7 +34,7 @@
 
 /// Seconds of processor time that processes have used, and their memory in MiB.
 fn sum(all: &[Process]) -> io::Result<(f64, f64)> {
-    let each: io::Result<Vec<Used>> = all.iter().map(Process::used).collect();
+    let each: io::Result<Vec<Usage>> = all.iter().map(Process::used).collect();
     Ok(each?.iter().fold((0.0, 0.0), |s, x| (s.0 + x.cpu_s, s.1 + x.mib)))
 }
 
@@ -49,7 +49,7 @@
 
 impl Measure {
     pub fn run(self, as_json: bool) -> Result<(), Failure> {
-        measured("council", as_json, async |folder| {
+        measure_and_print("council", as_json, async |folder| {
             let mut rows = Vec::new();
             for &members in &self.members {
                 rows.push(self.measure(folder, members).await?);
@@ -60,7 +60,7 @@
         let begun = Instant::now();
         let held = (0..looks).filter(|_| std::hint::black_box(&tenure).is_held()).count();
         let look_ns = (begun.elapsed() / looks).as_nanos();
-        crate::ask::show(&json!({"look_ns": look_ns, "held": held}), as_json);
+        crate::ask::print_value(&json!({"look_ns": look_ns, "held": held}), as_json);
         Ok(())
     }
 
--- a/cli/src/measure_scale.rs
+++ b/cli/src/measure_scale.rs
@@ -7,7 +7,7 @@
 pub mod simulated;
 mod site;
 
-use crate::processes::measured_once;
+use crate::processes::measure_in_temp_folder;
 use crate::Failure;
 use run::ScaleRun;
 use serde_json::{json, Value};
@@ -148,7 +148,7 @@
 }
 
 fn wrong<T>(field: &str, found: impl std::fmt::Display, expected: &str) -> Result<T, Failure> {
-    Err(Failure::Wrong(format!("--{field}: found {found}; expected {expected}")))
+    Err(Failure::InvalidInput(format!("--{field}: found {found}; expected {expected}")))
 }
 
 /// What is told of a run while it goes on, on a terminal.
@@ -176,9 +176,11 @@
     pub fn run(self, as_json: bool) -> Result<(), Failure> {
         if self.believe {
             self.check()?;
-            let rows = measured_once("believe", async |folder: &Path| believe::believe(&self, folder).await)?;
+            let rows = measure_in_temp_folder("believe", async |folder: &Path| {
+                believe::believe(&self, folder).await
+            })?;
             let doubted = rows.iter().filter(|r| r["believed"] == false).count();
-            crate::ask::show(&Value::Array(rows), as_json);
+            crate::ask::print_value(&Value::Array(rows), as_json);
             return match doubted {
                 0 => Ok(()),
                 n => Err(Failure::Failed(format!(
@@ -194,7 +196,7 @@
         let page = self.into.as_ref().map(|page| pages::Page::find(page, &mark)).transpose()?;
         let mut found = Vec::new();
         for run in &runs {
-            found.push(measured_once("scale", async |folder: &Path| run.measure(folder).await)?);
+            found.push(measure_in_temp_folder("scale", async |folder: &Path| run.measure(folder).await)?);
         }
         let whole = match &sweep {
             None => found[0].clone(),
@@ -213,7 +215,7 @@
         } else {
             for (part, first) in PARTS.iter().filter(|p| !whole[p.0].is_null()) {
                 println!("{part}");
-                crate::ask::show(&rows_of(&whole[part], first), false);
+                crate::ask::print_value(&rows_of(&whole[part], first), false);
                 println!();
             }
         }
--- a/cli/src/measure_scale/believe.rs
+++ b/cli/src/measure_scale/believe.rs
@@ -142,8 +142,15 @@
         process.line().await?;
         process
     } else {
-        let mut process =
-            Process::that_listens(&["simulated", "machines", &file, "--first", "0", "--count", &count])?;
+        let mut process = Process::start_with_commands(&[
+            "simulated",
+            "machines",
+            &file,
+            "--first",
+            "0",
+            "--count",
+            &count,
+        ])?;
         let all = process.line().await?;
         all["machines"].as_array().into_iter().flatten().for_each(|m| text(m, "machine", "address"));
         process
@@ -183,7 +190,7 @@
     let (rate, runs) = (RATE.to_string(), RUNS_S.to_string());
     let args = ["simulated", "clients", "--planners", &listens, "--conns", "1", "--rate", &rate];
     let more = ["--runs", &runs, "--tenants", "5", "--seed", "7"];
-    let mut clients = Process::that_listens(&[&args[..], &more].concat())?;
+    let mut clients = Process::start_with_commands(&[&args[..], &more].concat())?;
     tokio::time::sleep(Duration::from_secs(ASKS_S)).await;
     clients.say("stop").await?;
     // All that was placed ends.
--- a/cli/src/measure_scale/pages.rs
+++ b/cli/src/measure_scale/pages.rs
@@ -150,7 +150,8 @@
         let (begins, ends) = (format!("<!-- measured: {name} -->"), "<!-- end -->");
         let shown = path.display();
         let text = std::fs::read_to_string(path);
-        let text = text.map_err(|e| Failure::Wrong(format!("--into: {shown}: {e}; expected a page")))?;
+        let text =
+            text.map_err(|e| Failure::InvalidInput(format!("--into: {shown}: {e}; expected a page")))?;
         let marks = text.split_once(&begins).and_then(|(before, rest)| {
             let (old, after) = rest.split_once(ends)?;
             (!old.contains("<!-- measured:")).then(|| (before.to_owned(), after.to_owned()))
--- a/cli/src/measure_scale/run.rs
+++ b/cli/src/measure_scale/run.rs
@@ -4,7 +4,7 @@
 mod start;
 
 use super::{progress, site, Fault, Measure, MOST_MIB};
-use crate::processes::{self, Process, Used};
+use crate::processes::{self, Process, Usage};
 use basaltpitch_testbed::relay::RelayControl;
 use basaltpitch_testbed::scale::traffic::{RelayCounts, Traffic};
 use futures_util::FutureExt;
@@ -60,10 +60,10 @@
 /// What is read at the beginning and at the end of the measured time.
 pub struct Reading {
     at: Instant,
-    used: Vec<(&'static str, Vec<Option<Used>>)>,
+    used: Vec<(&'static str, Vec<Option<Usage>>)>,
     /// Seconds of processor time that this process, and that all of the machine's, have used.
     own_s: f64,
-    busy_s: f64,
+    machine_cpu_s: f64,
     /// By seat and place: a successor is another planner.
     traffic: BTreeMap<(String, usize), Traffic>,
 }
@@ -171,7 +171,7 @@
             let (planners, conns) = (to.join(","), at.len().to_string());
             let args = ["simulated", "clients", "--planners", &planners, "--conns", &conns, "--rate", &rate];
             let more = ["--runs", &runs, "--tenants", &tenants, "--seed", &seed];
-            self.clients.push(Process::that_listens(&[&args[..], &more].concat())?);
+            self.clients.push(Process::start_with_commands(&[&args[..], &more].concat())?);
         }
         Ok(())
     }
@@ -223,9 +223,9 @@
         let used =
             self.roles().into_iter().map(|(r, all)| (r, all.into_iter().map(used).collect())).collect();
         self.sit()?;
-        let own_s = processes::used_by(std::process::id())?.cpu_s;
-        let busy_s = processes::busy_s()?;
-        Ok(Reading { at, used, own_s, busy_s, traffic: self.traffic().await? })
+        let own_s = processes::usage_of(std::process::id())?.cpu_s;
+        let machine_cpu_s = processes::machine_cpu_s()?;
+        Ok(Reading { at, used, own_s, machine_cpu_s, traffic: self.traffic().await? })
     }
 
     /// What each real planner carried so far.
--- a/cli/src/measure_scale/run/checks.rs
+++ b/cli/src/measure_scale/run/checks.rs
@@ -73,7 +73,7 @@
         let mut by: BTreeMap<(String, u64), usize> = BTreeMap::new();
         for row in rows.as_array().into_iter().flatten() {
             let seat = row["duty"].as_str().unwrap_or("");
-            if seat.starts_with(crate::council::SEATS) && row["state"] == "vote is out" {
+            if seat.starts_with(crate::council::SLOT_PREFIX) && row["state"] == "vote is out" {
                 *by.entry((seat.to_owned(), row["token"].as_u64().unwrap_or(0))).or_default() += 1;
             }
         }
--- a/cli/src/measure_scale/run/report.rs
+++ b/cli/src/measure_scale/run/report.rs
@@ -1,7 +1,7 @@
 //! What a run found: what processes used, what planners carried, and what became of the load.
 use super::{rounded, Reading, ScaleRun};
 use crate::measure_scale::progress;
-use crate::processes::Used;
+use crate::processes::Usage;
 use basaltpitch_testbed::scale::traffic::{FrameCount, Traffic, KINDS};
 use serde_json::{json, Map, Value};
 use std::io;
@@ -93,7 +93,7 @@
 
     fn seen(&self, before: &Reading, now: &Reading, sums: &MachineSums) -> Value {
         let seconds = (now.at - before.at).as_secs_f64();
-        let busy = (now.busy_s - before.busy_s) / seconds;
+        let busy = (now.machine_cpu_s - before.machine_cpu_s) / seconds;
         let own = (now.used_s() - before.used_s()) / seconds;
         json!({
             "all_seated_after_s": rounded(self.seats_after_s, 10.0),
@@ -114,8 +114,9 @@
 
 /// By role: mean and largest of what a process used.
 fn roles_of(before: &Reading, now: &Reading, seconds: f64) -> Value {
-    let row = |(role, all): &(&str, Vec<Option<Used>>), was: &[Option<Used>]| {
-        let both: Vec<(Used, Used)> = all.iter().zip(was).filter_map(|(a, b)| Some(((*a)?, (*b)?))).collect();
+    let row = |(role, all): &(&str, Vec<Option<Usage>>), was: &[Option<Usage>]| {
+        let both: Vec<(Usage, Usage)> =
+            all.iter().zip(was).filter_map(|(a, b)| Some(((*a)?, (*b)?))).collect();
         let count = both.len().max(1) as f64;
         let cpu: Vec<f64> = both.iter().map(|(a, b)| (a.cpu_s - b.cpu_s) / seconds * 100.0).collect();
         let most = |of: &mut dyn Iterator<Item = f64>| of.fold(0.0, f64::max);
--- a/cli/src/measure_scale/run/start.rs
+++ b/cli/src/measure_scale/run/start.rs
@@ -23,7 +23,7 @@
     progress("registers and machines start");
     let (mut registries, mut registry_addresses) = (Vec::new(), Vec::new());
     for _ in 0..2 {
-        let mut registry = Process::that_listens(&["simulated", "register"])?;
+        let mut registry = Process::start_with_commands(&["simulated", "register"])?;
         let line = registry.line().await?;
         registry_addresses.push(line["register"].as_str().unwrap_or("").to_owned());
         registries.push(registry);
@@ -54,7 +54,7 @@
         let args = ["simulated", "machines", file, "--first", &first, "--count", &count];
         let more = ["--register", registry, "--seed", &seed, "--restarts", &restarts];
         let load = ["--others", &absent, "--runs", &runs];
-        machines.push(Process::that_listens(&[&args[..], &more, &load].concat())?);
+        machines.push(Process::start_with_commands(&[&args[..], &more, &load].concat())?);
     }
     for process in &mut machines {
         process.line().await?;
@@ -148,7 +148,7 @@
             args.extend(files.files[from..to].iter().map(String::as_str));
             args.extend(["--register", &registry, "--listen", &listen, "--advertise", &advertise]);
             args.extend(["--zone", &zone]);
-            self.simulated.push(Process::that_listens(&args)?);
+            self.simulated.push(Process::start_with_commands(&args)?);
             // With subsets each visits all machines when it begins: a few at a time.
             self.seats(self.measure.real + to - places.start).await?;
             self.visited(from, to).await?;
--- a/cli/src/measure_scale/simulated.rs
+++ b/cli/src/measure_scale/simulated.rs
@@ -135,8 +135,11 @@
 impl Machines {
     fn run(self) -> Result<(), Failure> {
         let found = load(&[self.file])?;
-        let kind =
-            found.all.list("kinds").first().ok_or_else(|| Failure::Wrong("kinds: found none".into()))?;
+        let kind = found
+            .all
+            .list("kinds")
+            .first()
+            .ok_or_else(|| Failure::InvalidInput("kinds: found none".into()))?;
         let accepts = |field: &str, usual| found.all.number(field).unwrap_or(usual);
         let plan = machines::MachinesConfig {
             first: self.first,
@@ -182,13 +185,18 @@
             let mut args = vec!["planner", file, "--seat", "any"];
             let ways = [&self.register, &self.listen, &self.advertise, &self.zone];
             for (name, all) in ["--register", "--listen", "--advertise", "--zone"].into_iter().zip(ways) {
-                let none =
-                    || Failure::Wrong(format!("{name}: found {}; expected {}", all.len(), self.files.len()));
+                let none = || {
+                    Failure::InvalidInput(format!(
+                        "{name}: found {}; expected {}",
+                        all.len(),
+                        self.files.len()
+                    ))
+                };
                 args.extend([name, all.get(n).ok_or_else(none)?]);
             }
-            let one = One::try_parse_from(args).map_err(|e| Failure::Wrong(e.to_string()))?;
+            let one = One::try_parse_from(args).map_err(|e| Failure::InvalidInput(e.to_string()))?;
             std::thread::spawn(move || {
-                if let Err(Failure::Failed(why) | Failure::Wrong(why)) = one.serve.run(true) {
+                if let Err(Failure::Failed(why) | Failure::InvalidInput(why)) = one.serve.run(true) {
                     eprintln!("a hollow planner ended: {why}");
                 }
             });
--- a/cli/src/measure_seats.rs
+++ b/cli/src/measure_seats.rs
@@ -1,7 +1,7 @@
 //! `basaltpitch measure-seats`: how long a seat stands without a planner when its holder is killed, stopped,
 //! or told to stop, with voters and planners as processes of this binary on loopback. Fails if a seat's epoch
 //! does not rise.
-use crate::processes::{measured, site, Process};
+use crate::processes::{measure_and_print, site, Process};
 use crate::Failure;
 use basaltpitch_testbed::process_harness::free_addresses;
 use hdrhistogram::Histogram;
@@ -45,7 +45,7 @@
 
 impl Measure {
     pub fn run(self, as_json: bool) -> Result<(), Failure> {
-        measured("seats", as_json, async |folder| self.measure(folder).await)
+        measure_and_print("seats", as_json, async |folder| self.measure(folder).await)
     }
 
     async fn measure(&self, folder: &Path) -> io::Result<Vec<Value>> {
--- a/cli/src/measure_tenants.rs
+++ b/cli/src/measure_tenants.rs
@@ -2,7 +2,7 @@
 //! in turn, so that both meet the same machine and the same minute. Then the time from a change in the
 //! directory to a planner's knowledge of it, by each way of reading.
 use super::{failed, local, on_thread, Arrivals, Load, Measure, Planner, Saw};
-use crate::ask::{question, At};
+use crate::ask::{query, PlannerConnection};
 use crate::Failure;
 use basaltpitch_agent::wire::{self, Body};
 use basaltpitch_testbed::ldap_server::{self, ldap_entry, LdapEntry};
@@ -80,12 +80,12 @@
     Ok(file)
 }
 
-fn ask(at: &At, what: &str, about: &str) -> Result<serde_json::Value, Failure> {
-    question(at, Body::Query(wire::Query { what: what.into(), about: about.into() }))
+fn ask(at: &PlannerConnection, what: &str, about: &str) -> Result<serde_json::Value, Failure> {
+    query(at, Body::Query(wire::Query { what: what.into(), about: about.into() }))
 }
 
 /// Waits until a planner has heard all of the directory.
-fn heard(at: &At) -> Result<(), Failure> {
+fn heard(at: &PlannerConnection) -> Result<(), Failure> {
     for _ in 0..2400 {
         if ask(at, "directory", "")?["state"] == "fresh" {
             return Ok(());
@@ -121,7 +121,7 @@
         let plain = Planner::start(files, register, None)?;
         let learns = Planner::start(&with("30s", false)?, register, None)?;
         let often = Planner::start(&with("200ms", false)?, register, None)?;
-        let at = |p: &Planner| At { planner: p.address.clone(), login: "p1".into() };
+        let at = |p: &Planner| PlannerConnection { planner: p.address.clone(), login: "p1".into() };
         for p in [&plain, &learns, &often] {
             p.linked(self.machines)?;
         }
--- a/cli/src/node.rs
+++ b/cli/src/node.rs
@@ -34,6 +34,6 @@
 
     /// The configuration cannot be used.
     fn unusable(&self, error: &dyn Display) -> Failure {
-        Failure::Wrong(format!("{}: {error}", self.config.display()))
+        Failure::InvalidInput(format!("{}: {error}", self.config.display()))
     }
 }
--- a/cli/src/processes.rs
+++ b/cli/src/processes.rs
@@ -10,7 +10,7 @@
 
 /// What a process has used: seconds of processor time, memory in MiB, and descriptors that are open.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Used {
+pub struct Usage {
     pub cpu_s: f64,
     pub mib: f64,
     pub descriptors: usize,
@@ -29,7 +29,7 @@
     }
 
     /// One that takes words, a line each, and ends when there are no more.
-    pub fn that_listens(args: &[&str]) -> io::Result<Process> {
+    pub fn start_with_commands(args: &[&str]) -> io::Result<Process> {
         Process::start_with(args, true)
     }
 
@@ -65,8 +65,8 @@
         serde_json::from_str(&line).map_err(io::Error::other)
     }
 
-    pub fn used(&self) -> io::Result<Used> {
-        used_by(self.id()?)
+    pub fn used(&self) -> io::Result<Usage> {
+        usage_of(self.id()?)
     }
 
     pub fn id(&self) -> io::Result<u32> {
@@ -75,18 +75,18 @@
 }
 
 /// What a process has used, of /proc: clock ticks are of 10 ms, pages of 4 KiB.
-pub fn used_by(id: u32) -> io::Result<Used> {
+pub fn usage_of(id: u32) -> io::Result<Usage> {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
     let after = stat.rsplit(')').next().unwrap_or("");
     let ticks = |n: usize| after.split_whitespace().nth(n).and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
     let pages = std::fs::read_to_string(format!("/proc/{id}/statm"))?;
     let pages = pages.split_whitespace().nth(1).and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
     let descriptors = std::fs::read_dir(format!("/proc/{id}/fd"))?.count();
-    Ok(Used { cpu_s: (ticks(11) + ticks(12)) / 100.0, mib: pages * 4.0 / 1024.0, descriptors })
+    Ok(Usage { cpu_s: (ticks(11) + ticks(12)) / 100.0, mib: pages * 4.0 / 1024.0, descriptors })
 }
 
 /// Seconds of processor time that all of the machine has used, of /proc.
-pub fn busy_s() -> io::Result<f64> {
+pub fn machine_cpu_s() -> io::Result<f64> {
     let stat = std::fs::read_to_string("/proc/stat")?;
     let ticks: Vec<f64> = stat.lines().next().unwrap_or("").split_whitespace().flat_map(str::parse).collect();
     // All but idle and waiting for a disk.
@@ -110,18 +110,21 @@
 }
 
 /// Measures in a folder that is gone afterwards, and shows the rows.
-pub fn measured(
+pub fn measure_and_print(
     name: &str,
     as_json: bool,
     measure: impl AsyncFnOnce(&Path) -> io::Result<Vec<Value>>,
 ) -> Result<(), Failure> {
-    let found = measured_once(name, measure)?;
-    crate::ask::show(&Value::Array(found), as_json);
+    let found = measure_in_temp_folder(name, measure)?;
+    crate::ask::print_value(&Value::Array(found), as_json);
     Ok(())
 }
 
 /// The same without showing what was found. Told to stop, it ends what was started.
-pub fn measured_once<T>(name: &str, measure: impl AsyncFnOnce(&Path) -> io::Result<T>) -> Result<T, Failure> {
+pub fn measure_in_temp_folder<T>(
+    name: &str,
+    measure: impl AsyncFnOnce(&Path) -> io::Result<T>,
+) -> Result<T, Failure> {
     let failed = |e: io::Error| Failure::Failed(e.to_string());
     let folder = std::env::temp_dir().join(format!("basaltpitch-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(failed)?;
@@ -129,7 +132,7 @@
     let found = tokio::task::LocalSet::new().block_on(&runtime, async {
         tokio::select! {
             found = measure(&folder) => found,
-            () = crate::council::told_to_stop() => Err(io::Error::other("told to stop")),
+            () = crate::council::stop_signal() => Err(io::Error::other("told to stop")),
         }
     });
     let _ = std::fs::remove_dir_all(&folder);
--- a/cli/src/roll.rs
+++ b/cli/src/roll.rs
@@ -1,7 +1,7 @@
 //! `basaltpitch roll`: the machines of a zone restart a few at a time. What is wanted is left in the
 //! council's record, where the planner that conducts finds it; how far it is stands there too.
-use crate::ask::show;
-use crate::council::{needed, records};
+use crate::ask::print_value;
+use crate::council::{records, required_quorum_settings};
 use crate::{load, Failure};
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::session::{LinkConfig, PeerIdentity};
@@ -180,17 +180,19 @@
 impl Roll {
     pub fn run(self, as_json: bool) -> Result<(), Failure> {
         let site = load(&self.files)?;
-        let (terms, voters) = needed(&site)?;
+        let (terms, voters) = required_quorum_settings(&site)?;
         for (flag, seconds) in
             [("--empty-within", self.empty_within), ("--restart-within", self.restart_within)]
         {
             if !(seconds > 0.0 && seconds < 1e7) {
-                return Err(Failure::Wrong(format!("{flag}: found {seconds}; expected seconds over 0")));
+                return Err(Failure::InvalidInput(format!(
+                    "{flag}: found {seconds}; expected seconds over 0"
+                )));
             }
         }
         if let Some(zone) = self.zone.as_ref().filter(|z| !site.names("zones").contains(*z)) {
             let known = site.names("zones").join(", ");
-            return Err(Failure::Wrong(format!("--zone: found {zone:?}; expected one of {known}")));
+            return Err(Failure::InvalidInput(format!("--zone: found {zone:?}; expected one of {known}")));
         }
         let (wish, far) = record(&voters)?;
         // What stands open: wanted and not begun, or begun and not over.
@@ -216,7 +218,7 @@
                 return Err(Failure::Failed(why));
             }
             (None, _) if !self.pause && !self.resume && !self.stop => {
-                show(&told(wish.as_ref(), far.as_ref(), as_json), as_json);
+                print_value(&told(wish.as_ref(), far.as_ref(), as_json), as_json);
                 return Ok(());
             }
             (None, None) => return Err(Failure::Failed("found no roll that is open".into())),
@@ -228,7 +230,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| Failure::Failed(e.to_string()))?;
         let plan = tokio::task::LocalSet::new().block_on(&runtime, leave(terms, voters, plan))?;
-        show(&told(Some(&plan), far.as_ref(), as_json), as_json);
+        print_value(&told(Some(&plan), far.as_ref(), as_json), as_json);
         Ok(())
     }
 }
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -1,5 +1,5 @@
 //! `basaltpitch serve`: one planner, under a name and number of its own or under a seat of the council.
-use crate::council::{council_of, open, seats, told_to_stop, SEATS};
+use crate::council::{open, quorum_settings, seats, stop_signal, SLOT_PREFIX};
 use crate::{load, Failure};
 use basaltpitch::host::{Settings, Value};
 use basaltpitch_agent::session::{LinkConfig, PeerIdentity};
@@ -103,7 +103,7 @@
         let installation = load(&self.files)?;
         let zones = installation.names("zones");
         if !zones.contains(&self.zone) {
-            return Err(Failure::Wrong(format!(
+            return Err(Failure::InvalidInput(format!(
                 "--zone: found {:?}; expected one of {}",
                 self.zone,
                 zones.join(", ")
@@ -115,19 +115,19 @@
         let started = since.map_or(1, |d| d.as_micros() as u64);
         if self.seat.is_some() {
             // A spare must not find only once it is seated that it cannot serve.
-            crate::clauses_of(&installation)?;
-            crate::directory_of(&installation)?;
+            crate::named_constraints(&installation)?;
+            crate::directory_settings(&installation)?;
             let tried = std::net::TcpListener::bind(&self.listen);
-            tried.map_err(|e| Failure::Wrong(format!("--listen {}: {e}", self.listen)))?;
+            tried.map_err(|e| Failure::InvalidInput(format!("--listen {}: {e}", self.listen)))?;
         }
-        let council = council_of(&installation);
+        let council = quorum_settings(&installation);
         let links = LinkConfig { heartbeat_us: installation.heartbeat_us(), ..LinkConfig::default() };
         match (&self.name, &self.seat, council) {
             // Two planners under one number would each spend the whole of its part of the budgets.
-            (Some(name), _, Some(_)) => Err(Failure::Wrong(format!(
+            (Some(name), _, Some(_)) => Err(Failure::InvalidInput(format!(
                 "--name: found {name:?} beside a council; expected --seat any or a seat's name"
             ))),
-            (None, Some(seat), None) => Err(Failure::Wrong(format!(
+            (None, Some(seat), None) => Err(Failure::InvalidInput(format!(
                 "--seat: found {seat:?} without a council; expected one in the installation, or --name"
             ))),
             (None, Some(seat), Some((terms, voters))) => {
@@ -136,7 +136,7 @@
                     all.iter().filter(|s| seat == "any" || ***s == **seat).cloned().collect();
                 if may.is_empty() {
                     let most = all.len() - 1;
-                    return Err(Failure::Wrong(format!(
+                    return Err(Failure::InvalidInput(format!(
                         "--seat: found {seat:?}; expected any, or planner-0 to planner-{most}"
                     )));
                 }
@@ -148,7 +148,7 @@
                     vec![rolling_restart::RESTART_LEASE.into(), zone_monitor::LEASE_NAME.into()],
                     vec![rolling_restart::PLAN_LEASE.into()],
                 );
-                let (peers, words) = (Some(SEATS.into()), vec![zone_monitor::LEASE_NAME.into()]);
+                let (peers, words) = (Some(SLOT_PREFIX.into()), vec![zone_monitor::LEASE_NAME.into()]);
                 let start = LeaseClientConfig {
                     lease_config: terms,
                     voters,
@@ -174,7 +174,9 @@
                 };
                 runtime.block_on(self.live(&installation, life, stop, json))
             }
-            (Some(_), Some(_), None) | (None, None, _) => Err(Failure::Wrong("--name: expected one".into())),
+            (Some(_), Some(_), None) | (None, None, _) => {
+                Err(Failure::InvalidInput("--name: expected one".into()))
+            }
         }
     }
 
@@ -191,7 +193,7 @@
             (LeaseDeadline::default(), mpsc::channel(16), mpsc::channel(16));
         let council =
             tokio::task::spawn_local(lease_client::run(start, tenure.clone(), words_out, wishes_in));
-        let stopped = told_to_stop();
+        let stopped = stop_signal();
         tokio::pin!(stopped);
         tracing::info!("waiting for a seat");
         let done = loop {
@@ -250,7 +252,7 @@
         let planners = installation.all.number("planners").unwrap_or(1.0) as usize;
         if number >= planners {
             let most = planners - 1;
-            return Err(Failure::Wrong(format!("--number: found {number}; expected 0 to {most}")));
+            return Err(Failure::InvalidInput(format!("--number: found {number}; expected 0 to {most}")));
         }
         let seat = PlannerSlot { number, planners, zone: self.zone.clone() };
         let value = |laid| match laid {
@@ -259,12 +261,12 @@
         };
         let given: Settings = installation.flatten(&seat).into_iter().map(|(k, v)| (k, value(v))).collect();
         let part = under.as_ref().and_then(|under| part(installation, &under.seats, number));
-        let clauses = crate::clauses_of(installation)?;
-        let directory = crate::directory_of(installation)?;
+        let clauses = crate::named_constraints(installation)?;
+        let directory = crate::directory_settings(installation)?;
         let store = match (self.state.as_ref().map(|folder| open(folder, &name)).transpose(), &under) {
             (Ok(store), _) => store,
             // The one before may still have the file, stopped as it is: the seat matters more.
-            (Err(Failure::Wrong(why) | Failure::Failed(why)), Some(_)) => {
+            (Err(Failure::InvalidInput(why) | Failure::Failed(why)), Some(_)) => {
                 tracing::error!(why, "serving without what is remembered");
                 None
             }
@@ -276,7 +278,8 @@
                 path.push(format!(".{epoch}"));
             }
             let file = std::fs::File::create(&path);
-            let file = file.map_err(|e| Failure::Wrong(format!("--record {}: {e}", path.display())))?;
+            let file =
+                file.map_err(|e| Failure::InvalidInput(format!("--record {}: {e}", path.display())))?;
             Ok::<Box<dyn Write + Send>, Failure>(Box::new(file))
         });
         let record = record.transpose()?;
@@ -287,7 +290,8 @@
             registry_address: self.register.clone(),
         };
         let listener = tokio::net::TcpListener::bind(&self.listen).await;
-        let listener = listener.map_err(|e| Failure::Wrong(format!("--listen {}: {e}", self.listen)))?;
+        let listener =
+            listener.map_err(|e| Failure::InvalidInput(format!("--listen {}: {e}", self.listen)))?;
         let at = listener.local_addr().map_err(|e| Failure::Failed(e.to_string()))?;
         if json {
             println!(
--- a/cli/src/tenants.rs
+++ b/cli/src/tenants.rs
@@ -1,5 +1,5 @@
 //! `basaltpitch tenants`: what a planner knows of tenants, and the state of the directory.
-use crate::ask::{question, show, At};
+use crate::ask::{print_value, query, PlannerConnection};
 use crate::Failure;
 use basaltpitch_agent::wire::{self, Body};
 use basaltpitch_ldap::{sync, DirectorySettings, SyncState};
@@ -10,7 +10,7 @@
 #[derive(clap::Args)]
 pub struct Tenants {
     #[command(flatten)]
-    at: At,
+    at: PlannerConnection,
     #[command(subcommand)]
     what: Asks,
 }
@@ -40,12 +40,12 @@
             Asks::Why { login, tenant } => ("why", format!("{login} {tenant}")),
             Asks::Directory => ("directory", String::new()),
             Asks::Accept => {
-                show(&question(&self.at, Body::Accept(wire::Accept {}))?, json);
+                print_value(&query(&self.at, Body::Accept(wire::Accept {}))?, json);
                 return Ok(());
             }
         };
-        let query = wire::Query { what: what.into(), about };
-        show(&question(&self.at, Body::Query(query))?, json);
+        let request = wire::Query { what: what.into(), about };
+        print_value(&query(&self.at, Body::Query(request))?, json);
         Ok(())
     }
 }
@@ -73,7 +73,7 @@
             "groups": count(|w| *w == EntryKind::Group), "people": count(|w| *w == EntryKind::Person),
         }));
     }
-    show(&rows.into(), json);
+    print_value(&rows.into(), json);
     if wrong > 0 {
         return Err(Failure::Failed(format!("{wrong} of the servers gave less than all")));
     }
