--- a/cli/src/constraints.rs
+++ b/cli/src/constraints.rs
@@ -1,46 +1,51 @@
-//! `basaltpitch constraints`: what clauses say, what they would break, and clauses taken in service.
+//! `basaltpitch constraints`: checks, explains, compares and applies placement constraints.
 use crate::ask::{print_value, query, value_text, PlannerConnection};
 use crate::{load, named_constraints, Failure};
 use basaltpitch_agent::wire::{self, Body};
 use std::path::PathBuf;
 
+/// The subcommands of `basaltpitch constraints`.
 #[derive(clap::Subcommand)]
 pub enum Constraints {
-    /// Check the clauses of an installation's files, and list them
+    /// Validate the placement constraints of an installation's files, and list them
     Check {
+        /// The installation's files
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Which clauses bind a task, and what each leaves
+    /// Show which constraints apply to a task, and how many machines each one allows
     Explain(Explain),
-    /// What the clauses of changed files would break of what runs
+    /// Show which running tasks would violate the constraints of changed files
     Diff(Changed),
-    /// Let the clauses of changed files bind, whole or not at all. The planner reads its own files when it
-    /// starts
+    /// Apply the constraints of changed files to the planner, all of them or none; its restart reads its own
+    /// files again
     Take(Changed),
 }
 
+/// The arguments of `basaltpitch constraints diff` and `take`.
 #[derive(clap::Args)]
 pub struct Changed {
     #[command(flatten)]
-    at: PlannerConnection,
+    connection: PlannerConnection,
+    /// The installation's files with the changed constraints
     #[arg(required = true)]
     files: Vec<PathBuf>,
 }
 
 impl Changed {
+    /// Sends the constraints to the planner, which applies them only with `take`, and prints the violations.
     fn run(self, take: bool, json: bool) -> Result<(), Failure> {
-        let clauses = named_constraints(&load(&self.files)?)?;
-        let text = serde_json::to_string(&clauses).map_err(|e| Failure::Failed(e.to_string()))?;
-        let told = query(&self.at, Body::Clauses(wire::Clauses { json: text, take }))?;
-        let broken = told["broken"].as_array().map_or(0, Vec::len);
+        let constraints = named_constraints(&load(&self.files)?)?;
+        let text = serde_json::to_string(&constraints).map_err(|e| Failure::Failed(e.to_string()))?;
+        let response = query(&self.connection, Body::Clauses(wire::Clauses { json: text, take }))?;
+        let violation_count = response["broken"].as_array().map_or(0, Vec::len);
         if json {
-            print_value(&told, true);
+            print_value(&response, true);
         } else {
-            let word = if take { "taken" } else { "not taken" };
-            println!("{} clauses, {word}; {broken} that run break them", clauses.len());
-            if broken > 0 {
-                print_value(&told["broken"], false);
+            let state = if take { "taken" } else { "not taken" };
+            println!("{} clauses, {state}; {violation_count} that run break them", constraints.len());
+            if violation_count > 0 {
+                print_value(&response["broken"], false);
             }
         }
         Ok(())
@@ -48,14 +53,16 @@
 }
 
 impl Constraints {
+    /// Runs the chosen subcommand.
     pub fn run(self, json: bool) -> Result<(), Failure> {
         match self {
             Constraints::Check { files } => {
-                let clauses = named_constraints(&load(&files)?)?;
-                let rows = clauses.iter().map(|(c, place)| {
-                    let how = c.preference_rank.map_or("must".to_owned(), |rank| format!("prefer {rank}"));
-                    let rule = serde_json::to_value(&c.rule).unwrap_or_default();
-                    serde_json::json!({"clause": place, "how": how, "rule": rule})
+                let constraints = named_constraints(&load(&files)?)?;
+                let rows = constraints.iter().map(|(constraint, label)| {
+                    let strength =
+                        constraint.preference_rank.map_or("must".to_owned(), |rank| format!("prefer {rank}"));
+                    let rule = serde_json::to_value(&constraint.rule).unwrap_or_default();
+                    serde_json::json!({"clause": label, "how": strength, "rule": rule})
                 });
                 print_value(&rows.collect(), json);
                 Ok(())
@@ -67,26 +74,30 @@
     }
 }
 
+/// The arguments of `basaltpitch constraints explain`.
 #[derive(clap::Args)]
 pub struct Explain {
     #[command(flatten)]
-    at: PlannerConnection,
-    /// The key of a task that the planner knows
+    connection: PlannerConnection,
+    /// Key of a task that the planner knows
     #[arg(required_unless_present = "framework")]
     key: Option<String>,
-    /// Instead of a known task: one of this framework
+    /// Framework of a task that is not submitted yet, in place of a key
     #[arg(long, conflicts_with = "key")]
     framework: Option<String>,
+    /// Tenant of that task
     #[arg(long, default_value = "", requires = "framework")]
     tenant: String,
+    /// Service number of that task
     #[arg(long, default_value_t = 0, requires = "framework")]
     service: u64,
-    /// Which clauses forbid each machine now
+    /// Also list each machine with the constraints that exclude it now
     #[arg(long)]
     machines: bool,
 }
 
 impl Explain {
+    /// Queries the planner and prints its verdict, the constraints and, if requested, the machines.
     pub fn run(self, json: bool) -> Result<(), Failure> {
         let about = match self.key {
             Some(key) => serde_json::json!({"key": key, "machines": self.machines}),
@@ -94,22 +105,22 @@
                 "service": self.service, "machines": self.machines}),
         };
         let request = wire::Query { what: "explain".into(), about: about.to_string() };
-        let told = query(&self.at, Body::Query(request))?;
+        let response = query(&self.connection, Body::Query(request))?;
         if json {
-            print_value(&told, true);
+            print_value(&response, true);
             return Ok(());
         }
-        match told["verdict"].as_str() {
-            Some(words) => println!("{words}"),
+        match response["verdict"].as_str() {
+            Some(verdict) => println!("{verdict}"),
             None => println!(
                 "no machine that is known could ever meet together: {}",
-                value_text(&told["verdict"]["never"])
+                value_text(&response["verdict"]["never"])
             ),
         }
-        for part in ["clauses", "machines"] {
-            if !told[part].as_array().is_none_or(Vec::is_empty) {
+        for section in ["clauses", "machines"] {
+            if !response[section].as_array().is_none_or(Vec::is_empty) {
                 println!();
-                print_value(&told[part], false);
+                print_value(&response[section], false);
             }
         }
         Ok(())
--- a/cli/src/council.rs
+++ b/cli/src/council.rs
@@ -1,5 +1,5 @@
 //! `basaltpitch voter` and `basaltpitch council`: the agreed record of who holds what.
-use crate::ask::{ask, print_value, PlannerConnection};
+use crate::ask::{print_value, send_request, PlannerConnection};
 use crate::{load, Failure};
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::wire::{self, Body, Role};
@@ -129,7 +129,7 @@
 pub fn send_to_all(voters: &[VoterEndpoint], body: &Body) -> Result<PerVoter<Body>, Failure> {
     let one = |way: &VoterEndpoint| {
         let at = PlannerConnection { planner: way.address.clone(), login: String::new() };
-        match ask(&at, Role::Operator, body.clone(), Duration::from_secs(2)) {
+        match send_request(&at, Role::Operator, body.clone(), Duration::from_secs(2)) {
             Ok(body) => Ok((way.name.clone(), Ok(body))),
             Err(Failure::Failed(why)) => Ok((way.name.clone(), Err(why))),
             Err(wrong) => Err(wrong),
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,5 @@
-//! `basaltpitch`: the planner service and the operators' command line.
+//! The `basaltpitch` binary: the planner and voter servers, the operators' commands, and the commands that
+//! test and measure an installation.
 mod ask;
 mod constraints;
 mod council;
@@ -27,14 +28,14 @@
     Json,
 }
 
-/// A scheduler for long-running tasks. Exit codes: 0 done, 1 it did not work out, 2 wrong input.
+/// A scheduler for long-running tasks. Exit codes: 0 success, 1 failure, 2 invalid input.
 #[derive(Parser)]
 #[command(version, about, max_term_width = 110)]
 struct Cli {
-    /// How results and logs are written
+    /// Format of results on standard output and of logs on standard error
     #[arg(short, long, global = true, value_enum, default_value = "text")]
     output: Output,
-    /// What is logged on standard error, such as `info` or `basaltpitch_planner=debug`
+    /// Log filter for standard error, such as `info` or `basaltpitch_planner=debug`
     #[arg(long, global = true, default_value = "warn", env = "BASALTPITCH_LOG")]
     log: String,
     #[command(subcommand)]
@@ -45,62 +46,66 @@
 enum Command {
     /// Run a planner
     Serve(serve::Serve),
-    /// Run a voter of the council, which agrees on which planner has which seat
+    /// Run a voter; a quorum of voters grants each planner slot's lease to one process
     Voter(council::Vote),
-    /// Show who holds what, as each voter of the council has it
+    /// Show the holder of each lease as recorded by each voter, or transfer a lease
     Council(council::Show),
-    /// Restart the machines of a zone a few at a time, whichever planner conducts it
+    /// Start, pause, stop or show a rolling restart of a zone's machines
     Roll(roll::Roll),
-    /// Run a planner on the platform, from the configuration that it hands over
+    /// Run a planner on the platform, with the configuration file that the platform provides
     Node(node::Node),
-    /// Run stand-in machines, with a register that lists them
+    /// Run simulated machines and a registry that lists them
     Machine(machine::Machine),
-    /// Play a scripted day of trouble on loopback and judge the five rules by the traffic
+    /// Run a fault scenario on loopback and check the invariants against the recorded traffic
     Drill(drill::Drill),
-    /// Check an installation's files
+    /// Validate an installation's files
     Check {
+        /// The installation's files
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Ask each server of the directory for everything, too; no planner is touched
+        /// Also read all entries from each server of the tenant directory; no planner is contacted
         #[arg(long)]
         directory: bool,
     },
-    /// Submit a task and wait for its answer
+    /// Submit a task and wait for its final answer
     Submit(ask::Submit),
-    /// Show open and placed tasks, or one
+    /// Show open and placed tasks, or one task by its key
     Tasks(ask::Tasks),
-    /// Show what a planner believes of each machine
+    /// Show a planner's state of each machine: link, usage, remaining capacity
     Machines(ask::PlannerConnection),
-    /// Show a planner's name, epoch and counts
+    /// Show a planner's name, epoch and counters
     Planner(ask::PlannerConnection),
-    /// Drain a machine, or take that back
+    /// Drain a machine, or end its drain
     Drain(ask::Drain),
-    /// Clauses on where tasks may run
+    /// Check, explain, compare or apply placement constraints
     #[command(subcommand)]
     Constraints(constraints::Constraints),
-    /// What a planner knows of tenants, and the state of the directory
+    /// Show a planner's tenants, their members and the state of the tenant directory
     Tenants(tenants::Tenants),
-    /// Measure what one planner carries, beside the bare decisions on the same events
+    /// Measure one planner's throughput and latency, and compare with a replay of its decisions alone
     Measure(measure::Measure),
-    /// Measure how long a seat stands without a planner when its holder ceases
+    /// Measure how long a planner slot has no holder after its holder fails or stops
     MeasureSeats(measure_seats::Measure),
-    /// Measure what the council costs members and voters, by the number of members
+    /// Measure the cost of leases for planners and voters, by the number of planners
     MeasureCouncil(measure_council::Measure),
-    /// Measure planners, voters and the register in a fleet of full size, most of it hollow
+    /// Measure planners, voters and the registry in a full-size, mostly simulated fleet
     MeasureScale(measure_scale::Measure),
-    /// Hollow machines, their register, planners and clients: what `measure-scale` starts
+    /// Run simulated machines, registries, planners or clients; started by `measure-scale`
     #[command(hide = true, subcommand, alias = "hollow")]
     Simulated(measure_scale::simulated::Simulated),
-    /// Tell the decisions what a recording holds and compare their calls
-    Replay { file: PathBuf },
+    /// Replay a planner's recording and compare the calls it makes with the recorded ones
+    Replay {
+        /// The recording, as written by `serve --record`
+        file: PathBuf,
+    },
 }
 
-/// What went wrong, by exit code.
+/// Why a command failed; the variant selects the exit code.
 #[derive(Debug)]
 enum Failure {
-    /// 1: it was tried and did not work out.
+    /// Exit code 1: the operation was attempted and failed. An empty text prints nothing.
     Failed(String),
-    /// 2: the input was wrong.
+    /// Exit code 2: an option, a file or a setting is invalid.
     InvalidInput(String),
 }
 
@@ -110,8 +115,8 @@
     let filter = match filter {
         Ok(filter) => filter,
         Err(e) => {
-            return fail(Failure::InvalidInput(format!(
-                "--log: found {:?} ({e}); expected such as info",
+            return report_failure(Failure::InvalidInput(format!(
+                "--log: found {:?} ({e}); expected a filter such as info",
                 cli.log
             )))
         }
@@ -119,13 +124,13 @@
     let logs = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
-        .with_ansi(logs_have_colours());
+        .with_ansi(logs_are_coloured());
     match cli.output {
         Output::Json => logs.json().init(),
         Output::Text => logs.init(),
     }
     let json = cli.output == Output::Json;
-    let done = match cli.command {
+    let result = match cli.command {
         Command::Serve(serve) => serve.run(json),
         Command::Voter(voter) => voter.run(json),
         Command::Council(council) => council.run(json),
@@ -148,19 +153,20 @@
         Command::Simulated(simulated) => simulated.run(),
         Command::Replay { file } => replay(&file, json),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => fail(failure),
+        Err(failure) => report_failure(failure),
     }
 }
 
-/// Colour codes go to a terminal only, and to none where `NO_COLOR` is set to anything.
-fn logs_have_colours() -> bool {
-    let is_unwanted = std::env::var_os("NO_COLOR").is_some_and(|value| !value.is_empty());
-    std::io::stderr().is_terminal() && !is_unwanted
+/// Returns whether logs are coloured: only on a terminal, and only while `NO_COLOR` is unset or empty.
+fn logs_are_coloured() -> bool {
+    let is_disabled = std::env::var_os("NO_COLOR").is_some_and(|value| !value.is_empty());
+    std::io::stderr().is_terminal() && !is_disabled
 }
 
-fn fail(failure: Failure) -> ExitCode {
+/// Prints the failure's text on standard error and returns its exit code.
+fn report_failure(failure: Failure) -> ExitCode {
     let (text, code) = match failure {
         Failure::Failed(text) => (text, 1),
         Failure::InvalidInput(text) => (text, 2),
@@ -171,46 +177,47 @@
     ExitCode::from(code)
 }
 
-/// Reads an installation, or says all that is wrong with it.
+/// Loads an installation; the error lists every fault in its files.
 fn load(files: &[PathBuf]) -> Result<Installation, Failure> {
-    installation::load(files).map_err(|(sources, faults)| wrong(&sources, &faults))
+    installation::load(files).map_err(|(sources, faults)| config_failure(&sources, &faults))
 }
 
-/// All that is wrong with files, each with its lines.
-fn wrong(sources: &Sources, faults: &[ConfigError]) -> Failure {
-    let text = faults.iter().map(|f| format!("{}\n{:?}", f.render(sources), f.report(sources)));
+/// Builds the error that lists each fault with the source lines it refers to.
+fn config_failure(sources: &Sources, faults: &[ConfigError]) -> Failure {
+    let text = faults.iter().map(|fault| format!("{}\n{:?}", fault.render(sources), fault.report(sources)));
     Failure::InvalidInput(text.collect::<Vec<_>>().join("\n"))
 }
 
-/// The directory that an installation's files name, or all that is wrong with it.
+/// Returns the tenant directory's settings, `None` where the files configure no directory.
 fn directory_settings(found: &Installation) -> Result<Option<basaltpitch_ldap::DirectorySettings>, Failure> {
-    basaltpitch_ldap::read_settings(&found.all).map_err(|faults| wrong(&found.sources, &faults))
+    basaltpitch_ldap::read_settings(&found.all).map_err(|faults| config_failure(&found.sources, &faults))
 }
 
-/// The clauses of an installation's files with a name and place of each, or all that is wrong with them.
+/// Returns the placement constraints of an installation's files, each with its name and `(file:line)`.
 fn named_constraints(
     found: &Installation,
 ) -> Result<Vec<(basaltpitch_constraints::Constraint, String)>, Failure> {
-    let read =
-        basaltpitch_constraints::parse::parse(&found.all).map_err(|faults| wrong(&found.sources, &faults))?;
-    let placed = |c: basaltpitch_constraints::Constraint| {
-        let (file, line, _) = found.sources.location(c.at);
-        let words = format!("{} ({file}:{line})", c.name);
-        (c, words)
+    let constraints = basaltpitch_constraints::parse::parse(&found.all)
+        .map_err(|faults| config_failure(&found.sources, &faults))?;
+    let with_location = |constraint: basaltpitch_constraints::Constraint| {
+        let (file, line, _) = found.sources.location(constraint.at);
+        let label = format!("{} ({file}:{line})", constraint.name);
+        (constraint, label)
     };
-    Ok(read.into_iter().map(placed).collect())
+    Ok(constraints.into_iter().map(with_location).collect())
 }
 
-fn check(files: &[PathBuf], ask: bool, json: bool) -> Result<(), Failure> {
+/// Validates an installation's files; with `read_directory` also reads the tenant directory's servers.
+fn check(files: &[PathBuf], read_directory: bool, json: bool) -> Result<(), Failure> {
     let found = load(files)?;
     named_constraints(&found)?;
     let directory = directory_settings(&found)?;
-    if ask {
+    if read_directory {
         let none =
             || Failure::InvalidInput("--directory: found no directory in these files; expected one".into());
         return tenants::try_directory(&directory.ok_or_else(none)?, json);
     }
-    let count = |list: &str| found.names(list).len();
+    let name_count = |list: &str| found.names(list).len();
     if json {
         let found = serde_json::json!({
             "frameworks": found.names("frameworks"), "kinds": found.names("kinds"),
@@ -220,15 +227,16 @@
     } else {
         println!(
             "right: {} frameworks, {} kinds of machine, {} zones, {} tenants",
-            count("frameworks"),
-            count("kinds"),
-            count("zones"),
-            count("tenants")
+            name_count("frameworks"),
+            name_count("kinds"),
+            name_count("zones"),
+            name_count("tenants")
         );
     }
     Ok(())
 }
 
+/// Replays a recording and fails at the first call that differs from the recorded one.
 fn replay(path: &std::path::Path, json: bool) -> Result<(), Failure> {
     use basaltpitch_planner::recording::{replay, ReplayOutcome};
     let file =
--- a/cli/src/tenants.rs
+++ b/cli/src/tenants.rs
@@ -1,4 +1,4 @@
-//! `basaltpitch tenants`: what a planner knows of tenants, and the state of the directory.
+//! `basaltpitch tenants`: queries a planner about tenants, their members and the tenant directory.
 use crate::ask::{print_value, query, PlannerConnection};
 use crate::Failure;
 use basaltpitch_agent::wire::{self, Body};
@@ -7,75 +7,96 @@
 use clap::Subcommand;
 use std::time::Instant;
 
+/// The arguments of `basaltpitch tenants`.
 #[derive(clap::Args)]
 pub struct Tenants {
     #[command(flatten)]
-    at: PlannerConnection,
+    connection: PlannerConnection,
     #[command(subcommand)]
-    what: Asks,
+    what: TenantQuery,
 }
 
 #[derive(Subcommand)]
-enum Asks {
-    /// All tenants, with their names of before for a while
+enum TenantQuery {
+    /// List all tenants, with former names while they are still accepted
     List,
-    /// One tenant, by its name or id
-    Show { tenant: String },
-    /// The people in a tenant, and through which groups
-    Members { tenant: String },
-    /// Whether and why someone may submit for a tenant
-    Why { login: String, tenant: String },
-    /// Whether the directory is heard, and what is held
+    /// Show one tenant
+    Show {
+        /// Name or id of the tenant
+        tenant: String,
+    },
+    /// List the people of a tenant, with the groups they belong to it through
+    Members {
+        /// Name or id of the tenant
+        tenant: String,
+    },
+    /// Show whether a person may submit tasks for a tenant, and why
+    Why {
+        /// Login of the person
+        login: String,
+        /// Name or id of the tenant
+        tenant: String,
+    },
+    /// Show whether the directory's data is fresh, and which changes are held back
     Directory,
-    /// Believe what the directory lacks, or that it was set back
+    /// Accept a held-back sync: many missing entries, or a directory restored to an older state
     Accept,
 }
 
 impl Tenants {
+    /// Sends the query or the acceptance to the planner and prints its answer.
     pub fn run(self, json: bool) -> Result<(), Failure> {
         let (what, about) = match self.what {
-            Asks::List => ("tenants", String::new()),
-            Asks::Show { tenant } => ("tenant", tenant),
-            Asks::Members { tenant } => ("members", tenant),
-            Asks::Why { login, tenant } => ("why", format!("{login} {tenant}")),
-            Asks::Directory => ("directory", String::new()),
-            Asks::Accept => {
-                print_value(&query(&self.at, Body::Accept(wire::Accept {}))?, json);
+            TenantQuery::List => ("tenants", String::new()),
+            TenantQuery::Show { tenant } => ("tenant", tenant),
+            TenantQuery::Members { tenant } => ("members", tenant),
+            TenantQuery::Why { login, tenant } => ("why", format!("{login} {tenant}")),
+            TenantQuery::Directory => ("directory", String::new()),
+            TenantQuery::Accept => {
+                print_value(&query(&self.connection, Body::Accept(wire::Accept {}))?, json);
                 return Ok(());
             }
         };
         let request = wire::Query { what: what.into(), about };
-        print_value(&query(&self.at, Body::Query(request))?, json);
+        print_value(&query(&self.connection, Body::Query(request))?, json);
         Ok(())
     }
 }
 
-/// Reads everything from each server of a directory and says what came. No planner is touched.
+/// Reads all entries from each server of a tenant directory and prints one row per server. No planner is
+/// contacted.
+///
+/// # Errors
+/// `Failed` where a server cannot be read or an entry has a problem.
 pub fn try_directory(directory: &DirectorySettings, json: bool) -> Result<(), Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| Failure::Failed(e.to_string()))?;
+    let runtime = runtime.map_err(|error| Failure::Failed(error.to_string()))?;
     let mut rows = Vec::new();
-    let mut wrong = 0;
+    let mut incomplete_servers = 0;
     for (server, url) in directory.source.urls.iter().enumerate() {
-        let began = Instant::now();
-        let swept = tokio::task::LocalSet::new()
+        let started = Instant::now();
+        let synced = tokio::task::LocalSet::new()
             .block_on(&runtime, sync(&directory.source, server, SyncState::default(), || ()));
-        let took_ms = began.elapsed().as_millis() as u64;
-        let (entries, lacks) = match swept {
-            Ok(swept) => (swept.sweep.entries, swept.problems),
-            Err(fault) => (Vec::new(), vec![fault.to_string()]),
+        let took_ms = started.elapsed().as_millis() as u64;
+        let (entries, problems) = match synced {
+            Ok(synced) => (synced.sweep.entries, synced.problems),
+            Err(error) => (Vec::new(), vec![error.to_string()]),
+        };
+        incomplete_servers += usize::from(!problems.is_empty());
+        let count = |matches_kind: fn(&EntryKind) -> bool| {
+            entries.iter().filter(|entry| matches_kind(&entry.kind)).count()
         };
-        wrong += usize::from(!lacks.is_empty());
-        let count = |is: fn(&EntryKind) -> bool| entries.iter().filter(|e| is(&e.kind)).count();
         rows.push(serde_json::json!({
-            "server": url, "all": lacks.is_empty(), "lacks": lacks, "took_ms": took_ms,
-            "tenants": count(|w| matches!(w, EntryKind::Tenant { .. })),
-            "groups": count(|w| *w == EntryKind::Group), "people": count(|w| *w == EntryKind::Person),
+            "server": url, "all": problems.is_empty(), "lacks": problems, "took_ms": took_ms,
+            "tenants": count(|kind| matches!(kind, EntryKind::Tenant { .. })),
+            "groups": count(|kind| *kind == EntryKind::Group), "people": count(|kind| *kind == EntryKind::Person),
         }));
     }
     print_value(&rows.into(), json);
-    if wrong > 0 {
-        return Err(Failure::Failed(format!("{wrong} of the servers gave less than all")));
+    if incomplete_servers > 0 {
+        return Err(Failure::Failed(format!(
+            "{incomplete_servers} directory servers could not be read completely"
+        )));
     }
     Ok(())
 }
