--- a/cli/src/council.rs
+++ b/cli/src/council.rs
@@ -1,4 +1,5 @@
-//! `basaltpitch voter` and `basaltpitch council`: the agreed record of who holds what.
+//! `basaltpitch voter` runs a voter; `basaltpitch council` shows and transfers the leases that a quorum of voters
+//! grants.
 use crate::ask::{print_value, send_request, PlannerConnection};
 use crate::{load, Failure};
 use basaltpitch_agent::link::Clock;
@@ -14,95 +15,110 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// The arguments of `basaltpitch voter`.
 #[derive(clap::Args)]
-pub struct Vote {
+pub struct RunVoter {
     /// The installation's files
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Which of the installation's voters it is
+    /// Name of this voter in the installation
     #[arg(long)]
     name: String,
-    /// A folder for what it voted. Without it a start waits for a term and for the other voters
+    /// Folder for the voter's votes. Without it every start waits for one lease duration and for the votes of
+    /// the other voters
     #[arg(long)]
     state: Option<PathBuf>,
 }
 
+/// The arguments of `basaltpitch council`.
 #[derive(clap::Args)]
-pub struct Show {
+pub struct ShowLeases {
     /// The installation's files
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Who held each duty since when, the newest last, as the voters remember it
+    /// Show who held each lease since when, the latest holder last, as the voters remember it
     #[arg(long, conflicts_with = "hand_on")]
     history: bool,
-    /// Have this duty's or seat's holder give it to another process
+    /// Transfer this lease, such as a planner's slot, from its holder to another process
     #[arg(long)]
     hand_on: Option<String>,
-    /// To this process, by its name; else to whichever asks first
+    /// Name of the process to transfer the lease to; by default the first that requests it
     #[arg(long, requires = "hand_on")]
     to: Option<String>,
 }
 
-/// How long votes are valid and where the voters are, where an installation has voters.
-pub fn quorum_settings(found: &Installation) -> Option<(LeaseConfig, Vec<VoterEndpoint>)> {
-    let council = found.all.get("council")?;
-    let time = |field: &str| council.duration_us(field).unwrap_or(0);
-    let text = |v: &basaltpitch_config::ResolvedValue, field: &str| v.text(field).unwrap_or("").to_owned();
-    let way = |v| VoterEndpoint { name: text(v, "name"), address: text(v, "address") };
+/// Returns the lease durations and the voters' addresses, `None` where the installation has no voters.
+pub fn quorum_settings(installation: &Installation) -> Option<(LeaseConfig, Vec<VoterEndpoint>)> {
+    let quorum = installation.all.get("council")?;
+    let duration_us = |field: &str| quorum.duration_us(field).unwrap_or(0);
+    let text =
+        |record: &basaltpitch_config::ResolvedValue, field: &str| record.text(field).unwrap_or("").to_owned();
+    let voter = |record| VoterEndpoint { name: text(record, "name"), address: text(record, "address") };
     Some((
-        LeaseConfig { duration_us: time("term"), clock_drift_us: time("drift") },
-        council.list("voters").iter().map(way).collect(),
+        LeaseConfig { duration_us: duration_us("term"), clock_drift_us: duration_us("drift") },
+        quorum.list("voters").iter().map(voter).collect(),
     ))
 }
 
-/// What the names of all slots begin with.
+/// The common prefix of all slot names.
 pub const SLOT_PREFIX: &str = "planner-";
 
-/// The slots of an installation, by the number of the planner.
-pub fn seats(found: &Installation) -> Vec<Rc<str>> {
-    let planners = found.all.number("planners").unwrap_or(1.0) as usize;
+/// Returns the slot names of an installation, indexed by planner number.
+pub fn slot_names(installation: &Installation) -> Vec<Rc<str>> {
+    let planners = installation.all.number("planners").unwrap_or(1.0) as usize;
     (0..planners).map(|n| format!("{SLOT_PREFIX}{n}").into()).collect()
 }
 
-/// How long votes are valid and where the voters are; an error where an installation has none.
-pub fn required_quorum_settings(found: &Installation) -> Result<(LeaseConfig, Vec<VoterEndpoint>), Failure> {
-    let none = || Failure::InvalidInput("council: found none in these files; expected its voters".into());
-    quorum_settings(found).ok_or_else(none)
+/// Returns the lease durations and the voters' addresses; an installation without voters is invalid input.
+pub fn required_quorum_settings(
+    installation: &Installation,
+) -> Result<(LeaseConfig, Vec<VoterEndpoint>), Failure> {
+    let none = || {
+        Failure::InvalidInput("council: found none in these files; expected a council with its voters".into())
+    };
+    quorum_settings(installation).ok_or_else(none)
 }
 
-/// Opens a store in a folder; a file that could not be read is set aside and named.
-pub fn open(folder: &Path, name: &str) -> Result<SnapshotStore, Failure> {
-    let wrong = |e: String| Failure::InvalidInput(format!("--state {}: {e}", folder.display()));
+/// Opens the store `NAME.store` in a folder, which is created if it is missing. An unreadable file is renamed,
+/// and the store starts empty.
+pub fn open_store(folder: &Path, name: &str) -> Result<SnapshotStore, Failure> {
+    let invalid = |e: String| Failure::InvalidInput(format!("--state {}: {e}", folder.display()));
     if name.contains(['/', '\\']) || name.starts_with('.') {
-        return Err(Failure::InvalidInput(format!("--name: found {name:?}; expected a plain name")));
+        return Err(Failure::InvalidInput(format!(
+            "--name: found {name:?}; expected a name without slashes or a leading dot"
+        )));
     }
-    std::fs::create_dir_all(folder).map_err(|e| wrong(e.to_string()))?;
-    let (store, found) =
-        SnapshotStore::open(&folder.join(format!("{name}.store"))).map_err(|e| wrong(e.to_string()))?;
-    if let OpenOutcome::SetAside { to, reason } = found {
-        tracing::error!(to = %to.display(), why = reason, "a file that cannot be read was set aside");
+    std::fs::create_dir_all(folder).map_err(|e| invalid(e.to_string()))?;
+    let (store, outcome) =
+        SnapshotStore::open(&folder.join(format!("{name}.store"))).map_err(|e| invalid(e.to_string()))?;
+    if let OpenOutcome::SetAside { to, reason } = outcome {
+        tracing::error!(to = %to.display(), why = reason, "store file is unreadable; renamed it and started an empty store");
     }
     Ok(store)
 }
 
-/// Done at SIGINT or SIGTERM.
+/// Completes when the process receives SIGINT or SIGTERM.
 pub async fn stop_signal() {
-    let term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate());
-    let Ok(mut term) = term else { return drop(tokio::signal::ctrl_c().await) };
+    let sigterm = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate());
+    let Ok(mut sigterm) = sigterm else { return drop(tokio::signal::ctrl_c().await) };
     tokio::select! {
         _ = tokio::signal::ctrl_c() => {}
-        _ = term.recv() => {}
+        _ = sigterm.recv() => {}
     }
 }
 
-impl Vote {
+impl RunVoter {
+    /// Serves as a voter until SIGINT or SIGTERM.
     pub fn run(self, json: bool) -> Result<(), Failure> {
-        let (terms, voters) = required_quorum_settings(&load(&self.files)?)?;
+        let (lease_config, voters) = required_quorum_settings(&load(&self.files)?)?;
         let names: Vec<&str> = voters.iter().map(|v| v.name.as_str()).collect();
-        let none = || format!("--name: found {:?}; expected one of {}", self.name, names.join(", "));
-        let me = names.iter().position(|n| *n == self.name).ok_or_else(|| Failure::InvalidInput(none()))?;
-        let store = self.state.as_ref().map(|folder| open(folder, &self.name)).transpose()?;
-        let address = voters[me].address.clone();
+        let unknown_name = || format!("--name: found {:?}; expected one of {}", self.name, names.join(", "));
+        let index = names
+            .iter()
+            .position(|n| *n == self.name)
+            .ok_or_else(|| Failure::InvalidInput(unknown_name()))?;
+        let store = self.state.as_ref().map(|folder| open_store(folder, &self.name)).transpose()?;
+        let address = voters[index].address.clone();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| Failure::Failed(e.to_string()))?;
         runtime.block_on(async {
@@ -115,65 +131,71 @@
                 println!("{} listens on {address}", self.name);
             }
             let _ = std::io::stdout().flush();
-            let start = VoterConfig { name: self.name, lease_config: terms, voters, index: me, store };
-            voter_server::serve(listener, start, stop_signal()).await;
+            let config = VoterConfig { name: self.name, lease_config, voters, index, store };
+            voter_server::serve(listener, config, stop_signal()).await;
             Ok(())
         })
     }
 }
 
-/// By voter's name: what came of a question to it, or why nothing did.
+/// For each voter, by name: the result of a request to it, or why there is none.
 type PerVoter<T> = Vec<(String, Result<T, String>)>;
 
-/// What each voter answers to a frame, by its name; a voter that does not is named with the reason.
+/// Sends one frame to each voter in turn and returns the answers. A voter without an answer gets the reason.
+///
+/// # Errors
+/// A voter ended the link with a reason (`InvalidInput`).
 pub fn send_to_all(voters: &[VoterEndpoint], body: &Body) -> Result<PerVoter<Body>, Failure> {
-    let one = |way: &VoterEndpoint| {
-        let at = PlannerConnection { planner: way.address.clone(), login: String::new() };
-        match send_request(&at, Role::Operator, body.clone(), Duration::from_secs(2)) {
-            Ok(body) => Ok((way.name.clone(), Ok(body))),
-            Err(Failure::Failed(why)) => Ok((way.name.clone(), Err(why))),
-            Err(wrong) => Err(wrong),
+    let request = |voter: &VoterEndpoint| {
+        let connection = PlannerConnection { planner: voter.address.clone(), login: String::new() };
+        match send_request(&connection, Role::Operator, body.clone(), Duration::from_secs(2)) {
+            Ok(body) => Ok((voter.name.clone(), Ok(body))),
+            Err(Failure::Failed(why)) => Ok((voter.name.clone(), Err(why))),
+            Err(invalid) => Err(invalid),
         }
     };
-    voters.iter().map(one).collect()
+    voters.iter().map(request).collect()
 }
 
-/// What each voter keeps; notes and who held what only where asked for.
-pub fn records(voters: &[VoterEndpoint], brief: bool) -> Result<PerVoter<wire::Kept>, Failure> {
+/// Returns the lease records of each voter; `brief` leaves out lease metadata and past holders.
+pub fn voter_records(voters: &[VoterEndpoint], brief: bool) -> Result<PerVoter<wire::Kept>, Failure> {
     let kept = |(name, answer): (String, Result<Body, String>)| match answer {
         Ok(Body::Kept(kept)) => (name, Ok(kept)),
         Ok(_) => (name, Err("another answer than was asked for".into())),
         Err(why) => (name, Err(why)),
     };
-    let all = send_to_all(voters, &Body::Record(wire::Record { brief, ..wire::Record::default() }))?;
-    Ok(all.into_iter().map(kept).collect())
+    let answers = send_to_all(voters, &Body::Record(wire::Record { brief, ..wire::Record::default() }))?;
+    Ok(answers.into_iter().map(kept).collect())
 }
 
-/// The holder that most voters have of a duty, and its token.
-fn holder(voters: &[VoterEndpoint], duty: &str) -> Result<Option<(String, u64)>, Failure> {
-    let all = records(voters, true)?;
-    let kept = all.iter().filter_map(|r| r.1.as_ref().ok()).flat_map(|k| &k.duties);
-    let out = kept.filter(|d| d.duty == duty && d.left_us > 0).map(|d| (d.holder.clone(), d.token));
-    Ok(majority_value(voters.len(), out))
+/// Returns the holder of a lease and its fencing token, as a majority of the voters records them.
+fn majority_holder(voters: &[VoterEndpoint], lease: &str) -> Result<Option<(String, u64)>, Failure> {
+    let records = voter_records(voters, true)?;
+    let leases = records.iter().filter_map(|record| record.1.as_ref().ok()).flat_map(|record| &record.duties);
+    let held = leases
+        .filter(|lease_record| lease_record.duty == lease && lease_record.left_us > 0)
+        .map(|lease_record| (lease_record.holder.clone(), lease_record.token));
+    Ok(majority_value(voters.len(), held))
 }
 
-impl Show {
+impl ShowLeases {
+    /// Shows the leases or their history, or transfers a lease, as the options say.
     pub fn run(self, as_json: bool) -> Result<(), Failure> {
-        let (terms, voters) = required_quorum_settings(&load(&self.files)?)?;
+        let (lease_config, voters) = required_quorum_settings(&load(&self.files)?)?;
         match self.hand_on {
-            Some(duty) => hand_on(&terms, &voters, &duty, self.to, as_json),
-            None if self.history => history(&voters, as_json),
-            None => standing(&voters, as_json),
+            Some(lease) => transfer_lease(&lease_config, &voters, &lease, self.to, as_json),
+            None if self.history => show_history(&voters, as_json),
+            None => show_leases(&voters, as_json),
         }
     }
 }
 
-/// Who holds what, as each voter has it.
-fn standing(voters: &[VoterEndpoint], as_json: bool) -> Result<(), Failure> {
+/// Prints the holder of each lease as each voter records it.
+fn show_leases(voters: &[VoterEndpoint], as_json: bool) -> Result<(), Failure> {
     let mut rows = Vec::new();
-    for (voter, kept) in records(voters, true)? {
-        let row = |duty: &str, holder: &str, token: u64, left_us: i64, state: &str| {
-            json!({"voter": voter, "duty": duty, "holder": holder, "token": token,
+    for (voter, kept) in voter_records(voters, true)? {
+        let row = |lease: &str, holder: &str, token: u64, left_us: i64, state: &str| {
+            json!({"voter": voter, "duty": lease, "holder": holder, "token": token,
                 "left_ms": left_us / 1000, "state": state})
         };
         match kept {
@@ -181,9 +203,15 @@
                 let votes = kept.whole && kept.votes_in_us == 0;
                 let state = if votes { "votes" } else { "waits for a term and the other voters" };
                 rows.push(row("", "", 0, kept.votes_in_us, state));
-                for d in kept.duties {
-                    let state = if d.left_us > 0 { "vote is out" } else { "vote is free" };
-                    rows.push(row(&d.duty, &d.holder, d.token, d.left_us, state));
+                for lease_record in kept.duties {
+                    let state = if lease_record.left_us > 0 { "vote is out" } else { "vote is free" };
+                    rows.push(row(
+                        &lease_record.duty,
+                        &lease_record.holder,
+                        lease_record.token,
+                        lease_record.left_us,
+                        state,
+                    ));
                 }
             }
             Err(why) => rows.push(row("", "", 0, 0, &why)),
@@ -193,64 +221,74 @@
     Ok(())
 }
 
-/// Who held what since when: each holder once, from the first voter that has it.
-fn history(voters: &[VoterEndpoint], as_json: bool) -> Result<(), Failure> {
-    let mut all = std::collections::BTreeMap::new();
-    for (voter, kept) in records(voters, false)? {
+/// Prints past and present holders, each once, with the earliest start that any voter records.
+fn show_history(voters: &[VoterEndpoint], as_json: bool) -> Result<(), Failure> {
+    let mut holders = std::collections::BTreeMap::new();
+    for (voter, kept) in voter_records(voters, false)? {
         let kept = kept.unwrap_or_else(|why| {
-            tracing::warn!(voter, why, "this voter is not heard");
+            tracing::warn!(voter, why, "no answer from this voter; leaving its records out");
             wire::Kept::default()
         });
-        for d in kept.duties {
-            for p in d.past {
-                let since = all.entry((d.duty.clone(), p.token, p.holder)).or_insert(p.since_us);
-                *since = p.since_us.min(*since);
+        for lease_record in kept.duties {
+            for past in lease_record.past {
+                let since = holders
+                    .entry((lease_record.duty.clone(), past.token, past.holder))
+                    .or_insert(past.since_us);
+                *since = past.since_us.min(*since);
             }
         }
     }
     let now = Clock::start().now();
-    let row = |((duty, token, holder), since): ((String, u64, String), i64)| {
-        let ago = (now - since) / 1_000_000;
-        json!({"duty": duty, "holder": holder, "token": token, "since_s_ago": ago, "since_us": since})
+    let row = |((lease, token, holder), since): ((String, u64, String), i64)| {
+        let elapsed_s = (now - since) / 1_000_000;
+        json!({"duty": lease, "holder": holder, "token": token, "since_s_ago": elapsed_s, "since_us": since})
     };
-    print_value(&Value::Array(all.into_iter().map(row).collect()), as_json);
+    print_value(&Value::Array(holders.into_iter().map(row).collect()), as_json);
     Ok(())
 }
 
-/// Passes the wish on to the holder, and waits until most voters have another.
-fn hand_on(
-    terms: &LeaseConfig,
+/// Asks the holder, through the voters, to transfer the lease and waits until a majority records a new holder.
+fn transfer_lease(
+    lease_config: &LeaseConfig,
     voters: &[VoterEndpoint],
-    duty: &str,
+    lease: &str,
     to: Option<String>,
     as_json: bool,
 ) -> Result<(), Failure> {
-    let Some((from, token)) = holder(voters, duty)? else {
-        return Err(Failure::Failed(format!("--hand-on: found no holder of {duty:?} among most voters")));
+    let Some((from, token)) = majority_holder(voters, lease)? else {
+        return Err(Failure::Failed(format!(
+            "--hand-on: found no holder of {lease:?} on a majority of the voters"
+        )));
     };
-    let wish = wire::HandOn { duty: duty.to_owned(), to: to.unwrap_or_default(), token };
+    let request = wire::HandOn { duty: lease.to_owned(), to: to.unwrap_or_default(), token };
     let mut faults = Vec::new();
-    for (voter, answer) in send_to_all(voters, &Body::HandOn(wish))? {
-        let told = match answer {
-            Ok(Body::Told(told)) => serde_json::from_str(&told.json).unwrap_or(Value::Null),
-            Ok(_) => json!({"fault": "another answer than was asked for"}),
+    for (voter, answer) in send_to_all(voters, &Body::HandOn(request))? {
+        let reply = match answer {
+            Ok(Body::Told(reply)) => serde_json::from_str(&reply.json).unwrap_or(Value::Null),
+            Ok(_) => json!({"fault": "received another message type; expected the result of the transfer"}),
             Err(why) => json!({"fault": why}),
         };
-        if told["passed_on"] != true {
-            faults.push(format!("{voter}: {}", told["fault"].as_str().unwrap_or("not passed on")));
+        if reply["passed_on"] != true {
+            faults.push(format!(
+                "{voter}: {}",
+                reply["fault"].as_str().unwrap_or("the request was not forwarded to the holder")
+            ));
         }
     }
-    // One that passed it on is enough: the holder gives it back to all. The others may have another by then.
+    // One voter that forwarded the request is enough, because the holder releases the lease at all voters.
+    // Another voter may have recorded the next holder by then, and reports a fault.
     if faults.len() == voters.len() {
-        return Err(Failure::Failed(format!("--hand-on {duty}: {}", faults.join("; "))));
+        return Err(Failure::Failed(format!("--hand-on {lease}: {}", faults.join("; "))));
     }
-    let until = std::time::Instant::now() + Duration::from_micros(3 * terms.recovery_wait_us() as u64);
+    let until = std::time::Instant::now() + Duration::from_micros(3 * lease_config.recovery_wait_us() as u64);
     while std::time::Instant::now() < until {
-        if let Some((holder, newer)) = holder(voters, duty)?.filter(|h| h.1 > token) {
-            print_value(&json!({"duty": duty, "from": from, "holder": holder, "token": newer}), as_json);
+        if let Some((holder, newer)) = majority_holder(voters, lease)?.filter(|found| found.1 > token) {
+            print_value(&json!({"duty": lease, "from": from, "holder": holder, "token": newer}), as_json);
             return Ok(());
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    Err(Failure::Failed(format!("--hand-on {duty}: nobody took it in three terms; it was with {from}")))
+    Err(Failure::Failed(format!(
+        "--hand-on {lease}: no new holder after waiting for three lease durations; it was held by {from}"
+    )))
 }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -47,9 +47,9 @@
     /// Run a planner
     Serve(serve::Serve),
     /// Run a voter; a quorum of voters grants each planner slot's lease to one process
-    Voter(council::Vote),
+    Voter(council::RunVoter),
     /// Show the holder of each lease as recorded by each voter, or transfer a lease
-    Council(council::Show),
+    Council(council::ShowLeases),
     /// Start, pause, stop or show a rolling restart of a zone's machines
     Roll(roll::Roll),
     /// Run a planner on the platform, with the configuration file that the platform provides
--- a/cli/src/roll.rs
+++ b/cli/src/roll.rs
@@ -1,7 +1,8 @@
-//! `basaltpitch roll`: the machines of a zone restart a few at a time. What is wanted is left in the
-//! council's record, where the planner that conducts finds it; how far it is stands there too.
+//! `basaltpitch roll`: starts, changes and shows the rolling restart of a zone's machines. The command stores the
+//! restart plan as lease metadata with the voters; the planner that coordinates rolling restarts reads the plan
+//! there and stores its progress as the metadata of its own lease.
 use crate::ask::print_value;
-use crate::council::{records, required_quorum_settings};
+use crate::council::{required_quorum_settings, voter_records};
 use crate::{load, Failure};
 use basaltpitch_agent::link::Clock;
 use basaltpitch_agent::session::{LinkConfig, PeerIdentity};
@@ -17,107 +18,124 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
+/// The arguments of `basaltpitch roll`.
 #[derive(clap::Args)]
 pub struct Roll {
     /// The installation's files
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Begin a roll of this zone's machines
+    /// Start a rolling restart of this zone's machines
     #[arg(long, conflicts_with = "change")]
     zone: Option<String>,
-    /// So many machines are drained at once, at the most
+    /// Maximum number of machines that are drained at the same time
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..))]
     at_once: u16,
-    /// Seconds that a machine is given to become empty
+    /// Seconds that a machine may take to become empty after its drain starts
     #[arg(long, default_value_t = 600.0)]
     empty_within: f64,
-    /// Seconds that it is then given to restart
+    /// Seconds that an empty machine may take to restart
     #[arg(long, default_value_t = 300.0)]
     restart_within: f64,
-    /// Drain no further machine for now
+    /// Pause: drain no further machine until --resume
     #[arg(long, group = "change")]
     pause: bool,
-    /// Go on with what was paused
+    /// Resume a paused rolling restart
     #[arg(long, group = "change")]
     resume: bool,
-    /// End the roll: what is drained is let go
+    /// End the rolling restart and the drains that it started
     #[arg(long, group = "change")]
     stop: bool,
-    /// Say how far it is; the same without any flag
+    /// Show the progress; the default without any option
     #[arg(long, group = "change")]
     status: bool,
 }
 
-/// The note of a duty that a majority of the voters keeps.
-fn kept(voters: &[VoterEndpoint], answers: &[wire::Kept], duty: &str) -> Option<Vec<u8>> {
-    let all = answers.iter().flat_map(|k| &k.duties).filter(|d| d.duty == duty && !d.note.is_empty());
-    let note = majority_value(voters.len(), all.map(|d| (d.note_token, d.note_number, &d.note)));
-    note.map(|n| n.2.clone())
+/// Returns the metadata of a lease that a majority of the voters stores.
+fn stored_metadata(voters: &[VoterEndpoint], answers: &[wire::Kept], lease_name: &str) -> Option<Vec<u8>> {
+    let leases = answers
+        .iter()
+        .flat_map(|record| &record.duties)
+        .filter(|lease| lease.duty == lease_name && !lease.note.is_empty());
+    let metadata =
+        majority_value(voters.len(), leases.map(|lease| (lease.note_token, lease.note_number, &lease.note)));
+    metadata.map(|newest| newest.2.clone())
 }
 
-/// What operators want, and how far it is, as a majority of the voters keeps it.
-fn record(
+/// Returns the restart plan and the progress of its execution, as a majority of the voters stores them.
+fn stored_plan(
     voters: &[VoterEndpoint],
 ) -> Result<(Option<RestartPlan>, Option<RestartProgress<String>>), Failure> {
     let (mut answers, mut faults) = (Vec::new(), Vec::new());
-    for (voter, kept) in records(voters, false)? {
-        match kept {
-            Ok(kept) => answers.push(kept),
+    for (voter, record) in voter_records(voters, false)? {
+        match record {
+            Ok(record) => answers.push(record),
             Err(why) => faults.push(format!("{voter}: {why}")),
         }
     }
     if 2 * answers.len() <= voters.len() {
         let (found, of) = (answers.len(), voters.len());
         let why = faults.join("; ");
-        return Err(Failure::Failed(format!("found {found} of {of} voters; expected most of them ({why})")));
+        return Err(Failure::Failed(format!(
+            "found {found} of {of} voters; expected a majority of them ({why})"
+        )));
     }
-    let sense = |e: serde_json::Error| Failure::Failed(format!("the record of the roll: {e}"));
-    let wish =
-        kept(voters, &answers, PLAN_LEASE).map(|n| serde_json::from_slice(&n)).transpose().map_err(sense)?;
-    let far = kept(voters, &answers, RESTART_LEASE)
+    let unreadable = |e: serde_json::Error| {
+        Failure::Failed(format!("the stored plan or progress of the rolling restart cannot be read: {e}"))
+    };
+    let plan = stored_metadata(voters, &answers, PLAN_LEASE)
+        .map(|n| serde_json::from_slice(&n))
+        .transpose()
+        .map_err(unreadable)?;
+    let progress = stored_metadata(voters, &answers, RESTART_LEASE)
         .map(|n| serde_json::from_slice(&n))
         .transpose()
-        .map_err(sense)?;
-    Ok((wish, far))
+        .map_err(unreadable)?;
+    Ok((plan, progress))
 }
 
-/// Leaves a plan in the record, once a majority keeps it.
-async fn leave(
-    terms: LeaseConfig,
+/// Acquires the plan's lease, stores the plan as its metadata and returns the plan with its id once a majority
+/// of the voters stores it.
+async fn store_plan(
+    lease_config: LeaseConfig,
     voters: Vec<VoterEndpoint>,
     plan: RestartPlan,
 ) -> Result<RestartPlan, Failure> {
     let epoch = Clock::start().now() as u64;
     let name = format!("command-{}", std::process::id());
-    let me = PeerIdentity { role: Role::Planner, name, epoch, link: 0, login: String::new() };
-    let (acts, mut duties) = mpsc::channel(16);
-    let start = LeaseClientConfig {
+    let identity = PeerIdentity { role: Role::Planner, name, epoch, link: 0, login: String::new() };
+    let (event_sender, mut lease_events) = mpsc::channel(16);
+    let config = LeaseClientConfig {
         slot_prefix: None,
         announced: Vec::new(),
-        lease_config: terms,
+        lease_config,
         voters,
         slots: Vec::new(),
         leases: vec![PLAN_LEASE.into()],
         followed: Vec::new(),
-        events: Some(acts),
-        identity: me,
+        events: Some(event_sender),
+        identity,
         links: LinkConfig::default(),
         seed: epoch,
     };
-    let ((words, _words), (wishes, wishes_in)) = (mpsc::channel(1), mpsc::channel(4));
-    let council =
-        tokio::task::spawn_local(lease_client::run(start, LeaseDeadline::default(), words, wishes_in));
-    let within = Duration::from_micros(3 * terms.recovery_wait_us() as u64) + Duration::from_secs(2);
-    let done = tokio::time::timeout(within, async {
+    let ((slot_events, _slot_event_receiver), (commands, command_receiver)) =
+        (mpsc::channel(1), mpsc::channel(4));
+    let client = tokio::task::spawn_local(lease_client::run(
+        config,
+        LeaseDeadline::default(),
+        slot_events,
+        command_receiver,
+    ));
+    let timeout = Duration::from_micros(3 * lease_config.recovery_wait_us() as u64) + Duration::from_secs(2);
+    let stored = tokio::time::timeout(timeout, async {
         let mut plan = plan;
-        while let Some(word) = duties.recv().await {
-            match word {
+        while let Some(event) = lease_events.recv().await {
+            match event {
                 LeaseEvent::Records(_) | LeaseEvent::HeldSlots(_) => {}
                 LeaseEvent::Acquired { token, .. } => {
-                    // A new roll is named by the token: it rises from one to the next.
+                    // A new rolling restart takes the fencing token as its id, because tokens only increase.
                     plan.id = if plan.id == 0 { token } else { plan.id };
                     let text = serde_json::to_vec(&plan).map_err(|e| Failure::Failed(e.to_string()))?;
-                    let _ = wishes
+                    let _ = commands
                         .send(LeaseCommand::WriteMetadata { lease: PLAN_LEASE.into(), token, metadata: text })
                         .await;
                 }
@@ -125,18 +143,20 @@
                 LeaseEvent::Lost { .. } | LeaseEvent::MetadataChanged { .. } => {}
             }
         }
-        Err(Failure::Failed("the council's task ended".into()))
+        Err(Failure::Failed("the lease client ended before the plan was stored".into()))
     });
-    let done = done.await.unwrap_or_else(|_| {
-        let why = "no majority of voters kept it in time; it may still come to be kept: ask for --status";
+    let stored = stored.await.unwrap_or_else(|_| {
+        let why =
+            "no majority of voters stored the plan in time; it may still be stored: check with --status";
         Err(Failure::Failed(why.into()))
     });
-    let _ = wishes.send(LeaseCommand::ReleaseAll).await;
-    let _ = council.await;
-    done
+    let _ = commands.send(LeaseCommand::ReleaseAll).await;
+    let _ = client.await;
+    stored
 }
 
-fn word(stage: RestartStage) -> &'static str {
+/// Returns the name of a stage in the command's output.
+fn stage_name(stage: RestartStage) -> &'static str {
     match stage {
         RestartStage::Waiting => "waits",
         RestartStage::Draining => "drains",
@@ -149,15 +169,19 @@
     }
 }
 
-fn told(wish: Option<&RestartPlan>, far: Option<&RestartProgress<String>>, all: bool) -> Value {
-    // One that is wanted, and that no conductor has begun yet.
-    let begun = far.filter(|f| wish.is_none_or(|w| w.id <= f.plan.id));
-    let Some(plan) = wish.filter(|w| begun.is_none_or(|f| w.id == f.plan.id)).or(begun.map(|f| &f.plan))
+/// Returns the state of the rolling restart as it is printed. `all` lists the machines that wait or have
+/// restarted by name instead of counting them.
+fn status(plan: Option<&RestartPlan>, progress: Option<&RestartProgress<String>>, all: bool) -> Value {
+    // Progress of an earlier rolling restart says nothing about a plan that no coordinator has started yet.
+    let current = progress.filter(|progress| plan.is_none_or(|plan| plan.id <= progress.plan.id));
+    let Some(plan) = plan
+        .filter(|plan| current.is_none_or(|progress| plan.id == progress.plan.id))
+        .or(current.map(|progress| &progress.plan))
     else {
         return json!({"state": "none"});
     };
-    let state = match begun {
-        Some(f) if f.is_over() => "over",
+    let state = match current {
+        Some(progress) if progress.is_over() => "over",
         None if plan.stopped => "over: ended before a planner began it",
         _ if plan.stopped => "stopping",
         _ if plan.paused => "paused",
@@ -166,39 +190,42 @@
     };
     let mut value = json!({"roll": plan.id, "zone": plan.zone, "at_once": plan.max_draining, "state": state});
     let mut by_stage: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-    for (machine, restart) in begun.iter().flat_map(|f| &f.machines) {
-        by_stage.entry(word(restart.stage)).or_default().push(machine);
+    for (machine, restart) in current.iter().flat_map(|progress| &progress.machines) {
+        by_stage.entry(stage_name(restart.stage)).or_default().push(machine);
     }
     for (stage, machines) in by_stage {
-        // Those that are well or wait are many, and looked at one by one by nobody.
-        let many = !all && matches!(stage, "waits" | "restarted");
-        value[stage] = if many { machines.len().into() } else { machines.into() };
+        // Waiting and restarted machines are the majority, so the text output only counts them.
+        let is_counted = !all && matches!(stage, "waits" | "restarted");
+        value[stage] = if is_counted { machines.len().into() } else { machines.into() };
     }
     value
 }
 
 impl Roll {
+    /// Stores a new or changed plan, or shows the progress of the current one.
     pub fn run(self, as_json: bool) -> Result<(), Failure> {
-        let site = load(&self.files)?;
-        let (terms, voters) = required_quorum_settings(&site)?;
+        let installation = load(&self.files)?;
+        let (lease_config, voters) = required_quorum_settings(&installation)?;
         for (flag, seconds) in
             [("--empty-within", self.empty_within), ("--restart-within", self.restart_within)]
         {
             if !(seconds > 0.0 && seconds < 1e7) {
                 return Err(Failure::InvalidInput(format!(
-                    "{flag}: found {seconds}; expected seconds over 0"
+                    "{flag}: found {seconds}; expected seconds above 0 and below 1e7"
                 )));
             }
         }
-        if let Some(zone) = self.zone.as_ref().filter(|z| !site.names("zones").contains(*z)) {
-            let known = site.names("zones").join(", ");
+        if let Some(zone) = self.zone.as_ref().filter(|z| !installation.names("zones").contains(*z)) {
+            let known = installation.names("zones").join(", ");
             return Err(Failure::InvalidInput(format!("--zone: found {zone:?}; expected one of {known}")));
         }
-        let (wish, far) = record(&voters)?;
-        // What stands open: wanted and not begun, or begun and not over.
-        let open = match (&wish, &far) {
-            (Some(w), Some(f)) if w.id <= f.plan.id => Some(w).filter(|w| w.id == f.plan.id && !f.is_over()),
-            (Some(w), _) => Some(w).filter(|w| !w.stopped),
+        let (plan, progress) = stored_plan(&voters)?;
+        // An open plan is either not started yet, or started and not over.
+        let open = match (&plan, &progress) {
+            (Some(plan), Some(progress)) if plan.id <= progress.plan.id => {
+                Some(plan).filter(|plan| plan.id == progress.plan.id && !progress.is_over())
+            }
+            (Some(plan), _) => Some(plan).filter(|plan| !plan.stopped),
             (None, _) => None,
         };
         let plan = match (self.zone, open) {
@@ -212,16 +239,21 @@
                 stopped: false,
             },
             (Some(zone), Some(open)) => {
-                let is = &open.zone;
-                let why =
-                    format!("--zone: found {zone:?} while a roll of {is} is open; see --status, --stop");
+                let open_zone = &open.zone;
+                let why = format!(
+                    "--zone: found {zone:?} while a roll of {open_zone} is open; see --status, --stop"
+                );
                 return Err(Failure::Failed(why));
             }
             (None, _) if !self.pause && !self.resume && !self.stop => {
-                print_value(&told(wish.as_ref(), far.as_ref(), as_json), as_json);
+                print_value(&status(plan.as_ref(), progress.as_ref(), as_json), as_json);
                 return Ok(());
             }
-            (None, None) => return Err(Failure::Failed("found no roll that is open".into())),
+            (None, None) => {
+                return Err(Failure::Failed(
+                    "found no rolling restart to pause, resume or stop; start one with --zone".into(),
+                ))
+            }
             (None, Some(open)) => {
                 let stopped = open.stopped || self.stop;
                 RestartPlan { paused: self.pause || (open.paused && !self.resume), stopped, ..open.clone() }
@@ -229,8 +261,8 @@
         };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| Failure::Failed(e.to_string()))?;
-        let plan = tokio::task::LocalSet::new().block_on(&runtime, leave(terms, voters, plan))?;
-        print_value(&told(Some(&plan), far.as_ref(), as_json), as_json);
+        let plan = tokio::task::LocalSet::new().block_on(&runtime, store_plan(lease_config, voters, plan))?;
+        print_value(&status(Some(&plan), progress.as_ref(), as_json), as_json);
         Ok(())
     }
 }
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -1,5 +1,5 @@
 //! `basaltpitch serve`: one planner, under a name and number of its own or under a seat of the council.
-use crate::council::{open, quorum_settings, seats, stop_signal, SLOT_PREFIX};
+use crate::council::{open_store, quorum_settings, slot_names, stop_signal, SLOT_PREFIX};
 use crate::{load, Failure};
 use basaltpitch::host::{Settings, Value};
 use basaltpitch_agent::session::{LinkConfig, PeerIdentity};
@@ -131,7 +131,7 @@
                 "--seat: found {seat:?} without a council; expected one in the installation, or --name"
             ))),
             (None, Some(seat), Some((terms, voters))) => {
-                let all = seats(&installation);
+                let all = slot_names(&installation);
                 let may: Vec<Rc<str>> =
                     all.iter().filter(|s| seat == "any" || ***s == **seat).cloned().collect();
                 if may.is_empty() {
@@ -263,7 +263,7 @@
         let part = under.as_ref().and_then(|under| part(installation, &under.seats, number));
         let clauses = crate::named_constraints(installation)?;
         let directory = crate::directory_settings(installation)?;
-        let store = match (self.state.as_ref().map(|folder| open(folder, &name)).transpose(), &under) {
+        let store = match (self.state.as_ref().map(|folder| open_store(folder, &name)).transpose(), &under) {
             (Ok(store), _) => store,
             // The one before may still have the file, stopped as it is: the seat matters more.
             (Err(Failure::InvalidInput(why) | Failure::Failed(why)), Some(_)) => {
