--- a/cli/src/drill.rs
+++ b/cli/src/drill.rs
@@ -1,4 +1,5 @@
-//! `basaltpitch drill`: a fault scenario, with the invariants checked by the traffic.
+//! `basaltpitch drill`: runs a fault scenario on loopback, checks the invariants against the recorded traffic and
+//! prints the report.
 use crate::{load, Failure};
 use basaltpitch_invariants::Violation;
 use basaltpitch_testbed::drill::{run, DrillReport};
@@ -6,10 +7,10 @@
 use basaltpitch_testbed::process_harness::SlotReport;
 use std::path::PathBuf;
 
-/// Violations that are printed, at most.
-const MAX_PRINTED: usize = 20;
+/// The maximum number of violations in the text report.
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 
-/// Invariants of every scenario, by number, as they are printed.
+/// The invariants of every scenario: the number, and the name in the text report.
 const INVARIANTS: [(u8, &str); 7] = [
     (1, "one final answer, in time"),
     (2, "no double effect"),
@@ -19,32 +20,36 @@
     (10, "a hall returns by steps"),
     (11, "worth more goes first"),
 ];
-/// Those of scenarios with slots.
+/// The invariants that are checked only in scenarios with planner slots.
 const SLOT_INVARIANTS: [(u8, &str); 2] = [(7, "one holder acts"), (8, "rolls within their limit")];
-/// The number of the invariant that placement constraints hold.
-const PLACEMENT: u8 = 6;
+/// The number of the invariant that tasks satisfy their placement constraints.
+const PLACEMENT_INVARIANT: u8 = 6;
 
-/// Plays a fault scenario.
+/// The arguments of `basaltpitch drill`.
 #[derive(clap::Args)]
 pub struct Drill {
-    /// The installation's files, with a day in one of them
+    /// The installation's files; one of them describes the scenario in the field `day`
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Where chance starts from, in place of the day's own
+    /// Seed of the random number generator; by default the seed of the scenario
     #[arg(long)]
     seed: Option<u64>,
-    /// Planners write recordings into this folder
+    /// Folder that the planners write their recordings into
     #[arg(long)]
     record: Option<PathBuf>,
 }
 
 impl Drill {
-    /// Plays it, prints the report, and fails where something was violated.
+    /// Runs the scenario and prints its report.
+    ///
+    /// # Errors
+    /// The scenario is invalid or could not be run, or an invariant was violated (`Failed` without a text).
     pub fn run(self, json: bool) -> Result<(), Failure> {
         let installation = load(&self.files)?;
         if installation.all.get("day").is_none() {
             return Err(Failure::InvalidInput(
-                "found no field day in these files; expected one for a drill".into(),
+                "day: found no such field in these files; expected the description of a fault scenario"
+                    .into(),
             ));
         }
         let binary = std::env::current_exe().map_err(|e| Failure::Failed(e.to_string()))?;
@@ -65,6 +70,7 @@
     }
 }
 
+/// Renders the report as text.
 fn text_of(report: &DrillReport) -> String {
     let mut text = format!(
         "seed {}: {} machines, {} planners, {} tasks wanted\n\n",
@@ -74,7 +80,8 @@
         text += &format!("{name:26}{value}\n");
     }
     text.push('\n');
-    let violated = report.violations.iter().filter(|violation| violation.invariant == PLACEMENT).count();
+    let violated =
+        report.violations.iter().filter(|violation| violation.invariant == PLACEMENT_INVARIANT).count();
     if violated > 0 {
         text += &format!("clauses BROKEN {violated} times\n");
     }
@@ -96,7 +103,7 @@
         }
         text += &slot_lines(slots);
     }
-    for violation in report.violations.iter().take(MAX_PRINTED) {
+    for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         let Violation { invariant, at_us, planner, subject, description } = violation;
         text += &format!("\nrule {invariant} at {at_us} us, {planner}, {subject}: {description}");
     }
@@ -106,6 +113,7 @@
     text
 }
 
+/// Returns the rows of the report's table: label and value.
 fn totals(report: &DrillReport) -> [(&'static str, String); 14] {
     let DrillReport { traffic, placed_ms, .. } = report;
     [
@@ -141,14 +149,16 @@
     ]
 }
 
+/// Renders one invariant: kept, or how often it was violated.
 fn invariant_line(number: u8, name: &str, violations: &[Violation]) -> String {
     let violated = violations.iter().filter(|violation| violation.invariant == number).count();
-    let word = if violated == 0 { "kept".to_owned() } else { format!("BROKEN {violated} times") };
-    // The words of all lines stand below each other.
+    let result = if violated == 0 { "kept".to_owned() } else { format!("BROKEN {violated} times") };
+    // Two-digit numbers get a narrower name, so that the results line up in one column.
     let width = if number < 10 { 26 } else { 25 };
-    format!("rule {number} {name:width$}{word}\n")
+    format!("rule {number} {name:width$}{result}\n")
 }
 
+/// Renders how long slots were without a holder, by fault, and the errors found.
 fn slot_lines(slots: &SlotReport) -> String {
     let held_percent = slots.held * 100.0;
     let mut text = format!("\nseats: {} hand-overs, held {held_percent:.2}% of the time\n", slots.takeovers);
--- a/cli/src/machine.rs
+++ b/cli/src/machine.rs
@@ -1,4 +1,4 @@
-//! `basaltpitch machine`: one stand-in machine, with a register of its own that lists it.
+//! `basaltpitch machine`: runs simulated machines of one kind and zone, and a registry that lists them.
 use crate::{load, Failure};
 use basaltpitch_testbed::drill::start_machines;
 use basaltpitch_testbed::machine::MachineCommand;
@@ -7,28 +7,30 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
+/// The arguments of `basaltpitch machine`.
 #[derive(clap::Args)]
 pub struct Machine {
     /// The installation's files
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Its kind; by default the first of the installation
+    /// Kind of the machines; by default the installation's first kind
     #[arg(long)]
     kind: Option<String>,
-    /// The zone that it is in; by default the first of the installation
+    /// Zone of the machines; by default the installation's first zone
     #[arg(long)]
     zone: Option<String>,
-    /// How many such machines
+    /// Number of machines
     #[arg(long, default_value_t = 1)]
     count: usize,
 }
 
 impl Machine {
+    /// Runs the machines and their registry until SIGINT, and prints the address of each.
     pub fn run(self, json: bool) -> Result<(), Failure> {
-        let site = load(&self.files)?;
-        let one_of = |list: &str, flag: &str, given: Option<String>| {
-            let known = site.names(list);
-            let name = given.unwrap_or_else(|| known[0].clone());
+        let installation = load(&self.files)?;
+        let name_or_first = |list: &str, flag: &str, requested: Option<String>| {
+            let known = installation.names(list);
+            let name = requested.unwrap_or_else(|| known[0].clone());
             if known.contains(&name) {
                 return Ok(name);
             }
@@ -37,30 +39,35 @@
                 known.join(", ")
             )))
         };
-        let (kind, zone) = (one_of("kinds", "--kind", self.kind)?, one_of("zones", "--zone", self.zone)?);
+        let (kind, zone) =
+            (name_or_first("kinds", "--kind", self.kind)?, name_or_first("zones", "--zone", self.zone)?);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| Failure::Failed(e.to_string()))?;
         let failed = |e: std::io::Error| Failure::Failed(e.to_string());
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let context = settings::context(&site, Rc::default());
-            let fleet =
-                start_machines(&site.all, &context, &kind, &zone, self.count).await.map_err(failed)?;
-            let late = RegistryDelays { notice_us: 0, silent_notice_us: 2_000_000, period_us: 200_000 };
-            let register = registry::start(context, fleet.clone(), late).await.map_err(failed)?;
-            for m in &fleet {
+            let context = settings::context(&installation, Rc::default());
+            let machines = start_machines(&installation.all, &context, &kind, &zone, self.count)
+                .await
+                .map_err(failed)?;
+            let delays = RegistryDelays { notice_us: 0, silent_notice_us: 2_000_000, period_us: 200_000 };
+            let registry_server = registry::start(context, machines.clone(), delays).await.map_err(failed)?;
+            for machine in &machines {
                 if json {
-                    println!("{}", serde_json::json!({"machine": m.name, "listening": m.address}));
+                    println!(
+                        "{}",
+                        serde_json::json!({"machine": machine.name, "listening": machine.address})
+                    );
                 } else {
-                    println!("{} listens on {}", m.name, m.address);
+                    println!("{} listens on {}", machine.name, machine.address);
                 }
             }
             if json {
-                println!("{}", serde_json::json!({"register": register.address}));
+                println!("{}", serde_json::json!({"register": registry_server.address}));
             } else {
-                println!("their register listens on {}", register.address);
+                println!("their register listens on {}", registry_server.address);
             }
             let _ = tokio::signal::ctrl_c().await;
-            fleet.iter().for_each(|m| m.send(MachineCommand::Down));
+            machines.iter().for_each(|machine| machine.send(MachineCommand::Down));
             Ok(())
         })
     }
--- a/cli/src/measure_council.rs
+++ b/cli/src/measure_council.rs
@@ -1,7 +1,7 @@
 //! `basaltpitch measure-council`: what the council costs each member and each voter, and what it costs
 //! members to tell each other how they are, by the number of members, with all of them as processes of this
 //! binary on loopback, each under a seat; and what the look at the term costs a launch.
-use crate::processes::{measure_and_print, site, Process, Usage};
+use crate::processes::{measure_and_print, write_installation, Process, Usage};
 use crate::Failure;
 use basaltpitch_planner::lease_client::LeaseDeadline;
 use basaltpitch_testbed::process_harness::free_addresses;
@@ -27,7 +27,7 @@
 
 /// Waits for the first line of a process.
 async fn line(process: &mut Process) -> io::Result<()> {
-    let first = tokio::time::timeout(Duration::from_secs(120), process.line()).await;
+    let first = tokio::time::timeout(Duration::from_secs(120), process.read_line()).await;
     let late = |_| io::Error::other("a process was not seated or listening in 120 s");
     first.map_err(late)?.map(drop)
 }
@@ -71,7 +71,7 @@
         for address in &at {
             through.push(relay::start(address.clone(), ways.clone()).await?);
         }
-        let file = |name: &str, ways: &[String]| site(folder, name, members, self.term, ways);
+        let file = |name: &str, ways: &[String]| write_installation(folder, name, members, self.term, ways);
         let (direct, relayed) = (file("voters.rec", &at)?, file("members.rec", &through)?);
         let state = folder.join(members.to_string()).display().to_string();
         let voter =
--- a/cli/src/measure_scale/believe.rs
+++ b/cli/src/measure_scale/believe.rs
@@ -137,9 +137,9 @@
     let _process = if real {
         let mut process = Process::start(&["machine", &file, "--count", &count, "--zone", zone])?;
         for _ in 0..MACHINES {
-            text(&process.line().await?, "machine", "listening");
+            text(&process.read_line().await?, "machine", "listening");
         }
-        process.line().await?;
+        process.read_line().await?;
         process
     } else {
         let mut process = Process::start_with_commands(&[
@@ -151,7 +151,7 @@
             "--count",
             &count,
         ])?;
-        let all = process.line().await?;
+        let all = process.read_line().await?;
         all["machines"].as_array().into_iter().flatten().for_each(|m| text(m, "machine", "address"));
         process
     };
@@ -175,7 +175,7 @@
     tokio::task::spawn_local(registry::run(listener, lists, inbox, |_| {}));
     let args = ["serve", &file, "--name", "planner-0", "--zone", zone, "--register", &at];
     let mut planner = Process::start(&[&args[..], &["--listen", "127.0.0.1:0"]].concat())?;
-    let listens = planner.line().await?["listening"].as_str().unwrap_or("").to_owned();
+    let listens = planner.read_line().await?["listening"].as_str().unwrap_or("").to_owned();
     let until = Instant::now() + PATIENCE;
     let counted = || *way.traffic.borrow();
     while counted().0[number_of("inventories")].frames_out < MACHINES as u64 {
@@ -192,10 +192,10 @@
     let more = ["--runs", &runs, "--tenants", "5", "--seed", "7"];
     let mut clients = Process::start_with_commands(&[&args[..], &more].concat())?;
     tokio::time::sleep(Duration::from_secs(ASKS_S)).await;
-    clients.say("stop").await?;
+    clients.send_command("stop").await?;
     // All that was placed ends.
     tokio::time::sleep(Duration::from_secs_f64(RUNS_S * 10.0)).await;
-    let told = clients.answer("tell").await?;
+    let told = clients.request("tell").await?;
     let placed = told["frameworks"].as_array().and_then(|f| f.last()).and_then(|all| all["placed"].as_f64());
     let placed = placed.filter(|p| *p > 0.0).ok_or_else(|| io::Error::other("nothing was placed"))?;
     let (all, seconds) = (counted().since(&before), began.elapsed().as_secs_f64());
--- a/cli/src/measure_scale/run.rs
+++ b/cli/src/measure_scale/run.rs
@@ -70,7 +70,7 @@
 
 /// The next line of any of these, and whose it is.
 async fn next_line(all: &mut [&mut Process], until: Instant) -> io::Result<(usize, Value)> {
-    let first = futures_util::future::select_all(all.iter_mut().map(|p| Box::pin(p.line())));
+    let first = futures_util::future::select_all(all.iter_mut().map(|p| Box::pin(p.read_line())));
     let late = |_| io::Error::other("planners were not all seated in time");
     let (line, n, _) = tokio::time::timeout_at(until.into(), first).await.map_err(late)?;
     Ok((n, line?))
@@ -104,7 +104,7 @@
     fn sit(&mut self) -> io::Result<()> {
         let mut lines = Vec::new();
         for process in self.real.iter_mut().flatten().chain(&mut self.simulated) {
-            while let Some(line) = process.line().now_or_never() {
+            while let Some(line) = process.read_line().now_or_never() {
                 lines.push(line?);
             }
         }
@@ -151,7 +151,7 @@
     async fn machine_sum(&mut self, field: &str) -> io::Result<u64> {
         let mut sum = 0;
         for process in &mut self.machines {
-            sum += process.answer("tell").await?[field].as_u64().unwrap_or(0);
+            sum += process.request("tell").await?[field].as_u64().unwrap_or(0);
         }
         Ok(sum)
     }
@@ -179,7 +179,7 @@
     /// The measured time begins.
     pub async fn begin(&mut self) -> io::Result<Reading> {
         for clients in &mut self.clients {
-            clients.say("begin").await?;
+            clients.send_command("begin").await?;
         }
         progress("the measured time begins");
         self.read().await
@@ -246,7 +246,7 @@
     pub async fn each(&mut self) -> io::Result<BTreeMap<usize, Traffic>> {
         let mut of_ends: BTreeMap<String, Traffic> = BTreeMap::new();
         for process in self.machines.iter_mut().chain(&mut self.clients) {
-            let told = process.answer("tell").await?;
+            let told = process.request("tell").await?;
             for (planner, of) in told["planners"].as_object().into_iter().flatten() {
                 of_ends.entry(planner.clone()).or_default().add(&Traffic::read(of).reversed());
             }
@@ -320,7 +320,7 @@
 
     async fn tell_machines(&mut self, word: &str) -> io::Result<()> {
         for process in &mut self.machines {
-            process.say(word).await?;
+            process.send_command(word).await?;
         }
         Ok(())
     }
--- a/cli/src/measure_scale/run/checks.rs
+++ b/cli/src/measure_scale/run/checks.rs
@@ -12,7 +12,7 @@
     pub(super) async fn adds_up(&mut self) -> io::Result<bool> {
         let mut left = self.measured();
         for _ in 0..200 {
-            let told = self.registries[0].answer("tell").await?;
+            let told = self.registries[0].request("tell").await?;
             left.retain(|(seat, place)| {
                 let (way, of) = (&self.to_registry[*place], Traffic::read(&told["planners"][seat]));
                 let kinds = *way.traffic.borrow() == of;
--- a/cli/src/measure_scale/run/report.rs
+++ b/cli/src/measure_scale/run/report.rs
@@ -63,14 +63,14 @@
     /// Nothing is submitted any more; what clients report once nothing is open.
     async fn stop_clients(&mut self) -> io::Result<Vec<Value>> {
         for clients in &mut self.clients {
-            clients.say("stop").await?;
+            clients.send_command("stop").await?;
         }
         progress("what is open ends");
         let until = Instant::now() + OPEN_TIMEOUT;
         loop {
             let mut load = Vec::new();
             for clients in &mut self.clients {
-                load.push(clients.answer("tell").await?);
+                load.push(clients.request("tell").await?);
             }
             if load.iter().all(|report| report["open"] == 0) || Instant::now() > until {
                 return Ok(load);
--- a/cli/src/measure_scale/run/start.rs
+++ b/cli/src/measure_scale/run/start.rs
@@ -24,7 +24,7 @@
     let (mut registries, mut registry_addresses) = (Vec::new(), Vec::new());
     for _ in 0..2 {
         let mut registry = Process::start_with_commands(&["simulated", "register"])?;
-        let line = registry.line().await?;
+        let line = registry.read_line().await?;
         registry_addresses.push(line["register"].as_str().unwrap_or("").to_owned());
         registries.push(registry);
     }
@@ -35,7 +35,7 @@
     for n in 0..measure.voters {
         let name = format!("v{n}");
         let mut voter = Process::start(&["voter", file, "--name", &name, "--state", &state])?;
-        voter.line().await?;
+        voter.read_line().await?;
         voters.push(voter);
     }
     Ok(Fleet { registries, machines, voters, registry_addresses })
@@ -57,7 +57,7 @@
         machines.push(Process::start_with_commands(&[&args[..], &more, &load].concat())?);
     }
     for process in &mut machines {
-        process.line().await?;
+        process.read_line().await?;
     }
     Ok(machines)
 }
--- a/cli/src/measure_seats.rs
+++ b/cli/src/measure_seats.rs
@@ -1,7 +1,7 @@
 //! `basaltpitch measure-seats`: how long a seat stands without a planner when its holder is killed, stopped,
 //! or told to stop, with voters and planners as processes of this binary on loopback. Fails if a seat's epoch
 //! does not rise.
-use crate::processes::{measure_and_print, site, Process};
+use crate::processes::{measure_and_print, write_installation, Process};
 use crate::Failure;
 use basaltpitch_testbed::process_harness::free_addresses;
 use hdrhistogram::Histogram;
@@ -37,7 +37,7 @@
 
 /// The first of these that is seated, with its epoch.
 async fn seated(all: &mut [Process]) -> io::Result<(usize, u64)> {
-    let first = futures_util::future::select_all(all.iter_mut().map(|p| Box::pin(p.line())));
+    let first = futures_util::future::select_all(all.iter_mut().map(|p| Box::pin(p.read_line())));
     let late = |_| io::Error::other("nobody was seated in time");
     let (line, n, _) = tokio::time::timeout(PATIENCE, first).await.map_err(late)?;
     Ok((n, line?["epoch"].as_u64().unwrap_or(0)))
@@ -49,8 +49,10 @@
     }
 
     async fn measure(&self, folder: &Path) -> io::Result<Vec<Value>> {
-        let (file, state) =
-            (site(folder, "site.rec", 1, self.term, &free_addresses(3)?)?, folder.display().to_string());
+        let (file, state) = (
+            write_installation(folder, "site.rec", 1, self.term, &free_addresses(3)?)?,
+            folder.display().to_string(),
+        );
         let voter = |n: usize| {
             let name = format!("v{n}");
             let mut args = vec!["voter", &file, "--name", &name];
@@ -97,7 +99,7 @@
                     // It wakes long after its term, and must not claim the seat that it lost.
                     tokio::time::sleep(Duration::from_millis(2 * self.term)).await;
                     signal(&old, "-CONT").await?;
-                    let claim = tokio::time::timeout(Duration::from_millis(self.term), old.line()).await;
+                    let claim = tokio::time::timeout(Duration::from_millis(self.term), old.read_line()).await;
                     if let Ok(Ok(line)) = claim {
                         return Err(io::Error::other(format!("hand-over {i}: two are seated: {line}")));
                     }
@@ -112,7 +114,7 @@
                 for n in 0..3 {
                     // The two that run have their ports: their second start fails at once and is dropped.
                     let mut voter = voter(n)?;
-                    if voter.line().await.is_ok() {
+                    if voter.read_line().await.is_ok() {
                         voters.push(voter);
                     }
                 }
--- a/cli/src/processes.rs
+++ b/cli/src/processes.rs
@@ -1,4 +1,5 @@
-//! Several processes of this binary on loopback, for measurements: voters, planners under seats, and hollow ones.
+//! Child processes of this binary for the measure commands: voters, planners with slots, and simulated machines,
+//! planners and clients. Also reads the resource usage of processes from /proc.
 use crate::Failure;
 use serde_json::Value;
 use std::io;
@@ -8,119 +9,150 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
 use tokio::process::{Child, ChildStdin, ChildStdout, Command};
 
-/// What a process has used: seconds of processor time, memory in MiB, and descriptors that are open.
+/// The resources that a process has used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
+    /// CPU time in user and kernel mode since the start, in seconds.
     pub cpu_s: f64,
+    /// Resident memory in MiB.
     pub mib: f64,
+    /// Open file descriptors.
     pub descriptors: usize,
 }
 
-/// A process, and the lines that it prints; it ends with this.
+/// A child process with its standard output, and its standard input if it accepts commands. Dropping it kills
+/// the child.
 pub struct Process {
+    /// The child process.
     pub child: Child,
     lines: Lines<BufReader<ChildStdout>>,
-    words: Option<ChildStdin>,
+    command_input: Option<ChildStdin>,
 }
 
 impl Process {
+    /// Starts a process without standard input.
     pub fn start(args: &[&str]) -> io::Result<Process> {
         Process::start_with(args, false)
     }
 
-    /// One that takes words, a line each, and ends when there are no more.
+    /// Starts a process that reads commands from standard input, one a line, and exits at the end of the input.
     pub fn start_with_commands(args: &[&str]) -> io::Result<Process> {
         Process::start_with(args, true)
     }
 
-    fn start_with(args: &[&str], listens: bool) -> io::Result<Process> {
+    fn start_with(args: &[&str], accepts_commands: bool) -> io::Result<Process> {
         let mut child = Command::new(std::env::current_exe()?)
             .args(args)
             .args(["-o", "json"])
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
-            .stdin(if listens { Stdio::piped() } else { Stdio::null() })
+            .stdin(if accepts_commands { Stdio::piped() } else { Stdio::null() })
             .kill_on_drop(true)
             .spawn()?;
-        let out = child.stdout.take().ok_or_else(|| io::Error::other("no output"))?;
-        let words = child.stdin.take();
-        Ok(Process { child, lines: BufReader::new(out).lines(), words })
+        let out = child
+            .stdout
+            .take()
+            .ok_or_else(|| io::Error::other("the child process has no standard output"))?;
+        let command_input = child.stdin.take();
+        Ok(Process { child, lines: BufReader::new(out).lines(), command_input })
     }
 
-    /// Says a word to one that listens.
-    pub async fn say(&mut self, word: &str) -> io::Result<()> {
-        let words = self.words.as_mut().ok_or_else(|| io::Error::other("a process that does not listen"))?;
-        words.write_all(format!("{word}\n").as_bytes()).await
+    /// Sends a command to a process that was started with `start_with_commands`.
+    pub async fn send_command(&mut self, command: &str) -> io::Result<()> {
+        let command_input = self
+            .command_input
+            .as_mut()
+            .ok_or_else(|| io::Error::other("the process was started without standard input for commands"))?;
+        command_input.write_all(format!("{command}\n").as_bytes()).await
     }
 
-    /// Says a word, and waits for the line that answers it.
-    pub async fn answer(&mut self, word: &str) -> io::Result<Value> {
-        self.say(word).await?;
-        let late = |_| io::Error::other(format!("no answer to {word:?} in 20 s"));
-        tokio::time::timeout(Duration::from_secs(20), self.line()).await.map_err(late)?
+    /// Sends a command and waits up to 20 s for the line that answers it.
+    pub async fn request(&mut self, command: &str) -> io::Result<Value> {
+        self.send_command(command).await?;
+        let timed_out = |_| io::Error::other(format!("no answer to the command {command:?} in 20 s"));
+        tokio::time::timeout(Duration::from_secs(20), self.read_line()).await.map_err(timed_out)?
     }
 
-    pub async fn line(&mut self) -> io::Result<Value> {
-        let line = self.lines.next_line().await?.ok_or_else(|| io::Error::other("a process ended"))?;
+    /// Waits for the next line of standard output and decodes it from JSON.
+    pub async fn read_line(&mut self) -> io::Result<Value> {
+        let line = self
+            .lines
+            .next_line()
+            .await?
+            .ok_or_else(|| io::Error::other("a child process ended unexpectedly"))?;
         serde_json::from_str(&line).map_err(io::Error::other)
     }
 
+    /// Returns the resources that the process has used.
     pub fn used(&self) -> io::Result<Usage> {
         usage_of(self.id()?)
     }
 
+    /// Returns the process id; a process that has ended is an error.
     pub fn id(&self) -> io::Result<u32> {
-        self.child.id().ok_or_else(|| io::Error::other("a process ended"))
+        self.child.id().ok_or_else(|| io::Error::other("a child process ended unexpectedly"))
     }
 }
 
-/// What a process has used, of /proc: clock ticks are of 10 ms, pages of 4 KiB.
+/// Reads from /proc what a process has used, assuming clock ticks of 10 ms and pages of 4 KiB.
 pub fn usage_of(id: u32) -> io::Result<Usage> {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
-    let after = stat.rsplit(')').next().unwrap_or("");
-    let ticks = |n: usize| after.split_whitespace().nth(n).and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
+    let fields = stat.rsplit(')').next().unwrap_or("");
+    let ticks = |index: usize| {
+        fields.split_whitespace().nth(index).and_then(|value| value.parse::<f64>().ok()).unwrap_or(0.0)
+    };
     let pages = std::fs::read_to_string(format!("/proc/{id}/statm"))?;
-    let pages = pages.split_whitespace().nth(1).and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
+    let pages = pages.split_whitespace().nth(1).and_then(|value| value.parse::<f64>().ok()).unwrap_or(0.0);
     let descriptors = std::fs::read_dir(format!("/proc/{id}/fd"))?.count();
     Ok(Usage { cpu_s: (ticks(11) + ticks(12)) / 100.0, mib: pages * 4.0 / 1024.0, descriptors })
 }
 
-/// Seconds of processor time that all of the machine has used, of /proc.
+/// Reads from /proc the CPU time that the whole machine has used since boot, in seconds.
 pub fn machine_cpu_s() -> io::Result<f64> {
     let stat = std::fs::read_to_string("/proc/stat")?;
     let ticks: Vec<f64> = stat.lines().next().unwrap_or("").split_whitespace().flat_map(str::parse).collect();
-    // All but idle and waiting for a disk.
+    // The first eight columns are all states; columns 4 and 5 are idle and waiting for I/O.
     let idle = ticks.iter().skip(3).take(2).sum::<f64>();
     Ok((ticks.iter().take(8).sum::<f64>() - idle) / 100.0)
 }
 
-/// Writes an installation with so many seats and these ways to its voters, v0 and so on; the term is in
-/// milliseconds, the drift a twenty-fifth of it.
-pub fn site(folder: &Path, name: &str, seats: usize, term: u64, ways: &[String]) -> io::Result<String> {
-    let voters = ways.iter().enumerate().map(|(n, a)| format!("{{name: \"v{n}\", address: {a:?}}}"));
+/// Writes an installation with this number of planner slots and voters (v0, v1, ...) at these addresses, and
+/// returns the file's path. The lease duration is in milliseconds; the clock drift is a twenty-fifth of it.
+pub fn write_installation(
+    folder: &Path,
+    name: &str,
+    slots: usize,
+    lease_ms: u64,
+    voter_addresses: &[String],
+) -> io::Result<String> {
+    let voters = voter_addresses
+        .iter()
+        .enumerate()
+        .map(|(index, address)| format!("{{name: \"v{index}\", address: {address:?}}}"));
     let text = format!(
         "zones: [\"hall-a\"]\nkinds: [{{name: \"std\", cores: 16, memory: 32GiB}}]\n\
          frameworks: [{{name: \"small\", repeat: \"repeatable\", goal: 600ms, limit: 6s}}]\n\
-         planners: {seats}\ncouncil: {{term: {term}ms, drift: {}ms, voters: [{}]}}\n",
-        (term / 25).max(1),
+         planners: {slots}\ncouncil: {{term: {lease_ms}ms, drift: {}ms, voters: [{}]}}\n",
+        (lease_ms / 25).max(1),
         voters.collect::<Vec<_>>().join(", ")
     );
     let path = folder.join(name);
     std::fs::write(&path, text).map(|()| path.display().to_string())
 }
 
-/// Measures in a folder that is gone afterwards, and shows the rows.
+/// Runs a measurement in a temporary folder, which is removed afterwards, and prints its rows.
 pub fn measure_and_print(
     name: &str,
     as_json: bool,
     measure: impl AsyncFnOnce(&Path) -> io::Result<Vec<Value>>,
 ) -> Result<(), Failure> {
-    let found = measure_in_temp_folder(name, measure)?;
-    crate::ask::print_value(&Value::Array(found), as_json);
+    let rows = measure_in_temp_folder(name, measure)?;
+    crate::ask::print_value(&Value::Array(rows), as_json);
     Ok(())
 }
 
-/// The same without showing what was found. Told to stop, it ends what was started.
+/// Runs a measurement in a temporary folder, which is removed afterwards, and returns its result. SIGINT and
+/// SIGTERM abort the measurement and end the processes that it started.
 pub fn measure_in_temp_folder<T>(
     name: &str,
     measure: impl AsyncFnOnce(&Path) -> io::Result<T>,
@@ -129,12 +161,12 @@
     let folder = std::env::temp_dir().join(format!("basaltpitch-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(failed)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(failed)?;
-    let found = tokio::task::LocalSet::new().block_on(&runtime, async {
+    let result = tokio::task::LocalSet::new().block_on(&runtime, async {
         tokio::select! {
-            found = measure(&folder) => found,
-            () = crate::council::stop_signal() => Err(io::Error::other("told to stop")),
+            result = measure(&folder) => result,
+            () = crate::council::stop_signal() => Err(io::Error::other("stopped by a signal")),
         }
     });
     let _ = std::fs::remove_dir_all(&folder);
-    found.map_err(failed)
+    result.map_err(failed)
 }
