--- a/cli/src/measure_seats.rs
+++ b/cli/src/measure_seats.rs
@@ -1,6 +1,6 @@
-//! `basaltpitch measure-seats`: how long a seat stands without a planner when its holder is killed, stopped,
-//! or told to stop, with voters and planners as processes of this binary on loopback. Fails if a seat's epoch
-//! does not rise.
+//! `basaltpitch measure-seats`: measures how long a planner slot has no holder after its holder is killed,
+//! suspended or asked to stop. Voters and planners are processes of this binary on loopback. Fails if the slot's
+//! epoch does not increase at a takeover.
 use crate::processes::{measure_and_print, write_installation, Process};
 use crate::Failure;
 use basaltpitch_testbed::process_harness::free_addresses;
@@ -11,50 +11,56 @@
 use std::time::{Duration, Instant};
 use tokio::process::Command;
 
+/// The arguments of `basaltpitch measure-seats`.
 #[derive(clap::Args)]
 pub struct Measure {
-    /// Hand-overs of each kind
+    /// Number of takeovers of each kind
     #[arg(long, default_value_t = 20)]
     each: usize,
-    /// Spares beside the planner that has the seat
+    /// Number of spare planners beside the holder of the slot
     #[arg(long, default_value_t = 2)]
     spares: usize,
-    /// The term, in milliseconds; the drift is a twenty-fifth of it
+    /// Lease duration in milliseconds; the clock drift is a twenty-fifth of it
     #[arg(long, default_value_t = 1000)]
     term: u64,
-    /// Voters keep what they vote on the disk
+    /// Voters store their votes on disk
     #[arg(long)]
     disk: bool,
 }
 
-/// How a holder ceases.
-const KINDS: [&str; 4] = ["kill", "stop", "term", "voter"];
-const PATIENCE: Duration = Duration::from_secs(30);
+/// The kinds of faults: the holder is killed, suspended, terminated, or killed together with a voter.
+const FAULTS: [&str; 4] = ["kill", "stop", "term", "voter"];
+/// How long to wait for a spare to acquire the slot.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// Sends a signal to a process, named as an option of `kill`.
 async fn signal(process: &Process, name: &str) -> io::Result<()> {
     Command::new("kill").args([name, &process.id()?.to_string()]).status().await.map(drop)
 }
 
-/// The first of these that is seated, with its epoch.
-async fn seated(all: &mut [Process]) -> io::Result<(usize, u64)> {
-    let first = futures_util::future::select_all(all.iter_mut().map(|p| Box::pin(p.read_line())));
-    let late = |_| io::Error::other("nobody was seated in time");
-    let (line, n, _) = tokio::time::timeout(PATIENCE, first).await.map_err(late)?;
-    Ok((n, line?["epoch"].as_u64().unwrap_or(0)))
+/// Waits until one of the processes acquires the slot, and returns its index and epoch.
+async fn wait_for_holder(processes: &mut [Process]) -> io::Result<(usize, u64)> {
+    let first =
+        futures_util::future::select_all(processes.iter_mut().map(|process| Box::pin(process.read_line())));
+    let timed_out = |_| io::Error::other("no planner acquired the slot in time");
+    let (line, index, _) = tokio::time::timeout(TAKEOVER_TIMEOUT, first).await.map_err(timed_out)?;
+    Ok((index, line?["epoch"].as_u64().unwrap_or(0)))
 }
 
 impl Measure {
+    /// Runs the measurement and prints one row for each kind of fault.
     pub fn run(self, as_json: bool) -> Result<(), Failure> {
         measure_and_print("seats", as_json, async |folder| self.measure(folder).await)
     }
 
+    /// Causes the faults in turn and measures the time until the next planner holds the slot.
     async fn measure(&self, folder: &Path) -> io::Result<Vec<Value>> {
         let (file, state) = (
             write_installation(folder, "site.rec", 1, self.term, &free_addresses(3)?)?,
             folder.display().to_string(),
         );
-        let voter = |n: usize| {
-            let name = format!("v{n}");
+        let voter = |index: usize| {
+            let name = format!("v{index}");
             let mut args = vec!["voter", &file, "--name", &name];
             if self.disk {
                 args.extend(["--state", &state]);
@@ -64,56 +70,64 @@
         let args = ["serve", &file, "--seat", "any", "--zone", "hall-a", "--register", "127.0.0.1:1"];
         let planner = || Process::start(&[&args[..], &["--listen", "127.0.0.1:0"]].concat());
         let mut voters = vec![voter(0)?, voter(1)?, voter(2)?];
-        let mut all = Vec::new();
+        let mut planners = Vec::new();
         for _ in 0..=self.spares {
-            all.push(planner()?);
+            planners.push(planner()?);
         }
-        let (mut holder, mut epoch) = seated(&mut all).await?;
-        let most = PATIENCE.as_micros() as u64;
-        let new = || Histogram::<u64>::new_with_max(most, 3).map_err(|e| io::Error::other(e.to_string()));
-        let mut times = vec![new()?, new()?, new()?, new()?];
-        for i in 0..KINDS.len() * self.each {
-            // A renewal is under way at any moment, so that hand-overs begin everywhere in a term.
-            tokio::time::sleep(Duration::from_millis(self.term * (17 + 7 * i as u64 % 60) / 60)).await;
-            let kind = i % KINDS.len();
-            let mut old = all.swap_remove(holder);
-            let begun = Instant::now();
-            match KINDS[kind] {
-                "kill" => signal(&old, "-KILL").await?,
-                "stop" => signal(&old, "-STOP").await?,
-                "term" => signal(&old, "-TERM").await?,
-                // A voter is gone as well, in the moment in which the holder is.
+        let (mut holder, mut epoch) = wait_for_holder(&mut planners).await?;
+        let max_us = TAKEOVER_TIMEOUT.as_micros() as u64;
+        let new_histogram =
+            || Histogram::<u64>::new_with_max(max_us, 3).map_err(|e| io::Error::other(e.to_string()));
+        let mut times = vec![new_histogram()?, new_histogram()?, new_histogram()?, new_histogram()?];
+        for takeover in 0..FAULTS.len() * self.each {
+            // The pause varies, so that faults occur at different times relative to the renewals of the lease.
+            tokio::time::sleep(Duration::from_millis(self.term * (17 + 7 * takeover as u64 % 60) / 60)).await;
+            let kind = takeover % FAULTS.len();
+            let mut former_holder = planners.swap_remove(holder);
+            let started = Instant::now();
+            match FAULTS[kind] {
+                "kill" => signal(&former_holder, "-KILL").await?,
+                "stop" => signal(&former_holder, "-STOP").await?,
+                "term" => signal(&former_holder, "-TERM").await?,
+                // A voter is killed at the same time as the holder.
                 _ => {
-                    signal(&voters.swap_remove(i % 3), "-KILL").await?;
-                    signal(&old, "-KILL").await?;
+                    signal(&voters.swap_remove(takeover % 3), "-KILL").await?;
+                    signal(&former_holder, "-KILL").await?;
                 }
             }
-            let (next, under) = seated(&mut all).await?;
-            times[kind].saturating_record(begun.elapsed().as_micros() as u64);
-            if under <= epoch {
-                return Err(io::Error::other(format!("hand-over {i}: epoch {under} after {epoch}")));
+            let (new_holder, new_epoch) = wait_for_holder(&mut planners).await?;
+            times[kind].saturating_record(started.elapsed().as_micros() as u64);
+            if new_epoch <= epoch {
+                return Err(io::Error::other(format!(
+                    "takeover {takeover}: epoch {new_epoch} after {epoch}; expected it to increase"
+                )));
             }
-            (holder, epoch) = (next, under);
-            match KINDS[kind] {
+            (holder, epoch) = (new_holder, new_epoch);
+            match FAULTS[kind] {
                 "stop" => {
-                    // It wakes long after its term, and must not claim the seat that it lost.
+                    // The suspended holder resumes long after its lease expired and must not serve under it again.
                     tokio::time::sleep(Duration::from_millis(2 * self.term)).await;
-                    signal(&old, "-CONT").await?;
-                    let claim = tokio::time::timeout(Duration::from_millis(self.term), old.read_line()).await;
+                    signal(&former_holder, "-CONT").await?;
+                    let claim =
+                        tokio::time::timeout(Duration::from_millis(self.term), former_holder.read_line())
+                            .await;
                     if let Ok(Ok(line)) = claim {
-                        return Err(io::Error::other(format!("hand-over {i}: two are seated: {line}")));
+                        return Err(io::Error::other(format!(
+                            "takeover {takeover}: the former holder serves again beside the new one: {line}"
+                        )));
                     }
-                    all.push(old);
+                    planners.push(former_holder);
                 }
                 _ => {
-                    let _ = old.child.wait().await;
-                    all.push(planner()?);
+                    let _ = former_holder.child.wait().await;
+                    planners.push(planner()?);
                 }
             }
             if voters.len() < 3 {
-                for n in 0..3 {
-                    // The two that run have their ports: their second start fails at once and is dropped.
-                    let mut voter = voter(n)?;
+                for index in 0..3 {
+                    // Only the killed voter can start: the other two still run, so a second start of them
+                    // fails at once on the occupied port and is dropped.
+                    let mut voter = voter(index)?;
                     if voter.read_line().await.is_ok() {
                         voters.push(voter);
                     }
@@ -121,12 +135,12 @@
                 tokio::time::sleep(Duration::from_millis(2 * self.term)).await;
             }
         }
-        let ms = |us: u64| us as f64 / 1000.0;
-        let terms = |us: u64| (us as f64 / 1000.0 / self.term as f64 * 100.0).round() / 100.0;
-        let rows = KINDS.iter().zip(&times).map(|(kind, h)| {
-            let at = |q: f64| h.value_at_quantile(q);
-            json!({"kind": kind, "hand_overs": h.len(), "median_ms": ms(at(0.5)), "p99_ms": ms(at(0.99)),
-                "most_ms": ms(h.max()), "median_terms": terms(at(0.5)), "most_terms": terms(h.max())})
+        let to_ms = |us: u64| us as f64 / 1000.0;
+        let to_lease_durations = |us: u64| (us as f64 / 1000.0 / self.term as f64 * 100.0).round() / 100.0;
+        let rows = FAULTS.iter().zip(&times).map(|(kind, histogram)| {
+            let quantile = |fraction: f64| histogram.value_at_quantile(fraction);
+            json!({"kind": kind, "hand_overs": histogram.len(), "median_ms": to_ms(quantile(0.5)), "p99_ms": to_ms(quantile(0.99)),
+                "most_ms": to_ms(histogram.max()), "median_terms": to_lease_durations(quantile(0.5)), "most_terms": to_lease_durations(histogram.max())})
         });
         Ok(rows.collect())
     }
