--- a/cli/src/measure_scale.rs
+++ b/cli/src/measure_scale.rs
@@ -1,6 +1,6 @@
-//! `basaltpitch measure-scale`: what planners, voters and the register cost in a fleet of full size, on
-//! loopback. A few planners are processes of their own and are what is measured; the other planners, all
-//! machines and the clients are hollow: many in one process, with the real protocol, sockets and frames.
+//! `basaltpitch measure-scale`: measures planners, voters and the registry in a fleet of full size on loopback. A few
+//! planners are processes of their own (real planners) and are measured. The other planners, all machines and all
+//! clients are simulated: many share one process, but use the real protocol, sockets and frames.
 mod believe;
 mod pages;
 mod run;
@@ -11,112 +11,119 @@
 use crate::Failure;
 use run::ScaleRun;
 use serde_json::{json, Value};
-use site::Site;
+use site::InstallationParams;
 use std::io::{self, IsTerminal};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Bounds of a run: processes, and memory of all of them in MiB.
-const MOST_PROCESSES: usize = 300;
-const MOST_MIB: f64 = 12.0 * 1024.0;
-/// Descriptors that a process needs beside its links.
-const APART: usize = 64;
+/// The maximum number of processes in a run.
+const MAX_PROCESSES: usize = 300;
+/// The maximum resident memory of all processes of a run, in MiB.
+const MAX_MIB: f64 = 12.0 * 1024.0;
+/// File descriptors that a process needs besides its links.
+const BASE_DESCRIPTORS: usize = 64;
 
+/// A fault that a run injects in the middle third of the measured time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Fault {
+    /// No fault
     None,
-    /// Planners of one region and of the others do not hear each other
+    /// Frames between one region's planners and the other regions' planners are dropped both ways
     Cut,
-    /// Planners of one region hear the others, and are not heard
+    /// Frames from one region's planners to the other regions' planners are dropped
     OneWay,
-    /// The machines of a zone vanish, and come back
+    /// All machines of one zone disappear and later return
     Zone,
     /// All machines restart, a few at a time
     Roll,
-    /// Planners are killed, one in four and ten at most; as many spares stand by
+    /// One real planner in four, ten at most, is killed; as many spares run
     Kill,
 }
 
+/// The arguments of `basaltpitch measure-scale`.
 #[derive(Clone, clap::Args)]
 pub struct Measure {
-    /// Planners, each under a seat
+    /// Number of planners, each with a slot
     #[arg(long, default_value_t = 84)]
     planners: usize,
-    /// How many of them are processes of their own; these are measured, and asked by clients
+    /// Number of real planners: processes of their own, which clients submit to and which are measured
     #[arg(long, default_value_t = 3)]
     real: usize,
+    /// Number of simulated machines
     #[arg(long, default_value_t = 2100)]
     machines: usize,
+    /// Number of tenants
     #[arg(long, default_value_t = 680)]
     tenants: usize,
-    /// Tasks that run at one time, on average
+    /// Average number of running tasks
     #[arg(long, default_value_t = 11_000)]
     running: usize,
-    /// Tasks a second that clients ask all planners for
+    /// Tasks a second that are requested from all planners together
     #[arg(long, default_value_t = 520.0)]
     rate: f64,
-    /// Real planners get all the load, not their part of it
+    /// Send the load of all planners to the real planners instead of their share of it
     #[arg(long)]
     all_load: bool,
-    /// Hollow planners link to machines as real ones do
+    /// Simulated planners link to machines as real planners do
     #[arg(long)]
     hollow_links: bool,
-    /// Voters of the council: three or five
+    /// Number of voters, 3 or 5
     #[arg(long, default_value_t = 3)]
     voters: usize,
-    /// The council's term, in milliseconds; the drift is a twenty-fifth of it
+    /// Lease duration in milliseconds; the clock drift is a twenty-fifth of it
     #[arg(long, default_value_t = 5000)]
     term: u64,
-    /// Seconds that are measured, after the load has come up
+    /// Duration of the measurement in seconds, after the warm-up
     #[arg(long, default_value_t = 60)]
     seconds: u64,
-    /// Seconds that the load comes up in; by default as long as a task runs on average, 5 to 30
+    /// Seconds of load before the measurement; by default the average run time of a task, 5 to 30
     #[arg(long)]
     rise: Option<u64>,
+    /// Seed of the random number generators
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Restarts of each machine an hour, on average, drawn from the seed
+    /// Average restarts of each machine per hour, at random times
     #[arg(long, default_value_t = 0.0)]
     restarts: f64,
-    /// Tell the installation of three regions
+    /// Configure three regions in the installation
     #[arg(long)]
     regions: bool,
-    /// The period of heartbeats in milliseconds; by default the installation does not say
+    /// Heartbeat period in milliseconds; by default the installation's default
     #[arg(long)]
     heartbeat: Option<u64>,
-    /// Each machine is in so many parts; by default every planner links to all machines
+    /// Number of planners whose subset each machine is in; by default every planner links to all machines
     #[arg(long)]
     copies: Option<usize>,
-    /// The budget of a planner for control, in bytes a second; by default none
+    /// A planner's budget for control traffic, in bytes a second; by default unlimited
     #[arg(long)]
     bytes: Option<u64>,
-    /// What goes wrong in the middle third of the measured time
+    /// Fault to inject in the middle third of the measured time
     #[arg(long, value_enum, default_value = "none")]
     faults: Fault,
-    /// The region that is cut off, or whose first zone is lost
+    /// Region that is cut off (cut, one-way) or whose first zone disappears (zone)
     #[arg(long, default_value = "east")]
     region: String,
-    /// Check that what was counted by kind adds up to what the sockets carried; for small runs
+    /// Check that the traffic counters by kind add up to the bytes on the sockets; for small runs
     #[arg(long)]
     counters: bool,
-    /// Lay hollow planners and machines beside real ones instead, compare what both carry and use, and fail
-    /// where they are further apart than a bound
+    /// Compare traffic and CPU time of simulated planners and machines with real ones instead, and fail where
+    /// the difference exceeds its bound
     #[arg(long, conflicts_with_all = ["sweep", "into"])]
     believe: bool,
-    /// Several runs along one axis: machines, planners, tenants, running or rate, such as
-    /// machines=500,1000,1500,2100; lines are drawn through what was measured
+    /// Run several times with different values of machines, planners, tenants, running or rate, such as
+    /// machines=500,1000,1500,2100, and fit a line to each measured figure
     #[arg(long)]
     sweep: Option<String>,
-    /// A page that the tables go into, between the lines `<!-- measured: MARK -->` and `<!-- end -->`
+    /// Markdown page to write the tables into, between the lines `<!-- measured: MARK -->` and `<!-- end -->`
     #[arg(long)]
     into: Option<PathBuf>,
-    /// The mark in that page; by default the axis of a sweep, or what goes wrong
+    /// Mark in that page; by default the axis of the sweep, or the fault
     #[arg(long, requires = "into")]
     mark: Option<String>,
 }
 
-/// What is shown of a run or a sweep, and the first column of each table.
-const PARTS: [(&str, &str); 8] = [
+/// The sections of a report, each with the name of its first column; empty stands for the axis of the sweep.
+const SECTIONS: [(&str, &str); 8] = [
     ("shape", "what"),
     ("roles", "role"),
     ("traffic", "kind"),
@@ -127,31 +134,34 @@
     ("lines", "figure"),
 ];
 
-/// Rows as they are, or a row for each field of one thing.
+/// Returns a section's rows; an object becomes one row per field.
 fn rows_of(value: &Value, first: &str) -> Value {
     match value {
-        Value::Object(fields) => fields.iter().map(|(k, v)| json!({first: k, "found": v})).collect(),
+        Value::Object(fields) => {
+            fields.iter().map(|(name, value)| json!({first: name, "found": value})).collect()
+        }
         rows => rows.clone(),
     }
 }
 
-/// What a page is told, with the command that tells it anew.
-fn tables(whole: &Value) -> String {
+/// Renders the text of a page: the command line, then each section as a table.
+fn page_text(report: &Value) -> String {
     let args: Vec<String> = std::env::args().skip(1).collect();
     let mut text = format!("`basaltpitch {}`\n", args.join(" "));
-    for (part, first) in PARTS.iter().filter(|p| !whole[p.0].is_null()) {
-        let axis = whole["axis"].as_str().unwrap_or("");
+    for (section, first) in SECTIONS.iter().filter(|p| !report[p.0].is_null()) {
+        let axis = report["axis"].as_str().unwrap_or("");
         let first = if first.is_empty() { axis } else { first };
-        text += &format!("\n{}", pages::table(&rows_of(&whole[part], first), first));
+        text += &format!("\n{}", pages::table(&rows_of(&report[section], first), first));
     }
     text
 }
 
-fn wrong<T>(field: &str, found: impl std::fmt::Display, expected: &str) -> Result<T, Failure> {
+/// Returns the error for an invalid option.
+fn invalid_option<T>(field: &str, found: impl std::fmt::Display, expected: &str) -> Result<T, Failure> {
     Err(Failure::InvalidInput(format!("--{field}: found {found}; expected {expected}")))
 }
 
-/// What is told of a run while it goes on, on a terminal.
+/// Reports the progress of a run in the log and, on a terminal, on standard error.
 fn progress(what: &str) {
     if io::stderr().is_terminal() {
         eprintln!("measure-scale: {what}");
@@ -159,74 +169,83 @@
     tracing::info!(what, "measure-scale");
 }
 
-/// Descriptors that a process may have.
-fn limit() -> usize {
+/// Returns the limit of open file descriptors per process.
+fn descriptor_limit() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
     limit.current.map_or(usize::MAX, |n| n as usize)
 }
 
 impl Fault {
-    /// Its name as an option.
-    fn word(self) -> String {
+    /// Returns the fault's name on the command line.
+    fn option_name(self) -> String {
         clap::ValueEnum::to_possible_value(&self).map_or(String::new(), |v| v.get_name().to_owned())
     }
 }
 
 impl Measure {
+    /// Runs the measurement, sweep or comparison, prints the report and updates the page, if one is given.
+    ///
+    /// # Errors
+    /// The options are invalid, a run failed, or one of its checks failed.
     pub fn run(self, as_json: bool) -> Result<(), Failure> {
         if self.believe {
             self.check()?;
             let rows = measure_in_temp_folder("believe", async |folder: &Path| {
                 believe::believe(&self, folder).await
             })?;
-            let doubted = rows.iter().filter(|r| r["believed"] == false).count();
+            let failed_rows = rows.iter().filter(|r| r["believed"] == false).count();
             crate::ask::print_value(&Value::Array(rows), as_json);
-            return match doubted {
+            return match failed_rows {
                 0 => Ok(()),
                 n => Err(Failure::Failed(format!(
-                    "{n} figures of hollow ones are further apart than their bound"
+                    "{n} figures of simulated planners or machines differ from real ones by more than their bound"
                 ))),
             };
         }
         let sweep = self.sweep.as_deref().map(pages::Sweep::read).transpose()?;
         let runs = sweep.as_ref().map_or_else(|| vec![self.clone()], |s| s.runs(&self));
         runs.iter().try_for_each(Measure::check)?;
-        let usual = sweep.as_ref().map_or(self.faults.word(), |s| s.axis.clone());
-        let mark = self.mark.clone().unwrap_or(usual);
+        let default_mark = sweep.as_ref().map_or(self.faults.option_name(), |s| s.axis.clone());
+        let mark = self.mark.clone().unwrap_or(default_mark);
         let page = self.into.as_ref().map(|page| pages::Page::find(page, &mark)).transpose()?;
-        let mut found = Vec::new();
+        let mut reports = Vec::new();
         for run in &runs {
-            found.push(measure_in_temp_folder("scale", async |folder: &Path| run.measure(folder).await)?);
+            reports.push(measure_in_temp_folder("scale", async |folder: &Path| run.measure(folder).await)?);
         }
-        let whole = match &sweep {
-            None => found[0].clone(),
+        let report = match &sweep {
+            None => reports[0].clone(),
             Some(sweep) => {
-                let rows = sweep.points.iter().zip(&found).map(|(at, f)| pages::row(&sweep.axis, *at, f));
+                let rows = sweep
+                    .points
+                    .iter()
+                    .zip(&reports)
+                    .map(|(point, report)| pages::row(&sweep.axis, *point, report));
                 let rows: Vec<Value> = rows.collect();
                 let lines = pages::fits(&sweep.axis, &rows);
-                json!({"axis": sweep.axis, "lines": lines, "rows": rows, "runs": found})
+                json!({"axis": sweep.axis, "lines": lines, "rows": rows, "runs": reports})
             }
         };
         if let Some(page) = page {
-            page.write(&tables(&whole))?;
+            page.write(&page_text(&report))?;
         }
         if as_json {
-            println!("{whole}");
+            println!("{report}");
         } else {
-            for (part, first) in PARTS.iter().filter(|p| !whole[p.0].is_null()) {
-                println!("{part}");
-                crate::ask::print_value(&rows_of(&whole[part], first), false);
+            for (section, first) in SECTIONS.iter().filter(|p| !report[p.0].is_null()) {
+                println!("{section}");
+                crate::ask::print_value(&rows_of(&report[section], first), false);
                 println!();
             }
         }
-        let broken = |f: &&Value| f["laws"].as_object().into_iter().flatten().any(|l| *l.1 == json!(false));
-        match found.iter().find(broken) {
-            Some(f) => Err(Failure::Failed(format!("laws are broken: {}", f["laws"]))),
+        let has_failed_check =
+            |report: &&Value| report["laws"].as_object().into_iter().flatten().any(|l| *l.1 == json!(false));
+        match reports.iter().find(has_failed_check) {
+            Some(report) => Err(Failure::Failed(format!("checks of the run failed: {}", report["laws"]))),
             None => Ok(()),
         }
     }
 
-    /// What is wrong with the options, before anything is started.
+    /// Validates the options before anything is started.
     fn check(&self) -> Result<(), Failure> {
         let at_least = [
             ("planners", self.planners),
@@ -238,58 +257,63 @@
         ];
         for (field, found) in at_least {
             if found == 0 {
-                return wrong(field, 0, "1 or more; give a higher number");
+                return invalid_option(field, 0, "1 or more; give a higher number");
             }
         }
         if self.real > self.planners {
             let expected =
                 format!("{} at most, as --planners says; lower it or raise --planners", self.planners);
-            return wrong("real", self.real, &expected);
+            return invalid_option("real", self.real, &expected);
         }
         if !self.rate.is_finite() || self.rate <= 0.0 {
-            return wrong("rate", self.rate, "tasks a second, above 0");
+            return invalid_option("rate", self.rate, "tasks a second, above 0");
         }
         if ![3, 5].contains(&self.voters) {
-            return wrong("voters", self.voters, "3 or 5, as an installation has");
+            return invalid_option("voters", self.voters, "3 or 5, as an installation has");
         }
         if self.term < 100 {
-            return wrong("term", self.term, "100 ms or more, as an installation has");
+            return invalid_option("term", self.term, "100 ms or more, as an installation has");
         }
         if !(0.0..=3600.0).contains(&self.restarts) {
-            return wrong("restarts", self.restarts, "0 to 3600 an hour");
+            return invalid_option("restarts", self.restarts, "0 to 3600 an hour");
         }
         if !site::REGIONS.iter().any(|r| r.0 == self.region) {
             let names: Vec<&str> = site::REGIONS.iter().map(|r| r.0).collect();
-            return wrong("region", format!("{:?}", self.region), &format!("one of {}", names.join(", ")));
+            return invalid_option(
+                "region",
+                format!("{:?}", self.region),
+                &format!("one of {}", names.join(", ")),
+            );
         }
         if self.heartbeat == Some(0) {
-            return wrong("heartbeat", 0, "milliseconds, 1 or more");
+            return invalid_option("heartbeat", 0, "milliseconds, 1 or more");
         }
         if self.copies.is_some_and(|c| c == 0 || c > self.planners) {
             let found = self.copies.unwrap_or(0);
-            return wrong("copies", found, &format!("1 to {}, as --planners says", self.planners));
+            return invalid_option("copies", found, &format!("1 to {}, as --planners says", self.planners));
         }
-        let (limit, most) = (limit(), self.planner_descriptors());
-        if most > limit {
-            let has = limit.saturating_sub(APART + self.planners + self.voters);
+        let (limit, needed) = (descriptor_limit(), self.planner_descriptors());
+        if needed > limit {
+            let allowed = limit.saturating_sub(BASE_DESCRIPTORS + self.planners + self.voters);
             let expected = format!(
-                "{has} at most, since a planner needs {most} descriptors and a process may have {limit}; \
+                "{allowed} at most, since a planner needs {needed} descriptors and a process may have {limit}; \
                  lower it, or raise the limit (ulimit -n)"
             );
-            return wrong("machines", self.machines, &expected);
+            return invalid_option("machines", self.machines, &expected);
         }
-        if self.processes() > MOST_PROCESSES {
+        if self.processes() > MAX_PROCESSES {
             let expected = format!(
-                "fewer, since the run would have {} processes, {MOST_PROCESSES} at most; lower it",
+                "fewer, since the run would have {} processes, {MAX_PROCESSES} at most; lower it",
                 self.processes()
             );
-            return wrong("real", self.real, &expected);
+            return invalid_option("real", self.real, &expected);
         }
         Ok(())
     }
 
-    fn site(&self) -> Site {
-        Site {
+    /// Returns the parameters of the run's installation.
+    fn installation_params(&self) -> InstallationParams {
+        InstallationParams {
             planners: self.planners,
             tenants: self.tenants,
             term_ms: self.term,
@@ -300,41 +324,45 @@
         }
     }
 
-    /// A planner links to all machines; with parts it visits each once when it begins.
+    /// Returns the descriptors of one planner. It links to all machines; with subsets it does so too when it
+    /// starts, to fetch the inventory of each.
     fn planner_descriptors(&self) -> usize {
-        APART + self.machines + self.planners + self.voters
+        BASE_DESCRIPTORS + self.machines + self.planners + self.voters
     }
 
-    fn hollow(&self) -> usize {
+    /// Returns the number of simulated planners.
+    fn simulated_planners(&self) -> usize {
         self.planners - self.real
     }
 
-    /// Whether hollow planners link to machines.
+    /// Returns whether simulated planners link to machines.
     fn hollow_links(&self) -> bool {
         self.hollow_links || self.copies.is_some()
     }
 
-    /// Hollow planners in one process.
-    fn planners_each(&self) -> usize {
+    /// Returns the number of simulated planners per process, as the descriptor limit allows, 20 at most.
+    fn planners_per_process(&self) -> usize {
         let links = if self.hollow_links() { self.machines } else { 0 };
-        (limit() / 10 * 9 / (APART + links + self.planners + self.voters)).clamp(1, 20)
+        (descriptor_limit() / 10 * 9 / (BASE_DESCRIPTORS + links + self.planners + self.voters)).clamp(1, 20)
     }
 
-    /// Hollow machines in one process.
-    fn machines_each(&self) -> usize {
-        let linked = match (self.copies, self.hollow_links) {
-            // Those that begin together visit it together.
+    /// Returns the number of simulated machines per process, at most a quarter of them.
+    fn machines_per_process(&self) -> usize {
+        let links_per_machine = match (self.copies, self.hollow_links) {
+            // Planners that start together fetch the machine's inventory at the same time.
             (Some(copies), _) => {
-                let begin = (self.real + self.spares()).max(self.planners_each());
-                (2 * copies + 4 + begin).min(self.planners + self.spares())
+                let starting_planners = (self.real + self.spares()).max(self.planners_per_process());
+                (2 * copies + 4 + starting_planners).min(self.planners + self.spares())
             }
             (None, true) => self.planners,
             (None, false) => self.real + self.spares(),
         };
-        let most = (limit() / 10 * 9).saturating_sub(APART) / (1 + linked);
-        self.machines.div_ceil(4).clamp(1, most.max(1))
+        let max_machines =
+            (descriptor_limit() / 10 * 9).saturating_sub(BASE_DESCRIPTORS) / (1 + links_per_machine);
+        self.machines.div_ceil(4).clamp(1, max_machines.max(1))
     }
 
+    /// Returns the number of spare planners: as many as the fault `kill` kills, else none.
     fn spares(&self) -> usize {
         if self.faults == Fault::Kill {
             (self.real / 4).clamp(1, 10)
@@ -343,19 +371,21 @@
         }
     }
 
+    /// Returns the number of processes that the run starts.
     fn processes(&self) -> usize {
-        let planners = self.real + self.spares() + self.hollow().div_ceil(self.planners_each());
-        // Two registers, and two processes of clients.
-        planners + self.machines.div_ceil(self.machines_each()) + self.voters + 4
+        let planners =
+            self.real + self.spares() + self.simulated_planners().div_ceil(self.planners_per_process());
+        // The 4: two registries and two processes of clients.
+        planners + self.machines.div_ceil(self.machines_per_process()) + self.voters + 4
     }
 
-    /// Seconds that a task runs on average.
+    /// Returns the average run time of a task in seconds.
     fn runs_s(&self) -> f64 {
         self.running as f64 / self.rate
     }
 
-    /// Tasks a second that the real planners are asked for.
-    fn asked_rate(&self) -> f64 {
+    /// Returns the tasks a second that are requested from the real planners.
+    fn real_rate(&self) -> f64 {
         if self.all_load {
             self.rate
         } else {
@@ -363,22 +393,23 @@
         }
     }
 
+    /// Runs one measurement, with the fault in the middle third, and returns its report.
     async fn measure(&self, folder: &Path) -> io::Result<Value> {
         let shape = json!({
             "planners": self.planners, "real_planners": self.real, "machines": self.machines,
             "tenants": self.tenants, "running": self.running, "rate": self.rate,
-            "rate_at_real": (self.asked_rate() * 10.0).round() / 10.0, "voters": self.voters,
+            "rate_at_real": (self.real_rate() * 10.0).round() / 10.0, "voters": self.voters,
             "term_ms": self.term, "seconds": self.seconds, "seed": self.seed,
             "heartbeat_ms": self.heartbeat, "copies": self.copies, "bytes": self.bytes,
-            "hollow_planners_link": self.hollow_links(), "machines_a_process": self.machines_each(),
-            "hollow_planners_a_process": self.planners_each(), "descriptors": limit(),
-            "faults": self.faults.word(),
+            "hollow_planners_link": self.hollow_links(), "machines_a_process": self.machines_per_process(),
+            "hollow_planners_a_process": self.planners_per_process(), "descriptors": descriptor_limit(),
+            "faults": self.faults.option_name(),
         });
         let mut run = ScaleRun::start(self, folder).await?;
-        let usual = (self.runs_s() as u64).clamp(5, 30);
+        let default_warm_up_s = (self.runs_s() as u64).clamp(5, 30);
         run.ask().await?;
-        progress("the load comes up");
-        tokio::time::sleep(Duration::from_secs(self.rise.unwrap_or(usual))).await;
+        progress("warming up: clients submit before the measurement starts");
+        tokio::time::sleep(Duration::from_secs(self.rise.unwrap_or(default_warm_up_s))).await;
         let before = run.begin().await?;
         let third = Duration::from_millis(self.seconds * 1000 / 3);
         run.watched(third).await?;
@@ -386,8 +417,8 @@
         run.watched(third).await?;
         run.heal(self.faults).await?;
         run.watched(third).await?;
-        let mut found = run.end(before).await?;
-        found["shape"] = shape;
-        Ok(found)
+        let mut report = run.end(before).await?;
+        report["shape"] = shape;
+        Ok(report)
     }
 }
--- a/cli/src/measure_scale/pages.rs
+++ b/cli/src/measure_scale/pages.rs
@@ -1,5 +1,5 @@
 //! Sweeps along one axis, lines through their points, and pages that hold what was measured between marks.
-use super::{wrong, Measure};
+use super::{invalid_option, Measure};
 use crate::Failure;
 use basaltpitch_testbed::scale::linear_fit::{fit_line, LinearFit};
 use serde_json::{json, Map, Value};
@@ -21,20 +21,24 @@
         let expected =
             format!("one of {} with numbers, such as machines=500,1000,1500,2100", AXES.join(", "));
         let Some((axis, rest)) = text.split_once('=').filter(|x| AXES.contains(&x.0)) else {
-            return wrong("sweep", format!("{text:?}"), &expected);
+            return invalid_option("sweep", format!("{text:?}"), &expected);
         };
         let numbers: Result<Vec<f64>, _> = rest.split(',').map(str::parse).collect();
-        let Ok(points) = numbers else { return wrong("sweep", format!("{text:?}"), &expected) };
+        let Ok(points) = numbers else { return invalid_option("sweep", format!("{text:?}"), &expected) };
         let mut apart = points.clone();
         apart.sort_by(f64::total_cmp);
         apart.dedup();
         if apart.len() < FEWEST {
             let found = format!("{} different points", apart.len());
-            return wrong("sweep", found, &format!("{FEWEST} or more, for a line and what it leaves over"));
+            return invalid_option(
+                "sweep",
+                found,
+                &format!("{FEWEST} or more, for a line and what it leaves over"),
+            );
         }
         let whole = |p: &f64| p.is_finite() && *p > 0.0 && (axis == "rate" || p.fract() == 0.0);
         if let Some(p) = points.iter().find(|p| !whole(p)) {
-            return wrong("sweep", p, &format!("{axis} above 0, whole numbers except of rate"));
+            return invalid_option("sweep", p, &format!("{axis} above 0, whole numbers except of rate"));
         }
         Ok(Sweep { axis: axis.to_owned(), points })
     }
@@ -159,7 +163,7 @@
         let Some((before, after)) = marks else {
             let expected =
                 format!("lines {begins} and, after it, {ends}; put both into the page, or give --mark");
-            return wrong("into", format!("no such place in {shown}"), &expected);
+            return invalid_option("into", format!("no such place in {shown}"), &expected);
         };
         let (before, after) = (before + &begins + "\n", ends.to_owned() + &after);
         Ok(Page { path: path.to_owned(), before, after })
--- a/cli/src/measure_scale/run.rs
+++ b/cli/src/measure_scale/run.rs
@@ -3,7 +3,7 @@
 mod report;
 mod start;
 
-use super::{progress, site, Fault, Measure, MOST_MIB};
+use super::{progress, site, Fault, Measure, MAX_MIB};
 use crate::processes::{self, Process, Usage};
 use basaltpitch_testbed::relay::RelayControl;
 use basaltpitch_testbed::scale::traffic::{RelayCounts, Traffic};
@@ -166,7 +166,7 @@
         let spares: Vec<usize> = (0..real).filter(|n| !at.contains(n)).collect();
         let to: Vec<&str> = at.iter().chain(&spares).map(|n| self.planners.listens[*n].as_str()).collect();
         for n in 0..2u64 {
-            let (rate, runs) = ((m.asked_rate() / 2.0).to_string(), m.runs_s().to_string());
+            let (rate, runs) = ((m.real_rate() / 2.0).to_string(), m.runs_s().to_string());
             let (seed, tenants) = ((m.seed * 2 + n).to_string(), m.tenants.to_string());
             let (planners, conns) = (to.join(","), at.len().to_string());
             let args = ["simulated", "clients", "--planners", &planners, "--conns", &conns, "--rate", &rate];
@@ -196,8 +196,8 @@
                 mib += process.used().map_or(0.0, |u| u.mib);
             }
             self.most_mib = self.most_mib.max(mib);
-            if mib > MOST_MIB {
-                return Err(io::Error::other(format!("the run uses {mib:.0} MiB; {MOST_MIB} at most")));
+            if mib > MAX_MIB {
+                return Err(io::Error::other(format!("the run uses {mib:.0} MiB; {MAX_MIB} at most")));
             }
         }
         Ok(())
--- a/cli/src/measure_scale/run/start.rs
+++ b/cli/src/measure_scale/run/start.rs
@@ -44,11 +44,11 @@
 async fn start_machines(measure: &Measure, file: &str, registry: &str) -> io::Result<Vec<Process>> {
     let (seed, restarts) = (measure.seed.to_string(), measure.restarts.to_string());
     let mut machines = Vec::new();
-    for first in (0..measure.machines).step_by(measure.machines_each()) {
-        let count = measure.machines_each().min(measure.machines - first);
+    for first in (0..measure.machines).step_by(measure.machines_per_process()) {
+        let count = measure.machines_per_process().min(measure.machines - first);
         // What simulated planners would place takes capacity all the same, and changes the list.
         let share = count as f64 / measure.machines as f64;
-        let absent = (measure.rate - measure.asked_rate()).max(0.0) * share;
+        let absent = (measure.rate - measure.real_rate()).max(0.0) * share;
         let (first, count) = (first.to_string(), count.to_string());
         let (absent, runs) = (absent.to_string(), measure.runs_s().to_string());
         let args = ["simulated", "machines", file, "--first", &first, "--count", &count];
@@ -90,7 +90,7 @@
 impl ScaleRun {
     /// Starts everything, and waits until all slots are taken and all machines are linked.
     pub async fn start(measure: &Measure, folder: &Path) -> io::Result<ScaleRun> {
-        let (real, simulated) = (measure.real + measure.spares(), measure.hollow());
+        let (real, simulated) = (measure.real + measure.spares(), measure.simulated_planners());
         let mut voter_addresses = free_addresses(measure.voters + real + simulated)?;
         let listens = voter_addresses.split_off(measure.voters);
         let file = write_site(measure, folder, "site.rec", &voter_addresses)?;
@@ -138,7 +138,7 @@
         files: &PlannerFiles,
         places: std::ops::Range<usize>,
     ) -> io::Result<()> {
-        let each = self.measure.planners_each();
+        let each = self.measure.planners_per_process();
         for from in places.clone().step_by(each) {
             let to = (from + each).min(places.end);
             let joined = |all: &[String]| all[from..to].join(",");
@@ -175,7 +175,7 @@
 
 fn write_site(measure: &Measure, folder: &Path, name: &str, voters: &[String]) -> io::Result<String> {
     let path = folder.join(name);
-    std::fs::write(&path, measure.site().text(voters)).map(|()| path.display().to_string())
+    std::fs::write(&path, measure.installation_params().text(voters)).map(|()| path.display().to_string())
 }
 
 /// Votes and lists are counted apart for each planner.
--- a/cli/src/measure_scale/site.rs
+++ b/cli/src/measure_scale/site.rs
@@ -67,7 +67,7 @@
 
 /// What a run's installation depends on. What is none is left out of the text.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct InstallationParams {
     pub planners: usize,
     pub tenants: usize,
     pub term_ms: u64,
@@ -77,7 +77,7 @@
     pub bytes: Option<u64>,
 }
 
-impl Site {
+impl InstallationParams {
     /// With these ways to the voters, v0 and so on; without any there is no council.
     pub fn text(&self, ways: &[String]) -> String {
         let list = |all: Vec<String>| all.join(", ");
@@ -132,7 +132,7 @@
 
 /// An installation of one planner without a council, for stand-in machines too.
 pub fn alone(machines: usize) -> String {
-    let site = Site {
+    let site = InstallationParams {
         planners: 1,
         tenants: 5,
         term_ms: 0,
