--- a/cli/src/measure_scale.rs
+++ b/cli/src/measure_scale.rs
@@ -28,9 +28,9 @@
 pub enum Fault {
     /// No fault
     None,
-    /// Frames between one region's planners and the other regions' planners are dropped both ways
+    /// No data passes between one region's planners and those of other regions
     Cut,
-    /// Frames from one region's planners to the other regions' planners are dropped
+    /// No data passes from one region's planners to those of other regions; the reverse still works
     OneWay,
     /// All machines of one zone disappear and later return
     Zone,
@@ -407,16 +407,16 @@
         });
         let mut run = ScaleRun::start(self, folder).await?;
         let default_warm_up_s = (self.runs_s() as u64).clamp(5, 30);
-        run.ask().await?;
+        run.start_clients().await?;
         progress("warming up: clients submit before the measurement starts");
         tokio::time::sleep(Duration::from_secs(self.rise.unwrap_or(default_warm_up_s))).await;
         let before = run.begin().await?;
         let third = Duration::from_millis(self.seconds * 1000 / 3);
-        run.watched(third).await?;
+        run.watch_memory(third).await?;
         run.fault(self.faults).await?;
-        run.watched(third).await?;
+        run.watch_memory(third).await?;
         run.heal(self.faults).await?;
-        run.watched(third).await?;
+        run.watch_memory(third).await?;
         let mut report = run.end(before).await?;
         report["shape"] = shape;
         Ok(report)
--- a/cli/src/measure_scale/believe.rs
+++ b/cli/src/measure_scale/believe.rs
@@ -85,10 +85,10 @@
     };
     let mut run = ScaleRun::start(&shape, folder).await?;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let (began, before) = (Instant::now(), run.each().await?);
-    let used = run.used_by_sort()?;
+    let (began, before) = (Instant::now(), run.traffic_by_planner().await?);
+    let used = run.cpu_by_sort()?;
     tokio::time::sleep(Duration::from_secs_f64(SECONDS)).await;
-    let (now, used_now) = (run.each().await?, run.used_by_sort()?);
+    let (now, used_now) = (run.traffic_by_planner().await?, run.cpu_by_sort()?);
     let seconds = began.elapsed().as_secs_f64();
     let mut rows = Vec::new();
     for kind in ["heartbeats", "summaries", "council", "lists"] {
--- a/cli/src/measure_scale/run.rs
+++ b/cli/src/measure_scale/run.rs
@@ -1,4 +1,4 @@
-//! A scale run: its processes, what is read off them, and what goes wrong with them.
+//! A scale run: its processes, the counters and resource usage read from them, and the faults injected.
 mod checks;
 mod report;
 mod start;
@@ -14,120 +14,145 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a thing may take that is waited for.
-const PATIENCE: Duration = Duration::from_secs(120);
-/// How long planners that begin together may take to visit all machines.
-const VISITS: Duration = Duration::from_secs(300);
+/// How long to wait for slots to be acquired or machines to be linked.
+const SETUP_TIMEOUT: Duration = Duration::from_secs(120);
+/// How long planners that start together may take to fetch the inventories of all machines.
+const INVENTORY_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// A planner as it was seated.
-struct Seated {
-    seat: String,
-    /// Its place among the addresses: real ones first, then spares, then simulated ones.
-    place: usize,
+/// A slot and the planner that holds it.
+struct SlotHolder {
+    /// The slot's name.
+    slot: String,
+    /// The index of the planner's addresses: real planners first, then spares, then simulated planners.
+    index: usize,
 }
 
-/// Zones and addresses of planners, by their places.
+/// Zones and addresses of all planners, by index: real planners first, then spares, then simulated planners.
 struct Planners {
     zones: Vec<String>,
-    listens: Vec<String>,
-    advertise: Vec<String>,
+    /// The address that each planner listens on.
+    listen_addresses: Vec<String>,
+    /// The address that other planners connect to: a relay in front of the planner.
+    advertised_addresses: Vec<String>,
 }
 
-/// The processes of a run.
+/// The processes of a run, the relays between them and what was observed so far.
 pub struct ScaleRun {
     measure: Measure,
     planners: Planners,
-    seated: Vec<Seated>,
+    /// The slots that are held, each once.
+    holders: Vec<SlotHolder>,
+    /// Real planners and spares, by index; `None` once the fault `kill` has killed the process.
     real: Vec<Option<Process>>,
+    /// Processes of simulated planners.
     simulated: Vec<Process>,
+    /// Processes of simulated machines.
     machines: Vec<Process>,
+    /// The registry that lists the machines, and one that lists nothing.
     registries: Vec<Process>,
     voters: Vec<Process>,
     clients: Vec<Process>,
-    /// Of each planner: relays to the voters, and to the register.
+    /// By planner index: traffic counters of the relays to the voters.
     to_voters: Vec<Rc<RelayCounts>>,
+    /// By planner index: traffic counters of the relay to the registry.
     to_registry: Vec<Rc<RelayCounts>>,
-    /// Of each planner: the relay before it that counts, and the one that may be cut.
-    before: Vec<(Rc<RelayCounts>, Rc<RelayControl>)>,
-    seats_after_s: f64,
-    most_mib: f64,
+    /// By planner index, for connections to the planner: counters of the counting relay, and the control of the
+    /// relay that holds back bytes for the faults `cut` and `one-way`.
+    incoming_relays: Vec<(Rc<RelayCounts>, Rc<RelayControl>)>,
+    /// Seconds from the first planner's start until all slots were held.
+    slots_held_after_s: f64,
+    /// Maximum resident memory of all processes so far, in MiB.
+    max_mib: f64,
+    /// Path of the installation's file.
     file: String,
-    reseated_s: Option<f64>,
-    /// Seats that changed hands unasked, after all were taken.
-    moved: usize,
+    /// Seconds until killed planners' slots were held again; `None` without the fault `kill`.
+    reacquired_after_s: Option<f64>,
+    /// Number of slots that changed their holder without a fault that kills planners.
+    moved_slots: usize,
 }
 
-/// What is read at the beginning and at the end of the measured time.
+/// Counters and resource usage at the start or end of the measured time.
 pub struct Reading {
     at: Instant,
+    /// By role: the usage of each process, `None` where it could not be read.
     used: Vec<(&'static str, Vec<Option<Usage>>)>,
-    /// Seconds of processor time that this process, and that all of the machine's, have used.
-    own_s: f64,
+    /// CPU time of this process in seconds.
+    own_cpu_s: f64,
+    /// CPU time of the whole host in seconds.
     machine_cpu_s: f64,
-    /// By seat and place: a successor is another planner.
+    /// Traffic of each real planner by slot and planner index, so that a new holder of a slot counts anew.
     traffic: BTreeMap<(String, usize), Traffic>,
 }
 
-/// The next line of any of these, and whose it is.
-async fn next_line(all: &mut [&mut Process], until: Instant) -> io::Result<(usize, Value)> {
-    let first = futures_util::future::select_all(all.iter_mut().map(|p| Box::pin(p.read_line())));
-    let late = |_| io::Error::other("planners were not all seated in time");
-    let (line, n, _) = tokio::time::timeout_at(until.into(), first).await.map_err(late)?;
-    Ok((n, line?))
+/// Waits for the next line of any process; returns its index and the line.
+async fn next_line(processes: &mut [&mut Process], until: Instant) -> io::Result<(usize, Value)> {
+    let first =
+        futures_util::future::select_all(processes.iter_mut().map(|process| Box::pin(process.read_line())));
+    let timed_out = |_| io::Error::other("timed out before all slots were held");
+    let (line, index, _) = tokio::time::timeout_at(until.into(), first).await.map_err(timed_out)?;
+    Ok((index, line?))
 }
 
-fn rounded(x: f64, to: f64) -> f64 {
-    (x * to).round() / to
+/// Rounds a number to the precision of 1/`factor`.
+fn rounded(value: f64, factor: f64) -> f64 {
+    (value * factor).round() / factor
 }
 
 impl Reading {
-    /// Seconds of processor time that all processes of the run have used.
-    fn used_s(&self) -> f64 {
-        self.used.iter().flat_map(|role| &role.1).flatten().map(|used| used.cpu_s).sum::<f64>() + self.own_s
+    /// Returns the CPU time in seconds that all processes of the run have used, this one included.
+    fn total_cpu_s(&self) -> f64 {
+        self.used.iter().flat_map(|role| &role.1).flatten().map(|used| used.cpu_s).sum::<f64>()
+            + self.own_cpu_s
     }
 }
 
 impl ScaleRun {
-    /// Waits until so many have seats.
-    async fn seats(&mut self, count: usize) -> io::Result<()> {
-        let until = Instant::now() + PATIENCE;
-        while self.seated.len() < count {
+    /// Waits until this number of slots is held.
+    async fn wait_for_holders(&mut self, count: usize) -> io::Result<()> {
+        let until = Instant::now() + SETUP_TIMEOUT;
+        while self.holders.len() < count {
             let mut all: Vec<&mut Process> =
                 self.real.iter_mut().flatten().chain(&mut self.simulated).collect();
             let (_, line) = next_line(&mut all, until).await?;
-            self.sits(&line);
+            self.record_holder(&line);
         }
         Ok(())
     }
 
-    /// Takes in who was seated meanwhile.
-    fn sit(&mut self) -> io::Result<()> {
+    /// Updates the holders of slots from the lines that planners printed since, without waiting.
+    fn update_holders(&mut self) -> io::Result<()> {
         let mut lines = Vec::new();
         for process in self.real.iter_mut().flatten().chain(&mut self.simulated) {
             while let Some(line) = process.read_line().now_or_never() {
                 lines.push(line?);
             }
         }
-        self.moved += lines.len();
-        lines.iter().for_each(|line| self.sits(line));
+        self.moved_slots += lines.len();
+        lines.iter().for_each(|line| self.record_holder(line));
         Ok(())
     }
 
-    /// Waits until these planners have visited all machines, if they have parts.
-    async fn visited(&self, from: usize, to: usize) -> io::Result<()> {
-        let until = Instant::now() + VISITS;
-        for s in self.seated.iter().filter(|s| (from..to).contains(&s.place)) {
-            let args = ["planner", "--planner", &self.planners.advertise[s.place], "-o", "json"];
+    /// Waits until the planners in this range of indices have fetched all machines' inventories, if they work on
+    /// subsets.
+    async fn wait_for_inventories(&self, from: usize, to: usize) -> io::Result<()> {
+        let until = Instant::now() + INVENTORY_TIMEOUT;
+        for holder in self.holders.iter().filter(|holder| (from..to).contains(&holder.index)) {
+            let args =
+                ["planner", "--planner", &self.planners.advertised_addresses[holder.index], "-o", "json"];
             loop {
-                let out = tokio::process::Command::new(std::env::current_exe()?).args(args).output().await?;
-                let told: Value = serde_json::from_slice(&out.stdout).unwrap_or_default();
-                let left = told["part"]["to_visit"].as_u64();
-                // It has a list by the time that it has a part.
-                if told.is_object() && left.is_none_or(|n| n == 0 && told["part"]["listed"] != 0) {
+                let output =
+                    tokio::process::Command::new(std::env::current_exe()?).args(args).output().await?;
+                let view: Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
+                let left = view["part"]["to_visit"].as_u64();
+                // Nothing left to fetch counts only once the planner has the machine list (`listed` is not 0).
+                if view.is_object() && left.is_none_or(|n| n == 0 && view["part"]["listed"] != 0) {
                     break;
                 }
                 if Instant::now() > until {
-                    return Err(io::Error::other(format!("{} has machines to visit: {left:?}", s.seat)));
+                    return Err(io::Error::other(format!(
+                        "{} still has inventories to fetch: {left:?}",
+                        holder.slot
+                    )));
                 }
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
@@ -135,19 +160,24 @@
         Ok(())
     }
 
-    fn sits(&mut self, line: &Value) {
+    /// Records the new holder of a slot from the line that the planner printed.
+    fn record_holder(&mut self, line: &Value) {
         let text = |field: &str| line[field].as_str().unwrap_or("").to_owned();
-        let (seat, listening) = (text("name"), text("listening"));
-        let Some(place) = self.planners.listens.iter().position(|l| *l == listening) else { return };
-        self.seated.retain(|s| s.seat != seat && s.place != place);
-        self.seated.push(Seated { seat, place });
+        let (slot, listening) = (text("name"), text("listening"));
+        let Some(index) = self.planners.listen_addresses.iter().position(|address| *address == listening)
+        else {
+            return;
+        };
+        self.holders.retain(|holder| holder.slot != slot && holder.index != index);
+        self.holders.push(SlotHolder { slot, index });
     }
 
-    /// Machines to which some planner is linked.
-    async fn linked(&mut self) -> io::Result<usize> {
+    /// Returns the number of machines that at least one planner is linked to.
+    async fn linked_machines(&mut self) -> io::Result<usize> {
         Ok(self.machine_sum("linked").await? as usize)
     }
 
+    /// Returns the sum of a counter over all processes of machines.
     async fn machine_sum(&mut self, field: &str) -> io::Result<u64> {
         let mut sum = 0;
         for process in &mut self.machines {
@@ -156,53 +186,65 @@
         Ok(sum)
     }
 
-    /// Clients begin to ask the real planners that are seated.
-    pub async fn ask(&mut self) -> io::Result<()> {
-        let m = &self.measure;
-        let real = m.real + m.spares();
-        let mut at: Vec<usize> = self.seated.iter().map(|s| s.place).filter(|p| *p < real).collect();
-        at.sort_unstable();
-        // Spares are at the end: who is killed has its successor there.
-        let spares: Vec<usize> = (0..real).filter(|n| !at.contains(n)).collect();
-        let to: Vec<&str> = at.iter().chain(&spares).map(|n| self.planners.listens[*n].as_str()).collect();
-        for n in 0..2u64 {
-            let (rate, runs) = ((m.real_rate() / 2.0).to_string(), m.runs_s().to_string());
-            let (seed, tenants) = ((m.seed * 2 + n).to_string(), m.tenants.to_string());
-            let (planners, conns) = (to.join(","), at.len().to_string());
-            let args = ["simulated", "clients", "--planners", &planners, "--conns", &conns, "--rate", &rate];
+    /// Starts the clients, which submit to the real planners that hold slots.
+    pub async fn start_clients(&mut self) -> io::Result<()> {
+        let measure = &self.measure;
+        let real = measure.real + measure.spares();
+        let mut indices: Vec<usize> =
+            self.holders.iter().map(|holder| holder.index).filter(|index| *index < real).collect();
+        indices.sort_unstable();
+        // Spares are last: clients of a killed planner turn to its successor there.
+        let spares: Vec<usize> = (0..real).filter(|index| !indices.contains(index)).collect();
+        let addresses: Vec<&str> = indices
+            .iter()
+            .chain(&spares)
+            .map(|index| self.planners.listen_addresses[*index].as_str())
+            .collect();
+        for index in 0..2u64 {
+            let (rate, runs) = ((measure.real_rate() / 2.0).to_string(), measure.runs_s().to_string());
+            let (seed, tenants) = ((measure.seed * 2 + index).to_string(), measure.tenants.to_string());
+            let (planners, connections) = (addresses.join(","), indices.len().to_string());
+            let args =
+                ["simulated", "clients", "--planners", &planners, "--conns", &connections, "--rate", &rate];
             let more = ["--runs", &runs, "--tenants", &tenants, "--seed", &seed];
             self.clients.push(Process::start_with_commands(&[&args[..], &more].concat())?);
         }
         Ok(())
     }
 
-    /// The measured time begins.
+    /// Starts the measured time: resets the clients' counters and returns the first reading.
     pub async fn begin(&mut self) -> io::Result<Reading> {
         for clients in &mut self.clients {
             clients.send_command("begin").await?;
         }
-        progress("the measured time begins");
+        progress("measuring");
         self.read().await
     }
 
-    /// Lets time pass, and looks after the memory of all.
-    pub async fn watched(&mut self, time: Duration) -> io::Result<()> {
+    /// Waits for a time and checks the memory of all processes each second.
+    ///
+    /// # Errors
+    /// All processes together use more than `MAX_MIB`.
+    pub async fn watch_memory(&mut self, time: Duration) -> io::Result<()> {
         let until = Instant::now() + time;
         while Instant::now() < until {
             let left = until.saturating_duration_since(Instant::now()).min(Duration::from_secs(1));
             tokio::time::sleep(left).await;
             let mut mib = 0.0;
-            for process in self.roles().into_iter().flat_map(|r| r.1).flatten() {
-                mib += process.used().map_or(0.0, |u| u.mib);
+            for process in self.roles().into_iter().flat_map(|role| role.1).flatten() {
+                mib += process.used().map_or(0.0, |usage| usage.mib);
             }
-            self.most_mib = self.most_mib.max(mib);
+            self.max_mib = self.max_mib.max(mib);
             if mib > MAX_MIB {
-                return Err(io::Error::other(format!("the run uses {mib:.0} MiB; {MAX_MIB} at most")));
+                return Err(io::Error::other(format!(
+                    "the run uses {mib:.0} MiB; expected {MAX_MIB} at most; use smaller numbers"
+                )));
             }
         }
         Ok(())
     }
 
+    /// Returns the processes by role, with the roles' names in the report.
     fn roles(&self) -> Vec<(&'static str, Vec<Option<&Process>>)> {
         fn all(of: &[Process]) -> Vec<Option<&Process>> {
             of.iter().map(Some).collect()
@@ -217,130 +259,142 @@
         ]
     }
 
+    /// Reads counters and resource usage of all processes.
     async fn read(&mut self) -> io::Result<Reading> {
         let at = Instant::now();
-        let used = |p: Option<&Process>| p.and_then(|p| p.used().ok());
+        let used = |process: Option<&Process>| process.and_then(|process| process.used().ok());
         let used =
-            self.roles().into_iter().map(|(r, all)| (r, all.into_iter().map(used).collect())).collect();
-        self.sit()?;
-        let own_s = processes::usage_of(std::process::id())?.cpu_s;
+            self.roles().into_iter().map(|(role, all)| (role, all.into_iter().map(used).collect())).collect();
+        self.update_holders()?;
+        let own_cpu_s = processes::usage_of(std::process::id())?.cpu_s;
         let machine_cpu_s = processes::machine_cpu_s()?;
-        Ok(Reading { at, used, own_s, machine_cpu_s, traffic: self.traffic().await? })
+        Ok(Reading { at, used, own_cpu_s, machine_cpu_s, traffic: self.traffic().await? })
     }
 
-    /// What each real planner carried so far.
+    /// Returns the traffic of each real planner so far.
     async fn traffic(&mut self) -> io::Result<BTreeMap<(String, usize), Traffic>> {
-        let each = self.each().await?;
+        let traffic_by_planner = self.traffic_by_planner().await?;
         Ok(self
-            .measured()
+            .real_holders()
             .into_iter()
-            .filter_map(|of| {
-                let t = *each.get(&of.1)?;
-                Some((of, t))
+            .filter_map(|holder| {
+                let traffic = *traffic_by_planner.get(&holder.1)?;
+                Some((holder, traffic))
             })
             .collect())
     }
 
-    /// What each planner carried so far, by its place, as the far ends of its links and the relays on them
-    /// counted it.
-    pub async fn each(&mut self) -> io::Result<BTreeMap<usize, Traffic>> {
-        let mut of_ends: BTreeMap<String, Traffic> = BTreeMap::new();
+    /// Returns the traffic of each planner so far, by planner index, as counted by the peers of its links and by
+    /// the relays on them.
+    pub async fn traffic_by_planner(&mut self) -> io::Result<BTreeMap<usize, Traffic>> {
+        let mut by_slot: BTreeMap<String, Traffic> = BTreeMap::new();
         for process in self.machines.iter_mut().chain(&mut self.clients) {
-            let told = process.request("tell").await?;
-            for (planner, of) in told["planners"].as_object().into_iter().flatten() {
-                of_ends.entry(planner.clone()).or_default().add(&Traffic::read(of).reversed());
+            let report = process.request("tell").await?;
+            for (planner, traffic) in report["planners"].as_object().into_iter().flatten() {
+                by_slot.entry(planner.clone()).or_default().add(&Traffic::read(traffic).reversed());
             }
         }
         let mut found = BTreeMap::new();
-        for s in &self.seated {
-            let mut sum = of_ends.get(&s.seat).copied().unwrap_or_default();
-            sum.add(&self.to_voters[s.place].traffic.borrow().reversed());
-            sum.add(&self.to_registry[s.place].traffic.borrow().reversed());
-            sum.add(&self.before[s.place].0.traffic.borrow());
-            for (way, _) in &self.before {
-                if let Some(of) = way.by_peer.borrow().get(&s.seat) {
-                    sum.add(&of.reversed());
+        for holder in &self.holders {
+            let mut sum = by_slot.get(&holder.slot).copied().unwrap_or_default();
+            sum.add(&self.to_voters[holder.index].traffic.borrow().reversed());
+            sum.add(&self.to_registry[holder.index].traffic.borrow().reversed());
+            sum.add(&self.incoming_relays[holder.index].0.traffic.borrow());
+            for (relay, _) in &self.incoming_relays {
+                if let Some(traffic) = relay.by_peer.borrow().get(&holder.slot) {
+                    sum.add(&traffic.reversed());
                 }
             }
-            found.insert(s.place, sum);
+            found.insert(holder.index, sum);
         }
         Ok(found)
     }
 
-    /// Seconds of processor time of all real planners, and of all simulated ones.
-    pub fn used_by_sort(&self) -> io::Result<[f64; 2]> {
+    /// Returns the CPU time in seconds of all real planners, and of all simulated planners.
+    pub fn cpu_by_sort(&self) -> io::Result<[f64; 2]> {
         let sum = |all: &mut dyn Iterator<Item = &Process>| -> io::Result<f64> {
             all.map(|p| Ok(p.used()?.cpu_s)).sum()
         };
         Ok([sum(&mut self.real.iter().flatten())?, sum(&mut self.simulated.iter())?])
     }
 
-    /// What goes wrong begins.
+    /// Injects a fault. The fault `kill` also waits until the slots of the killed planners are held again.
     pub async fn fault(&mut self, fault: Fault) -> io::Result<()> {
         if fault != Fault::None {
-            progress("what goes wrong begins");
+            progress("injecting the fault");
         }
         match fault {
             Fault::None => {}
-            Fault::Cut => self.cut(true, true),
-            Fault::OneWay => self.cut(true, false),
+            Fault::Cut => self.set_cut(true, true),
+            Fault::OneWay => self.set_cut(true, false),
             Fault::Zone => {
-                self.tell_machines(&format!("vanish {}", site::first_zone(&self.measure.region))).await?
+                self.command_machines(&format!("vanish {}", site::first_zone(&self.measure.region))).await?
             }
-            Fault::Roll => self.tell_machines("roll 2").await?,
+            Fault::Roll => self.command_machines("roll 2").await?,
             Fault::Kill => {
-                let taken: Vec<usize> = self.seated.iter().map(|s| s.place).collect();
+                let held: Vec<usize> = self.holders.iter().map(|holder| holder.index).collect();
                 let real = self.measure.real + self.measure.spares();
                 let kills = self.measure.spares().min(self.measure.real);
-                let dies: Vec<usize> = (0..real).filter(|n| taken.contains(n)).take(kills).collect();
-                let begun = Instant::now();
-                for n in &dies {
-                    if let Some(mut process) = self.real[*n].take() {
+                let killed: Vec<usize> = (0..real).filter(|index| held.contains(index)).take(kills).collect();
+                let started = Instant::now();
+                for index in &killed {
+                    if let Some(mut process) = self.real[*index].take() {
                         process.child.kill().await?;
                     }
-                    self.seated.retain(|s| s.place != *n);
+                    self.holders.retain(|holder| holder.index != *index);
                 }
-                self.seats(self.measure.planners).await?;
-                self.reseated_s = Some(rounded(begun.elapsed().as_secs_f64(), 10.0));
+                self.wait_for_holders(self.measure.planners).await?;
+                self.reacquired_after_s = Some(rounded(started.elapsed().as_secs_f64(), 10.0));
             }
         }
         Ok(())
     }
 
+    /// Ends a fault that lasts: connections that are cut, or machines that disappeared.
     pub async fn heal(&mut self, fault: Fault) -> io::Result<()> {
         match fault {
-            Fault::Cut | Fault::OneWay => self.cut(false, false),
+            Fault::Cut | Fault::OneWay => self.set_cut(false, false),
             Fault::Zone => {
-                self.tell_machines(&format!("return {}", site::first_zone(&self.measure.region))).await?
+                self.command_machines(&format!("return {}", site::first_zone(&self.measure.region))).await?
             }
             Fault::None | Fault::Roll | Fault::Kill => {}
         }
         Ok(())
     }
 
-    async fn tell_machines(&mut self, word: &str) -> io::Result<()> {
+    /// Sends a command to all processes of machines.
+    async fn command_machines(&mut self, command: &str) -> io::Result<()> {
         for process in &mut self.machines {
-            process.send_command(word).await?;
+            process.send_command(command).await?;
         }
         Ok(())
     }
 
-    /// Cuts links between planners of one region and of the others: what the one says (`from`), and what it
-    /// hears (`to`).
-    fn cut(&self, from: bool, to: bool) {
-        let region = |s: &Seated| site::region_of(&self.planners.zones[s.place]) == self.measure.region;
-        for listener in &self.seated {
-            for dialler in self.seated.iter().filter(|d| region(d) != region(listener)) {
-                // From who dials, and back to it.
-                let cut = if region(dialler) { (from, to) } else { (to, from) };
-                self.before[listener.place].1.cut_by_peer.borrow_mut().insert(dialler.seat.clone(), cut);
+    /// Cuts connections between the planners of the chosen region and all others: bytes sent from the region
+    /// (`from`) and bytes sent to it (`to`) are held back while the flag is set.
+    fn set_cut(&self, from: bool, to: bool) {
+        let region =
+            |holder: &SlotHolder| site::region_of(&self.planners.zones[holder.index]) == self.measure.region;
+        for listener in &self.holders {
+            for dialler in self.holders.iter().filter(|dialler| region(dialler) != region(listener)) {
+                // The directions: from the planner that dials, and back to it.
+                let is_cut = if region(dialler) { (from, to) } else { (to, from) };
+                self.incoming_relays[listener.index]
+                    .1
+                    .cut_by_peer
+                    .borrow_mut()
+                    .insert(dialler.slot.clone(), is_cut);
             }
         }
     }
 
-    /// Real planners that are seated: seat and place.
-    fn measured(&self) -> Vec<(String, usize)> {
+    /// Returns the slot and planner index of each real planner that holds a slot.
+    fn real_holders(&self) -> Vec<(String, usize)> {
         let real = self.measure.real + self.measure.spares();
-        self.seated.iter().filter(|s| s.place < real).map(|s| (s.seat.clone(), s.place)).collect()
+        self.holders
+            .iter()
+            .filter(|holder| holder.index < real)
+            .map(|holder| (holder.slot.clone(), holder.index))
+            .collect()
     }
 }
--- a/cli/src/measure_scale/run/start.rs
+++ b/cli/src/measure_scale/run/start.rs
@@ -1,5 +1,5 @@
-//! Starts the processes of a run, with relays between them.
-use super::{Planners, ScaleRun, PATIENCE};
+//! Starts the processes of a scale run and the relays between them.
+use super::{Planners, ScaleRun, SETUP_TIMEOUT};
 use crate::measure_scale::{progress, site, Fault, Measure};
 use crate::processes::Process;
 use basaltpitch_testbed::process_harness::free_addresses;
@@ -10,17 +10,18 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Processes that registries, machines and voters are in.
+/// The processes of registries, machines and voters.
 struct Fleet {
     registries: Vec<Process>,
     machines: Vec<Process>,
     voters: Vec<Process>,
-    /// Where registries listen: one that lists the machines, and one that lists nothing.
+    /// Addresses of the registries: one that lists the machines, and one that lists nothing.
     registry_addresses: Vec<String>,
 }
 
+/// Starts registries, machines and voters.
 async fn start_fleet(measure: &Measure, file: &str, folder: &Path) -> io::Result<Fleet> {
-    progress("registers and machines start");
+    progress("starting registries and machines");
     let (mut registries, mut registry_addresses) = (Vec::new(), Vec::new());
     for _ in 0..2 {
         let mut registry = Process::start_with_commands(&["simulated", "register"])?;
@@ -29,7 +30,7 @@
         registries.push(registry);
     }
     let machines = start_machines(measure, file, &registry_addresses[0]).await?;
-    progress("voters and planners start");
+    progress("starting voters and planners");
     let state = folder.join("state").display().to_string();
     let mut voters = Vec::new();
     for n in 0..measure.voters {
@@ -41,12 +42,14 @@
     Ok(Fleet { registries, machines, voters, registry_addresses })
 }
 
+/// Starts the processes of simulated machines and waits until they listen.
 async fn start_machines(measure: &Measure, file: &str, registry: &str) -> io::Result<Vec<Process>> {
     let (seed, restarts) = (measure.seed.to_string(), measure.restarts.to_string());
     let mut machines = Vec::new();
     for first in (0..measure.machines).step_by(measure.machines_per_process()) {
         let count = measure.machines_per_process().min(measure.machines - first);
-        // What simulated planners would place takes capacity all the same, and changes the list.
+        // Machines simulate the tasks that simulated planners would place, because these take capacity and change
+        // the machine list.
         let share = count as f64 / measure.machines as f64;
         let absent = (measure.rate - measure.real_rate()).max(0.0) * share;
         let (first, count) = (first.to_string(), count.to_string());
@@ -62,28 +65,33 @@
     Ok(machines)
 }
 
-/// The relays before planners: one that counts, and one that may be cut; and where planners are reached.
+/// Starts the relays in front of planners: one that counts and, for the faults `cut` and `one-way`, one that can
+/// hold back bytes. Returns them and the addresses that other planners connect to.
 async fn start_relays_before(
     measure: &Measure,
-    listens: &[String],
+    listen_addresses: &[String],
 ) -> io::Result<(Vec<(Rc<RelayCounts>, Rc<RelayControl>)>, Vec<String>)> {
-    let (mut relays, mut advertised) = (Vec::new(), Vec::new());
-    let cuts = matches!(measure.faults, Fault::Cut | Fault::OneWay);
-    for listen in listens {
+    let (mut relays, mut advertised_addresses) = (Vec::new(), Vec::new());
+    let can_cut = matches!(measure.faults, Fault::Cut | Fault::OneWay);
+    for listen in listen_addresses {
         let (counts, control) = (Rc::new(RelayCounts::default()), Rc::new(RelayControl::default()));
-        let to = if cuts { relay::start(listen.clone(), control.clone()).await? } else { listen.clone() };
-        advertised.push(traffic::relay(to, counts.clone()).await?);
+        let target =
+            if can_cut { relay::start(listen.clone(), control.clone()).await? } else { listen.clone() };
+        advertised_addresses.push(traffic::relay(target, counts.clone()).await?);
         relays.push((counts, control));
     }
-    Ok((relays, advertised))
+    Ok((relays, advertised_addresses))
 }
 
-/// What planners are started with, by their places.
+/// What planners are started with, by planner index.
 struct PlannerFiles {
+    /// The installation's file, with the planner's own relays as the voters' addresses.
     files: Vec<String>,
-    /// Where each reaches its registry.
+    /// The address of the planner's relay to its registry.
     registries: Vec<String>,
+    /// Counters of the relays to the voters.
     to_voters: Vec<Rc<RelayCounts>>,
+    /// Counters of the relay to the registry.
     to_registry: Vec<Rc<RelayCounts>>,
 }
 
@@ -92,21 +100,22 @@
     pub async fn start(measure: &Measure, folder: &Path) -> io::Result<ScaleRun> {
         let (real, simulated) = (measure.real + measure.spares(), measure.simulated_planners());
         let mut voter_addresses = free_addresses(measure.voters + real + simulated)?;
-        let listens = voter_addresses.split_off(measure.voters);
-        let file = write_site(measure, folder, "site.rec", &voter_addresses)?;
+        let listen_addresses = voter_addresses.split_off(measure.voters);
+        let file = write_installation(measure, folder, "site.rec", &voter_addresses)?;
         let zones = site::zones();
-        let zones: Vec<String> = (0..real + simulated).map(|n| zones[n % zones.len()].to_owned()).collect();
+        let zones: Vec<String> =
+            (0..real + simulated).map(|index| zones[index % zones.len()].to_owned()).collect();
         let Fleet { registries, machines, voters, registry_addresses } =
             start_fleet(measure, &file, folder).await?;
-        let (before, advertise) = start_relays_before(measure, &listens).await?;
-        let begun = Instant::now();
-        let planners = Planners { zones, listens, advertise };
+        let (incoming_relays, advertised_addresses) = start_relays_before(measure, &listen_addresses).await?;
+        let started = Instant::now();
+        let planners = Planners { zones, listen_addresses, advertised_addresses };
         let files =
             write_planner_files(measure, folder, (&voter_addresses, &registry_addresses), real + simulated)
                 .await?;
         let mut run = ScaleRun {
             measure: measure.clone(),
-            seated: Vec::new(),
+            holders: Vec::new(),
             real: start_real(&planners, &files, real)?,
             planners,
             simulated: Vec::new(),
@@ -116,55 +125,59 @@
             clients: Vec::new(),
             to_voters: files.to_voters.clone(),
             to_registry: files.to_registry.clone(),
-            before,
-            seats_after_s: 0.0,
-            most_mib: 0.0,
+            incoming_relays,
+            slots_held_after_s: 0.0,
+            max_mib: 0.0,
             file,
-            reseated_s: None,
-            moved: 0,
+            reacquired_after_s: None,
+            moved_slots: 0,
         };
-        // The real ones have slots before simulated ones ask for any.
-        run.seats(measure.real).await?;
-        run.visited(0, real).await?;
+        // Real planners acquire their slots before simulated planners request any.
+        run.wait_for_holders(measure.real).await?;
+        run.wait_for_inventories(0, real).await?;
         run.start_simulated(&files, real..real + simulated).await?;
-        run.seats_after_s = begun.elapsed().as_secs_f64();
-        progress("all seats are taken; machines are linked");
+        run.slots_held_after_s = started.elapsed().as_secs_f64();
+        progress("all slots are held; waiting until every machine is linked");
         run.wait_for_links().await?;
         Ok(run)
     }
 
+    /// Starts the simulated planners, one process after the other.
     async fn start_simulated(
         &mut self,
         files: &PlannerFiles,
         places: std::ops::Range<usize>,
     ) -> io::Result<()> {
-        let each = self.measure.planners_per_process();
-        for from in places.clone().step_by(each) {
-            let to = (from + each).min(places.end);
+        let per_process = self.measure.planners_per_process();
+        for from in places.clone().step_by(per_process) {
+            let to = (from + per_process).min(places.end);
             let joined = |all: &[String]| all[from..to].join(",");
             let (registry, zone) = (joined(&files.registries), joined(&self.planners.zones));
-            let (listen, advertise) = (joined(&self.planners.listens), joined(&self.planners.advertise));
+            let (listen, advertise) =
+                (joined(&self.planners.listen_addresses), joined(&self.planners.advertised_addresses));
             let mut args = vec!["simulated", "planners"];
             args.extend(files.files[from..to].iter().map(String::as_str));
             args.extend(["--register", &registry, "--listen", &listen, "--advertise", &advertise]);
             args.extend(["--zone", &zone]);
             self.simulated.push(Process::start_with_commands(&args)?);
-            // With subsets each visits all machines when it begins: a few at a time.
-            self.seats(self.measure.real + to - places.start).await?;
-            self.visited(from, to).await?;
+            // With subsets each planner fetches the inventories of all machines when it starts, so only the
+            // planners of one process start together.
+            self.wait_for_holders(self.measure.real + to - places.start).await?;
+            self.wait_for_inventories(from, to).await?;
         }
         Ok(())
     }
 
+    /// Waits until every machine is linked to a planner.
     async fn wait_for_links(&mut self) -> io::Result<()> {
-        let until = Instant::now() + PATIENCE;
-        while self.linked().await? < self.measure.machines {
+        let until = Instant::now() + SETUP_TIMEOUT;
+        while self.linked_machines().await? < self.measure.machines {
             if Instant::now() > until {
                 return Err(io::Error::other(format!(
-                    "{} of {} machines are linked to a planner after {} s",
-                    self.linked().await?,
+                    "found {} of {} machines linked to a planner after {} s; expected all",
+                    self.linked_machines().await?,
                     self.measure.machines,
-                    PATIENCE.as_secs()
+                    SETUP_TIMEOUT.as_secs()
                 )));
             }
             tokio::time::sleep(Duration::from_millis(250)).await;
@@ -173,40 +186,54 @@
     }
 }
 
-fn write_site(measure: &Measure, folder: &Path, name: &str, voters: &[String]) -> io::Result<String> {
+/// Writes the installation's file with these voter addresses, and returns its path.
+fn write_installation(measure: &Measure, folder: &Path, name: &str, voters: &[String]) -> io::Result<String> {
     let path = folder.join(name);
     std::fs::write(&path, measure.installation_params().text(voters)).map(|()| path.display().to_string())
 }
 
-/// Votes and lists are counted apart for each planner.
+/// Starts relays to the voters and a registry for each planner, so that their traffic is counted per planner, and
+/// writes the installation's file of each planner.
 async fn write_planner_files(
     measure: &Measure,
     folder: &Path,
     (voters, registries): (&[String], &[String]),
     count: usize,
 ) -> io::Result<PlannerFiles> {
-    let mut all = PlannerFiles { files: vec![], registries: vec![], to_voters: vec![], to_registry: vec![] };
-    for n in 0..count {
+    let mut planner_files =
+        PlannerFiles { files: vec![], registries: vec![], to_voters: vec![], to_registry: vec![] };
+    for index in 0..count {
         let (counts, mut relays) = (Rc::new(RelayCounts::default()), Vec::new());
-        for to in voters {
-            relays.push(traffic::relay(to.clone(), counts.clone()).await?);
+        for voter in voters {
+            relays.push(traffic::relay(voter.clone(), counts.clone()).await?);
         }
-        all.files.push(write_site(measure, folder, &format!("planner-{n}.rec"), &relays)?);
-        all.to_voters.push(counts);
+        planner_files.files.push(write_installation(
+            measure,
+            folder,
+            &format!("planner-{index}.rec"),
+            &relays,
+        )?);
+        planner_files.to_voters.push(counts);
         let counts = Rc::new(RelayCounts::default());
-        let lists = n < measure.real + measure.spares() || measure.hollow_links();
-        let registry = registries[usize::from(!lists)].clone();
-        all.registries.push(traffic::relay(registry, counts.clone()).await?);
-        all.to_registry.push(counts);
+        let needs_machine_list = index < measure.real + measure.spares() || measure.hollow_links();
+        let registry = registries[usize::from(!needs_machine_list)].clone();
+        planner_files.registries.push(traffic::relay(registry, counts.clone()).await?);
+        planner_files.to_registry.push(counts);
     }
-    Ok(all)
+    Ok(planner_files)
 }
 
+/// Starts real planners and spares.
 fn start_real(planners: &Planners, files: &PlannerFiles, count: usize) -> io::Result<Vec<Option<Process>>> {
-    let start = |n: usize| {
-        let (file, registry, zone) = (&files.files[n], &files.registries[n], &planners.zones[n]);
+    let start = |index: usize| {
+        let (file, registry, zone) = (&files.files[index], &files.registries[index], &planners.zones[index]);
         let args = ["serve", file, "--seat", "any", "--register", registry, "--zone", zone];
-        let addresses = ["--listen", &planners.listens[n], "--advertise", &planners.advertise[n]];
+        let addresses = [
+            "--listen",
+            &planners.listen_addresses[index],
+            "--advertise",
+            &planners.advertised_addresses[index],
+        ];
         Process::start(&[&args[..], &addresses].concat()).map(Some)
     };
     (0..count).map(start).collect()
