--- a/cli/src/measure_scale.rs
+++ b/cli/src/measure_scale.rs
@@ -191,7 +191,7 @@
         if self.believe {
             self.check()?;
             let rows = measure_in_temp_folder("believe", async |folder: &Path| {
-                believe::believe(&self, folder).await
+                believe::compare_all(&self, folder).await
             })?;
             let failed_rows = rows.iter().filter(|r| r["believed"] == false).count();
             crate::ask::print_value(&Value::Array(rows), as_json);
@@ -221,7 +221,7 @@
                     .zip(&reports)
                     .map(|(point, report)| pages::row(&sweep.axis, *point, report));
                 let rows: Vec<Value> = rows.collect();
-                let lines = pages::fits(&sweep.axis, &rows);
+                let lines = pages::fit_lines(&sweep.axis, &rows);
                 json!({"axis": sweep.axis, "lines": lines, "rows": rows, "runs": reports})
             }
         };
@@ -316,11 +316,11 @@
         InstallationParams {
             planners: self.planners,
             tenants: self.tenants,
-            term_ms: self.term,
+            lease_ms: self.term,
             regions: self.regions,
             heartbeat_ms: self.heartbeat,
-            copies: self.copies,
-            bytes: self.bytes,
+            planners_per_machine: self.copies,
+            control_bytes_per_s: self.bytes,
         }
     }
 
