--- a/cli/src/ask.rs
+++ b/cli/src/ask.rs
@@ -1,4 +1,5 @@
-//! The commands that query or instruct a running planner, the request they send and the tables they print.
+//! The commands that query or instruct a running planner, the request they send and the tables they
+//! print.
 use crate::Failure;
 use basaltpitch_agent::link::{self, Clock, LinkCommand, LinkEvent};
 use basaltpitch_agent::session::{PeerIdentity, SessionEvent};
@@ -76,8 +77,8 @@
 /// Connects to a planner or voter, sends one frame and returns the first frame received in reply.
 ///
 /// # Errors
-/// Connecting failed, the connection closed or nothing arrived `within` the timeout (`Failed`), or the link
-/// was ended with a reason (`InvalidInput`).
+/// Connecting failed, the connection closed or nothing arrived `within` the timeout (`Failed`), or
+/// the link was ended with a reason (`InvalidInput`).
 pub fn send_request(
     connection: &PlannerConnection,
     role: Role,
@@ -147,7 +148,8 @@
     }
 }
 
-/// Columns that come first in a table, in this order; the other columns follow in the order of the JSON keys.
+/// Columns that come first in a table, in this order; the other columns follow in the order of the
+/// JSON keys.
 const LEADING_COLUMNS: [&str; 18] = [
     "voter",
     "duty",
@@ -169,7 +171,8 @@
     "memory",
 ];
 
-/// Renders a JSON value as one table cell: `-` for null and empty lists, machine and state for an attempt.
+/// Renders a JSON value as one table cell: `-` for null and empty lists, machine and state for an
+/// attempt.
 pub fn value_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
--- a/cli/src/constraints.rs
+++ b/cli/src/constraints.rs
@@ -17,8 +17,8 @@
     Explain(Explain),
     /// Show which running tasks would violate the constraints of changed files
     Diff(Changed),
-    /// Apply the constraints of changed files to the planner, all of them or none; its restart reads its own
-    /// files again
+    /// Apply the constraints of changed files to the planner, all of them or none; its restart
+    /// reads its own files again
     Take(Changed),
 }
 
@@ -33,7 +33,8 @@
 }
 
 impl Changed {
-    /// Sends the constraints to the planner, which applies them only with `take`, and prints the violations.
+    /// Sends the constraints to the planner, which applies them only with `take`, and prints the
+    /// violations.
     fn run(self, take: bool, json: bool) -> Result<(), Failure> {
         let constraints = named_constraints(&load(&self.files)?)?;
         let text = serde_json::to_string(&constraints).map_err(|e| Failure::Failed(e.to_string()))?;
--- a/cli/src/council.rs
+++ b/cli/src/council.rs
@@ -1,5 +1,5 @@
-//! `basaltpitch voter` runs a voter; `basaltpitch council` shows and transfers the leases that a quorum of voters
-//! grants.
+//! `basaltpitch voter` runs a voter; `basaltpitch council` shows and transfers the leases that a
+//! quorum of voters grants.
 use crate::ask::{print_value, send_request, PlannerConnection};
 use crate::{load, Failure};
 use basaltpitch_agent::link::Clock;
@@ -24,8 +24,8 @@
     /// Name of this voter in the installation
     #[arg(long)]
     name: String,
-    /// Folder for the voter's votes. Without it every start waits for one lease duration and for the votes of
-    /// the other voters
+    /// Folder for the voter's votes. Without it every start waits for one lease duration and for
+    /// the votes of the other voters
     #[arg(long)]
     state: Option<PathBuf>,
 }
@@ -47,7 +47,8 @@
     to: Option<String>,
 }
 
-/// Returns the lease durations and the voters' addresses, `None` where the installation has no voters.
+/// Returns the lease durations and the voters' addresses, `None` where the installation has no
+/// voters.
 pub fn quorum_settings(installation: &Installation) -> Option<(LeaseConfig, Vec<VoterEndpoint>)> {
     let quorum = installation.all.get("council")?;
     let duration_us = |field: &str| quorum.duration_us(field).unwrap_or(0);
@@ -69,7 +70,8 @@
     (0..planners).map(|n| format!("{SLOT_PREFIX}{n}").into()).collect()
 }
 
-/// Returns the lease durations and the voters' addresses; an installation without voters is invalid input.
+/// Returns the lease durations and the voters' addresses; an installation without voters is invalid
+/// input.
 pub fn required_quorum_settings(
     installation: &Installation,
 ) -> Result<(LeaseConfig, Vec<VoterEndpoint>), Failure> {
@@ -79,8 +81,8 @@
     quorum_settings(installation).ok_or_else(none)
 }
 
-/// Opens the store `NAME.store` in a folder, which is created if it is missing. An unreadable file is renamed,
-/// and the store starts empty.
+/// Opens the store `NAME.store` in a folder, which is created if it is missing. An unreadable file
+/// is renamed, and the store starts empty.
 pub fn open_store(folder: &Path, name: &str) -> Result<SnapshotStore, Failure> {
     let invalid = |e: String| Failure::InvalidInput(format!("--state {}: {e}", folder.display()));
     if name.contains(['/', '\\']) || name.starts_with('.') {
@@ -141,7 +143,8 @@
 /// For each voter, by name: the result of a request to it, or why there is none.
 type PerVoter<T> = Vec<(String, Result<T, String>)>;
 
-/// Sends one frame to each voter in turn and returns the answers. A voter without an answer gets the reason.
+/// Sends one frame to each voter in turn and returns the answers. A voter without an answer gets
+/// the reason.
 ///
 /// # Errors
 /// A voter ended the link with a reason (`InvalidInput`).
@@ -247,7 +250,8 @@
     Ok(())
 }
 
-/// Asks the holder, through the voters, to transfer the lease and waits until a majority records a new holder.
+/// Asks the holder, through the voters, to transfer the lease and waits until a majority records a
+/// new holder.
 fn transfer_lease(
     lease_config: &LeaseConfig,
     voters: &[VoterEndpoint],
@@ -275,8 +279,8 @@
             ));
         }
     }
-    // One voter that forwarded the request is enough, because the holder releases the lease at all voters.
-    // Another voter may have recorded the next holder by then, and reports a fault.
+    // One voter that forwarded the request is enough, because the holder releases the lease at all
+    // voters. Another voter may have recorded the next holder by then, and reports a fault.
     if faults.len() == voters.len() {
         return Err(Failure::Failed(format!("--hand-on {lease}: {}", faults.join("; "))));
     }
--- a/cli/src/drill.rs
+++ b/cli/src/drill.rs
@@ -1,5 +1,5 @@
-//! `basaltpitch drill`: runs a fault scenario on loopback, checks the invariants against the recorded traffic and
-//! prints the report.
+//! `basaltpitch drill`: runs a fault scenario on loopback, checks the invariants against the
+//! recorded traffic and prints the report.
 use crate::{load, Failure};
 use basaltpitch_invariants::Violation;
 use basaltpitch_testbed::drill::{run, DrillReport};
@@ -43,7 +43,8 @@
     /// Runs the scenario and prints its report.
     ///
     /// # Errors
-    /// The scenario is invalid or could not be run, or an invariant was violated (`Failed` without a text).
+    /// The scenario is invalid or could not be run, or an invariant was violated (`Failed` without
+    /// a text).
     pub fn run(self, json: bool) -> Result<(), Failure> {
         let installation = load(&self.files)?;
         if installation.all.get("day").is_none() {
--- a/cli/src/machine.rs
+++ b/cli/src/machine.rs
@@ -1,4 +1,5 @@
-//! `basaltpitch machine`: runs simulated machines of one kind and zone, and a registry that lists them.
+//! `basaltpitch machine`: runs simulated machines of one kind and zone, and a registry that lists
+//! them.
 use crate::{load, Failure};
 use basaltpitch_testbed::drill::start_machines;
 use basaltpitch_testbed::machine::MachineCommand;
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,5 +1,5 @@
-//! The `basaltpitch` binary: the planner and voter servers, the operators' commands, and the commands that
-//! test and measure an installation.
+//! The `basaltpitch` binary: the planner and voter servers, the operators' commands, and the
+//! commands that test and measure an installation.
 mod ask;
 mod constraints;
 mod council;
@@ -82,7 +82,8 @@
     Constraints(constraints::Constraints),
     /// Show a planner's tenants, their members and the state of the tenant directory
     Tenants(tenants::Tenants),
-    /// Measure one planner's throughput and latency, and compare with a replay of its decisions alone
+    /// Measure one planner's throughput and latency, and compare with a replay of its decisions
+    /// alone
     Measure(measure::Measure),
     /// Measure how long a planner slot has no holder after its holder fails or stops
     MeasureSeats(measure_seats::Measure),
@@ -159,7 +160,8 @@
     }
 }
 
-/// Returns whether logs are coloured: only on a terminal, and only while `NO_COLOR` is unset or empty.
+/// Returns whether logs are coloured: only on a terminal, and only while `NO_COLOR` is unset or
+/// empty.
 fn logs_are_coloured() -> bool {
     let is_disabled = std::env::var_os("NO_COLOR").is_some_and(|value| !value.is_empty());
     std::io::stderr().is_terminal() && !is_disabled
@@ -193,7 +195,8 @@
     basaltpitch_ldap::read_settings(&found.all).map_err(|faults| config_failure(&found.sources, &faults))
 }
 
-/// Returns the placement constraints of an installation's files, each with its name and `(file:line)`.
+/// Returns the placement constraints of an installation's files, each with its name and
+/// `(file:line)`.
 fn named_constraints(
     found: &Installation,
 ) -> Result<Vec<(basaltpitch_constraints::Constraint, String)>, Failure> {
@@ -207,7 +210,8 @@
     Ok(constraints.into_iter().map(with_location).collect())
 }
 
-/// Validates an installation's files; with `read_directory` also reads the tenant directory's servers.
+/// Validates an installation's files; with `read_directory` also reads the tenant directory's
+/// servers.
 fn check(files: &[PathBuf], read_directory: bool, json: bool) -> Result<(), Failure> {
     let found = load(files)?;
     named_constraints(&found)?;
--- a/cli/src/measure.rs
+++ b/cli/src/measure.rs
@@ -1,9 +1,9 @@
-//! `basaltpitch measure`: measures the throughput and latency of one planner end to end, and compares its CPU time
-//! per task with a replay of its decisions alone on the same events.
+//! `basaltpitch measure`: measures the throughput and latency of one planner end to end, and
+//! compares its CPU time per task with a replay of its decisions alone on the same events.
 //!
-//! The planner is a process of its own. Simulated machines, a registry and clients run on threads of this process
-//! and answer at once. Latency is measured with open-loop load: arrivals follow the clock, and a delay before
-//! sending counts as latency.
+//! The planner is a process of its own. Simulated machines, a registry and clients run on threads
+//! of this process and answer at once. Latency is measured with open-loop load: arrivals follow the
+//! clock, and a delay before sending counts as latency.
 #[path = "measure_tenants.rs"]
 mod tenants;
 
@@ -39,7 +39,8 @@
     /// Requests in flight while the maximum rate is measured
     #[arg(long, default_value_t = 256)]
     window: usize,
-    /// Compare with planners that sync this many people from a tenant directory; 0 skips the comparison
+    /// Compare with planners that sync this many people from a tenant directory; 0 skips the
+    /// comparison
     #[arg(long, default_value_t = 0)]
     people: usize,
     /// Number of rounds of that comparison
@@ -63,8 +64,8 @@
     Failure::Failed(e.to_string())
 }
 
-/// The installation that is measured. Probes are disabled and the machine list shows no free capacity, so that
-/// only the path of a task is measured.
+/// The installation that is measured. Probes are disabled and the machine list shows no free
+/// capacity, so that only the path of a task is measured.
 const INSTALLATION: &str = "zones: [\"z\"]\nkinds: [{name: \"std\", cores: 64, memory: 256GiB}]\n\
      frameworks: [{name: \"small\", repeat: \"repeatable\", goal: 600ms, limit: 6s}]\n\
      launches: probes: false\nmachines: lists_room: false\n";
@@ -83,15 +84,15 @@
     LocalSet::new().block_on(&runtime, job)
 }
 
-/// Returns the microseconds from the due time of a request, which its key ends with, until now; at least 1.
-/// Both are relative to `zero` on the monotonic clock.
+/// Returns the microseconds from the due time of a request, which its key ends with, until now; at
+/// least 1. Both are relative to `zero` on the monotonic clock.
 fn us_since_due(zero: Instant, key: &str) -> u64 {
     let due_us: u64 = key.rsplit('/').next().and_then(|text| text.parse().ok()).unwrap_or(0);
     (zero.elapsed().as_micros() as u64).saturating_sub(due_us).max(1)
 }
 
-/// Runs simulated machines and a registry, whose address is sent on `ready`. A task ends `runs_for_us` after its
-/// launch. The latency of each launch in microseconds is sent on `seen`.
+/// Runs simulated machines and a registry, whose address is sent on `ready`. A task ends
+/// `runs_for_us` after its launch. The latency of each launch in microseconds is sent on `seen`.
 fn run_machines(machines: usize, zero: Instant, ready: channel::Sender<String>, seen: channel::Sender<u64>) {
     run_local(async move {
         let clock = Clock::start();
@@ -385,8 +386,8 @@
         line.and_then(|line| line.split_whitespace().nth(1)?.parse::<f64>().ok()).unwrap_or(0.0) * 1024.0
     }
 
-    /// Waits up to 30 s until the planner is linked to every machine, or to 1000, the planner's limit of rows per
-    /// query.
+    /// Waits up to 30 s until the planner is linked to every machine, or to 1000, the planner's
+    /// limit of rows per query.
     fn wait_until_linked(&self, machines: usize) -> Result<(), Failure> {
         for _ in 0..600 {
             let connection =
@@ -432,7 +433,8 @@
         self.load_as(planner, zero, arrivals, duration, "", "")
     }
 
-    /// Submits a load of 200 ms tasks for a login and tenant, and measures the planner's CPU time meanwhile.
+    /// Submits a load of 200 ms tasks for a login and tenant, and measures the planner's CPU time
+    /// meanwhile.
     fn load_as(
         &self,
         planner: &Planner,
@@ -530,8 +532,8 @@
         Ok(())
     }
 
-    /// Returns the bytes of memory of an idle client connection and of a placed task, from the growth of resident
-    /// memory with many of each.
+    /// Returns the bytes of memory of an idle client connection and of a placed task, from the
+    /// growth of resident memory with many of each.
     fn memory(&self, files: &[PathBuf], registry: &str, zero: Instant) -> Result<(f64, f64), Failure> {
         const CONNECTIONS: usize = 500;
         const TASKS: u64 = 20_000;
--- a/cli/src/measure_council.rs
+++ b/cli/src/measure_council.rs
@@ -1,7 +1,7 @@
-//! `basaltpitch measure-council`: measures, by the number of planners (members), what holding slot leases costs
-//! each planner and each voter, and what gossip between planners costs. All planners, each with a slot, and all
-//! voters are processes of this binary on loopback. Also measures the time of one check of a lease deadline, which
-//! each launch makes.
+//! `basaltpitch measure-council`: measures, by the number of planners (members), what holding slot
+//! leases costs each planner and each voter, and what gossip between planners costs. All planners,
+//! each with a slot, and all voters are processes of this binary on loopback. Also measures the
+//! time of one check of a lease deadline, which each launch makes.
 use crate::processes::{measure_and_print, write_installation, Process, Usage};
 use crate::Failure;
 use basaltpitch_planner::lease_client::LeaseDeadline;
@@ -55,7 +55,8 @@
 }
 
 impl Measure {
-    /// Measures with each number of planners, then the lease deadline's check, and prints the results.
+    /// Measures with each number of planners, then the lease deadline's check, and prints the
+    /// results.
     pub fn run(self, as_json: bool) -> Result<(), Failure> {
         measure_and_print("council", as_json, async |folder| {
             let mut rows = Vec::new();
--- a/cli/src/measure_scale.rs
+++ b/cli/src/measure_scale.rs
@@ -1,6 +1,7 @@
-//! `basaltpitch measure-scale`: measures planners, voters and the registry in a fleet of full size on loopback. A few
-//! planners are processes of their own (real planners) and are measured. The other planners, all machines and all
-//! clients are simulated: many share one process, but use the real protocol, sockets and frames.
+//! `basaltpitch measure-scale`: measures planners, voters and the registry in a fleet of full size
+//! on loopback. A few planners are processes of their own (real planners) and are measured. The
+//! other planners, all machines and all clients are simulated: many share one process, but use the
+//! real protocol, sockets and frames.
 mod believe;
 mod pages;
 mod run;
@@ -46,7 +47,8 @@
     /// Number of planners, each with a slot
     #[arg(long, default_value_t = 84)]
     planners: usize,
-    /// Number of real planners: processes of their own, which clients submit to and which are measured
+    /// Number of real planners: processes of their own, which clients submit to and which are
+    /// measured
     #[arg(long, default_value_t = 3)]
     real: usize,
     /// Number of simulated machines
@@ -91,7 +93,8 @@
     /// Heartbeat period in milliseconds; by default the installation's default
     #[arg(long)]
     heartbeat: Option<u64>,
-    /// Number of planners whose subset each machine is in; by default every planner links to all machines
+    /// Number of planners whose subset each machine is in; by default every planner links to all
+    /// machines
     #[arg(long)]
     copies: Option<usize>,
     /// A planner's budget for control traffic, in bytes a second; by default unlimited
@@ -106,15 +109,16 @@
     /// Check that the traffic counters by kind add up to the bytes on the sockets; for small runs
     #[arg(long)]
     counters: bool,
-    /// Compare traffic and CPU time of simulated planners and machines with real ones instead, and fail where
-    /// the difference exceeds its bound
+    /// Compare traffic and CPU time of simulated planners and machines with real ones instead, and
+    /// fail where the difference exceeds its bound
     #[arg(long, conflicts_with_all = ["sweep", "into"])]
     believe: bool,
-    /// Run several times with different values of machines, planners, tenants, running or rate, such as
-    /// machines=500,1000,1500,2100, and fit a line to each measured figure
+    /// Run several times with different values of machines, planners, tenants, running or rate,
+    /// such as machines=500,1000,1500,2100, and fit a line to each measured figure
     #[arg(long)]
     sweep: Option<String>,
-    /// Markdown page to write the tables into, between the lines `<!-- measured: MARK -->` and `<!-- end -->`
+    /// Markdown page to write the tables into, between the lines `<!-- measured: MARK -->` and
+    /// `<!-- end -->`
     #[arg(long)]
     into: Option<PathBuf>,
     /// Mark in that page; by default the axis of the sweep, or the fault
@@ -122,7 +126,8 @@
     mark: Option<String>,
 }
 
-/// The sections of a report, each with the name of its first column; empty stands for the axis of the sweep.
+/// The sections of a report, each with the name of its first column; empty stands for the axis of
+/// the sweep.
 const SECTIONS: [(&str, &str); 8] = [
     ("shape", "what"),
     ("roles", "role"),
@@ -183,7 +188,8 @@
 }
 
 impl Measure {
-    /// Runs the measurement, sweep or comparison, prints the report and updates the page, if one is given.
+    /// Runs the measurement, sweep or comparison, prints the report and updates the page, if one is
+    /// given.
     ///
     /// # Errors
     /// The options are invalid, a run failed, or one of its checks failed.
@@ -324,8 +330,8 @@
         }
     }
 
-    /// Returns the descriptors of one planner. It links to all machines; with subsets it does so too when it
-    /// starts, to fetch the inventory of each.
+    /// Returns the descriptors of one planner. It links to all machines; with subsets it does so
+    /// too when it starts, to fetch the inventory of each.
     fn planner_descriptors(&self) -> usize {
         BASE_DESCRIPTORS + self.machines + self.planners + self.voters
     }
@@ -340,7 +346,8 @@
         self.hollow_links || self.copies.is_some()
     }
 
-    /// Returns the number of simulated planners per process, as the descriptor limit allows, 20 at most.
+    /// Returns the number of simulated planners per process, as the descriptor limit allows, 20 at
+    /// most.
     fn planners_per_process(&self) -> usize {
         let links = if self.hollow_links() { self.machines } else { 0 };
         (descriptor_limit() / 10 * 9 / (BASE_DESCRIPTORS + links + self.planners + self.voters)).clamp(1, 20)
--- a/cli/src/measure_scale/believe.rs
+++ b/cli/src/measure_scale/believe.rs
@@ -1,6 +1,7 @@
-//! Validates the simulation of a scale run (`measure-scale --believe`). Simulated planners are compared with real
-//! planners in one small fleet, and the simulated machines of a scale run with those of `basaltpitch machine`, each
-//! under a planner with the same load. Traffic and CPU time may differ by a bound for each figure.
+//! Validates the simulation of a scale run (`measure-scale --believe`). Simulated planners are
+//! compared with real planners in one small fleet, and the simulated machines of a scale run with
+//! those of `basaltpitch machine`, each under a planner with the same load. Traffic and CPU time
+//! may differ by a bound for each figure.
 use super::run::ScaleRun;
 use super::{progress, site, Measure};
 use crate::processes::Process;
@@ -34,7 +35,8 @@
 /// How long to wait until all machines are linked.
 const LINK_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Returns a row of the report: the figure of both kinds of process, and whether they differ by the bound at most.
+/// Returns a row of the report: the figure of both kinds of process, and whether they differ by the
+/// bound at most.
 fn row(what: &str, real: f64, simulated: f64, bound: f64) -> Value {
     let difference = if real == simulated { 0.0 } else { (simulated - real).abs() / real.abs().max(1e-9) };
     let rounded = |value: f64| (value * 100.0).round() / 100.0;
@@ -113,8 +115,9 @@
     let mut rows = Vec::new();
     for kind in ["heartbeats", "summaries", "council", "lists"] {
         for (unit_index, what) in ["bytes", "frames"].iter().enumerate() {
-            // Lease traffic is compared by its median, because a planner that holds a lease besides its slot
-            // exchanges more with the voters. Gossip chooses peers at random, so other kinds use the mean.
+            // Lease traffic is compared by its median, because a planner that holds a lease besides
+            // its slot exchanges more with the voters. Gossip chooses peers at random, so other
+            // kinds use the mean.
             let typical_rate = |real: bool| {
                 let rates = now.iter().filter(|entry| (*entry.0 < PLANNERS) == real);
                 let rate = |(index, traffic): (&usize, &Traffic)| {
@@ -142,15 +145,15 @@
 
 /// The figures of one set of machines and its planner.
 struct MachineFigures {
-    /// Bytes and frames by traffic kind: of inventories per machine until all were linked, of tasks per placed
-    /// task, of other kinds per second.
+    /// Bytes and frames by traffic kind: of inventories per machine until all were linked, of tasks
+    /// per placed task, of other kinds per second.
     traffic: Vec<[f64; 2]>,
     /// CPU time of the planner in seconds, from the first submission to the end of the last task.
     planner_cpu_s: f64,
 }
 
-/// Measures one planner with machines behind relays under a fixed load. `real` selects the machines of
-/// `basaltpitch machine` instead of those of a scale run.
+/// Measures one planner with machines behind relays under a fixed load. `real` selects the machines
+/// of `basaltpitch machine` instead of those of a scale run.
 async fn measure_machines(folder: &Path, real: bool) -> io::Result<MachineFigures> {
     let file = folder.join("alone.rec");
     std::fs::write(&file, site::single_planner(MACHINES))?;
--- a/cli/src/measure_scale/pages.rs
+++ b/cli/src/measure_scale/pages.rs
@@ -1,5 +1,5 @@
-//! Sweeps of a scale run along one axis, lines fitted to their results, and Markdown pages that hold the tables
-//! between marks.
+//! Sweeps of a scale run along one axis, lines fitted to their results, and Markdown pages that
+//! hold the tables between marks.
 use super::{invalid_option, Measure};
 use crate::Failure;
 use basaltpitch_testbed::scale::linear_fit::{fit_line, LinearFit};
@@ -8,7 +8,8 @@
 
 /// The parameters that a sweep can vary.
 pub const AXES: [&str; 5] = ["machines", "planners", "tenants", "running", "rate"];
-/// The minimum number of different points to fit a line to: two determine a line, more show its residual.
+/// The minimum number of different points to fit a line to: two determine a line, more show its
+/// residual.
 pub const MIN_POINTS: usize = 4;
 
 /// Several runs that differ in one parameter.
--- a/cli/src/measure_scale/run.rs
+++ b/cli/src/measure_scale/run.rs
@@ -1,4 +1,5 @@
-//! A scale run: its processes, the counters and resource usage read from them, and the faults injected.
+//! A scale run: its processes, the counters and resource usage read from them, and the faults
+//! injected.
 mod checks;
 mod report;
 mod start;
@@ -23,11 +24,13 @@
 struct SlotHolder {
     /// The slot's name.
     slot: String,
-    /// The index of the planner's addresses: real planners first, then spares, then simulated planners.
+    /// The index of the planner's addresses: real planners first, then spares, then simulated
+    /// planners.
     index: usize,
 }
 
-/// Zones and addresses of all planners, by index: real planners first, then spares, then simulated planners.
+/// Zones and addresses of all planners, by index: real planners first, then spares, then simulated
+/// planners.
 struct Planners {
     zones: Vec<String>,
     /// The address that each planner listens on.
@@ -56,8 +59,8 @@
     to_voters: Vec<Rc<RelayCounts>>,
     /// By planner index: traffic counters of the relay to the registry.
     to_registry: Vec<Rc<RelayCounts>>,
-    /// By planner index, for connections to the planner: counters of the counting relay, and the control of the
-    /// relay that holds back bytes for the faults `cut` and `one-way`.
+    /// By planner index, for connections to the planner: counters of the counting relay, and the
+    /// control of the relay that holds back bytes for the faults `cut` and `one-way`.
     incoming_relays: Vec<(Rc<RelayCounts>, Rc<RelayControl>)>,
     /// Seconds from the first planner's start until all slots were held.
     slots_held_after_s: f64,
@@ -80,7 +83,8 @@
     own_cpu_s: f64,
     /// CPU time of the whole host in seconds.
     machine_cpu_s: f64,
-    /// Traffic of each real planner by slot and planner index, so that a new holder of a slot counts anew.
+    /// Traffic of each real planner by slot and planner index, so that a new holder of a slot
+    /// counts anew.
     traffic: BTreeMap<(String, usize), Traffic>,
 }
 
@@ -132,8 +136,8 @@
         Ok(())
     }
 
-    /// Waits until the planners in this range of indices have fetched all machines' inventories, if they work on
-    /// subsets.
+    /// Waits until the planners in this range of indices have fetched all machines' inventories, if
+    /// they work on subsets.
     async fn wait_for_inventories(&self, from: usize, to: usize) -> io::Result<()> {
         let until = Instant::now() + INVENTORY_TIMEOUT;
         for holder in self.holders.iter().filter(|holder| (from..to).contains(&holder.index)) {
@@ -144,7 +148,8 @@
                     tokio::process::Command::new(std::env::current_exe()?).args(args).output().await?;
                 let view: Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
                 let left = view["part"]["to_visit"].as_u64();
-                // Nothing left to fetch counts only once the planner has the machine list (`listed` is not 0).
+                // Nothing left to fetch counts only once the planner has the machine list (`listed`
+                // is not 0).
                 if view.is_object() && left.is_none_or(|n| n == 0 && view["part"]["listed"] != 0) {
                     break;
                 }
@@ -217,7 +222,7 @@
         for clients in &mut self.clients {
             clients.send_command("begin").await?;
         }
-        progress("measuring");
+        progress("measurement started");
         self.read().await
     }
 
@@ -284,8 +289,8 @@
             .collect())
     }
 
-    /// Returns the traffic of each planner so far, by planner index, as counted by the peers of its links and by
-    /// the relays on them.
+    /// Returns the traffic of each planner so far, by planner index, as counted by the peers of its
+    /// links and by the relays on them.
     pub async fn traffic_by_planner(&mut self) -> io::Result<BTreeMap<usize, Traffic>> {
         let mut by_slot: BTreeMap<String, Traffic> = BTreeMap::new();
         for process in self.machines.iter_mut().chain(&mut self.clients) {
@@ -318,7 +323,8 @@
         Ok([sum(&mut self.real.iter().flatten())?, sum(&mut self.simulated.iter())?])
     }
 
-    /// Injects a fault. The fault `kill` also waits until the slots of the killed planners are held again.
+    /// Injects a fault. The fault `kill` also waits until the slots of the killed planners are held
+    /// again.
     pub async fn fault(&mut self, fault: Fault) -> io::Result<()> {
         if fault != Fault::None {
             progress("injecting the fault");
@@ -370,8 +376,8 @@
         Ok(())
     }
 
-    /// Cuts connections between the planners of the chosen region and all others: bytes sent from the region
-    /// (`from`) and bytes sent to it (`to`) are held back while the flag is set.
+    /// Cuts connections between the planners of the chosen region and all others: bytes sent from
+    /// the region (`from`) and bytes sent to it (`to`) are held back while the flag is set.
     fn set_cut(&self, from: bool, to: bool) {
         let region =
             |holder: &SlotHolder| site::region_of(&self.planners.zones[holder.index]) == self.measure.region;
--- a/cli/src/measure_scale/run/checks.rs
+++ b/cli/src/measure_scale/run/checks.rs
@@ -1,4 +1,5 @@
-//! Checks of a scale run: whether traffic counters of different processes agree, and which slots have holders.
+//! Checks of a scale run: whether traffic counters of different processes agree, and which slots
+//! have holders.
 use super::ScaleRun;
 use basaltpitch_testbed::scale::traffic::{Traffic, KINDS};
 use serde_json::Value;
@@ -7,9 +8,9 @@
 use std::time::Duration;
 
 impl ScaleRun {
-    /// Returns whether, for each real planner, the registry's counters by kind equal those of the relay between
-    /// the two, and add up to the bytes that the relay carried. Frames in flight make them differ for a moment, so
-    /// the check is repeated.
+    /// Returns whether, for each real planner, the registry's counters by kind equal those of the
+    /// relay between the two, and add up to the bytes that the relay carried. Frames in flight make
+    /// them differ for a moment, so the check is repeated.
     pub(super) async fn registry_counters_agree(&mut self) -> io::Result<bool> {
         let mut left = self.real_holders();
         for _ in 0..200 {
@@ -31,9 +32,10 @@
         Ok(false)
     }
 
-    /// Returns whether the counters of each real planner lie, by kind, between what the peers of its links counted
-    /// before and after the planner was queried; `None` where planners do not report counters. The query passes
-    /// through the relay in front of the planner, so that both ends count the query itself.
+    /// Returns whether the counters of each real planner lie, by kind, between what the peers of
+    /// its links counted before and after the planner was queried; `None` where planners do not
+    /// report counters. The query passes through the relay in front of the planner, so that both
+    /// ends count the query itself.
     pub(super) async fn planner_counters_agree(&mut self) -> io::Result<Option<bool>> {
         let mut left = self.real_holders();
         for _ in 0..50 {
--- a/cli/src/measure_scale/run/report.rs
+++ b/cli/src/measure_scale/run/report.rs
@@ -1,4 +1,5 @@
-//! The report of a scale run: resource usage by role, traffic of planners, and the results of the load.
+//! The report of a scale run: resource usage by role, traffic of planners, and the results of the
+//! load.
 use super::{rounded, Reading, ScaleRun};
 use crate::measure_scale::progress;
 use crate::processes::Usage;
@@ -64,7 +65,8 @@
         }))
     }
 
-    /// Stops submitting and returns the clients' reports once no request is open, or after the timeout.
+    /// Stops submitting and returns the clients' reports once no request is open, or after the
+    /// timeout.
     async fn stop_clients(&mut self) -> io::Result<Vec<Value>> {
         for clients in &mut self.clients {
             clients.send_command("stop").await?;
@@ -83,8 +85,8 @@
         }
     }
 
-    /// Waits until restarted machines are linked again and lost slots are held, or the timeout. Returns the
-    /// numbers of linked machines and of held slots.
+    /// Waits until restarted machines are linked again and lost slots are held, or the timeout.
+    /// Returns the numbers of linked machines and of held slots.
     async fn settle(&mut self) -> io::Result<(usize, usize)> {
         let until = Instant::now() + SETTLE_TIMEOUT;
         let (mut linked_machines, mut held_slots) =
@@ -140,8 +142,9 @@
     now.used.iter().zip(&before.used).map(|(now, earlier)| row(now, &earlier.1)).collect()
 }
 
-/// Returns the traffic of real planners that held one slot throughout: rows by kind with mean and maximum per
-/// second, and all counters of each planner. The kind `control` is everything except tasks.
+/// Returns the traffic of real planners that held one slot throughout: rows by kind with mean and
+/// maximum per second, and all counters of each planner. The kind `control` is everything except
+/// tasks.
 fn traffic_rows(before: &Reading, now: &Reading, seconds: f64) -> (Value, Value) {
     let carried = |(planner, traffic): (&'_ (String, usize), &Traffic)| {
         Some((planner.0.clone(), traffic.since(before.traffic.get(planner)?)))
@@ -171,7 +174,8 @@
     counts.fold((0, 0), add)
 }
 
-/// Merges the reports of both client processes: counts are added, and the larger value of a quantile is taken.
+/// Merges the reports of both client processes: counts are added, and the larger value of a
+/// quantile is taken.
 fn merge_load(all: &[Value]) -> (Value, Value) {
     let mut rows: Vec<Value> = Vec::new();
     for report in all {
@@ -196,7 +200,8 @@
     }
     let last = rows.last().cloned().unwrap_or_default();
     let sum = |fields: &[&str]| fields.iter().map(|field| last[*field].as_u64().unwrap_or(0)).sum::<u64>();
-    // A client whose connection to a killed planner closed expects no answer, so the request counts as answered.
+    // A client whose connection to a killed planner closed expects no answer, so the request counts
+    // as answered.
     let answered = sum(&["placed", "declined", "aborted", "cut"]);
     let answers = json!({"asked": sum(&["asked"]), "answered": answered, "again": sum(&["answered_again"])});
     (Value::Array(rows), answers)
--- a/cli/src/measure_scale/run/start.rs
+++ b/cli/src/measure_scale/run/start.rs
@@ -48,8 +48,8 @@
     let mut machines = Vec::new();
     for first in (0..measure.machines).step_by(measure.machines_per_process()) {
         let count = measure.machines_per_process().min(measure.machines - first);
-        // Machines simulate the tasks that simulated planners would place, because these take capacity and change
-        // the machine list.
+        // Machines simulate the tasks that simulated planners would place, because these take
+        // capacity and change the machine list.
         let share = count as f64 / measure.machines as f64;
         let absent = (measure.rate - measure.real_rate()).max(0.0) * share;
         let (first, count) = (first.to_string(), count.to_string());
@@ -65,8 +65,8 @@
     Ok(machines)
 }
 
-/// Starts the relays in front of planners: one that counts and, for the faults `cut` and `one-way`, one that can
-/// hold back bytes. Returns them and the addresses that other planners connect to.
+/// Starts the relays in front of planners: one that counts and, for the faults `cut` and `one-way`,
+/// one that can hold back bytes. Returns them and the addresses that other planners connect to.
 async fn start_relays_before(
     measure: &Measure,
     listen_addresses: &[String],
@@ -160,8 +160,8 @@
             args.extend(["--register", &registry, "--listen", &listen, "--advertise", &advertise]);
             args.extend(["--zone", &zone]);
             self.simulated.push(Process::start_with_commands(&args)?);
-            // With subsets each planner fetches the inventories of all machines when it starts, so only the
-            // planners of one process start together.
+            // With subsets each planner fetches the inventories of all machines when it starts, so
+            // only the planners of one process start together.
             self.wait_for_holders(self.measure.real + to - places.start).await?;
             self.wait_for_inventories(from, to).await?;
         }
@@ -192,8 +192,8 @@
     std::fs::write(&path, measure.installation_params().text(voters)).map(|()| path.display().to_string())
 }
 
-/// Starts relays to the voters and a registry for each planner, so that their traffic is counted per planner, and
-/// writes the installation's file of each planner.
+/// Starts relays to the voters and a registry for each planner, so that their traffic is counted
+/// per planner, and writes the installation's file of each planner.
 async fn write_planner_files(
     measure: &Measure,
     folder: &Path,
--- a/cli/src/measure_scale/simulated.rs
+++ b/cli/src/measure_scale/simulated.rs
@@ -1,6 +1,6 @@
-//! `basaltpitch simulated`: the processes of a scale run that simulate many machines, planners or clients, or run the
-//! registry. Each process reads commands from standard input, one a line, answers on standard output in JSON, and
-//! exits at the end of its input.
+//! `basaltpitch simulated`: the processes of a scale run that simulate many machines, planners or
+//! clients, or run the registry. Each process reads commands from standard input, one a line,
+//! answers on standard output in JSON, and exits at the end of its input.
 use super::site;
 use crate::serve::Serve;
 use crate::{load, Failure};
@@ -103,8 +103,8 @@
     serve: Serve,
 }
 
-/// Starts a thread that reads commands from standard input, and returns the channel that they are sent on. The
-/// channel closes at the end of the input; an unknown command is logged and skipped.
+/// Starts a thread that reads commands from standard input, and returns the channel that they are
+/// sent on. The channel closes at the end of the input; an unknown command is logged and skipped.
 fn commands<W: Send + 'static>(parse: impl Fn(&str) -> Option<W> + Send + 'static) -> mpsc::Receiver<W> {
     let (sender, commands) = mpsc::channel(16);
     std::thread::spawn(move || {
@@ -157,7 +157,8 @@
 }
 
 impl Machines {
-    /// Runs the machines; accepts the commands `tell`, `vanish ZONE`, `return ZONE` and `roll COUNT`.
+    /// Runs the machines; accepts the commands `tell`, `vanish ZONE`, `return ZONE` and `roll
+    /// COUNT`.
     fn run(self) -> Result<(), Failure> {
         let installation = load(&[self.file])?;
         let kind = installation.all.list("kinds").first().ok_or_else(|| {
@@ -205,8 +206,8 @@
 }
 
 impl Planners {
-    /// Runs each planner on a thread of its own with the unchanged code of `serve`, so that a simulated planner
-    /// does all the work of a real planner.
+    /// Runs each planner on a thread of its own with the unchanged code of `serve`, so that a
+    /// simulated planner does all the work of a real planner.
     fn run(self) -> Result<(), Failure> {
         for (index, file) in self.files.iter().enumerate() {
             let mut args = vec!["planner", file, "--seat", "any"];
@@ -229,7 +230,8 @@
                     eprintln!("a simulated planner failed: {why}");
                 }
             });
-            // The voters tell processes apart by the microsecond of their start, because all share one process id.
+            // The voters tell processes apart by the microsecond of their start, because all share
+            // one process id.
             std::thread::sleep(Duration::from_millis(5));
         }
         std::io::stdin().lock().lines().map_while(Result::ok).for_each(drop);
--- a/cli/src/measure_scale/site.rs
+++ b/cli/src/measure_scale/site.rs
@@ -1,4 +1,5 @@
-//! Generates the installation's file of a scale run: regions, zones, frameworks, tenants and voters.
+//! Generates the installation's file of a scale run: regions, zones, frameworks, tenants and
+//! voters.
 use basaltpitch_testbed::scale::clients::FrameworkLoad;
 
 /// The regions, each with its zones.
@@ -93,8 +94,8 @@
 }
 
 impl InstallationParams {
-    /// Renders the installation's file with voters (v0, v1, ...) at these addresses; without an address it has no
-    /// voters.
+    /// Renders the installation's file with voters (v0, v1, ...) at these addresses; without an
+    /// address it has no voters.
     pub fn text(&self, voter_addresses: &[String]) -> String {
         let list = |items: Vec<String>| items.join(", ");
         let quoted = |zone: &&str| format!("{zone:?}");
@@ -149,8 +150,8 @@
     }
 }
 
-/// Renders an installation of one planner without voters, with a scenario (`day`) so that `basaltpitch machine`
-/// can run its machines.
+/// Renders an installation of one planner without voters, with a scenario (`day`) so that
+/// `basaltpitch machine` can run its machines.
 pub fn single_planner(machines: usize) -> String {
     let params = InstallationParams {
         planners: 1,
--- a/cli/src/measure_seats.rs
+++ b/cli/src/measure_seats.rs
@@ -1,6 +1,6 @@
-//! `basaltpitch measure-seats`: measures how long a planner slot has no holder after its holder is killed,
-//! suspended or asked to stop. Voters and planners are processes of this binary on loopback. Fails if the slot's
-//! epoch does not increase at a takeover.
+//! `basaltpitch measure-seats`: measures how long a planner slot has no holder after its holder is
+//! killed, suspended or asked to stop. Voters and planners are processes of this binary on
+//! loopback. Fails if the slot's epoch does not increase at a takeover.
 use crate::processes::{measure_and_print, write_installation, Process};
 use crate::Failure;
 use basaltpitch_testbed::process_harness::free_addresses;
@@ -28,7 +28,8 @@
     disk: bool,
 }
 
-/// The kinds of faults: the holder is killed, suspended, terminated, or killed together with a voter.
+/// The kinds of faults: the holder is killed, suspended, terminated, or killed together with a
+/// voter.
 const FAULTS: [&str; 4] = ["kill", "stop", "term", "voter"];
 /// How long to wait for a spare to acquire the slot.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(30);
@@ -80,7 +81,8 @@
             || Histogram::<u64>::new_with_max(max_us, 3).map_err(|e| io::Error::other(e.to_string()));
         let mut times = vec![new_histogram()?, new_histogram()?, new_histogram()?, new_histogram()?];
         for takeover in 0..FAULTS.len() * self.each {
-            // The pause varies, so that faults occur at different times relative to the renewals of the lease.
+            // The pause varies, so that faults occur at different times relative to the renewals of
+            // the lease.
             tokio::time::sleep(Duration::from_millis(self.term * (17 + 7 * takeover as u64 % 60) / 60)).await;
             let kind = takeover % FAULTS.len();
             let mut former_holder = planners.swap_remove(holder);
@@ -105,7 +107,8 @@
             (holder, epoch) = (new_holder, new_epoch);
             match FAULTS[kind] {
                 "stop" => {
-                    // The suspended holder resumes long after its lease expired and must not serve under it again.
+                    // The suspended holder resumes long after its lease expired and must not serve
+                    // under it again.
                     tokio::time::sleep(Duration::from_millis(2 * self.term)).await;
                     signal(&former_holder, "-CONT").await?;
                     let claim =
@@ -125,8 +128,8 @@
             }
             if voters.len() < 3 {
                 for index in 0..3 {
-                    // Only the killed voter can start: the other two still run, so a second start of them
-                    // fails at once on the occupied port and is dropped.
+                    // Only the killed voter can start: the other two still run, so a second start
+                    // of them fails at once on the occupied port and is dropped.
                     let mut voter = voter(index)?;
                     if voter.read_line().await.is_ok() {
                         voters.push(voter);
--- a/cli/src/measure_tenants.rs
+++ b/cli/src/measure_tenants.rs
@@ -1,6 +1,7 @@
-//! Measures the cost of syncing tenants from a directory. Planners with and without a directory share one set of
-//! simulated machines and are loaded in turn, so that all are measured on the same host within the same minutes.
-//! Also measures the time from a change in the directory until a planner knows it, for each way of syncing.
+//! Measures the cost of syncing tenants from a directory. Planners with and without a directory
+//! share one set of simulated machines and are loaded in turn, so that all are measured on the same
+//! host within the same minutes. Also measures the time from a change in the directory until a
+//! planner knows it, for each way of syncing.
 use super::{failed, run_local, spawn_thread, Arrivals, ClientResults, Load, Measure, Planner};
 use crate::ask::{query, PlannerConnection};
 use crate::Failure;
@@ -15,8 +16,8 @@
 /// Depth of the nested groups below each tenant.
 const GROUP_DEPTH: usize = 5;
 
-/// Returns the directory's entries: people who belong to a tenant through nested groups. The name of the last
-/// tenant contains `version`.
+/// Returns the directory's entries: people who belong to a tenant through nested groups. The name
+/// of the last tenant contains `version`.
 fn entries(people: usize, version: u32) -> Vec<LdapEntry> {
     let person = |number: usize| format!("uid=p{number},dc=x");
     let mut entries = Vec::new();
@@ -58,8 +59,8 @@
     entries
 }
 
-/// Runs a directory server, whose address is sent on `ready`. Each number received from `versions` replaces the
-/// entries with those of that version; the server stops when the channel closes.
+/// Runs a directory server, whose address is sent on `ready`. Each number received from `versions`
+/// replaces the entries with those of that version; the server stops when the channel closes.
 fn run_directory(people: usize, ready: channel::Sender<String>, versions: channel::Receiver<u32>) {
     run_local(async move {
         let server = ldap_server::start("s").await.expect("a port");
@@ -76,7 +77,8 @@
     });
 }
 
-/// Writes the directory settings of a planner that syncs `every` interval, and returns the file's path.
+/// Writes the directory settings of a planner that syncs `every` interval, and returns the file's
+/// path.
 fn write_settings(folder: &Path, address: &str, every: &str, sync: bool) -> Result<PathBuf, Failure> {
     let secret = folder.join("secret");
     std::fs::write(&secret, "s").map_err(failed)?;
@@ -113,8 +115,8 @@
 }
 
 impl Measure {
-    /// Submits alternating loads to planners without and with a directory, in rounds, and returns the ratios of CPU
-    /// time and latency together with the time until a change is known.
+    /// Submits alternating loads to planners without and with a directory, in rounds, and returns
+    /// the ratios of CPU time and latency together with the time until a change is known.
     pub(super) fn tenants(
         &self,
         files: &[PathBuf],
--- a/cli/src/node.rs
+++ b/cli/src/node.rs
@@ -1,4 +1,5 @@
-//! `basaltpitch node`: runs one planner on the platform, with the configuration file that the platform provides.
+//! `basaltpitch node`: runs one planner on the platform, with the configuration file that the
+//! platform provides.
 use crate::Failure;
 use basaltpitch_platform::{service, start_config};
 use std::fmt::Display;
--- a/cli/src/processes.rs
+++ b/cli/src/processes.rs
@@ -1,5 +1,5 @@
-//! Child processes of this binary for the measure commands: voters, planners with slots, and simulated machines,
-//! planners and clients. Also reads the resource usage of processes from /proc.
+//! Child processes of this binary for the measure commands: voters, planners with slots, and
+//! simulated machines, planners and clients. Also reads the resource usage of processes from /proc.
 use crate::Failure;
 use serde_json::Value;
 use std::io;
@@ -20,8 +20,8 @@
     pub descriptors: usize,
 }
 
-/// A child process with its standard output, and its standard input if it accepts commands. Dropping it kills
-/// the child.
+/// A child process with its standard output, and its standard input if it accepts commands.
+/// Dropping it kills the child.
 pub struct Process {
     /// The child process.
     pub child: Child,
@@ -35,7 +35,8 @@
         Process::start_with(args, false)
     }
 
-    /// Starts a process that reads commands from standard input, one a line, and exits at the end of the input.
+    /// Starts a process that reads commands from standard input, one a line, and exits at the end
+    /// of the input.
     pub fn start_with_commands(args: &[&str]) -> io::Result<Process> {
         Process::start_with(args, true)
     }
@@ -116,8 +117,9 @@
     Ok((ticks.iter().take(8).sum::<f64>() - idle) / 100.0)
 }
 
-/// Writes an installation with this number of planner slots and voters (v0, v1, ...) at these addresses, and
-/// returns the file's path. The lease duration is in milliseconds; the clock drift is a twenty-fifth of it.
+/// Writes an installation with this number of planner slots and voters (v0, v1, ...) at these
+/// addresses, and returns the file's path. The lease duration is in milliseconds; the clock drift
+/// is a twenty-fifth of it.
 pub fn write_installation(
     folder: &Path,
     name: &str,
@@ -151,8 +153,8 @@
     Ok(())
 }
 
-/// Runs a measurement in a temporary folder, which is removed afterwards, and returns its result. SIGINT and
-/// SIGTERM abort the measurement and end the processes that it started.
+/// Runs a measurement in a temporary folder, which is removed afterwards, and returns its result.
+/// SIGINT and SIGTERM abort the measurement and end the processes that it started.
 pub fn measure_in_temp_folder<T>(
     name: &str,
     measure: impl AsyncFnOnce(&Path) -> io::Result<T>,
--- a/cli/src/roll.rs
+++ b/cli/src/roll.rs
@@ -1,6 +1,6 @@
-//! `basaltpitch roll`: starts, changes and shows the rolling restart of a zone's machines. The command stores the
-//! restart plan as lease metadata with the voters; the planner that coordinates rolling restarts reads the plan
-//! there and stores its progress as the metadata of its own lease.
+//! `basaltpitch roll`: starts, changes and shows the rolling restart of a zone's machines. The
+//! command stores the restart plan as lease metadata with the voters; the planner that coordinates
+//! rolling restarts reads the plan there and stores its progress as the metadata of its own lease.
 use crate::ask::print_value;
 use crate::council::{required_quorum_settings, voter_records};
 use crate::{load, Failure};
@@ -61,7 +61,8 @@
     metadata.map(|newest| newest.2.clone())
 }
 
-/// Returns the restart plan and the progress of its execution, as a majority of the voters stores them.
+/// Returns the restart plan and the progress of its execution, as a majority of the voters stores
+/// them.
 fn stored_plan(
     voters: &[VoterEndpoint],
 ) -> Result<(Option<RestartPlan>, Option<RestartProgress<String>>), Failure> {
@@ -93,8 +94,8 @@
     Ok((plan, progress))
 }
 
-/// Acquires the plan's lease, stores the plan as its metadata and returns the plan with its id once a majority
-/// of the voters stores it.
+/// Acquires the plan's lease, stores the plan as its metadata and returns the plan with its id once
+/// a majority of the voters stores it.
 async fn store_plan(
     lease_config: LeaseConfig,
     voters: Vec<VoterEndpoint>,
@@ -132,7 +133,8 @@
             match event {
                 LeaseEvent::Records(_) | LeaseEvent::HeldSlots(_) => {}
                 LeaseEvent::Acquired { token, .. } => {
-                    // A new rolling restart takes the fencing token as its id, because tokens only increase.
+                    // A new rolling restart takes the fencing token as its id, because tokens only
+                    // increase.
                     plan.id = if plan.id == 0 { token } else { plan.id };
                     let text = serde_json::to_vec(&plan).map_err(|e| Failure::Failed(e.to_string()))?;
                     let _ = commands
@@ -169,10 +171,11 @@
     }
 }
 
-/// Returns the state of the rolling restart as it is printed. `all` lists the machines that wait or have
-/// restarted by name instead of counting them.
+/// Returns the state of the rolling restart as it is printed. `all` lists the machines that wait or
+/// have restarted by name instead of counting them.
 fn status(plan: Option<&RestartPlan>, progress: Option<&RestartProgress<String>>, all: bool) -> Value {
-    // Progress of an earlier rolling restart says nothing about a plan that no coordinator has started yet.
+    // Progress of an earlier rolling restart says nothing about a plan that no coordinator has
+    // started yet.
     let current = progress.filter(|progress| plan.is_none_or(|plan| plan.id <= progress.plan.id));
     let Some(plan) = plan
         .filter(|plan| current.is_none_or(|progress| plan.id == progress.plan.id))
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -1,5 +1,5 @@
-//! `basaltpitch serve`: runs one planner, either under a fixed name and number or under a planner slot whose
-//! lease a quorum of voters grants.
+//! `basaltpitch serve`: runs one planner, either under a fixed name and number or under a planner
+//! slot whose lease a quorum of voters grants.
 use crate::council::{open_store, quorum_settings, slot_names, stop_signal, SLOT_PREFIX};
 use crate::{load, Failure};
 use basaltpitch::host::{Settings, Value};
@@ -33,8 +33,8 @@
     /// Number of this planner among the installation's planners, from 0
     #[arg(long, default_value_t = 0, conflicts_with = "seat")]
     number: usize,
-    /// Serve under a planner slot, whose lease gives name, number and epoch: `any`, or a slot's name such as
-    /// planner-3. Waits as a spare until a slot is free
+    /// Serve under a planner slot, whose lease gives name, number and epoch: `any`, or a slot's
+    /// name such as planner-3. Waits as a spare until a slot is free
     #[arg(long, conflicts_with = "name")]
     seat: Option<String>,
     /// Zone that this planner runs in
@@ -46,10 +46,12 @@
     /// Address (host:port) to listen on for clients, operators and other planners
     #[arg(long, default_value = "127.0.0.1:7410")]
     listen: String,
-    /// Address (host:port) that other planners connect to, if it differs from --listen; only with --seat
+    /// Address (host:port) that other planners connect to, if it differs from --listen; only with
+    /// --seat
     #[arg(long, requires = "seat")]
     advertise: Option<String>,
-    /// Epoch of this process; each restart needs a higher one. By default the start time in microseconds
+    /// Epoch of this process; each restart needs a higher one. By default the start time in
+    /// microseconds
     #[arg(long, conflicts_with = "seat")]
     epoch: Option<u64>,
     /// Seed of the random number generator; by default the epoch
@@ -58,8 +60,8 @@
     /// Folder for the state that is kept across restarts; several planners may share it
     #[arg(long)]
     state: Option<PathBuf>,
-    /// Record all inputs and calls of the planner's decisions into this file, for `replay`; with --seat the
-    /// epoch is appended to the file's name
+    /// Record all inputs and calls of the planner's decisions into this file, for `replay`; with
+    /// --seat the epoch is appended to the file's name
     #[arg(long)]
     record: Option<PathBuf>,
 }
@@ -97,8 +99,8 @@
     installation.all.list("kinds").iter().map(size).collect()
 }
 
-/// Returns the subsetting configuration of one planner and all slot names, `None` where the installation does
-/// not assign subsets of the machines.
+/// Returns the subsetting configuration of one planner and all slot names, `None` where the
+/// installation does not assign subsets of the machines.
 fn subset_config(
     installation: &Installation,
     slots: &[Rc<str>],
@@ -133,7 +135,8 @@
         let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let started = since_epoch.map_or(1, |d| d.as_micros() as u64);
         if self.seat.is_some() {
-            // Fails at start rather than at the acquisition of a slot, when a spare is needed to take over.
+            // Fails at start rather than at the acquisition of a slot, when a spare is needed to
+            // take over.
             crate::named_constraints(&installation)?;
             crate::directory_settings(&installation)?;
             let bound = std::net::TcpListener::bind(&self.listen);
@@ -142,8 +145,8 @@
         let quorum = quorum_settings(&installation);
         let links = LinkConfig { heartbeat_us: installation.heartbeat_us(), ..LinkConfig::default() };
         match (&self.name, &self.seat, quorum) {
-            // A planner with a fixed name beside the slots could share its number with a slot's holder, and both
-            // would spend the full budgets of that number.
+            // A planner with a fixed name beside the slots could share its number with a slot's
+            // holder, and both would spend the full budgets of that number.
             (Some(name), _, Some(_)) => Err(Failure::InvalidInput(format!(
                 "--name: found {name:?} beside a council; expected --seat any, or --seat with a slot's name"
             ))),
@@ -202,7 +205,8 @@
         }
     }
 
-    /// Waits for a slot, serves under it until its lease is lost, and waits again, until a stop signal arrives.
+    /// Waits for a slot, serves under it until its lease is lost, and waits again, until a stop
+    /// signal arrives.
     async fn serve_under_slots(
         &self,
         installation: &Installation,
@@ -265,7 +269,8 @@
             tracing::warn!(seat = &*slot, "slot lease lost; planner stopped, waiting for a slot as a spare");
             let _ = commands.send(LeaseCommand::SeekSlot).await;
         };
-        // Nothing acts under the slot any more, so its lease is released for a spare instead of expiring.
+        // Nothing acts under the slot any more, so its lease is released for a spare instead of
+        // expiring.
         let _ = commands.send(LeaseCommand::ReleaseAll).await;
         let _ = lease_client.await;
         result
@@ -297,8 +302,8 @@
         let directory = crate::directory_settings(installation)?;
         let store = match (self.state.as_ref().map(|folder| open_store(folder, &name)).transpose(), &slot) {
             (Ok(store), _) => store,
-            // A suspended predecessor may still have the file open. Serving without stored state is better than a
-            // slot without a planner.
+            // A suspended predecessor may still have the file open. Serving without stored state is
+            // better than a slot without a planner.
             (Err(Failure::InvalidInput(why) | Failure::Failed(why)), Some(_)) => {
                 tracing::error!(why, "stored state cannot be opened; serving without it");
                 None
--- a/cli/src/tenants.rs
+++ b/cli/src/tenants.rs
@@ -63,8 +63,8 @@
     }
 }
 
-/// Reads all entries from each server of a tenant directory and prints one row per server. No planner is
-/// contacted.
+/// Reads all entries from each server of a tenant directory and prints one row per server. No
+/// planner is contacted.
 ///
 /// # Errors
 /// `Failed` where a server cannot be read or an entry has a problem.
