--- a/cli/src/constraints.rs
+++ b/cli/src/constraints.rs
@@ -17,8 +17,7 @@
     Explain(Explain),
     /// Show which running tasks would violate the constraints of changed files
     Diff(Changed),
-    /// Apply the constraints of changed files to the planner, all of them or none; its restart
-    /// reads its own files again
+    /// Apply the constraints of changed files, all or none, until the planner restarts
     Take(Changed),
 }
 
--- a/cli/src/measure_council.rs
+++ b/cli/src/measure_council.rs
@@ -109,7 +109,7 @@
         for planner in &mut planners {
             wait_until_listening(planner).await?;
         }
-        let seated_after_s = started.elapsed().as_secs_f64();
+        let slots_held_after_s = started.elapsed().as_secs_f64();
         while fresh_slots(&planner_addresses[planner_count - 1]).await? < planner_count {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -127,7 +127,7 @@
         Ok(json!({
             "members": planner_count,
             "term_ms": self.term,
-            "all_seated_after_s": (seated_after_s * 10.0).round() / 10.0,
+            "all_seated_after_s": (slots_held_after_s * 10.0).round() / 10.0,
             "all_heard_after_s": (received_after_s * 10.0).round() / 10.0,
             "bytes_between_a_s_a_member": per_planner(gossip_bytes as f64 / seconds),
             "bytes_a_s_a_member": per_planner(voter_bytes as f64 / seconds),
--- a/cli/src/measure_scale/believe.rs
+++ b/cli/src/measure_scale/believe.rs
@@ -67,9 +67,9 @@
 }
 
 /// Runs all comparisons and returns one row for each figure.
-pub async fn compare_all(usual: &Measure, folder: &Path) -> io::Result<Vec<Value>> {
+pub async fn compare_all(base: &Measure, folder: &Path) -> io::Result<Vec<Value>> {
     progress("comparing simulated planners with real planners");
-    let mut rows = compare_planners(usual, folder).await?;
+    let mut rows = compare_planners(base, folder).await?;
     progress("comparing simulated machines with those of `basaltpitch machine`");
     let real = measure_machines(folder, true).await?;
     let simulated = measure_machines(folder, false).await?;
@@ -95,7 +95,7 @@
 }
 
 /// Compares simulated with real planners, which run in one fleet without tasks.
-async fn compare_planners(usual: &Measure, folder: &Path) -> io::Result<Vec<Value>> {
+async fn compare_planners(base: &Measure, folder: &Path) -> io::Result<Vec<Value>> {
     let measure = Measure {
         planners: 2 * PLANNERS,
         real: PLANNERS,
@@ -103,7 +103,7 @@
         tenants: 5,
         hollow_links: true,
         term: 2000,
-        ..usual.clone()
+        ..base.clone()
     };
     let mut run = ScaleRun::start(&measure, folder).await?;
     tokio::time::sleep(Duration::from_secs(3)).await;
--- a/cli/src/tenants.rs
+++ b/cli/src/tenants.rs
@@ -95,7 +95,7 @@
     print_value(&rows.into(), json);
     if incomplete_servers > 0 {
         return Err(Failure::Failed(format!(
-            "{incomplete_servers} directory servers could not be read completely"
+            "{incomplete_servers} of the directory servers could not be read completely"
         )));
     }
     Ok(())
