--- a/cli/src/drill.rs
+++ b/cli/src/drill.rs
@@ -49,8 +49,7 @@
         let installation = load(&self.files)?;
         if installation.all.get("day").is_none() {
             return Err(Failure::InvalidInput(
-                "day: found no such field in these files; expected the description of a fault scenario"
-                    .into(),
+                "found no field day in these files; expected the description of a fault scenario".into(),
             ));
         }
         let binary = std::env::current_exe().map_err(|e| Failure::Failed(e.to_string()))?;
