--- a/cli/src/measure_scale/believe.rs
+++ b/cli/src/measure_scale/believe.rs
@@ -94,7 +94,7 @@
     Ok(rows)
 }
 
-/// Compares simulated with real planners, which run in one fleet without tasks.
+/// Compares simulated with real planners, which run in one fleet without clients.
 async fn compare_planners(base: &Measure, folder: &Path) -> io::Result<Vec<Value>> {
     let measure = Measure {
         planners: 2 * PLANNERS,
