--- a/cli/tests/golden_answers.rs
+++ b/cli/tests/golden_answers.rs
@@ -164,7 +164,7 @@
 #[test]
 fn commands_that_ask_for_tenants() {
     let folder = folder("golden-answers-tenants");
-    stored::lay("planner.store.txt", &folder.join("p.store"));
+    stored::restore("planner.store.txt", &folder.join("p.store"));
     let written = |name: &str, text: &str| {
         std::fs::write(folder.join(name), text).unwrap();
         folder.join(name).display().to_string()
--- a/cli/tests/golden_state.rs
+++ b/cli/tests/golden_state.rs
@@ -37,7 +37,7 @@
 fn voters_go_on_from_the_state_of_an_earlier_build() {
     let site = Site::new("golden-voters", 1);
     for name in ["v0.store", "v1.store"] {
-        stored::lay("voter.store.txt", &site.folder.join(name));
+        stored::restore("voter.store.txt", &site.folder.join(name));
     }
     let _voters = [site.voter(0, true), site.voter(1, true)];
     let rows = asked(&["council", &site.file]);
@@ -60,7 +60,7 @@
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("golden-tenants");
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
-    stored::lay("planner.store.txt", &folder.join("p.store"));
+    stored::restore("planner.store.txt", &folder.join("p.store"));
     let written = |name: &str, text: &str| {
         std::fs::write(folder.join(name), text).unwrap();
         folder.join(name).display().to_string()
--- a/cli/tests/node_departures.rs
+++ b/cli/tests/node_departures.rs
@@ -1,5 +1,6 @@
-//! Clients that have left: no attempt begins for one whose departure had come, wherever what it left behind
-//! waits. Each crossing is forced on sockets, against the real binary.
+//! Checks that `basaltpitch node` starts no attempt for a request whose cancellation or whose
+//! client's disconnect has already arrived, wherever the request waits. Each race is forced on real
+//! sockets.
 mod wire;
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpListener};
@@ -7,14 +8,15 @@
 use std::time::{Duration, Instant};
 use wire::*;
 
-/// The ids of requests as links bring them, from now on.
-fn requests_on(links: Vec<Peer>) -> Receiver<String> {
-    let (sends, ids) = channel();
+/// Reads the links in background threads and returns a channel with the ids of the requests
+/// received.
+fn collect_request_ids(links: Vec<Peer>) -> Receiver<String> {
+    let (sender, ids) = channel();
     for mut link in links {
-        let sends = sends.clone();
+        let sender = sender.clone();
         std::thread::spawn(move || {
-            while let Some(line) = link.line() {
-                if line["msg"] == "open" && sends.send(line["sid"].as_str().unwrap().to_owned()).is_err() {
+            while let Some(line) = link.next_line() {
+                if line["msg"] == "open" && sender.send(line["sid"].as_str().unwrap().to_owned()).is_err() {
                     return;
                 }
             }
@@ -23,61 +25,62 @@
     ids
 }
 
-/// A client whose connection is accepted.
-fn known(node: &Node) -> Peer {
-    let mut client = Peer::to(node);
-    client.say(&message("probe", &id(1), json!({}), 0));
-    client.next("probed").unwrap();
+/// Returns a client whose connection the planner has accepted.
+fn accepted_client(node: &Node) -> Peer {
+    let mut client = Peer::connect(node);
+    client.send_line(&message("probe", &id(1), json!({}), 0));
+    client.next_of_kind("probed").unwrap();
     client
 }
 
-/// Requests that were cancelled, or whose connection ended, while the process stood still were read together
-/// with that, and sent on all the same: the attempts began long after their clients had left.
+/// While the process is paused, clients send requests and then cancel them, close or reset. Guards
+/// against attempts for requests that the planner reads together with their cancellation.
 #[test]
-fn requests_that_were_taken_back_in_the_kernel_are_not_sent() {
+fn drops_requests_cancelled_before_they_are_read() {
     let (machine, at) = listener();
-    let node = started_with("taken-back", &free_address(), &[("a", &at)], quiet);
-    let (mut cancels, mut closes, mut stays) = (known(&node), known(&node), known(&node));
-    stays.say(&request(&id(2), json!({})));
-    let mut link = Peer::of(&machine);
-    link.next("open").unwrap();
-    node.hold();
+    let node = start_node_with("taken-back", &free_address(), &[("a", &at)], disable_probes);
+    let (mut canceller, mut closer, mut remaining) =
+        (accepted_client(&node), accepted_client(&node), accepted_client(&node));
+    remaining.send_line(&request(&id(2), json!({})));
+    let mut link = Peer::accept(&machine);
+    link.next_of_kind("open").unwrap();
+    node.pause();
     for n in 10..20 {
-        cancels.say(&request(&id(n), json!({})));
-        cancels.say(&message("close", &id(n), json!({}), 16));
-        closes.say(&request(&id(n + 10), json!({})));
+        canceller.send_line(&request(&id(n), json!({})));
+        canceller.send_line(&message("close", &id(n), json!({}), 16));
+        closer.send_line(&request(&id(n + 10), json!({})));
     }
-    drop(closes);
-    let mut resets = Peer::to(&node);
-    resets.say(&request(&id(40), json!({})));
-    resets.reset();
-    stays.say(&request(&id(50), json!({})));
-    node.go_on();
-    assert_eq!(link.next("open").unwrap()["sid"], id(50));
-    stays.say(&request(&id(51), json!({})));
-    assert_eq!(link.next("open").unwrap()["sid"], id(51));
+    drop(closer);
+    let mut resetter = Peer::connect(&node);
+    resetter.send_line(&request(&id(40), json!({})));
+    resetter.reset();
+    remaining.send_line(&request(&id(50), json!({})));
+    node.resume();
+    assert_eq!(link.next_of_kind("open").unwrap()["sid"], id(50));
+    remaining.send_line(&request(&id(51), json!({})));
+    assert_eq!(link.next_of_kind("open").unwrap()["sid"], id(51));
     for n in 10..20 {
-        let end = cancels.line().unwrap();
+        let end = canceller.next_line().unwrap();
         assert_eq!((&end["msg"], &end["sid"]), (&json!("closed"), &json!(id(n))));
     }
 }
 
-/// Further attempts of clients that had left began, as the machine's refusal was handled before the client's
-/// close.
+/// Machines refuse attempts at the same time as their clients cancel or disconnect. Guards against
+/// further attempts that began because the refusal was handled before the client's departure.
 #[test]
-fn a_refusal_that_crosses_a_departure_begins_no_further_attempt() {
+fn does_not_retry_refused_attempts_of_departed_clients() {
     let (machines, at): (Vec<TcpListener>, Vec<String>) = (0..2).map(|_| listener()).unzip();
-    let node = started_with("further", &free_address(), &[("a", &at[0]), ("b", &at[1])], quiet);
-    // A request of each of 20 clients is open on one of the machines.
-    let mut clients: Vec<Peer> = (0..20).map(|_| known(&node)).collect();
-    let mut stays = known(&node);
+    let node = start_node_with("further", &free_address(), &[("a", &at[0]), ("b", &at[1])], disable_probes);
+    // Each of 20 clients has one request open on one of the two machines.
+    let mut clients: Vec<Peer> = (0..20).map(|_| accepted_client(&node)).collect();
+    let mut remaining = accepted_client(&node);
     for (n, client) in clients.iter_mut().enumerate() {
         let service = format!("cores:1;memory:1;service:{:016x}", 0xb1 + n);
-        client.say(&request(&id(100 + n as u64), json!({"extras": service})));
+        client.send_line(&request(&id(100 + n as u64), json!({"extras": service})));
     }
-    let mut links: Vec<Peer> = machines.iter().map(Peer::of).collect();
-    let (mut open, mut on) = (0, [Vec::new(), Vec::new()]);
-    for (link, ids) in links.iter_mut().zip(&mut on) {
+    let mut links: Vec<Peer> = machines.iter().map(Peer::accept).collect();
+    let (mut open, mut ids_by_link) = (0, [Vec::new(), Vec::new()]);
+    for (link, ids) in links.iter_mut().zip(&mut ids_by_link) {
         link.stream().set_read_timeout(Some(Duration::from_millis(300))).unwrap();
         let until = Instant::now() + Duration::from_secs(5);
         while Instant::now() < until && open < 20 {
@@ -91,58 +94,60 @@
         }
         link.stream().set_read_timeout(Some(TIMEOUT)).unwrap();
     }
-    assert!(open == 20 && on.iter().all(|ids| !ids.is_empty()), "{on:?}");
-    node.hold();
-    for (link, ids) in links.iter_mut().zip(&on) {
-        ids.iter().for_each(|id| link.say(&message("close", id, json!({"note": "queue_full"}), 34)));
+    assert!(open == 20 && ids_by_link.iter().all(|ids| !ids.is_empty()), "{ids_by_link:?}");
+    node.pause();
+    for (link, ids) in links.iter_mut().zip(&ids_by_link) {
+        ids.iter().for_each(|id| link.send_line(&message("close", id, json!({"note": "queue_full"}), 34)));
     }
     for (n, mut client) in clients.into_iter().enumerate() {
         match n % 3 {
-            0 => client.say(&message("close", &id(100 + n as u64), json!({}), 16)),
+            0 => client.send_line(&message("close", &id(100 + n as u64), json!({}), 16)),
             1 => drop(client),
             _ => client.reset(),
         }
     }
-    stays.say(&request(&id(500), json!({})));
-    node.go_on();
-    let begun = requests_on(links);
-    assert_eq!(begun.recv_timeout(TIMEOUT).unwrap(), id(500));
-    stays.say(&request(&id(501), json!({})));
-    assert_eq!(begun.recv_timeout(TIMEOUT).unwrap(), id(501));
+    remaining.send_line(&request(&id(500), json!({})));
+    node.resume();
+    let started = collect_request_ids(links);
+    assert_eq!(started.recv_timeout(TIMEOUT).unwrap(), id(500));
+    remaining.send_line(&request(&id(501), json!({})));
+    assert_eq!(started.recv_timeout(TIMEOUT).unwrap(), id(501));
 }
 
-/// A request that was cancelled while its machine's connection was on its way up is not sent once it is up.
+/// A request is cancelled while the connection to its machine is being established; it must not be
+/// sent once the connection is up.
 #[test]
-fn what_was_taken_back_during_a_dial_is_not_sent() {
-    let (machine, fills, address) = full_listener();
-    let node = started_with("dial", &free_address(), &[("a", &address)], |c| {
-        quiet(c);
-        c["settings"]["permissions"]["connectTimeoutUs"] = json!(10_000_000);
+fn drops_requests_cancelled_while_the_machine_is_dialled() {
+    let (machine, queued, address) = full_listener();
+    let node = start_node_with("dial", &free_address(), &[("a", &address)], |configuration| {
+        disable_probes(configuration);
+        configuration["settings"]["permissions"]["connectTimeoutUs"] = json!(10_000_000);
     });
-    let (mut cancels, mut closes, mut stays) = (known(&node), known(&node), known(&node));
-    cancels.say(&request(&id(2), json!({})));
-    closes.say(&request(&id(3), json!({})));
-    stays.say(&request(&id(4), json!({"left": "12000"})));
-    cancels.say(&message("close", &id(2), json!({}), 16));
-    assert_eq!(cancels.line().unwrap()["msg"], "closed");
-    drop(closes);
-    // What is said behind it is answered once it was read.
-    stays.say(&message("probe", &id(5), json!({}), 0));
-    stays.next("probed").unwrap();
+    let (mut canceller, mut closer, mut remaining) =
+        (accepted_client(&node), accepted_client(&node), accepted_client(&node));
+    canceller.send_line(&request(&id(2), json!({})));
+    closer.send_line(&request(&id(3), json!({})));
+    remaining.send_line(&request(&id(4), json!({"left": "12000"})));
+    canceller.send_line(&message("close", &id(2), json!({}), 16));
+    assert_eq!(canceller.next_line().unwrap()["msg"], "closed");
+    drop(closer);
+    // The answer to a later probe shows that the requests before it were read.
+    remaining.send_line(&message("probe", &id(5), json!({}), 0));
+    remaining.next_of_kind("probed").unwrap();
     accept(&machine);
-    drop(fills);
-    let mut link = Peer::of(&machine);
-    let first = link.next("open").unwrap();
+    drop(queued);
+    let mut link = Peer::accept(&machine);
+    let first = link.next_of_kind("open").unwrap();
     assert_eq!(first["sid"], id(4));
 }
 
-/// A machine that takes nothing held lines in the planner's queue; those of clients that had left went out
-/// once it read again. Where the planner's core was busy and the machine read on a free one, all of them did: the
-/// writer never waited while the machine took its bytes, so that the client's departure, which had come long ago,
-/// was not read before the queue was empty. A trace of the system calls showed up to 614 requests written between
-/// two looks at the sockets; with the writer giving way, two.
+/// A machine that reads slowly leaves requests in the planner's outgoing queue, and their client
+/// disconnects meanwhile. Guards against sending them all the same. When the planner's core was
+/// busy and the machine read on a free one, the writer never had to wait, so the client's
+/// disconnect was not read before the queue was empty: a system call trace showed up to 614
+/// requests written between two polls of the sockets, and two once the writer yielded.
 #[test]
-fn what_was_taken_back_in_the_queue_of_a_link_is_not_sent() {
+fn drops_queued_requests_of_a_disconnected_client() {
     const REQUESTS: u64 = 800;
     let address = free_address();
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -150,28 +155,30 @@
     socket.bind(&address.parse::<SocketAddr>().unwrap().into()).unwrap();
     socket.listen(16).unwrap();
     let machine = TcpListener::from(socket);
-    let node = started_with("queue", &free_address(), &[("a", &address)], |c| {
-        quiet(c);
-        // Nothing but the client's departure takes a line back here.
-        c["settings"]["permissions"]["connectTimeoutUs"] = json!(60_000_000);
+    let node = start_node_with("queue", &free_address(), &[("a", &address)], |configuration| {
+        disable_probes(configuration);
+        // The long timeout leaves the client's disconnect as the only reason to drop a queued
+        // request.
+        configuration["settings"]["permissions"]["connectTimeoutUs"] = json!(60_000_000);
     });
-    let (mut leaves, mut stays) = (known(&node), known(&node));
+    let (mut leaver, mut remaining) = (accepted_client(&node), accepted_client(&node));
     let small = "cores:0.01;memory:0.01;service:00000000000000b1";
     let text = "x".repeat(15_000);
-    (10..10 + REQUESTS).for_each(|n| leaves.say(&request(&id(n), json!({"extras": small, "text": text}))));
-    leaves.say(&message("probe", &id(5), json!({}), 0));
-    leaves.next("probed").unwrap();
-    drop(leaves);
-    stays.say(&request(&id(2), json!({"extras": small})));
-    let link = Peer::of(&machine);
-    let begun = requests_on(vec![link]);
+    (10..10 + REQUESTS)
+        .for_each(|n| leaver.send_line(&request(&id(n), json!({"extras": small, "text": text}))));
+    leaver.send_line(&message("probe", &id(5), json!({}), 0));
+    leaver.next_of_kind("probed").unwrap();
+    drop(leaver);
+    remaining.send_line(&request(&id(2), json!({"extras": small})));
+    let link = Peer::accept(&machine);
+    let started = collect_request_ids(vec![link]);
     let mut seen = Vec::new();
     while seen.last() != Some(&id(2)) {
-        seen.push(begun.recv_timeout(TIMEOUT).unwrap());
+        seen.push(started.recv_timeout(TIMEOUT).unwrap());
     }
     assert!(
         seen.len() < REQUESTS as usize / 2 && !seen.contains(&id(9 + REQUESTS)),
-        "{} were sent",
+        "{} requests reached the machine; expected fewer than half, without the last one",
         seen.len()
     );
 }
--- a/cli/tests/soak/life.rs
+++ b/cli/tests/soak/life.rs
@@ -85,7 +85,7 @@
     for machine in &fleet.machines {
         machine.trace.replace(trace.clone());
     }
-    let mut node = wire::started_from(&format!("soak-{}-{number}", plan.seed), &configuration(fleet));
+    let mut node = wire::start_node_from(&format!("soak-{}-{number}", plan.seed), &configuration(fleet));
     let mut tasks = Vec::new();
     for client in 0..plan.clients {
         let client = Client::new(client, plan, &fleet.listen, trace.clone(), fleet.last_id.clone());
--- a/cli/tests/wire/mod.rs
+++ b/cli/tests/wire/mod.rs
@@ -1,6 +1,8 @@
-//! What the tests of the node's sockets share: the binary as the platform starts it, and the other ends of
-//! its connections, which a test drives step by step. A crossing is forced: the process is stopped (SIGSTOP),
-//! the other ends write, reset or connect, and it goes on with all of that waiting in the kernel.
+//! Helpers of the tests that drive `basaltpitch node` over its sockets: they start the binary as
+//! the platform does and script the clients, machines and coordinator that it talks to.
+//!
+//! A test forces a race by pausing the process (SIGSTOP) while its peers write, reset or connect;
+//! the resumed process then finds all of these events pending in the kernel at once.
 #![allow(dead_code)]
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -15,14 +17,18 @@
 #[allow(unused_imports)]
 pub use harness::{configuration, entry, id, message, ready, request, update};
 
-/// How long a test waits for what must come.
+/// How long a test waits for an expected line, connection, log entry or process exit.
 pub const TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A planner's process with its configuration file; it ends with the test.
+/// A planner process and its configuration file; dropping it kills the process and removes the
+/// file.
 pub struct Node {
     pub child: Child,
+    /// The address on which the planner accepts clients.
     pub listen: String,
+    /// The path of the configuration file.
     pub file: std::path::PathBuf,
+    /// Lines of the planner's stderr that no test has read yet.
     log: Receiver<String>,
 }
 
@@ -34,57 +40,63 @@
     }
 }
 
-/// An address of this test process alone: no port that the kernel hands out can be the same.
+/// Returns a loopback address derived from the test's process id, so that no port that the kernel
+/// assigns on 127.0.0.1 can collide with it.
 pub fn free_address() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (pid, n) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     format!("127.{}.{}.{}:{}", 64 + pid % 64, pid / 64 % 250, 1 + n % 250, 5080 + n / 250)
 }
 
+/// Binds a listener to a free address.
 pub fn listener() -> (TcpListener, String) {
     let address = free_address();
     (TcpListener::bind(&address).unwrap(), address)
 }
 
-/// A listener whose queue is full: the next connection comes up only once it has accepted the one that fills it.
+/// Returns a listener with a full accept queue, the connection that fills the queue and the
+/// address. Further connections are established only after the listener has accepted the first one.
 pub fn full_listener() -> (TcpListener, TcpStream, String) {
     let address = free_address();
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&address.parse::<SocketAddr>().unwrap().into()).unwrap();
     socket.listen(0).unwrap();
-    let fills = TcpStream::connect(&address).unwrap();
-    (TcpListener::from(socket), fills, address)
+    let queued = TcpStream::connect(&address).unwrap();
+    (TcpListener::from(socket), queued, address)
 }
 
-pub fn started(name: &str, coordinator: &str, machines: &[(&str, &str)]) -> Node {
-    started_with(name, coordinator, machines, |_| {})
+/// Starts a planner with the given coordinator address and machines (name, address).
+pub fn start_node(name: &str, coordinator: &str, machines: &[(&str, &str)]) -> Node {
+    start_node_with(name, coordinator, machines, |_| {})
 }
 
-/// A planner that sends no tests of its own accord: what its machines do is up to the test alone.
-pub fn quiet(configuration: &mut Value) {
+/// Turns the planner's probes off, so that machines receive only what the test causes.
+pub fn disable_probes(configuration: &mut Value) {
     configuration["settings"]["permissions"]["probes"] = json!(false);
 }
 
-pub fn started_with(
+/// Starts a planner after `edit` has changed its configuration.
+pub fn start_node_with(
     name: &str,
     coordinator: &str,
     machines: &[(&str, &str)],
     edit: impl FnOnce(&mut Value),
 ) -> Node {
     let listen = free_address();
-    let mut all = configuration(&listen, coordinator, machines);
-    edit(&mut all);
-    started_from(name, &all)
+    let mut configuration = configuration(&listen, coordinator, machines);
+    edit(&mut configuration);
+    start_node_from(name, &configuration)
 }
 
-/// A planner under the descriptor limit that its configuration states.
-pub fn started_from(name: &str, all: &Value) -> Node {
+/// Starts a planner under the descriptor limit that its configuration states and waits until it
+/// serves clients.
+pub fn start_node_from(name: &str, configuration: &Value) -> Node {
     let file = std::env::temp_dir().join(format!("basaltpitch-{}-{name}.json", std::process::id()));
-    std::fs::write(&file, all.to_string()).unwrap();
-    // An older build may be put in the program's place, to see that a test fails on it.
+    std::fs::write(&file, configuration.to_string()).unwrap();
+    // BASALTPITCH_NODE names another build of the binary, to check that a test fails on that build.
     let program =
         std::env::var("BASALTPITCH_NODE").unwrap_or_else(|_| env!("CARGO_BIN_EXE_basaltpitch").to_owned());
-    let limit = all["limits"]["sockets"].as_u64().unwrap();
+    let limit = configuration["limits"]["sockets"].as_u64().unwrap();
     let mut child = Command::new("sh")
         .args(["-c", &format!("ulimit -n {limit} && exec \"$0\" --log info node"), &program])
         .env("PROXY_CONFIG", &file)
@@ -92,134 +104,146 @@
         .spawn()
         .unwrap();
     let (lines, log) = channel();
-    let from = BufReader::new(child.stderr.take().unwrap());
+    let stderr = BufReader::new(child.stderr.take().unwrap());
     std::thread::spawn(move || {
-        for line in from.lines() {
+        for line in stderr.lines() {
             let Ok(line) = line else { return };
             let _ = lines.send(line);
         }
     });
-    let node = Node { child, listen: all["listen"].as_str().unwrap().to_owned(), file, log };
-    node.logged("planner is serving clients");
+    let node = Node { child, listen: configuration["listen"].as_str().unwrap().to_owned(), file, log };
+    node.wait_for_log("planner is serving clients");
     node
 }
 
 impl Node {
-    /// Waits for a line of its log.
-    pub fn logged(&self, text: &str) -> String {
+    /// Waits for a log line that contains `text` and returns it; earlier lines are discarded.
+    pub fn wait_for_log(&self, text: &str) -> String {
         let until = Instant::now() + TIMEOUT;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            let line = self.log.recv_timeout(left).unwrap_or_else(|e| panic!("no line with {text:?}: {e}"));
+            let line =
+                self.log.recv_timeout(left).unwrap_or_else(|e| panic!("no log line contains {text:?}: {e}"));
             if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// The lines of its log that have come.
+    /// Returns the log lines received since the last read.
     pub fn log_lines(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
+    /// Sends a signal, given as an option of `kill` such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
     }
 
-    /// Told to stop, and having read so: its time to serve on begins now.
-    pub fn told_to_stop(&self) -> Instant {
+    /// Sends SIGTERM, waits until the planner logs it and returns the time. The period in which the
+    /// planner still serves new requests begins then.
+    pub fn request_stop(&self) -> Instant {
         self.signal("-TERM");
-        self.logged("received an order to stop");
+        self.wait_for_log("received an order to stop");
         Instant::now()
     }
 
-    /// Stops the process; returns once it stands still.
-    pub fn hold(&self) {
+    /// Pauses the process with SIGSTOP and returns once the kernel reports it as stopped.
+    pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         let until = Instant::now() + TIMEOUT;
         while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
-            assert!(Instant::now() < until, "it does not stand still");
+            assert!(Instant::now() < until, "the planner process is not stopped by SIGSTOP");
             std::thread::yield_now();
         }
     }
 
-    pub fn go_on(&self) {
+    /// Resumes the paused process with SIGCONT.
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Descriptors that it holds now.
-    pub fn descriptors(&self) -> usize {
+    /// Counts the descriptors that the process has open.
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Waits for its end; whether that was a good one.
-    pub fn ended(&mut self) -> bool {
+    /// Waits for the process to exit and returns whether its exit code was 0.
+    pub fn exits_successfully(&mut self) -> bool {
         let until = Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.success();
             }
-            assert!(Instant::now() < until, "it does not end");
+            assert!(Instant::now() < until, "the planner process does not exit");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-/// Lets real time go by, where the planner measures it.
+/// Sleeps until `ms` milliseconds after `since`, for timers of the planner that run on real time.
 pub fn wait_until(since: Instant, ms: u64) {
     std::thread::sleep((since + Duration::from_millis(ms)).saturating_duration_since(Instant::now()));
 }
 
-/// One end of a conversation in lines.
+/// A client or machine at the other end of one of the planner's connections; it exchanges JSON
+/// lines.
 pub struct Peer {
+    /// The connection, with buffered reads.
     pub read: BufReader<TcpStream>,
 }
 
 impl Peer {
+    /// Wraps a connected stream.
     pub fn new(stream: TcpStream) -> Peer {
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
-        // What is written waits in the other kernel at once, not behind an acknowledgement.
+        // Without TCP_NODELAY a line may wait for the acknowledgement of the previous one.
         stream.set_nodelay(true).unwrap();
         Peer { read: BufReader::new(stream) }
     }
 
-    pub fn to(node: &Node) -> Peer {
+    /// Connects to a planner as a client.
+    pub fn connect(node: &Node) -> Peer {
         Peer::new(TcpStream::connect(&node.listen).unwrap())
     }
 
-    /// The next link that a machine's listener gets.
-    pub fn of(listener: &TcpListener) -> Peer {
+    /// Accepts the next connection of the planner to a machine.
+    pub fn accept(listener: &TcpListener) -> Peer {
         Peer::new(accept(listener))
     }
 
+    /// Returns the underlying stream.
     pub fn stream(&self) -> &TcpStream {
         self.read.get_ref()
     }
 
-    pub fn say(&mut self, line: &str) {
+    /// Sends one line.
+    pub fn send_line(&mut self, line: &str) {
         self.read.get_mut().write_all(format!("{line}\n").as_bytes()).unwrap();
     }
 
-    /// The next line of a kind; tests are passed on the way. `None` at the end of the stream.
-    pub fn next(&mut self, kind: &str) -> Option<Value> {
+    /// Returns the next line of a kind and skips others; probes are answered on the way. `None` at
+    /// the end of the stream.
+    pub fn next_of_kind(&mut self, kind: &str) -> Option<Value> {
         loop {
-            let found = self.line()?;
+            let found = self.next_line()?;
             if found["msg"] == kind {
                 return Some(found);
             }
         }
     }
 
-    /// The next line; tests are passed on the way. `None` at the end of the stream, however it came.
-    pub fn line(&mut self) -> Option<Value> {
+    /// Returns the next line; probes are answered on the way. `None` at the end of the stream or
+    /// after a read error such as a reset.
+    pub fn next_line(&mut self) -> Option<Value> {
         loop {
             let mut line = String::new();
             match self.read.read_line(&mut line) {
                 Ok(0) => return None,
                 Ok(_) => {}
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => panic!("nothing comes"),
+                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => panic!("no line arrives in time"),
                 Err(_) => return None,
             }
             let found: Value = serde_json::from_str(&line).unwrap();
@@ -227,14 +251,14 @@
                 return Some(found);
             }
             let id = found["sid"].as_str().unwrap().to_owned();
-            self.say(&message("probed", &id, json!({"load": "x0:16;x1:32"}), 1));
+            self.send_line(&message("probed", &id, json!({"load": "x0:16;x1:32"}), 1));
         }
     }
 
-    /// The ids of all requests that still come, to the end of the stream.
+    /// Reads to the end of the stream and returns the ids of all requests on it.
     pub fn all_requests(mut self) -> Vec<String> {
         let mut ids = Vec::new();
-        while let Some(line) = self.line() {
+        while let Some(line) = self.next_line() {
             if line["msg"] == "open" {
                 ids.push(line["sid"].as_str().unwrap().to_owned());
             }
@@ -242,26 +266,28 @@
         ids
     }
 
-    /// Closes with a reset.
+    /// Closes the connection with a reset (RST).
     pub fn reset(self) {
         socket2::SockRef::from(self.stream()).set_linger(Some(Duration::ZERO)).unwrap();
     }
 }
 
-/// The next connection, which must come.
+/// Accepts the next connection and panics when none arrives within `TIMEOUT`.
 pub fn accept(listener: &TcpListener) -> TcpStream {
     socket2::SockRef::from(listener).set_read_timeout(Some(TIMEOUT)).unwrap();
     listener.accept().expect("a connection").0
 }
 
-/// One call of the coordinator's: what was asked, and the way to reply.
-pub fn call(listener: &TcpListener) -> (String, TcpStream) {
+/// Accepts a connection to the simulated coordinator; returns the request line of the HTTP call and
+/// the stream for the reply.
+pub fn accept_call(listener: &TcpListener) -> (String, TcpStream) {
     let stream = accept(listener);
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
-    (asked(&stream), stream)
+    (read_call(&stream), stream)
 }
 
-pub fn asked(stream: &TcpStream) -> String {
+/// Reads the head of an HTTP call and returns its request line.
+pub fn read_call(stream: &TcpStream) -> String {
     let mut read = BufReader::new(stream);
     let mut first = String::new();
     read.read_line(&mut first).unwrap();
@@ -272,13 +298,14 @@
     first
 }
 
+/// Replies to an HTTP call with status 200 and a JSON body.
 pub fn reply(mut stream: &TcpStream, body: &Value) {
     let body = body.to_string();
     write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()).unwrap();
 }
 
-/// Reads to the end of the stream; whether it came.
-pub fn ends(stream: &mut TcpStream) -> bool {
+/// Reads until the stream ends or fails; returns whether that happened within `TIMEOUT`.
+pub fn reads_to_end(stream: &mut TcpStream) -> bool {
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     loop {
         match stream.read(&mut [0; 4096]) {
