--- a/cli/tests/commands.rs
+++ b/cli/tests/commands.rs
@@ -1,7 +1,8 @@
-//! The command line as an operator meets it: what it prints, and its exit codes.
+//! Checks what the commands print on stdout and stderr, and their exit codes.
 use std::path::PathBuf;
 use std::process::Command;
 
+/// Runs the binary in the repository's root; returns its exit code, stdout and stderr.
 fn run(args: &[&str]) -> (i32, String, String) {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("..");
     let out = Command::new(env!("CARGO_BIN_EXE_basaltpitch")).current_dir(root).args(args).output().unwrap();
@@ -9,14 +10,16 @@
     (out.status.code().unwrap(), text(out.stdout), text(out.stderr))
 }
 
-fn file(name: &str, text: &str) -> String {
+/// Writes a temporary file and returns its path.
+fn write_file(name: &str, text: &str) -> String {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
     path.display().to_string()
 }
 
+/// `check` accepts the installations of the repository.
 #[test]
-fn installations_of_the_repository_are_right() {
+fn accepts_the_installations_of_the_repository() {
     let (code, _, err) = run(&["check", "days/feast-day.rec"]);
     assert_eq!((code, err.as_str()), (0, ""));
     for day in ["days/evening-rush.rec", "days/long-day.rec"] {
@@ -26,12 +29,13 @@
     }
 }
 
+/// Invalid input ends with exit code 2 and an error that names the file or option.
 #[test]
-fn wrong_input_ends_with_code_2_and_names_its_place() {
-    let wrong = file("wrong.rec", "rules: {\n\tanswer_grace: 3\n}\n");
+fn rejects_invalid_input_with_code_2_and_its_location() {
+    let invalid = write_file("wrong.rec", "rules: {\n\tanswer_grace: 3\n}\n");
     let cases: [(&[&str], &str); 7] = [
         (
-            &["check", "days/campus.rec", &wrong],
+            &["check", "days/campus.rec", &invalid],
             "wrong.rec:2:16: rules.answer_grace: found 3; expected 250ms or a time",
         ),
         (&["check", "days/no-such.rec"], "cannot be read"),
@@ -58,31 +62,33 @@
         (&["replay", "days/campus.rec"], "line 1: found"),
         (&["--log", "a=b=c", "check", "days/campus.rec"], "--log: found"),
     ];
-    for (args, want) in cases {
+    for (args, expected) in cases {
         let (code, out, err) = run(args);
         assert_eq!((code, out.as_str()), (2, ""), "{args:?}: {err}");
-        assert!(err.contains(want), "{args:?}: {err}");
+        assert!(err.contains(expected), "{args:?}: {err}");
     }
 }
 
+/// An unreachable planner is a failure (exit code 1), not invalid input (2).
 #[test]
-fn a_planner_that_is_not_there_is_a_failure_and_not_wrong_input() {
+fn unreachable_planner_ends_with_code_1() {
     let (code, _, err) = run(&["machines", "--planner", "127.0.0.1:1"]);
     assert_eq!(code, 1);
     assert!(err.starts_with("127.0.0.1:1: no connection"), "{err}");
 }
 
-/// A directory that is tried by `check`, and a planner that learns from it and is asked about it.
+/// `check --directory` tests access to a tenant directory, and the `tenants` commands query a
+/// planner that reads its tenants from that directory.
 #[test]
-fn tenants_of_a_directory() {
+fn checks_a_directory_and_queries_tenants_of_a_planner() {
     use basaltpitch_testbed::ldap_server::{self, ldap_entry};
     let (ready, address) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let there = ldap_server::start("open sesame").await.unwrap();
+            let server = ldap_server::start("open sesame").await.unwrap();
             let stamp: (&str, &[&str]) = ("modifyTimestamp", &["20261201120000Z"]);
-            *there.entries.borrow_mut() = vec![
+            *server.entries.borrow_mut() = vec![
                 ldap_entry(
                     "uid=asha,dc=x",
                     &[
@@ -103,29 +109,29 @@
                     ],
                 ),
             ];
-            ready.send(there.address.clone()).unwrap();
+            ready.send(server.address.clone()).unwrap();
             std::future::pending::<()>().await;
         });
     });
     let address = address.recv().unwrap();
-    let secret = file("secret", "open sesame");
-    let site = file(
+    let secret = write_file("secret", "open sesame");
+    let site = write_file(
         "learns.rec",
         "zones: [\"z\"]\nkinds: [{name: \"std\", cores: 16, memory: 32}]\n\
         frameworks: [{name: \"small\", repeat: \"repeatable\", goal: 600ms, limit: 6s}]\n",
     );
-    let text = |password: &str| {
+    let directory = |password: &str| {
         format!(
             "directory: {{servers: [\"ldap://{address}\"], clear: true, bind: \"cn=p\", \
         base: \"dc=x\", password_file: {password:?}, every: 100ms, always: [\"watch\"]}}\n"
         )
     };
-    let right = file("right.rec", &text(&secret));
-    let wrong = file("wrong-secret.rec", &text(&file("other", "sesame open")));
-    let (code, out, err) = run(&["-o", "json", "check", "--directory", &site, &right]);
+    let valid = write_file("right.rec", &directory(&secret));
+    let invalid = write_file("wrong-secret.rec", &directory(&write_file("other", "sesame open")));
+    let (code, out, err) = run(&["-o", "json", "check", "--directory", &site, &valid]);
     assert_eq!((code, err.as_str()), (0, ""), "{out}");
     assert!(out.contains("\"all\":true") && out.contains("\"tenants\":1"), "{out}");
-    let (code, out, err) = run(&["check", "--directory", &site, &wrong]);
+    let (code, out, err) = run(&["check", "--directory", &site, &invalid]);
     assert_eq!((code, err.as_str()), (1, "1 of the servers gave less than all\n"));
     assert!(out.contains("bind as cn=p: found result 49") && !out.contains("open"), "{out}");
     let (code, _, err) = run(&["check", "--directory", &site]);
@@ -137,7 +143,7 @@
         "json",
         "serve",
         &site,
-        &right,
+        &valid,
         "--name",
         "p",
         "--zone",
@@ -154,14 +160,14 @@
     let mut line = String::new();
     std::io::BufRead::read_line(&mut std::io::BufReader::new(planner.stdout.take().unwrap()), &mut line)
         .unwrap();
-    let said: serde_json::Value = serde_json::from_str(&line).unwrap();
-    let at = said["listening"].as_str().unwrap().to_owned();
+    let listening_line: serde_json::Value = serde_json::from_str(&line).unwrap();
+    let at = listening_line["listening"].as_str().unwrap().to_owned();
     let tenants = |args: &[&str]| run(&[&["tenants", "--planner", &at, "--as", "asha"], args].concat());
-    let heard = (0..200).any(|_| {
+    let is_fresh = (0..200).any(|_| {
         std::thread::sleep(std::time::Duration::from_millis(25));
         tenants(&["directory"]).1.contains("fresh")
     });
-    let asked = [
+    let outputs = [
         tenants(&["list"]),
         tenants(&["show", "00000000000000000000000000000002"]),
         tenants(&["members", "orders"]),
@@ -173,8 +179,8 @@
     ];
     planner.kill().unwrap();
     planner.wait().unwrap();
-    assert!(heard, "the directory is heard");
-    let text = |n: usize| format!("{} {}{}", asked[n].0, asked[n].1, asked[n].2);
+    assert!(is_fresh, "the planner has not read the directory");
+    let text = |n: usize| format!("{} {}{}", outputs[n].0, outputs[n].1, outputs[n].2);
     assert!(text(0).starts_with("0 tenant  was") && text(0).contains("orders"), "{}", text(0));
     assert!(text(1).contains("id              00000000-0000-0000-0000-000000000002"), "{}", text(1));
     assert!(text(2).contains("asha") && text(2).contains("orders"), "{}", text(2));
--- a/cli/tests/council.rs
+++ b/cli/tests/council.rs
@@ -1,237 +1,259 @@
-//! Several processes of the binary on loopback: voters, planners under seats, stand-in machines, relays
-//! between them. Processes are killed, stopped, woken and told to stop, their links cut both ways and one;
-//! whoever holds the seat, its epoch only rises.
+//! Tests of the leases of planner slots with several processes on loopback: voters, planners,
+//! simulated machines and relays between them. Processes are killed, paused, resumed and
+//! terminated, and links are cut in one or both directions. The epoch of a slot must rise with each
+//! holder.
 mod site;
 
 use serde_json::Value;
-use site::{asked, machines, seated, submitted, Process, Relays, Site, PATIENCE};
+use site::{next_slot_holder, run_command, start_machines, submit_task, Process, Relays, Site, TIMEOUT};
 use std::net::TcpListener;
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
 
-/// The seat goes from a killed holder, from a stopped one and from one that is told to stop to a spare, each
-/// time under a higher epoch; what the one before placed is found; who was stopped comes back as a spare.
+/// A slot passes to a spare planner after its holder was killed, paused or terminated, each time
+/// under a higher epoch. The successor finds the tasks that its predecessor placed, and a paused
+/// holder becomes a spare once it is resumed.
 #[test]
-fn a_seat_goes_on_whatever_becomes_of_its_holder() {
+fn slot_passes_to_a_spare_when_its_holder_is_killed_paused_or_terminated() {
     let site = Site::new("seat", 1);
-    let (_machines, register) = machines(&site.file);
-    let voters: Vec<Process> = (0..3).map(|n| site.voter(n, n == 0)).collect();
-    let (a, b) = (site.planner(&register), site.planner(&register));
-    let (first, at) = seated(&[&a, &b]);
+    let (_machines, registry) = start_machines(&site.file);
+    let voters: Vec<Process> = (0..3).map(|n| site.start_voter(n, n == 0)).collect();
+    let (a, b) = (site.start_planner(&registry), site.start_planner(&registry));
+    let (first, at) = next_slot_holder(&[&a, &b]);
     assert_eq!(at["name"], "planner-0");
     let (holder, spare) = if first == 0 { (a, b) } else { (b, a) };
-    // Its links may still come up: it declines until it knows a machine.
-    let mut tries = 0..200;
-    while submitted(&at, "books")["answer"] != "placed" {
-        assert!(tries.next().is_some(), "never placed");
+    // The planner declines tasks until its first link to a machine is up.
+    let mut attempts = 0..200;
+    while submit_task(&at, "books")["answer"] != "placed" {
+        assert!(attempts.next().is_some(), "the task is never placed");
     }
     holder.signal("-KILL");
-    let (_, second) = seated(&[&spare]);
+    let (_, second) = next_slot_holder(&[&spare]);
     assert!(second["epoch"].as_u64() > at["epoch"].as_u64(), "{at} {second}");
     assert_eq!(second["name"], "planner-0");
     let to = second["listening"].as_str().unwrap();
-    let mut tries = 0..200;
-    while asked(&["tasks", "books", "--planner", to])[0]["state"] != "placed" {
-        assert!(tries.next().is_some(), "what the one before placed is not found");
+    let mut attempts = 0..200;
+    while run_command(&["tasks", "books", "--planner", to])[0]["state"] != "placed" {
+        assert!(
+            attempts.next().is_some(),
+            "the successor does not find the task that its predecessor placed"
+        );
     }
-    // Stopped for longer than its term: another has the seat, and when it wakes it is a spare.
-    let third = site.planner(&register);
-    let (stopped, next) = (spare, third);
-    stopped.signal("-STOP");
-    let (_, third) = seated(&[&next]);
+    // The holder is paused for longer than its lease: another planner acquires the slot, and the
+    // resumed process is a spare.
+    let third = site.start_planner(&registry);
+    let (paused, next) = (spare, third);
+    paused.signal("-STOP");
+    let (_, third) = next_slot_holder(&[&next]);
     assert!(third["epoch"].as_u64() > second["epoch"].as_u64(), "{second} {third}");
-    // What it is asked for meanwhile it reads when it wakes, and must not place any more.
-    let late = std::thread::spawn(move || submitted(&second, "late"));
+    // The paused planner reads this request only once it is resumed and must not place it any more.
+    let late = std::thread::spawn(move || submit_task(&second, "late"));
     std::thread::sleep(Duration::from_millis(200));
-    stopped.signal("-CONT");
+    paused.signal("-CONT");
     assert_ne!(late.join().unwrap()["answer"], "placed");
-    let record = asked(&["council", &site.file]);
+    let record = run_command(&["council", &site.file]);
     let holders: Vec<&Value> =
         record.as_array().unwrap().iter().filter(|r| r["duty"] == "planner-0").collect();
     assert!(holders.iter().filter(|r| r["token"] == third["epoch"]).count() >= 2, "{record}");
-    // One voter dies and one starts again without what it kept: the seat is held on.
+    // One voter is killed and starts again without its stored state: the holder keeps its slot.
     let mut voters = voters;
     voters.remove(2).signal("-KILL");
-    voters.push(site.voter(2, false));
-    // Told to stop, the holder gives the seat back, and the one that was stopped has it.
+    voters.push(site.start_voter(2, false));
+    // A terminated holder gives its slot back, and the planner that was paused acquires it.
     next.signal("-TERM");
-    let (_, fourth) = seated(&[&stopped]);
+    let (_, fourth) = next_slot_holder(&[&paused]);
     assert!(fourth["epoch"].as_u64() > third["epoch"].as_u64(), "{third} {fourth}");
     let mut next = next;
     assert!(next.child.wait().unwrap().success());
 }
 
-/// Without a majority of voters nobody is seated; a name beside a council, or a seat without one, is refused.
+/// Without a majority of voters no planner acquires a slot. `--name` with configured voters,
+/// `--seat` without voters, and unknown slots and voters are rejected.
 #[test]
-fn no_majority_no_seat_and_no_name_beside_a_council() {
+fn grants_no_slot_without_a_quorum_and_rejects_conflicting_arguments() {
     let site = Site::new("none", 1);
-    let _one = site.voter(0, false);
-    let spare = site.planner("127.0.0.1:1");
+    let _one = site.start_voter(0, false);
+    let spare = site.start_planner("127.0.0.1:1");
     assert!(
         spare.lines.recv_timeout(Duration::from_millis(2500)).is_err(),
-        "one voter of three is no majority"
+        "a planner acquired a slot with one voter of three"
     );
-    let wrong = |args: &[&str]| {
+    let run_rejected = |args: &[&str]| {
         let out = Command::new(env!("CARGO_BIN_EXE_basaltpitch")).args(args).output().unwrap();
         (out.status.code(), String::from_utf8_lossy(&out.stderr).into_owned())
     };
     let rest = ["--zone", "hall-a", "--register", "127.0.0.1:1"];
-    let (code, said) = wrong(&[&["serve", &site.file, "--name", "planner-0"][..], &rest].concat());
-    assert!(code == Some(2) && said.contains("beside a council"), "{said}");
-    let (code, said) = wrong(&[&["serve", &site.file, "--seat", "planner-7"][..], &rest].concat());
-    assert!(code == Some(2) && said.contains("planner-0"), "{said}");
+    let (code, stderr) = run_rejected(&[&["serve", &site.file, "--name", "planner-0"][..], &rest].concat());
+    assert!(code == Some(2) && stderr.contains("beside a council"), "{stderr}");
+    let (code, stderr) = run_rejected(&[&["serve", &site.file, "--seat", "planner-7"][..], &rest].concat());
+    assert!(code == Some(2) && stderr.contains("planner-0"), "{stderr}");
     let campus = Path::new(env!("CARGO_MANIFEST_DIR")).join("../days/campus.rec");
     let campus = campus.display().to_string();
-    let (code, said) = wrong(&[&["serve", &campus, "--seat", "any"][..], &rest].concat());
-    assert!(code == Some(2) && said.contains("without a council"), "{said}");
+    let (code, stderr) = run_rejected(&[&["serve", &campus, "--seat", "any"][..], &rest].concat());
+    assert!(code == Some(2) && stderr.contains("without a council"), "{stderr}");
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let listen = taken.local_addr().unwrap().to_string();
-    let seat = ["serve", &site.file, "--seat", "any", "--listen", &listen];
-    let (code, said) = wrong(&[&seat[..], &rest].concat());
-    assert!(code == Some(2) && said.contains("--listen"), "{said}");
-    let (code, said) = wrong(&["voter", &site.file, "--name", "v9"]);
-    assert!(code == Some(2) && said.contains("v0, v1, v2"), "{said}");
+    let arguments = ["serve", &site.file, "--seat", "any", "--listen", &listen];
+    let (code, stderr) = run_rejected(&[&arguments[..], &rest].concat());
+    assert!(code == Some(2) && stderr.contains("--listen"), "{stderr}");
+    let (code, stderr) = run_rejected(&["voter", &site.file, "--name", "v9"]);
+    assert!(code == Some(2) && stderr.contains("v0, v1, v2"), "{stderr}");
 }
 
-/// A holder that can send and not hear, hear and not send, neither, or reach one voter of three, loses its
-/// seat to a spare, and its links stay open all the while; healed, it waits as a spare and has the next turn.
+/// A holder whose links to the voters are cut in one direction, the other, both, or to two of three
+/// voters loses its slot to the spare although its connections stay open. Once the links are healed
+/// it is the spare of the next round.
 #[test]
-fn a_holder_that_is_cut_off_any_way_gives_way() {
+fn holder_cut_off_from_the_voters_loses_its_slot() {
     let site = Site::new("cuts", 1);
-    let (_machines, register) = machines(&site.file);
-    let _voters: Vec<Process> = (0..3).map(|n| site.voter(n, false)).collect();
-    let all: Vec<(Relays, Process)> = (0..2).map(|n| site.planner_apart(n, &register)).collect();
+    let (_machines, registry) = start_machines(&site.file);
+    let _voters: Vec<Process> = (0..3).map(|n| site.start_voter(n, false)).collect();
+    let all: Vec<(Relays, Process)> =
+        (0..2).map(|n| site.start_planner_behind_relays(n, &registry)).collect();
     let processes = [&all[0].1, &all[1].1];
-    let (mut holder, mut at) = seated(&processes);
+    let (mut holder, mut at) = next_slot_holder(&processes);
     let cuts: [(bool, bool, usize); 4] =
         [(false, true, 3), (true, false, 3), (true, true, 3), (true, true, 2)];
     for (to, back, voters) in cuts {
-        all[holder].0.turn(move |ways| {
-            ways[..voters].iter().for_each(|w| (w.cut_forward.set(to), w.cut_backward.set(back)).1);
+        all[holder].0.apply(move |links| {
+            links[..voters].iter().for_each(|w| (w.cut_forward.set(to), w.cut_backward.set(back)).1);
         });
-        let (next, line) = seated(&processes);
-        assert_ne!(next, holder, "cut to {to}, back {back}, {voters} voters: the other has it");
+        let (next, line) = next_slot_holder(&processes);
+        assert_ne!(
+            next, holder,
+            "cut forward {to}, backward {back}, {voters} voters: the holder kept its slot"
+        );
         assert!(line["epoch"].as_u64() > at["epoch"].as_u64(), "{at} {line}");
-        all[holder]
-            .0
-            .turn(|ways| ways.iter().for_each(|w| (w.cut_forward.set(false), w.cut_backward.set(false)).1));
+        all[holder].0.apply(|links| {
+            links.iter().for_each(|w| (w.cut_forward.set(false), w.cut_backward.set(false)).1)
+        });
         (holder, at) = (next, line);
     }
 }
 
-/// Ten spares and one seat: one is seated, however they crowd. Half of all processes are killed at once, the
-/// holder and a voter among them: one of the others has it, once.
+/// Ten planners compete for one slot and exactly one acquires it. Five of them, among them the
+/// holder, and a voter are killed at once; exactly one of the remaining planners acquires the slot.
 #[test]
-fn ten_spares_and_one_seat() {
+fn one_of_ten_competing_planners_acquires_the_slot() {
     let site = Site::new("crowd", 1);
-    let mut voters: Vec<Process> = (0..3).map(|n| site.voter(n, false)).collect();
-    let mut spares: Vec<Process> = (0..10).map(|_| site.planner("127.0.0.1:1")).collect();
-    let (first, at) = seated(&spares.iter().collect::<Vec<_>>());
-    // Two terms on nobody else is seated; where the machine stalled the holder, one is, under a higher epoch.
-    let higher = |spares: &[Process], than: &Value| {
+    let mut voters: Vec<Process> = (0..3).map(|n| site.start_voter(n, false)).collect();
+    let mut spares: Vec<Process> = (0..10).map(|_| site.start_planner("127.0.0.1:1")).collect();
+    let (first, at) = next_slot_holder(&spares.iter().collect::<Vec<_>>());
+    // For two lease durations no other planner acquires the slot, unless the host stalled the
+    // holder: then the successor has a higher epoch.
+    let assert_later_epochs = |spares: &[Process], than: &Value| {
         std::thread::sleep(Duration::from_millis(2400));
         for line in spares.iter().flat_map(|s| s.lines.try_iter()) {
             assert!(line["epoch"].as_u64() > than["epoch"].as_u64(), "{than} {line}");
         }
     };
-    higher(&spares, &at);
+    assert_later_epochs(&spares, &at);
     let holder = spares.remove(first);
     let dead: Vec<Process> = spares.drain(..4).chain([holder, voters.remove(0)]).collect();
     dead.iter().for_each(|p| p.signal("-KILL"));
-    let (_, next) = seated(&spares.iter().collect::<Vec<_>>());
+    let (_, next) = next_slot_holder(&spares.iter().collect::<Vec<_>>());
     assert!(next["epoch"].as_u64() > at["epoch"].as_u64(), "{at} {next}");
-    higher(&spares, &next);
+    assert_later_epochs(&spares, &next);
 }
 
-/// A seat and a duty go to the process that an operator names, for all that others wait; who handed it on
-/// waits as a spare. What cannot be is refused. The voters remember who held what.
+/// An operator transfers a slot's lease to a named process ahead of other waiting spares, and the
+/// former holder becomes a spare. Transfers of a slot without a holder or to an unknown process are
+/// rejected. The voters record past holders.
 #[test]
-fn an_operator_hands_a_seat_on() {
+fn operator_transfers_a_slot_to_a_named_process() {
     let site = Site::new("hand", 1);
-    let _voters: Vec<Process> = (0..3).map(|n| site.voter(n, n == 0)).collect();
-    let mut all: Vec<Process> = (0..4).map(|_| site.planner("127.0.0.1:1")).collect();
-    let (first, at) = seated(&all.iter().collect::<Vec<_>>());
+    let _voters: Vec<Process> = (0..3).map(|n| site.start_voter(n, n == 0)).collect();
+    let mut all: Vec<Process> = (0..4).map(|_| site.start_planner("127.0.0.1:1")).collect();
+    let (first, at) = next_slot_holder(&all.iter().collect::<Vec<_>>());
     let holder = all.remove(first);
     let name = |p: &Process| format!("process-{}", p.child.id());
-    let wrong = |args: &[&str]| {
+    let run_rejected = |args: &[&str]| {
         let args = [&["council", &site.file, "--hand-on"], args].concat();
         let out = Command::new(env!("CARGO_BIN_EXE_basaltpitch")).args(args).output().unwrap();
         assert_eq!(out.status.code(), Some(1));
         String::from_utf8_lossy(&out.stderr).into_owned()
     };
-    assert!(wrong(&["planner-7"]).contains("no holder"));
-    assert!(wrong(&["planner-0", "--to", "nobody"]).contains("no process of that name"));
+    assert!(run_rejected(&["planner-7"]).contains("no holder"));
+    assert!(run_rejected(&["planner-0", "--to", "nobody"]).contains("no process of that name"));
     for to in [&all[2], &all[0], &holder] {
-        let told = asked(&["council", &site.file, "--hand-on", "planner-0", "--to", &name(to)]);
-        assert!(told["holder"].as_str().unwrap_or("").starts_with(&name(to)), "{told}");
-        let line = to.next();
+        let transfer = run_command(&["council", &site.file, "--hand-on", "planner-0", "--to", &name(to)]);
+        assert!(transfer["holder"].as_str().unwrap_or("").starts_with(&name(to)), "{transfer}");
+        let line = to.next_line();
         assert!(line["epoch"].as_u64() > at["epoch"].as_u64(), "{at} {line}");
-        assert_eq!(line["epoch"], told["token"]);
+        assert_eq!(line["epoch"], transfer["token"]);
     }
-    // A voter remembers who renewed.
+    // The history of a voter lists the holder that renewed its lease.
     let name = name(&holder);
-    let mut tries = 0..200;
+    let mut attempts = 0..200;
     loop {
-        let history = asked(&["council", &site.file, "--history"]);
-        let its = |r: &&Value| r["duty"] == "planner-0" && r["holder"].as_str().unwrap().starts_with(&name);
-        if history.as_array().is_some_and(|rows| rows.iter().any(|r| its(&r))) {
+        let history = run_command(&["council", &site.file, "--history"]);
+        let is_holder =
+            |r: &&Value| r["duty"] == "planner-0" && r["holder"].as_str().unwrap().starts_with(&name);
+        if history.as_array().is_some_and(|rows| rows.iter().any(|r| is_holder(&r))) {
             break;
         }
-        assert!(tries.next().is_some(), "{history}");
+        assert!(attempts.next().is_some(), "{history}");
     }
 }
 
-/// How far the roll is, once that is `right`.
-fn roll_until(file: &str, right: impl Fn(&Value) -> bool) -> Value {
-    let until = std::time::Instant::now() + PATIENCE;
+/// Polls the status of the rolling restart until `is_expected` holds and returns it.
+fn wait_for_restart_status(file: &str, is_expected: impl Fn(&Value) -> bool) -> Value {
+    let deadline = std::time::Instant::now() + TIMEOUT;
     loop {
-        let status = asked(&["roll", file, "--status"]);
-        if right(&status) {
+        let status = run_command(&["roll", file, "--status"]);
+        if is_expected(&status) {
             return status;
         }
-        assert!(std::time::Instant::now() < until, "the roll stands at {status}");
+        assert!(std::time::Instant::now() < deadline, "the rolling restart is still at {status}");
     }
 }
 
+/// Counts the machines that the status lists in a stage.
 fn count(status: &Value, stage: &str) -> usize {
     status[stage].as_array().map_or(0, |machines| machines.len())
 }
 
-/// The conductor cannot reach the voters from the moment in which a machine of its roll is drained, and dies:
-/// how far it was is not recorded. Its successor goes on, and every machine has restarted at the end. A roll
-/// that is paused drains no further machine; a second one is refused while one is open.
+/// The coordinator of a rolling restart loses its links to the voters once a machine is drained,
+/// and is killed before it can record its progress. Its successor must continue until every machine
+/// has restarted. A paused rolling restart drains no further machine, and a second one is rejected
+/// while one is open.
 #[test]
-fn a_roll_goes_on_when_its_conductor_dies_between_drain_and_record() {
+fn rolling_restart_continues_when_its_coordinator_dies_before_recording_progress() {
     let site = Site::new("roll", 1);
-    let (_machines, register) = machines(&site.file);
-    let _voters: Vec<Process> = (0..3).map(|n| site.voter(n, false)).collect();
-    let mut all: Vec<(Relays, Process)> = (0..2).map(|n| site.planner_apart(n, &register)).collect();
-    let (holder, _) = seated(&[&all[0].1, &all[1].1]);
-    assert_eq!(asked(&["roll", &site.file, "--status"])["state"], "none");
-    let begun = asked(&["roll", &site.file, "--zone", "hall-a", "--at-once", "1"]);
+    let (_machines, registry) = start_machines(&site.file);
+    let _voters: Vec<Process> = (0..3).map(|n| site.start_voter(n, false)).collect();
+    let mut all: Vec<(Relays, Process)> =
+        (0..2).map(|n| site.start_planner_behind_relays(n, &registry)).collect();
+    let (holder, _) = next_slot_holder(&[&all[0].1, &all[1].1]);
+    assert_eq!(run_command(&["roll", &site.file, "--status"])["state"], "none");
+    let begun = run_command(&["roll", &site.file, "--zone", "hall-a", "--at-once", "1"]);
     assert!(begun["roll"].as_u64() > Some(0), "{begun}");
-    roll_until(&site.file, |s| count(s, "drains") == 1);
-    let (relays, conductor) = all.remove(holder);
-    relays.turn(|ways| ways.iter().for_each(|w| (w.cut_forward.set(true), w.cut_backward.set(true)).1));
+    wait_for_restart_status(&site.file, |s| count(s, "drains") == 1);
+    let (relays, coordinator) = all.remove(holder);
+    relays.apply(|links| links.iter().for_each(|w| (w.cut_forward.set(true), w.cut_backward.set(true)).1));
     let again = ["roll", &site.file, "--zone", "hall-a"];
     let out = Command::new(env!("CARGO_BIN_EXE_basaltpitch")).args(again).output().unwrap();
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(out.status.code() == Some(1) && said.contains("while a roll of hall-a is open"), "{said}");
-    conductor.signal("-KILL");
-    seated(&[&all[0].1]);
-    let one = roll_until(&site.file, |s| count(s, "restarted") >= 1);
+    let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert!(out.status.code() == Some(1) && stderr.contains("while a roll of hall-a is open"), "{stderr}");
+    coordinator.signal("-KILL");
+    next_slot_holder(&[&all[0].1]);
+    let one = wait_for_restart_status(&site.file, |s| count(s, "restarted") >= 1);
     assert!(count(&one, "drains") + count(&one, "restarts") <= 1, "{one}");
-    asked(&["roll", &site.file, "--pause"]);
-    let paused = roll_until(&site.file, |s| {
+    run_command(&["roll", &site.file, "--pause"]);
+    let paused = wait_for_restart_status(&site.file, |s| {
         s["state"] == "paused" && count(s, "waits") + count(s, "restarted") == 3 || s["state"] == "over"
     });
-    // Paused in time, it stands still: a term later it is where it was.
+    // While paused, the status is unchanged after one lease duration (1.2 s).
     std::thread::sleep(Duration::from_millis(1200));
-    assert_eq!(asked(&["roll", &site.file, "--status"]), paused);
-    asked(&["roll", &site.file, "--resume"]);
-    let over = roll_until(&site.file, |s| s["state"] == "over");
+    assert_eq!(run_command(&["roll", &site.file, "--status"]), paused);
+    run_command(&["roll", &site.file, "--resume"]);
+    let over = wait_for_restart_status(&site.file, |s| s["state"] == "over");
     assert_eq!(count(&over, "restarted"), 3, "{over}");
     let out = Command::new(env!("CARGO_BIN_EXE_basaltpitch")).args(["roll", &site.file, "--stop"]).output();
-    assert_eq!(out.unwrap().status.code(), Some(1), "there is no roll any more");
+    assert_eq!(
+        out.unwrap().status.code(),
+        Some(1),
+        "`roll --stop` must fail when no rolling restart is open"
+    );
 }
--- a/cli/tests/parts.rs
+++ b/cli/tests/parts.rs
@@ -1,6 +1,8 @@
-//! Planners under seats on loopback that each work a part of the fleet: a hall is lost, half of them hear the
-//! list three seconds late, one is stopped while parts are dealt anew, two are killed at once, and a task fits
-//! only outside a part. Judged by laws: each ready machine is worked by somebody, each asking gets one answer.
+//! Tests of subsetting with several planners on loopback, each of which links to a subset of the
+//! machines. A zone is lost, half of the planners receive the machine list three seconds late, a
+//! planner is paused while subsets are reassigned, two are killed at once, and a task fits only
+//! outside a planner's subset. The invariants: each ready machine is in some planner's subset, and
+//! each request gets one answer.
 mod site;
 
 use basaltpitch_config::installation::load_texts;
@@ -8,21 +10,22 @@
 use basaltpitch_testbed::registry::{self, RegistryDelays};
 use basaltpitch_testbed::settings::context;
 use serde_json::Value;
-use site::{asked, seated, Process, Relays, Site, PATIENCE};
+use site::{next_slot_holder, run_command, Process, Relays, Site, TIMEOUT};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
 const PLANNERS: usize = 6;
-const HALLS: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
-/// Of each hall: machines of the usual kind, and of the large one.
-const STD: usize = 6;
-const LARGE: usize = 1;
-const ALL: usize = 3 * (STD + LARGE);
-
-/// The installation: six planners, each machine in two parts.
-fn text(voters: &[String]) -> String {
+const ZONES: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
+/// Machines of the kinds `std` and `large` in each zone.
+const STD_PER_ZONE: usize = 6;
+const LARGE_PER_ZONE: usize = 1;
+/// Machines of all zones.
+const MACHINES: usize = 3 * (STD_PER_ZONE + LARGE_PER_ZONE);
+
+/// Returns the installation's text: six planners, each machine in two subsets.
+fn installation_text(voters: &[String]) -> String {
     let voters = voters.iter().enumerate().map(|(n, a)| format!("{{name: \"v{n}\", address: \"{a}\"}}"));
     format!(
         "zones: [\"hall-a\", \"hall-b\", \"hall-c\"]\n\
@@ -36,214 +39,265 @@
     )
 }
 
-type Order = Box<dyn Fn(&[Rc<SimulatedMachine>]) + Send>;
+/// A command that the thread of the simulated machines runs on them.
+type FleetCommand = Box<dyn Fn(&[Rc<SimulatedMachine>]) + Send>;
 
-/// Stand-in machines of all halls and kinds and their register, on a thread of their own.
+/// The simulated machines of all zones and kinds and their registry, on a thread of their own.
 struct Fleet {
-    register: String,
-    orders: tokio::sync::mpsc::UnboundedSender<Order>,
+    /// The registry's address.
+    registry: String,
+    commands: tokio::sync::mpsc::UnboundedSender<FleetCommand>,
 }
 
 impl Fleet {
     fn start(text: String) -> Fleet {
-        let (orders, mut inbox) = tokio::sync::mpsc::unbounded_channel::<Order>();
-        let (found, register) = channel();
+        let (commands, mut inbox) = tokio::sync::mpsc::unbounded_channel::<FleetCommand>();
+        let (sender, registry) = channel();
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             tokio::task::LocalSet::new().block_on(&runtime, async {
                 let site = load_texts(&[("site.rec", &text)]).map_err(|e| format!("{:?}", e.1)).unwrap();
-                let world = context(&site, Rc::default());
+                let context = context(&site, Rc::default());
                 let mut fleet = Vec::new();
-                for hall in HALLS {
-                    for (kind, count, size) in [("std", STD, (16.0, 32.0)), ("large", LARGE, (256.0, 512.0))]
+                for zone in ZONES {
+                    for (kind, count, size) in
+                        [("std", STD_PER_ZONE, (16.0, 32.0)), ("large", LARGE_PER_ZONE, (256.0, 512.0))]
                     {
                         for n in 0..count {
                             let spec = MachineSpec {
-                                name: format!("{hall}-{kind}-{n}"),
-                                zone: hall.to_owned(),
+                                name: format!("{zone}-{kind}-{n}"),
+                                zone: zone.to_owned(),
                                 cell: n as u32,
                                 kind: kind.into(),
                                 size,
                                 labels: Vec::new(),
                                 seed: fleet.len() as u64,
                             };
-                            fleet.push(machine::start(world.clone(), spec).await.unwrap());
+                            fleet.push(machine::start(context.clone(), spec).await.unwrap());
                         }
                     }
                 }
-                let late = RegistryDelays { notice_us: 0, silent_notice_us: 1_000_000, period_us: 200_000 };
-                let register = registry::start(world, fleet.clone(), late).await.unwrap();
-                found.send(register.address.clone()).unwrap();
-                while let Some(order) = inbox.recv().await {
-                    order(&fleet);
+                let delays = RegistryDelays { notice_us: 0, silent_notice_us: 1_000_000, period_us: 200_000 };
+                let registry = registry::start(context, fleet.clone(), delays).await.unwrap();
+                sender.send(registry.address.clone()).unwrap();
+                while let Some(command) = inbox.recv().await {
+                    command(&fleet);
                 }
             });
         });
-        Fleet { register: register.recv().unwrap(), orders }
+        Fleet { registry: registry.recv().unwrap(), commands }
     }
 
-    fn tell(&self, hall: &'static str, word: MachineCommand) {
-        let order = move |all: &[Rc<SimulatedMachine>]| {
-            all.iter().filter(|m| m.zone == hall).for_each(|m| m.send(word.clone()));
+    /// Sends a command to all machines of a zone.
+    fn send_to_zone(&self, zone: &'static str, command: MachineCommand) {
+        let send = move |all: &[Rc<SimulatedMachine>]| {
+            all.iter().filter(|m| m.zone == zone).for_each(|m| m.send(command.clone()));
         };
-        assert!(self.orders.send(Box::new(order)).is_ok());
+        assert!(self.commands.send(Box::new(send)).is_ok());
     }
 }
 
-/// A planner that is seated: its process, its seat and where it listens.
+/// A planner that holds a slot.
 #[derive(Clone, Debug)]
 struct Planner {
+    /// The index of its process.
     process: usize,
+    /// The name of its slot.
     name: String,
+    /// The address on which it serves clients and commands.
     listening: String,
 }
 
-struct Town {
+/// Voters, planners and simulated machines of one test.
+struct Cluster {
     _site: Site,
     fleet: Fleet,
-    late: Relays,
+    /// The relay to the registry that every second planner uses.
+    registry_relay: Relays,
     _voters: Vec<Process>,
-    all: Vec<Process>,
-    seats: BTreeMap<String, Planner>,
+    /// The processes of all planners.
+    processes: Vec<Process>,
+    /// The current holders by slot.
+    slots: BTreeMap<String, Planner>,
 }
 
-impl Town {
-    fn begin(name: &str) -> Town {
-        let mut site = Site::with_term(name, PLANNERS, 1500);
+impl Cluster {
+    /// Starts all processes and waits until each planner holds a slot.
+    fn start(name: &str) -> Cluster {
+        let mut site = Site::with_lease_duration(name, PLANNERS, 1500);
         site.file = site.folder.join("parts.rec").display().to_string();
-        let text = text(&site.voters);
+        let text = installation_text(&site.voters);
         std::fs::write(&site.file, &text).unwrap();
         let fleet = Fleet::start(text);
-        let late = Relays::start(vec![fleet.register.clone()]);
-        let voters = (0..3).map(|n| site.voter(n, false)).collect();
-        // Every second one hears the register through the relay.
+        let registry_relay = Relays::start(vec![fleet.registry.clone()]);
+        let voters = (0..3).map(|n| site.start_voter(n, false)).collect();
+        // Every second planner reads the machine list through the relay.
         let start = |n: usize| match n % 2 {
-            0 => site.planner(&fleet.register),
-            _ => site.planner(&late.addresses[0]),
+            0 => site.start_planner(&fleet.registry),
+            _ => site.start_planner(&registry_relay.addresses[0]),
+        };
+        let processes: Vec<Process> = (0..PLANNERS).map(start).collect();
+        let mut cluster = Cluster {
+            _site: site,
+            fleet,
+            registry_relay,
+            _voters: voters,
+            processes,
+            slots: BTreeMap::new(),
         };
-        let all: Vec<Process> = (0..PLANNERS).map(start).collect();
-        let mut town = Town { _site: site, fleet, late, _voters: voters, all, seats: BTreeMap::new() };
-        while town.seats.len() < PLANNERS {
-            town.seat_next();
+        while cluster.slots.len() < PLANNERS {
+            cluster.record_next_holder();
         }
-        town
+        cluster
     }
 
-    /// Another is seated.
-    fn seat_next(&mut self) {
-        let (process, line) = seated(&self.all.iter().collect::<Vec<_>>());
+    /// Waits until a planner acquires a slot and records it.
+    fn record_next_holder(&mut self) {
+        let (process, line) = next_slot_holder(&self.processes.iter().collect::<Vec<_>>());
         let text = |field: &str| line[field].as_str().expect("a text").to_owned();
-        self.seats.retain(|_, p| p.process != process);
-        self.seats
+        self.slots.retain(|_, p| p.process != process);
+        self.slots
             .insert(text("name"), Planner { process, name: text("name"), listening: text("listening") });
     }
 
-    /// By machine: the planners that offer it work over a link that is well, of those that answer.
-    fn worked(&self, without: &[usize]) -> BTreeMap<String, usize> {
-        let mut all = BTreeMap::new();
-        for p in self.seats.values().filter(|p| !without.contains(&p.process)) {
-            let rows = asked(&["machines", "--planner", &p.listening]);
+    /// Counts for each machine the planners that list it as ready over a working link. Planners
+    /// that do not answer and those of the `excluded` processes are left out.
+    fn planners_by_machine(&self, excluded: &[usize]) -> BTreeMap<String, usize> {
+        let mut counts = BTreeMap::new();
+        for p in self.slots.values().filter(|p| !excluded.contains(&p.process)) {
+            let rows = run_command(&["machines", "--planner", &p.listening]);
             for row in rows.as_array().into_iter().flatten() {
-                let works = row["state"] == "ready" && row["link"] == "well";
-                *all.entry(row["machine"].as_str().unwrap().to_owned()).or_insert(0) += usize::from(works);
+                let is_usable = row["state"] == "ready" && row["link"] == "well";
+                *counts.entry(row["machine"].as_str().unwrap().to_owned()).or_insert(0) +=
+                    usize::from(is_usable);
             }
         }
-        all
+        counts
     }
 
-    /// Waits until this holds of the machines that are worked.
-    fn until(&self, without: &[usize], what: &str, right: impl Fn(&BTreeMap<String, usize>) -> bool) {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until `is_expected` holds for the planners by machine; `what` describes the
+    /// expectation.
+    fn wait_until(
+        &self,
+        excluded: &[usize],
+        what: &str,
+        is_expected: impl Fn(&BTreeMap<String, usize>) -> bool,
+    ) {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            let worked = self.worked(without);
-            if right(&worked) {
+            let planners = self.planners_by_machine(excluded);
+            if is_expected(&planners) {
                 return;
             }
-            assert!(Instant::now() < end, "{what}: {worked:?}");
+            assert!(Instant::now() < deadline, "expected {what}; found planners by machine {planners:?}");
         }
     }
 
-    /// Looks for so long that this holds at each look.
-    fn stays(&self, without: &[usize], long: Duration, right: impl Fn(&BTreeMap<String, usize>) -> bool) {
-        let end = Instant::now() + long;
-        while Instant::now() < end {
-            let worked = self.worked(without);
-            assert!(right(&worked), "{worked:?}");
+    /// Checks repeatedly for a duration that `is_expected` holds for the planners by machine.
+    fn assert_throughout(
+        &self,
+        excluded: &[usize],
+        duration: Duration,
+        is_expected: impl Fn(&BTreeMap<String, usize>) -> bool,
+    ) {
+        let deadline = Instant::now() + duration;
+        while Instant::now() < deadline {
+            let planners = self.planners_by_machine(excluded);
+            assert!(is_expected(&planners), "{planners:?}");
         }
     }
 
-    fn part(&self, seat: &str) -> Value {
-        asked(&["planner", "--planner", &self.seats[seat].listening])["part"].clone()
+    /// Returns the subset status of a slot's holder.
+    fn subset_status(&self, slot: &str) -> Value {
+        run_command(&["planner", "--planner", &self.slots[slot].listening])["part"].clone()
     }
 }
 
-fn covered(worked: &BTreeMap<String, usize>) -> bool {
-    worked.len() == ALL && worked.values().all(|n| *n >= 1)
+/// Returns whether each machine of the fleet has a planner.
+fn all_covered(planners: &BTreeMap<String, usize>) -> bool {
+    planners.len() == MACHINES && planners.values().all(|n| *n >= 1)
 }
 
-/// Those that are not of this hall.
-fn elsewhere(worked: &BTreeMap<String, usize>, hall: &str) -> bool {
-    worked.iter().filter(|x| !x.0.starts_with(hall)).all(|x| *x.1 >= 1)
+/// Returns whether each known machine outside this zone has a planner.
+fn covered_outside(planners: &BTreeMap<String, usize>, zone: &str) -> bool {
+    planners.iter().filter(|x| !x.0.starts_with(zone)).all(|x| *x.1 >= 1)
 }
 
+/// Submits a small task with the given key and cores and returns the answer.
 fn submit(planner: &Planner, key: &str, cores: &str) -> Value {
     let head = ["submit", key, "--planner", &planner.listening, "--framework", "small"];
-    asked(&[&head[..], &["--service", "1", "--cores", cores, "--memory", "2"]].concat())
+    run_command(&[&head[..], &["--service", "1", "--cores", cores, "--memory", "2"]].concat())
 }
 
+/// Each ready machine must be in the subset of some live planner while a zone is lost, lists arrive
+/// late, a planner is paused and two planners are killed.
 #[test]
-fn each_ready_machine_is_worked_through_lost_halls_late_lists_stops_and_deaths() {
-    let mut town = Town::begin("parts");
-    town.until(&[], "each machine in two parts", |w| covered(w) && w.values().all(|n| *n == 2));
-    let parts: Vec<Value> = town.seats.keys().map(|seat| town.part(seat)).collect();
-    assert!(parts.iter().all(|p| p["listed"] == ALL && p["worked"].as_u64() < Some(ALL as u64)), "{parts:?}");
-
-    // Half of them hear of it three seconds late, when a hall is lost and comes back.
-    town.late.turn(|ways| ways[0].delay.set(Duration::from_secs(3)));
-    town.fleet.tell("hall-a", MachineCommand::Down);
-    town.stays(&[], Duration::from_secs(6), |w| elsewhere(w, "hall-a"));
-    town.fleet.tell("hall-a", MachineCommand::Up);
-    town.until(&[], "the hall is back", covered);
-    town.stays(&[], Duration::from_secs(4), covered);
-    town.late.turn(|ways| ways[0].delay.set(Duration::ZERO));
-
-    // One is stopped past its term while the list changes: the others have its machines, and it wakes.
-    let stopped = town.seats.values().next().unwrap().clone();
-    town.all[stopped.process].signal("-STOP");
-    town.fleet.tell("hall-b", MachineCommand::Restart);
-    town.until(&[stopped.process], "the others have all", covered);
-    town.until(&[stopped.process], "in two parts", |w| covered(w) && w.values().all(|n| *n >= 2));
-    town.all[stopped.process].signal("-CONT");
-    town.seat_next();
-    town.stays(&[stopped.process], Duration::from_secs(3), covered);
-    town.until(&[], "it works again", |w| covered(w) && w.values().all(|n| *n >= 2));
-
-    // Two die at once: what only they had is taken over.
-    let dead: Vec<usize> = town.seats.values().take(2).map(|p| p.process).collect();
-    dead.iter().for_each(|&p| town.all[p].signal("-KILL"));
-    town.until(&dead, "four have all of it", |w| covered(w) && w.values().all(|n| *n >= 2));
+fn every_ready_machine_stays_covered_through_faults() {
+    let mut cluster = Cluster::start("parts");
+    cluster.wait_until(&[], "each machine in two subsets", |w| all_covered(w) && w.values().all(|n| *n == 2));
+    let subsets: Vec<Value> = cluster.slots.keys().map(|slot| cluster.subset_status(slot)).collect();
+    assert!(
+        subsets.iter().all(|p| p["listed"] == MACHINES && p["worked"].as_u64() < Some(MACHINES as u64)),
+        "{subsets:?}"
+    );
+
+    // A zone is lost and comes back, and half of the planners learn of it three seconds late.
+    cluster.registry_relay.apply(|links| links[0].delay.set(Duration::from_secs(3)));
+    cluster.fleet.send_to_zone("hall-a", MachineCommand::Down);
+    cluster.assert_throughout(&[], Duration::from_secs(6), |w| covered_outside(w, "hall-a"));
+    cluster.fleet.send_to_zone("hall-a", MachineCommand::Up);
+    cluster.wait_until(&[], "all machines covered after the zone came back", all_covered);
+    cluster.assert_throughout(&[], Duration::from_secs(4), all_covered);
+    cluster.registry_relay.apply(|links| links[0].delay.set(Duration::ZERO));
+
+    // A planner is paused for longer than its lease while the list changes: the others take over
+    // its machines, then it is resumed.
+    let paused = cluster.slots.values().next().unwrap().clone();
+    cluster.processes[paused.process].signal("-STOP");
+    cluster.fleet.send_to_zone("hall-b", MachineCommand::Restart);
+    cluster.wait_until(&[paused.process], "the other planners to cover all machines", all_covered);
+    cluster.wait_until(&[paused.process], "the other planners to cover each machine twice", |w| {
+        all_covered(w) && w.values().all(|n| *n >= 2)
+    });
+    cluster.processes[paused.process].signal("-CONT");
+    cluster.record_next_holder();
+    cluster.assert_throughout(&[paused.process], Duration::from_secs(3), all_covered);
+    cluster.wait_until(&[], "each machine in two subsets after the resume", |w| {
+        all_covered(w) && w.values().all(|n| *n >= 2)
+    });
+
+    // Two planners are killed at once: the others take over machines that only these two had.
+    let killed: Vec<usize> = cluster.slots.values().take(2).map(|p| p.process).collect();
+    killed.iter().for_each(|&p| cluster.processes[p].signal("-KILL"));
+    cluster.wait_until(&killed, "the remaining planners to cover each machine twice", |w| {
+        all_covered(w) && w.values().all(|n| *n >= 2)
+    });
 }
 
+/// A task that fits only machines outside its planner's subset is placed, and 60 simultaneous
+/// requests at one planner are each placed or declined.
 #[test]
-fn a_task_that_fits_only_outside_and_a_rush_at_one_planner_get_one_answer_each() {
-    let town = Town::begin("outside");
-    town.until(&[], "each machine in two parts", |w| covered(w) && w.values().all(|n| *n == 2));
-    // Larger than the usual kind: three machines of the fleet could take it, and no part has them all.
-    let mut without = 0;
-    for (n, planner) in town.seats.values().enumerate() {
-        let roles = asked(&["machines", "--planner", &planner.listening]);
-        let large = |r: &&Value| r["cores"] == 256.0 && r["role"] == "part";
-        without += usize::from(roles.as_array().unwrap().iter().filter(large).count() == 0);
+fn places_tasks_outside_the_subset_and_answers_a_burst() {
+    let cluster = Cluster::start("outside");
+    cluster.wait_until(&[], "each machine in two subsets", |w| all_covered(w) && w.values().all(|n| *n == 2));
+    // The task is larger than a `std` machine: only the three large machines fit it, and no subset
+    // has all of them.
+    let mut subsets_without_large = 0;
+    for (n, planner) in cluster.slots.values().enumerate() {
+        let machines = run_command(&["machines", "--planner", &planner.listening]);
+        let is_large = |r: &&Value| r["cores"] == 256.0 && r["role"] == "part";
+        subsets_without_large +=
+            usize::from(machines.as_array().unwrap().iter().filter(is_large).count() == 0);
         let answer = submit(planner, &format!("large-{n}"), "40");
         assert_eq!(answer["answer"], "placed", "{}: {answer}", planner.name);
     }
-    assert!(without > 0, "some part has no large machine");
-    let planner = town.seats.values().next().unwrap();
-    let asks = (0..60).map(|n| {
+    assert!(subsets_without_large > 0, "expected a subset without a large machine");
+    let planner = cluster.slots.values().next().unwrap();
+    let requests = (0..60).map(|n| {
         let planner = planner.clone();
         std::thread::spawn(move || submit(&planner, &format!("rush-{n}"), "1"))
     });
-    let answers: Vec<Value> = asks.collect::<Vec<_>>().into_iter().map(|t| t.join().unwrap()).collect();
+    let answers: Vec<Value> = requests.collect::<Vec<_>>().into_iter().map(|t| t.join().unwrap()).collect();
     assert!(answers.iter().all(|a| a["answer"] == "placed" || a["answer"] == "declined"), "{answers:?}");
     let placed: BTreeSet<String> = answers.iter().map(|a| a["machine"].to_string()).collect();
     assert!(!placed.is_empty());
