--- a/cli/tests/golden_answers.rs
+++ b/cli/tests/golden_answers.rs
@@ -102,12 +102,12 @@
              tasks: [{{framework: \"small\", per_s: 1, cores: [1], memory: [1]}}]}}\n"
         )
     };
-    let write = |name: &str, text: &str| {
+    let write_file = |name: &str, text: &str| {
         std::fs::write(folder.join(name), text).unwrap();
         folder.join(name).display().to_string()
     };
     let more = ", {name: \"fast\", of: framework: \"small\", in: labels: [\"fast\"]}";
-    (write("site.rec", &text("")), write("changed.rec", &text(more)))
+    (write_file("site.rec", &text("")), write_file("changed.rec", &text(more)))
 }
 
 /// Submits a task until it is placed and returns the answer.
@@ -169,18 +169,18 @@
 fn tenant_commands_keep_their_keys() {
     let folder = create_directory("golden-answers-tenants");
     stored::restore("planner.store.txt", &folder.join("p.store"));
-    let write = |name: &str, text: &str| {
+    let write_file = |name: &str, text: &str| {
         std::fs::write(folder.join(name), text).unwrap();
         folder.join(name).display().to_string()
     };
-    let secret = write("secret", "open sesame");
+    let secret = write_file("secret", "open sesame");
     let text = format!(
         "zones: [\"hall-a\"]\nkinds: [{{name: \"std\", cores: 16, memory: 32}}]\n\
          frameworks: [{{name: \"small\", repeat: \"repeatable\", goal: 600ms, limit: 6s}}]\n\
          directory: {{servers: [\"ldap://127.0.0.1:1\"], clear: true, bind: \"cn=p\", base: \"dc=x\", \
          password_file: {secret:?}, every: 100ms, always: [\"watch\"]}}\n"
     );
-    let (file, state) = (write("site.rec", &text), folder.display().to_string());
+    let (file, state) = (write_file("site.rec", &text), folder.display().to_string());
     assert_keys("check --directory", &run_command(&["check", "--directory", &file]));
     let (_planner, at) = start_planner(&file, &["--register", "127.0.0.1:1", "--state", &state]);
     let ask = |command: &str, what: &[&str]| {
--- a/cli/tests/golden_state.rs
+++ b/cli/tests/golden_state.rs
@@ -69,18 +69,18 @@
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     stored::restore("planner.store.txt", &folder.join("p.store"));
-    let write = |name: &str, text: &str| {
+    let write_file = |name: &str, text: &str| {
         std::fs::write(folder.join(name), text).unwrap();
         folder.join(name).display().to_string()
     };
-    let secret = write("secret", "open sesame");
+    let secret = write_file("secret", "open sesame");
     let text = format!(
         "zones: [\"z\"]\nkinds: [{{name: \"std\", cores: 16, memory: 32}}]\n\
          frameworks: [{{name: \"small\", repeat: \"repeatable\", goal: 600ms, limit: 6s}}]\n\
          directory: {{servers: [\"ldap://127.0.0.1:1\"], clear: true, bind: \"cn=p\", base: \"dc=x\", \
          password_file: {secret:?}, every: 100ms, always: [\"watch\"]}}\n"
     );
-    let (file, state) = (write("site.rec", &text), folder.display().to_string());
+    let (file, state) = (write_file("site.rec", &text), folder.display().to_string());
     let arguments = ["serve", &file, "--name", "p", "--zone", "z", "--register", "127.0.0.1:1"];
     let planner = Process::start(&[&arguments[..], &["--listen", "127.0.0.1:0", "--state", &state]].concat());
     let line = planner.next_line();
