--- a/cli/tests/commands.rs
+++ b/cli/tests/commands.rs
@@ -161,8 +161,9 @@
     std::io::BufRead::read_line(&mut std::io::BufReader::new(planner.stdout.take().unwrap()), &mut line)
         .unwrap();
     let listening_line: serde_json::Value = serde_json::from_str(&line).unwrap();
-    let at = listening_line["listening"].as_str().unwrap().to_owned();
-    let tenants = |args: &[&str]| run(&[&["tenants", "--planner", &at, "--as", "asha"], args].concat());
+    let planner_address = listening_line["listening"].as_str().unwrap().to_owned();
+    let tenants =
+        |args: &[&str]| run(&[&["tenants", "--planner", &planner_address, "--as", "asha"], args].concat());
     let is_fresh = (0..200).any(|_| {
         std::thread::sleep(std::time::Duration::from_millis(25));
         tenants(&["directory"]).1.contains("fresh")
@@ -175,7 +176,7 @@
         tenants(&["why", "asha", "stores"]),
         tenants(&["show", "stores"]),
         tenants(&["accept"]),
-        run(&["tenants", "--planner", &at, "--as", "watch", "accept"]),
+        run(&["tenants", "--planner", &planner_address, "--as", "watch", "accept"]),
     ];
     planner.kill().unwrap();
     planner.wait().unwrap();
--- a/cli/tests/council.rs
+++ b/cli/tests/council.rs
@@ -20,17 +20,17 @@
     let (_machines, registry) = start_machines(&site.file);
     let voters: Vec<Process> = (0..3).map(|n| site.start_voter(n, n == 0)).collect();
     let (a, b) = (site.start_planner(&registry), site.start_planner(&registry));
-    let (first, at) = next_slot_holder(&[&a, &b]);
-    assert_eq!(at["name"], "planner-0");
+    let (first, slot_line) = next_slot_holder(&[&a, &b]);
+    assert_eq!(slot_line["name"], "planner-0");
     let (holder, spare) = if first == 0 { (a, b) } else { (b, a) };
     // The planner declines tasks until its first link to a machine is up.
     let mut attempts = 0..200;
-    while submit_task(&at, "books")["answer"] != "placed" {
+    while submit_task(&slot_line, "books")["answer"] != "placed" {
         assert!(attempts.next().is_some(), "the task is never placed");
     }
     holder.signal("-KILL");
     let (_, second) = next_slot_holder(&[&spare]);
-    assert!(second["epoch"].as_u64() > at["epoch"].as_u64(), "{at} {second}");
+    assert!(second["epoch"].as_u64() > slot_line["epoch"].as_u64(), "{slot_line} {second}");
     assert_eq!(second["name"], "planner-0");
     let to = second["listening"].as_str().unwrap();
     let mut attempts = 0..200;
@@ -112,7 +112,7 @@
     let all: Vec<(Relays, Process)> =
         (0..2).map(|n| site.start_planner_behind_relays(n, &registry)).collect();
     let processes = [&all[0].1, &all[1].1];
-    let (mut holder, mut at) = next_slot_holder(&processes);
+    let (mut holder, mut slot_line) = next_slot_holder(&processes);
     let cuts: [(bool, bool, usize); 4] =
         [(false, true, 3), (true, false, 3), (true, true, 3), (true, true, 2)];
     for (to, back, voters) in cuts {
@@ -124,11 +124,11 @@
             next, holder,
             "cut forward {to}, backward {back}, {voters} voters: the holder kept its slot"
         );
-        assert!(line["epoch"].as_u64() > at["epoch"].as_u64(), "{at} {line}");
+        assert!(line["epoch"].as_u64() > slot_line["epoch"].as_u64(), "{slot_line} {line}");
         all[holder].0.apply(|links| {
             links.iter().for_each(|w| (w.cut_forward.set(false), w.cut_backward.set(false)).1)
         });
-        (holder, at) = (next, line);
+        (holder, slot_line) = (next, line);
     }
 }
 
@@ -139,7 +139,7 @@
     let site = Site::new("crowd", 1);
     let mut voters: Vec<Process> = (0..3).map(|n| site.start_voter(n, false)).collect();
     let mut spares: Vec<Process> = (0..10).map(|_| site.start_planner("127.0.0.1:1")).collect();
-    let (first, at) = next_slot_holder(&spares.iter().collect::<Vec<_>>());
+    let (first, slot_line) = next_slot_holder(&spares.iter().collect::<Vec<_>>());
     // For two lease durations no other planner acquires the slot, unless the host stalled the
     // holder: then the successor has a higher epoch.
     let assert_later_epochs = |spares: &[Process], than: &Value| {
@@ -148,12 +148,12 @@
             assert!(line["epoch"].as_u64() > than["epoch"].as_u64(), "{than} {line}");
         }
     };
-    assert_later_epochs(&spares, &at);
+    assert_later_epochs(&spares, &slot_line);
     let holder = spares.remove(first);
     let dead: Vec<Process> = spares.drain(..4).chain([holder, voters.remove(0)]).collect();
     dead.iter().for_each(|p| p.signal("-KILL"));
     let (_, next) = next_slot_holder(&spares.iter().collect::<Vec<_>>());
-    assert!(next["epoch"].as_u64() > at["epoch"].as_u64(), "{at} {next}");
+    assert!(next["epoch"].as_u64() > slot_line["epoch"].as_u64(), "{slot_line} {next}");
     assert_later_epochs(&spares, &next);
 }
 
@@ -165,7 +165,7 @@
     let site = Site::new("hand", 1);
     let _voters: Vec<Process> = (0..3).map(|n| site.start_voter(n, n == 0)).collect();
     let mut all: Vec<Process> = (0..4).map(|_| site.start_planner("127.0.0.1:1")).collect();
-    let (first, at) = next_slot_holder(&all.iter().collect::<Vec<_>>());
+    let (first, slot_line) = next_slot_holder(&all.iter().collect::<Vec<_>>());
     let holder = all.remove(first);
     let name = |p: &Process| format!("process-{}", p.child.id());
     let run_rejected = |args: &[&str]| {
@@ -180,7 +180,7 @@
         let transfer = run_command(&["council", &site.file, "--hand-on", "planner-0", "--to", &name(to)]);
         assert!(transfer["holder"].as_str().unwrap_or("").starts_with(&name(to)), "{transfer}");
         let line = to.next_line();
-        assert!(line["epoch"].as_u64() > at["epoch"].as_u64(), "{at} {line}");
+        assert!(line["epoch"].as_u64() > slot_line["epoch"].as_u64(), "{slot_line} {line}");
         assert_eq!(line["epoch"], transfer["token"]);
     }
     // The history of a voter lists the holder that renewed its lease.
--- a/cli/tests/golden_answers.rs
+++ b/cli/tests/golden_answers.rs
@@ -77,8 +77,8 @@
     let planner = Process::start(&[&arguments[..], more].concat());
     let line = planner.next_line();
     assert_keys("serve", &line);
-    let at = line["listening"].as_str().expect("an address").to_owned();
-    (planner, at)
+    let address = line["listening"].as_str().expect("an address").to_owned();
+    (planner, address)
 }
 
 /// Creates an empty directory for a test.
@@ -146,23 +146,23 @@
             break registry.to_owned();
         }
     };
-    let (_planner, at) = start_planner(&site, &["--register", &registry]);
-    let listening = serde_json::json!({"listening": at});
+    let (_planner, address) = start_planner(&site, &["--register", &registry]);
+    let listening = serde_json::json!({"listening": address});
     assert_keys("submit", &submit_until_placed(&listening, "books"));
-    let ask = |command: &str, what: &[&str]| {
-        wait_for_keys(command, &[what, &["--planner", &at]].concat());
+    let check_keys = |command: &str, what: &[&str]| {
+        wait_for_keys(command, &[what, &["--planner", &address]].concat());
     };
-    ask("tasks", &["tasks"]);
-    ask("tasks KEY", &["tasks", "books"]);
-    ask("machines", &["machines"]);
-    ask("planner", &["planner"]);
-    ask("constraints explain KEY", &["constraints", "explain", "books"]);
+    check_keys("tasks", &["tasks"]);
+    check_keys("tasks KEY", &["tasks", "books"]);
+    check_keys("machines", &["machines"]);
+    check_keys("planner", &["planner"]);
+    check_keys("constraints explain KEY", &["constraints", "explain", "books"]);
     let framework = ["constraints", "explain", "--framework", "small", "--machines"];
-    ask("constraints explain --framework --machines", &framework);
-    ask("constraints diff", &["constraints", "diff", &changed]);
-    ask("constraints take", &["constraints", "take", &changed]);
-    ask("drain", &["drain", &machine]);
-    ask("drain --off", &["drain", &machine, "--off"]);
+    check_keys("constraints explain --framework --machines", &framework);
+    check_keys("constraints diff", &["constraints", "diff", &changed]);
+    check_keys("constraints take", &["constraints", "take", &changed]);
+    check_keys("drain", &["drain", &machine]);
+    check_keys("drain --off", &["drain", &machine, "--off"]);
 }
 
 #[test]
@@ -182,15 +182,15 @@
     );
     let (file, state) = (write_file("site.rec", &text), folder.display().to_string());
     assert_keys("check --directory", &run_command(&["check", "--directory", &file]));
-    let (_planner, at) = start_planner(&file, &["--register", "127.0.0.1:1", "--state", &state]);
-    let ask = |command: &str, what: &[&str]| {
-        wait_for_keys(command, &[&["tenants", "--planner", &at, "--as", "watch"], what].concat());
+    let (_planner, address) = start_planner(&file, &["--register", "127.0.0.1:1", "--state", &state]);
+    let check_keys = |command: &str, what: &[&str]| {
+        wait_for_keys(command, &[&["tenants", "--planner", &address, "--as", "watch"], what].concat());
     };
-    ask("tenants list", &["list"]);
-    ask("tenants show", &["show", "orders"]);
-    ask("tenants members", &["members", "orders"]);
-    ask("tenants why", &["why", "asha", "orders"]);
-    ask("tenants directory", &["directory"]);
+    check_keys("tenants list", &["list"]);
+    check_keys("tenants show", &["show", "orders"]);
+    check_keys("tenants members", &["members", "orders"]);
+    check_keys("tenants why", &["why", "asha", "orders"]);
+    check_keys("tenants directory", &["directory"]);
 }
 
 #[test]
@@ -204,10 +204,10 @@
     let planners = [site.start_planner(&registry), site.start_planner(&registry)];
     let (_, line) = next_slot_holder(&[&planners[0], &planners[1]]);
     assert_keys("serve --seat", &line);
-    let at = line["listening"].as_str().expect("an address");
+    let address = line["listening"].as_str().expect("an address");
     wait_for_keys("council", &["council", &site.file]);
     wait_for_keys("council --history", &["council", &site.file, "--history"]);
-    wait_for_keys("planner of a seat", &["planner", "--planner", at]);
+    wait_for_keys("planner of a seat", &["planner", "--planner", address]);
     assert_keys("roll, begun", &run_command(&["roll", &site.file, "--zone", "hall-a", "--at-once", "3"]));
     wait_for_keys("roll, over", &["roll", &site.file]);
     assert_keys("council --hand-on", &run_command(&["council", &site.file, "--hand-on", "planner-0"]));
--- a/cli/tests/golden_state.rs
+++ b/cli/tests/golden_state.rs
@@ -84,9 +84,9 @@
     let arguments = ["serve", &file, "--name", "p", "--zone", "z", "--register", "127.0.0.1:1"];
     let planner = Process::start(&[&arguments[..], &["--listen", "127.0.0.1:0", "--state", &state]].concat());
     let line = planner.next_line();
-    let at = line["listening"].as_str().expect("an address");
+    let address = line["listening"].as_str().expect("an address");
     let tenants =
-        |args: &[&str]| run_command(&[&["tenants", "--planner", at, "--as", "watch"], args].concat());
+        |args: &[&str]| run_command(&[&["tenants", "--planner", address, "--as", "watch"], args].concat());
     let expected = golden_json("tenants.json");
     assert_eq!(
         select_fields(&tenants(&["list"]), &["id", "index", "members", "share", "tenant"]),
--- a/cli/tests/node.rs
+++ b/cli/tests/node.rs
@@ -13,8 +13,8 @@
 #[test]
 fn serves_a_task_to_its_end_and_exits_cleanly_on_sigterm() {
     let (machine, coordinator) = (TcpListener::bind("127.0.0.1:0").unwrap(), free_address());
-    let at = machine.local_addr().unwrap().to_string();
-    let mut node = start_node("life", &coordinator, &[("a", &at)]);
+    let machine_address = machine.local_addr().unwrap().to_string();
+    let mut node = start_node("life", &coordinator, &[("a", &machine_address)]);
     let mut client = Peer::connect(&node);
     client.send_line(&message("probe", &id(1), json!({}), 0));
     assert_eq!(client.next_of_kind("probed").unwrap()["code"], 1);
@@ -49,16 +49,16 @@
 fn watch_survives_truncated_reply_and_coordinator_move() {
     let (old, new) = (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
     let machine = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = machine.local_addr().unwrap().to_string();
+    let machine_address = machine.local_addr().unwrap().to_string();
     let node = start_node("moves", &old.local_addr().unwrap().to_string(), &[]);
     let (first, mut stream) = accept_call(&old);
     assert!(first.contains("follow=1&"), "{first}");
-    let whole = update(5, &[entry("a", &at, "in_service", 0)]).to_string();
+    let whole = update(5, &[entry("a", &machine_address, "in_service", 0)]).to_string();
     write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{}", whole.len(), &whole[..40]).unwrap();
     drop(stream);
     let (again, stream) = accept_call(&old);
     assert!(again.contains("follow=1&"), "{again}");
-    reply(&stream, &update(5, &[entry("a", &at, "in_service", 0)]));
+    reply(&stream, &update(5, &[entry("a", &machine_address, "in_service", 0)]));
     assert!(read_call(&stream).contains("follow=5&"));
     let mut client = Peer::connect(&node);
     client.send_line(&request(&id(2), json!({})));
@@ -80,8 +80,8 @@
 #[test]
 fn closes_invalid_connections_and_serves_the_client() {
     let (machine, coordinator) = (TcpListener::bind("127.0.0.1:0").unwrap(), free_address());
-    let at = machine.local_addr().unwrap().to_string();
-    let node = start_node("strangers", &coordinator, &[("a", &at)]);
+    let machine_address = machine.local_addr().unwrap().to_string();
+    let node = start_node("strangers", &coordinator, &[("a", &machine_address)]);
     let mut client = Peer::connect(&node);
     // The machine accepts every task and keeps answering probes; unanswered probes would cost its
     // link.
@@ -118,8 +118,8 @@
 #[test]
 fn redials_a_machine_that_sends_an_incomplete_line() {
     let (machine, coordinator) = (TcpListener::bind("127.0.0.1:0").unwrap(), free_address());
-    let at = machine.local_addr().unwrap().to_string();
-    let node = start_node("half", &coordinator, &[("a", &at)]);
+    let machine_address = machine.local_addr().unwrap().to_string();
+    let node = start_node("half", &coordinator, &[("a", &machine_address)]);
     let mut client = Peer::connect(&node);
     (2..4).for_each(|n| client.send_line(&request(&id(n), json!({}))));
     let mut link = Peer::accept(&machine);
@@ -145,8 +145,8 @@
 #[test]
 fn restarted_planner_learns_placed_tasks_from_clients() {
     let (machine, coordinator) = (TcpListener::bind("127.0.0.1:0").unwrap(), free_address());
-    let at = machine.local_addr().unwrap().to_string();
-    let mut node = start_node("killed", &coordinator, &[("a", &at)]);
+    let machine_address = machine.local_addr().unwrap().to_string();
+    let mut node = start_node("killed", &coordinator, &[("a", &machine_address)]);
     // The first process probes the machine at once over its own link.
     drop(machine.accept().unwrap());
     node.child.kill().unwrap();
@@ -156,7 +156,7 @@
     machine.set_nonblocking(true).unwrap();
     while machine.accept().is_ok() {}
     machine.set_nonblocking(false).unwrap();
-    let node = start_node("again", &coordinator, &[("a", &at)]);
+    let node = start_node("again", &coordinator, &[("a", &machine_address)]);
     let mut client = Peer::connect(&node);
     let extras = "cores:1;memory:2;service:00000000000000b1;at:a";
     client.send_line(&request(&id(4), json!({"extras": extras, "left": "4294967"})));
--- a/cli/tests/node_connections.rs
+++ b/cli/tests/node_connections.rs
@@ -11,8 +11,8 @@
 /// Guards against a failed write that discards answers not yet read.
 #[test]
 fn delivers_an_answer_sent_before_a_reset() {
-    let (machine, at) = listener();
-    let node = start_node_with("reset", &free_address(), &[("a", &at)], disable_probes);
+    let (machine, machine_address) = listener();
+    let node = start_node_with("reset", &free_address(), &[("a", &machine_address)], disable_probes);
     let mut client = Peer::connect(&node);
     (2..4).for_each(|n| client.send_line(&request(&id(n), json!({}))));
     let mut link = Peer::accept(&machine);
@@ -29,8 +29,8 @@
 /// next request waits unread in the kernel.
 #[test]
 fn serves_a_request_that_races_with_closing_an_idle_connection() {
-    let (machine, at) = listener();
-    let node = start_node_with("evicted", &free_address(), &[("a", &at)], disable_probes);
+    let (machine, machine_address) = listener();
+    let node = start_node_with("evicted", &free_address(), &[("a", &machine_address)], disable_probes);
     // As many connections as the limit of 64 descriptors leaves to clients; all are idle after
     // this.
     let mut idle: Vec<Peer> = (0..29).map(|_| Peer::connect(&node)).collect();
@@ -59,8 +59,8 @@
 /// clients are still served.
 #[test]
 fn a_client_that_takes_nothing_is_cut_and_costs_nobody_else() {
-    let (machine, at) = listener();
-    let node = start_node_with("takes-nothing", &free_address(), &[("a", &at)], disable_probes);
+    let (machine, machine_address) = listener();
+    let node = start_node_with("takes-nothing", &free_address(), &[("a", &machine_address)], disable_probes);
     let small = json!({"extras": "cores:0.001;memory:0.001;service:00000000000000b1"});
     let mut stalled = Peer::connect(&node);
     stalled.send_line(&request(&id(1), small.clone()));
@@ -130,8 +130,8 @@
 /// closed why="it said nothing"`).
 #[test]
 fn accepts_a_first_line_that_arrives_during_a_pause() {
-    let (machine, at) = listener();
-    let node = start_node_with("first-line", &free_address(), &[("a", &at)], disable_probes);
+    let (machine, machine_address) = listener();
+    let node = start_node_with("first-line", &free_address(), &[("a", &machine_address)], disable_probes);
     let mut client = Peer::connect(&node);
     let since = Instant::now();
     wait_until(since, 1_600);
@@ -150,8 +150,8 @@
 /// abandoned and the task that the machine had accepted was cancelled.
 #[test]
 fn accepts_an_answer_that_arrives_during_a_pause() {
-    let (machine, at) = listener();
-    let node = start_node_with("stall-answer", &free_address(), &[("a", &at)], disable_probes);
+    let (machine, machine_address) = listener();
+    let node = start_node_with("stall-answer", &free_address(), &[("a", &machine_address)], disable_probes);
     let mut client = Peer::connect(&node);
     client.send_line(&request(&id(2), json!({})));
     let mut link = Peer::accept(&machine);
@@ -193,7 +193,7 @@
 #[test]
 fn an_unusable_reply_does_not_advance_the_watch_index() {
     let (coordinator, address) = listener();
-    let (machine, at) = listener();
+    let (machine, machine_address) = listener();
     let node = start_node_with("useless", &address, &[], disable_probes);
     let (_, stream) = accept_call(&coordinator);
     reply(&stream, &json!({"index": 5, "updates": [{"endpoints": {"hosts": []}}]}));
@@ -207,7 +207,7 @@
     let (again, stream) = accept_call(&coordinator);
     assert!(again.contains("follow=1&"), "{again}");
     let odd = json!({"host": "odd", "health": "unheard of"});
-    reply(&stream, &update(6, &[odd, entry("a", &at, "in_service", 0)]));
+    reply(&stream, &update(6, &[odd, entry("a", &machine_address, "in_service", 0)]));
     assert!(read_call(&stream).contains("follow=6&"));
     let mut client = Peer::connect(&node);
     client.send_line(&request(&id(2), json!({})));
@@ -241,7 +241,7 @@
 fn restarts_from_index_zero_when_coordinator_indices_go_back() {
     let (old, address) = listener();
     let (new, moved) = listener();
-    let (machine, at) = listener();
+    let (machine, machine_address) = listener();
     let node = start_node_with("numbers", &address, &[], disable_probes);
     let (_, stream) = accept_call(&old);
     reply(&stream, &update(40, &[]));
@@ -249,7 +249,7 @@
     let text = std::fs::read_to_string(&node.file).unwrap();
     std::fs::write(&node.file, text.replace(&address, &moved)).unwrap();
     node.signal("-HUP");
-    let renumbered = update(3, &[entry("a", &at, "in_service", 0)]);
+    let renumbered = update(3, &[entry("a", &machine_address, "in_service", 0)]);
     let mut follows_old_index = Vec::new();
     let stream = loop {
         let (call, stream) = accept_call(&new);
--- a/cli/tests/node_departures.rs
+++ b/cli/tests/node_departures.rs
@@ -37,8 +37,8 @@
 /// against attempts for requests that the planner reads together with their cancellation.
 #[test]
 fn drops_requests_cancelled_before_they_are_read() {
-    let (machine, at) = listener();
-    let node = start_node_with("taken-back", &free_address(), &[("a", &at)], disable_probes);
+    let (machine, machine_address) = listener();
+    let node = start_node_with("taken-back", &free_address(), &[("a", &machine_address)], disable_probes);
     let (mut canceller, mut closer, mut remaining) =
         (accepted_client(&node), accepted_client(&node), accepted_client(&node));
     remaining.send_line(&request(&id(2), json!({})));
@@ -69,8 +69,13 @@
 /// further attempts that began because the refusal was handled before the client's departure.
 #[test]
 fn does_not_retry_refused_attempts_of_departed_clients() {
-    let (machines, at): (Vec<TcpListener>, Vec<String>) = (0..2).map(|_| listener()).unzip();
-    let node = start_node_with("further", &free_address(), &[("a", &at[0]), ("b", &at[1])], disable_probes);
+    let (machines, addresses): (Vec<TcpListener>, Vec<String>) = (0..2).map(|_| listener()).unzip();
+    let node = start_node_with(
+        "further",
+        &free_address(),
+        &[("a", &addresses[0]), ("b", &addresses[1])],
+        disable_probes,
+    );
     // Each of 20 clients has one request open on one of the two machines.
     let mut clients: Vec<Peer> = (0..20).map(|_| accepted_client(&node)).collect();
     let mut remaining = accepted_client(&node);
--- a/cli/tests/node_exit.rs
+++ b/cli/tests/node_exit.rs
@@ -21,8 +21,8 @@
 /// paused until its period for new requests is over. Guards against exiting before they are read.
 #[test]
 fn answers_requests_pending_in_the_kernel_at_exit() {
-    let (_machine, at) = listener();
-    let mut node = start_node_with("kernel", &free_address(), &[("a", &at)], disable_probes);
+    let (_machine, machine_address) = listener();
+    let mut node = start_node_with("kernel", &free_address(), &[("a", &machine_address)], disable_probes);
     let mut old = Peer::connect(&node);
     old.send_line(&message("probe", &id(1), json!({}), 0));
     old.next_of_kind("probed").unwrap();
@@ -49,8 +49,8 @@
 /// requests are refused at once, on an open connection and on a new one.
 #[test]
 fn serves_open_requests_and_refuses_late_ones_after_sigterm() {
-    let (machine, at) = listener();
-    let mut node = start_node_with("late", &free_address(), &[("a", &at)], disable_probes);
+    let (machine, machine_address) = listener();
+    let mut node = start_node_with("late", &free_address(), &[("a", &machine_address)], disable_probes);
     let mut client = Peer::connect(&node);
     client.send_line(&request(&id(2), json!({})));
     let mut link = Peer::accept(&machine);
@@ -82,8 +82,8 @@
 /// over. Guards against an exit that leaves the report unread in the kernel.
 #[test]
 fn forwards_a_task_end_that_races_with_exit() {
-    let (machine, at) = listener();
-    let mut node = start_node_with("release", &free_address(), &[("a", &at)], disable_probes);
+    let (machine, machine_address) = listener();
+    let mut node = start_node_with("release", &free_address(), &[("a", &machine_address)], disable_probes);
     let (mut link, mut client) = place_task(&node, &machine, 2);
     let since = node.request_stop();
     wait_until(since, 300);
@@ -101,8 +101,8 @@
 #[test]
 fn slow_client_receives_all_answers_before_exit() {
     const REQUESTS: u64 = 300;
-    let (machine, at) = listener();
-    let mut node = start_node_with("slow", &free_address(), &[("a", &at)], disable_probes);
+    let (machine, machine_address) = listener();
+    let mut node = start_node_with("slow", &free_address(), &[("a", &machine_address)], disable_probes);
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&node.listen.parse::<SocketAddr>().unwrap().into()).unwrap();
@@ -134,8 +134,8 @@
 /// task to run forever.
 #[test]
 fn delivers_a_task_end_to_a_reconnecting_client_after_restart() {
-    let (machine, at) = listener();
-    let mut node = start_node_with("kept", &free_address(), &[("a", &at)], disable_probes);
+    let (machine, machine_address) = listener();
+    let mut node = start_node_with("kept", &free_address(), &[("a", &machine_address)], disable_probes);
     let (mut link, mut client) = place_task(&node, &machine, 2);
     client.send_line(&request(&id(3), json!({})));
     link.next_of_kind("open").unwrap();
@@ -160,7 +160,7 @@
     node.request_stop();
     assert!(node.exits_successfully());
 
-    let node = start_node_with("next", &free_address(), &[("a", &at)], disable_probes);
+    let node = start_node_with("next", &free_address(), &[("a", &machine_address)], disable_probes);
     let mut other = connect_from(&node, "127.0.9.9:0");
     other.send_line(&request(&id(6), json!({})));
     let mut link = Peer::accept(&machine);
@@ -209,8 +209,8 @@
 /// 1.0 s after the signal were accepted and still unanswered at the earliest kill.
 #[test]
 fn answers_requests_accepted_after_a_delayed_sigterm_before_the_kill() {
-    let (machine, at) = listener();
-    let node = start_node_with("late-order", &free_address(), &[("a", &at)], disable_probes);
+    let (machine, machine_address) = listener();
+    let node = start_node_with("late-order", &free_address(), &[("a", &machine_address)], disable_probes);
     let mut client = Peer::connect(&node);
     client.send_line(&request(&id(1), json!({})));
     let mut link = Peer::accept(&machine);
@@ -237,8 +237,8 @@
 /// one got no answer.
 #[test]
 fn refuses_requests_of_an_active_client_until_the_kill() {
-    let (_machine, at) = listener();
-    let node = start_node_with("until-kill", &free_address(), &[("a", &at)], disable_probes);
+    let (_machine, machine_address) = listener();
+    let node = start_node_with("until-kill", &free_address(), &[("a", &machine_address)], disable_probes);
     let mut client = Peer::connect(&node);
     client.send_line(&message("probe", &id(1), json!({}), 0));
     client.next_of_kind("probed").unwrap();
