--- a/cli/tests/golden_options.rs
+++ b/cli/tests/golden_options.rs
@@ -48,6 +48,8 @@
     }
 }
 
+/// The help texts of all commands list exactly the stored commands, options and environment
+/// variables.
 #[test]
 fn commands_and_options_keep_their_names() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/options.txt");
--- a/cli/tests/site/mod.rs
+++ b/cli/tests/site/mod.rs
@@ -15,6 +15,7 @@
 
 /// A process of the binary; dropping it kills the process.
 pub struct Process {
+    /// The running process.
     pub child: Child,
     /// The JSON lines that the process prints on stdout; `Null` for a line that is not JSON.
     pub lines: Receiver<Value>,
@@ -99,6 +100,7 @@
 
 /// An installation in a temporary directory, which is removed on drop.
 pub struct Site {
+    /// The temporary directory.
     pub folder: PathBuf,
     /// The path of the installation's file.
     pub file: String,
--- a/cli/tests/soak/judge.rs
+++ b/cli/tests/soak/judge.rs
@@ -52,6 +52,7 @@
     pub at_us: i64,
     /// The time of the order to stop, or of the outright kill.
     pub end_us: i64,
+    /// What was found, for the report.
     pub detail: String,
 }
 
@@ -69,6 +70,7 @@
 /// How long a refused request waited for its answer.
 #[derive(Clone, Copy, Debug)]
 pub struct RefusalWait {
+    /// Microseconds from the request to its refusal.
     pub wait_us: i64,
     /// Whether the answer came after the order to stop.
     pub after_stop: bool,
@@ -79,6 +81,7 @@
     pub violations: Vec<Violation>,
     /// The number of requests that clients sent.
     pub requests: usize,
+    /// The waits of all refused requests.
     pub refusals: Vec<RefusalWait>,
     /// The trace that was checked.
     pub entries: Vec<Entry>,
--- a/cli/tests/soak/machine.rs
+++ b/cli/tests/soak/machine.rs
@@ -46,6 +46,7 @@
 
 /// A simulated machine.
 pub struct Machine {
+    /// The machine's index in the plan.
     pub number: usize,
     plan: MachinePlan,
     random: RefCell<Rng>,
--- a/cli/tests/soak/report.rs
+++ b/cli/tests/soak/report.rs
@@ -56,6 +56,7 @@
 /// The results of all runs of one seed.
 pub struct SeedReport {
     pub seed: u64,
+    /// Whether the clients offered more load than the machines can hold.
     pub is_overloaded: bool,
     pub runs: Vec<RunReport>,
 }
--- a/cli/tests/soak/trace.rs
+++ b/cli/tests/soak/trace.rs
@@ -9,10 +9,15 @@
 /// Codes of a `close` message, as the protocol defines them. They are written out here so that an
 /// error in the product's own constants cannot go unnoticed.
 pub mod cause {
+    /// The task has ended, or its client ends the task or cancels the request.
     pub const ENDED: i64 = 16;
+    /// A machine confirms that it stopped a task on the planner's order.
     pub const CANCELLED: i64 = 31;
+    /// Refused for lack of capacity.
     pub const FULL: i64 = 34;
+    /// Refused by the planner, such as a late request after the order to stop.
     pub const BUSY: i64 = 42;
+    /// A machine could not run the task.
     pub const ERROR: i64 = 47;
 }
 
--- a/cli/tests/wire/mod.rs
+++ b/cli/tests/wire/mod.rs
@@ -23,6 +23,7 @@
 /// A planner process and its configuration file; dropping it kills the process and removes the
 /// file.
 pub struct Node {
+    /// The running process.
     pub child: Child,
     /// The address on which the planner accepts clients.
     pub listen: String,
