--- a/cli/tests/soak/judge.rs
+++ b/cli/tests/soak/judge.rs
@@ -87,6 +87,7 @@
     pub entries: Vec<Entry>,
 }
 
+/// The first answer to a request.
 #[derive(Clone, Debug)]
 struct Answer {
     at_us: i64,
--- a/cli/tests/soak/machine.rs
+++ b/cli/tests/soak/machine.rs
@@ -33,7 +33,9 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum TaskState {
+    /// The machine has received the attempt and not answered it.
     Offered,
+    /// The machine has accepted the task.
     Runs,
 }
 
