--- a/invariants/src/drains.rs
+++ b/invariants/src/drains.rs
@@ -37,7 +37,7 @@
         *notice = drains_since.map(|at| notice.unwrap_or(at));
     }
 
-    /// Drops all notices about a machine, as it started anew.
+    /// Drops all notices about a machine, because it restarted.
     pub(crate) fn forget_machine(&mut self, machine: &str) {
         self.since.retain(|(_, known), _| known != machine);
     }
@@ -80,7 +80,8 @@
         let since = self.drains.first(planner, machine);
         if let Some(since) = since.filter(|since| !late && at_us > since + allowed) {
             let text = format!(
-                "launched on {machine} {} ms after the planner was told that it drains or is gone",
+                "attempt on {machine} launched {} ms after the planner was notified that the \
+                 machine is draining or gone; none may follow after the drain grace period",
                 (at_us - since) / 1000
             );
             self.report(3, at_us, planner, &launch.key, text);
--- a/invariants/src/fencing.rs
+++ b/invariants/src/fencing.rs
@@ -56,7 +56,11 @@
         let key = (planner.0.clone(), machine.to_owned());
         let (epoch, since) = self.epochs.greeted.get(&key).copied().unwrap_or_default();
         if planner.1 < epoch && at_us > since + self.config.reorder_tolerance_us {
-            let text = format!("taken in {} ms after epoch {epoch} was", (at_us - since) / 1000);
+            let text = format!(
+                "connection accepted by the machine {} ms after the hello of epoch {epoch}; an older epoch \
+                 must be refused",
+                (at_us - since) / 1000
+            );
             self.report(7, at_us, planner, machine, text);
         }
     }
@@ -78,8 +82,10 @@
         let tolerance = self.config.reorder_tolerance_us;
         if let Some(sent) = sent.filter(|sent| !sent.late && sent.at_us > since + tolerance) {
             let (number, after_ms) = (sent.number, (sent.at_us - since) / 1000);
-            let text =
-                format!("launch {number} taken on {machine}, sent {after_ms} ms after epoch {epoch} acted");
+            let text = format!(
+                "attempt {number}, accepted by {machine}, was launched {after_ms} ms after the first launch \
+                 of epoch {epoch}; launches of an older epoch must have no effect from then on"
+            );
             self.report(7, at_us, &launcher, machine, text);
         }
     }
--- a/invariants/src/placement.rs
+++ b/invariants/src/placement.rs
@@ -121,12 +121,16 @@
                 let named = listed(kinds, &location.kind)
                     && listed(zones, &location.zone)
                     && (labels.is_empty() || labels.iter().any(|label| location.labels.contains(label)));
-                (named != *inside)
-                    .then(|| format!("a machine of kind {} in {}", location.kind, location.zone))
+                (named != *inside).then(|| {
+                    format!(
+                        "the machine, of kind {} in zone {}, is not among those allowed",
+                        location.kind, location.zone
+                    )
+                })
             }
             PlacementRequirement::Together { with, within } if bound && !with.matches(launch) => {
                 let beside = placed.iter().any(|other| with.matches(other.task) && near(other, within));
-                (!beside).then(|| format!("nobody that it must be with in one {within}"))
+                (!beside).then(|| format!("no task that it must run with is in the same {within}"))
             }
             PlacementRequirement::Apart { from, within } => {
                 let conflicts = |other: &&PlacedAttempt| {
@@ -136,7 +140,7 @@
                             || from.matches(launch) && self.tasks.matches(other.task))
                 };
                 let other = placed.iter().find(conflicts)?;
-                Some(format!("in one {within} with {}", other.task.key))
+                Some(format!("in the same {within} as task {}, from which it must be apart", other.task.key))
             }
             PlacementRequirement::AtMost { within, by_service, most } if bound => {
                 let alike = |other: &&PlacedAttempt| {
@@ -146,7 +150,8 @@
                         && (!by_service || other.task.service == launch.service)
                 };
                 let together = 1 + placed.iter().filter(alike).count();
-                (together > *most).then(|| format!("{together} in one {within}; at most {most}"))
+                (together > *most)
+                    .then(|| format!("{together} tasks in one {within}; at most {most} allowed"))
             }
             _ => None,
         }
@@ -175,11 +180,11 @@
             .collect();
         let violation = |invariant: &PlacementInvariant| {
             let text = invariant.violation(launch, (machine, location), &placed)?;
-            Some(format!("clause {}: {text}", invariant.name))
+            Some(format!("constraint {}: {text}", invariant.name))
         };
         let violations: Vec<String> = self.placement_invariants.iter().filter_map(violation).collect();
         for text in violations {
-            self.report(6, at_us, planner, &launch.key, format!("launched on {machine}: {text}"));
+            self.report(6, at_us, planner, &launch.key, format!("attempt on {machine}: {text}"));
         }
     }
 }
--- a/invariants/src/priority.rs
+++ b/invariants/src/priority.rs
@@ -27,7 +27,8 @@
         for (at_us, higher, lower) in violations {
             let describe = |class: RequestClass| format!("{} of {} cores", class.0, class.1 as f64 / 1000.0);
             let text = format!(
-                "none of {MIN_REQUESTS} placed in {} s, while {MIN_REQUESTS} of {} were, which is worth less",
+                "at least {MIN_REQUESTS} requests declined and none placed in {} s, while at least \
+                 {MIN_REQUESTS} of {}, with a lower priority weight per core, were placed",
                 WINDOW_US / 1_000_000,
                 describe(lower)
             );
--- a/invariants/src/repeats.rs
+++ b/invariants/src/repeats.rs
@@ -33,7 +33,8 @@
             let may_have_run = |sent: &&SentLaunch| sent.end.is_none_or(|end| end.1 == LaunchEnd::MayHaveRun);
             if let Some(launch) = sent.iter().find(may_have_run) {
                 let text = format!(
-                    "asking {}: declined, though launch {} on {} may have run",
+                    "request {}: declined, though attempt {} on {} may have run; only a task that may run twice \
+                     may be declined then",
                     id.2, launch.number, launch.machine
                 );
                 self.report(2, at_us, &id.0, &id.1, text);
@@ -45,7 +46,7 @@
     fn check_after_answer(&mut self, (planner, key, number): &RequestId, launch: &SentLaunch, at_us: i64) {
         if !launch.late && launch.at_us > at_us + self.config.reorder_tolerance_us {
             let text = format!(
-                "asking {number}: launch {} reached {} {} ms after the final answer",
+                "request {number}: attempt {} reached {} {} ms after the final answer; none may follow it",
                 launch.number,
                 launch.machine,
                 (launch.at_us - at_us) / 1000
@@ -65,7 +66,8 @@
         let (end, how) = end_of(before);
         if !launch.late && launch.at_us + self.config.reorder_tolerance_us < end {
             let text = format!(
-                "asking {}: launch {} on {} while launch {} is out on {}",
+                "request {}: attempt {} on {} while attempt {} is still open on {}; only one may be open at a \
+                 time",
                 id.2, launch.number, launch.machine, before.number, before.machine
             );
             self.report(2, launch.at_us, &id.0, &id.1, text);
@@ -92,15 +94,15 @@
         let known_until = before.at_us + framework.window_us + self.config.reorder_tolerance_us;
         let why = match framework.idempotency.as_str() {
             "repeatable" => return,
-            "keyed" if !in_group => "outside the group that drops its repeats",
+            "keyed" if !in_group => "is outside the group of machines that drops repeats of the task",
             "keyed" if !launch.late && launch.at_us > known_until => {
-                "after the window in which repeats are known"
+                "came after the window in which machines drop repeats"
             }
             "keyed" => return,
-            _ => "though it must never run twice",
+            _ => "is not allowed, as the task must not run twice",
         };
         let text = format!(
-            "asking {number}: launch {} on {}, {why}; launch {} on {} may have run",
+            "request {number}: attempt {} on {} {why}; earlier attempt {} on {} may have run",
             launch.number, launch.machine, before.number, before.machine
         );
         self.report(2, launch.at_us, planner, key, text);
--- a/invariants/src/requests.rs
+++ b/invariants/src/requests.rs
@@ -65,7 +65,7 @@
         let Body::Answer(answer) = body else { return };
         let id = (planner.clone(), answer.key.clone(), answer.ask);
         let Some(request) = self.requests.get_mut(&id) else {
-            let text = format!("an answer to asking {} that was never made", answer.ask);
+            let text = format!("received an answer to request {}, which was never submitted", answer.ask);
             return self.report(1, at_us, planner, &answer.key, text);
         };
         request.declined_for_other_reason |= answer.not_allowed || answer.reason.contains("may still run");
@@ -80,7 +80,8 @@
         let (deadline, excused) = (request.deadline, request.excused);
         if answers > submits || first.1 != answer.kind {
             let text = format!(
-                "asking {}: answer {answers} of kind {} to {submits} submits; the first, of kind {}, came at {}",
+                "request {}: answer {answers} has kind {} after {submits} submits; the first had kind {} and \
+                 came at {} us; only one answer per submit is allowed, all of the same kind",
                 answer.ask, answer.kind, first.1, first.0
             );
             self.report(1, at_us, &id.0, &answer.key, text);
@@ -90,7 +91,10 @@
         }
         if !excused && at_us > deadline + self.config.answer_grace_us {
             let late_ms = (at_us - deadline) / 1000;
-            let text = format!("asking {}: answered {late_ms} ms after its time limit", answer.ask);
+            let text = format!(
+                "request {}: answered {late_ms} ms after its deadline, more than the grace period",
+                answer.ask
+            );
             self.report(1, at_us, &id.0, &answer.key, text);
         }
         match AnswerKind::try_from(answer.kind) {
@@ -109,7 +113,8 @@
             if request.excused {
                 self.totals.excused += 1;
             } else if now_us > request.deadline + self.config.answer_grace_us {
-                let text = format!("asking {number}: no answer");
+                let text =
+                    format!("request {number}: no answer, though its deadline and grace period are over");
                 self.report(1, request.deadline, planner, key, text);
             }
         }
--- a/invariants/src/rolling_restart.rs
+++ b/invariants/src/rolling_restart.rs
@@ -53,13 +53,14 @@
         let count = restart.drain_counts.entry(machine.to_owned()).or_default();
         *count += 1;
         let (count, drained, most) = (*count, restart.drained.len(), restart.at_once);
-        let coordinator = (String::from("the roll's conductor"), 0);
+        let coordinator = (String::from("the rolling restart's coordinator"), 0);
         if count > 1 {
-            let text = format!("drained for the {count}. time in one roll");
+            let text =
+                format!("drained {count} times in one rolling restart; each machine may be drained once");
             self.report(8, at_us, &coordinator, machine, text);
         }
         if drained > most {
-            let text = format!("{drained} machines drained at once; at most {most}");
+            let text = format!("{drained} machines draining at once; at most {most} allowed");
             self.report(8, at_us, &coordinator, machine, text);
         }
     }
--- a/invariants/src/spread.rs
+++ b/invariants/src/spread.rs
@@ -27,7 +27,7 @@
         let most = framework.max_together;
         if together > most {
             let text = format!(
-                "{together} tasks of service {} in one {} with {machine}; at most {most}",
+                "{together} tasks of service {} in one {}, the last launched on {machine}; at most {most} allowed",
                 launch.service, framework.spread
             );
             self.report(5, at_us, planner, &launch.key, text);
--- a/invariants/src/warm_up.rs
+++ b/invariants/src/warm_up.rs
@@ -24,7 +24,8 @@
     /// Reports that a machine failed under the load that it got while warming up.
     pub fn machine_overloaded(&mut self, at_us: i64, machine: &str) {
         let planner = (String::from("all planners"), 0);
-        self.report(4, at_us, &planner, machine, "the cold machine fell over".into());
+        let text = "the machine failed under the load that it got while warming up";
+        self.report(4, at_us, &planner, machine, text.into());
     }
 
     /// Counts a launch on a machine that is warming up, and reports more than the limit in a
@@ -41,7 +42,8 @@
         self.totals.max_warm_up_offers = self.totals.max_warm_up_offers.max(within);
         if within > self.config.max_offers {
             let text = format!(
-                "{within} offers within {} ms, {} ms after its start",
+                "{within} attempts within {} ms, {} ms after the machine's start, are too many while it is \
+                 warming up",
                 self.config.offer_window_us / 1000,
                 (at_us - started) / 1000
             );
--- a/invariants/src/zone_recovery.rs
+++ b/invariants/src/zone_recovery.rs
@@ -38,7 +38,8 @@
         if used > most {
             let after_ms = (at_us - since) / 1000;
             let text = format!(
-                "launches on {used} machines of {zone} {after_ms} ms after it was back; at most {most}"
+                "attempts on {used} machines of zone {zone} {after_ms} ms after the zone came back; at most \
+                 {most} allowed at this step of the recovery ramp"
             );
             self.report(10, at_us, planner, machine, text);
         }
