--- a/testbed/src/directory_scenario.rs
+++ b/testbed/src/directory_scenario.rs
@@ -264,10 +264,13 @@
     pub fn finish(&self) -> Vec<String> {
         let mut errors = self.errors.take();
         if self.joined.get() && self.newcomer_answers.get() == 0 {
-            errors.push("nobody who joined while the directory was away was let in later".into());
+            errors.push(
+                "no request of the login that joined while the directory was unavailable was allowed later"
+                    .into(),
+            );
         }
         if self.joined.get() && self.stale_answers.get() == 0 {
-            errors.push("the directory was away, and no answer said so".into());
+            errors.push("the directory was unavailable, but no answer reported stale tenant data".into());
         }
         errors
     }
@@ -283,20 +286,26 @@
         let mut errors = self.errors.borrow_mut();
         let mut error = |what: String| {
             if errors.len() < 20 {
-                errors.push(format!("{} asking {} of {login}: {what}", answer.key, answer.ask));
+                errors.push(format!("task {}, request {} of {login}: {what}", answer.key, answer.ask));
             }
         };
         if answer.not_allowed {
-            error(format!("turned away ({}), a member all along", answer.reason));
+            error(format!(
+                "rejected as not allowed ({}), though the login was a member all the time",
+                answer.reason
+            ));
         }
         let unavailable_since = self.unavailable_since.get();
         let surely_stale = unavailable_since > 0
             && submitted_at > unavailable_since + self.fresh_us + self.every_us + TRAVEL_US;
         if surely_stale && answer.stale_us == 0 {
-            error("rests on old knowledge and does not say so".into());
+            error("based on stale tenant data, but reports it as fresh".into());
         }
         if unavailable_since == 0 && submitted_at > self.uncertain_until.get() && answer.stale_us != 0 {
-            error(format!("says that it rests on knowledge of {} us ago, and all is heard", answer.stale_us));
+            error(format!(
+                "reports tenant data that is {} us old, though the directory is available and synced",
+                answer.stale_us
+            ));
         }
     }
 }
--- a/testbed/src/fault_scenario/play.rs
+++ b/testbed/src/fault_scenario/play.rs
@@ -202,7 +202,9 @@
             sleep(Duration::from_millis(100)).await;
         }
         if checks == FAILED_ZONE_CHECKS {
-            self.planners.report_error(format!("{zone}: not said to be lost by all planners"));
+            self.planners.report_error(format!(
+                "zone {zone}: not reported as failed by all planners, though its machines are down"
+            ));
         }
         let now = self.context.clock.now();
         self.context.checker.borrow_mut().zone_recovered(now, &zone);
--- a/testbed/src/process_harness.rs
+++ b/testbed/src/process_harness.rs
@@ -165,12 +165,16 @@
     fn slot_acquired(&self, planner: usize, line: SlotAcquiredLine) {
         let number = line.name.rsplit('-').next().and_then(|number| number.parse::<usize>().ok());
         let Some((number, slot)) = number.and_then(|number| Some((number, self.slots.get(number)?))) else {
-            return self.error(format!("found seat {:?}", line.name));
+            return self
+                .error(format!("a planner acquired slot {:?}, which the scenario does not have", line.name));
         };
         let now = self.context.clock.now();
         if line.epoch <= slot.epoch.get() {
             let (before, who) = (slot.epoch.get(), &self.planners[planner].name);
-            self.error(format!("{} of {who}: epoch {} after {before}", line.name, line.epoch));
+            self.error(format!(
+                "slot {}, acquired by {who}: epoch {} is not higher than the slot's last epoch {before}",
+                line.name, line.epoch
+            ));
         }
         if slot.since.get().is_none() {
             slot.since.set(Some(now));
@@ -209,7 +213,7 @@
         let ended = process.child.borrow_mut().as_mut().and_then(|child| child.try_wait().ok().flatten());
         if let Some(status) = ended.filter(|_| !process.ends.get()) {
             process.ends.set(true);
-            self.error(format!("{} ended by itself: {status}", process.name));
+            self.error(format!("{} exited, though no fault ended it: {status}", process.name));
         }
     }
 
@@ -225,11 +229,14 @@
         if let Some(mut child) = child {
             match tokio::time::timeout(END_TIMEOUT, child.wait()).await {
                 Ok(Ok(status)) if signal == Signal::TERM && !status.success() => {
-                    self.error(format!("{}, told to stop: {status}", process.name));
+                    self.error(format!("{} exited after SIGTERM with an error: {status}", process.name));
                 }
                 Ok(_) => {}
                 Err(_) => {
-                    self.error(format!("{} did not end in 10 s", process.name));
+                    self.error(format!(
+                        "{} did not exit within 10 s of the signal that should end it",
+                        process.name
+                    ));
                     let _ = child.kill().await;
                 }
             }
@@ -240,7 +247,7 @@
     /// Starts a process again.
     fn restart(&self, process: &HarnessProcess, planner: Option<usize>) {
         if let Err(e) = self.spawn(process, planner) {
-            self.error(format!("{} did not come back: {e}", process.name));
+            self.error(format!("{} could not be started again: {e}", process.name));
         }
     }
 
--- a/testbed/src/process_harness/faults.rs
+++ b/testbed/src/process_harness/faults.rs
@@ -80,7 +80,7 @@
         let options =
             ["--zone", &zone, "--at-once", &at_once, "--empty-within", "4", "--restart-within", "6"];
         if self.command("roll", &options).await.is_none() {
-            self.error(format!("the roll of {zone} was not taken"));
+            self.error(format!("the rolling restart of zone {zone} was not accepted"));
         }
     }
 
--- a/testbed/src/process_harness/report.rs
+++ b/testbed/src/process_harness/report.rs
@@ -60,12 +60,14 @@
         for (number, slot) in self.slots.iter().enumerate() {
             if let Some((at, fault)) = slot.affected.take() {
                 let without_ms = (now - at) / 1000;
-                errors.push(format!("planner-{number}: nobody has it {without_ms} ms after {fault}"));
+                errors.push(format!(
+                    "slot planner-{number}: still without a holder {without_ms} ms after the fault {fault}"
+                ));
                 slot.without_us.set(slot.without_us.get() + now - at);
             }
         }
         for machine in self.context.checker.borrow().machines_not_restarted() {
-            errors.push(format!("{machine}: not restarted by the roll"));
+            errors.push(format!("{machine}: not restarted by the rolling restart of its zone"));
         }
         for process in self.processes() {
             let child = process.child.borrow_mut().take();
