--- a/src/host.rs
+++ b/src/host.rs
@@ -73,7 +73,8 @@
 }
 
 /// A planner's current estimates for one machine, as shown to operators. Placement does not read
-/// this type; it works on the values from which the estimates are computed.
+/// this type; it works on the values from which the estimates are computed. The paper is "Solving
+/// the Batch Stochastic Bin Packing Problem in Cloud: A Chance-constrained Optimization Approach".
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MachineEstimate {
     /// Whether the machine list shows the machine as ready.
--- a/src/placement/capacity.rs
+++ b/src/placement/capacity.rs
@@ -1,6 +1,7 @@
 //! Capacity at confidence: whether a task fits on a machine, judged by the mean of the cores in use
 //! plus a safety margin. The margin decays while the task waits, because a delay costs more than a
-//! small margin.
+//! small margin. The paper whose formula is used is "Solving the Batch Stochastic Bin Packing
+//! Problem in Cloud: A Chance-constrained Optimization Approach".
 use super::estimates::MachineLoad;
 use super::ranking::Candidate;
 use super::Planner;
--- a/src/placement/queue.rs
+++ b/src/placement/queue.rs
@@ -24,8 +24,9 @@
         }
     }
 
-    /// Handles the expiry of a task's deadline: the client no longer waits for an answer. Cancels
-    /// an unanswered attempt if the settings allow cancellation.
+    /// Handles a task whose client no longer waits for it, because the deadline has passed or the
+    /// client withdrew or ended the task. Cancels an unanswered attempt if the settings allow
+    /// cancellation.
     pub fn task_expired(&mut self, task: usize) {
         let expired = &self.tasks[task];
         if expired.phase == TaskPhase::Sent && self.setting("permissions.cancelling") > 0.0 {
