--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -28,8 +28,8 @@
 pub const LATENCY_BOUNDS_US: [i64; 7] = [50_000, 100_000, 200_000, 500_000, 1_000_000, 2_000_000, 5_000_000];
 /// Number of buckets of the histogram of placement latencies.
 pub const LATENCY_BUCKETS: usize = LATENCY_BOUNDS_US.len() + 1;
-/// Minimum free cores of a machine for each class: each class counts the free cores of the machines
-/// that have at least so many.
+/// Minimum free cores of a machine, by class: a class sums the free cores of all machines that have
+/// at least this many.
 pub const FREE_CORE_CLASSES: [f64; 3] = [1.0, 4.0, 16.0];
 
 /// Properties of a request on which admission depends.
--- a/gossip/src/actions.rs
+++ b/gossip/src/actions.rs
@@ -46,7 +46,7 @@
     pub versions: Vec<Version>,
 }
 
-/// An action for the caller.
+/// An action that the caller of [`crate::Gossip`] must carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum GossipAction {
     /// Open a link to the planner that holds a slot.
@@ -61,16 +61,16 @@
         /// The link to close.
         link: u64,
     },
-    /// Send a request.
+    /// Send a request for summaries.
     Request {
-        /// The link to send it on.
+        /// The link on which to send the request.
         link: u64,
         /// The request to send.
         request: PullRequest,
     },
-    /// Send a reply.
+    /// Send a reply to a peer's request.
     Reply {
-        /// The link to send it on.
+        /// The link on which to send the reply.
         link: u64,
         /// The id of the request that this replies to.
         request_id: u64,
--- a/gossip/src/byte_budget.rs
+++ b/gossip/src/byte_budget.rs
@@ -15,7 +15,7 @@
     capacity: i64,
     left: i64,
     filled_us: i64,
-    /// The total bytes spent.
+    /// The total bytes sent since the bucket was created.
     pub sent: u64,
 }
 
--- a/gossip/src/config.rs
+++ b/gossip/src/config.rs
@@ -42,7 +42,8 @@
     /// The age above which a zone's summary no longer counts, in microseconds. The summary is as
     /// old as the oldest summary merged into it.
     pub zone_stale_after_us: i64,
-    /// The number of planners in its zone that this planner dials; other planners dial it as well.
+    /// The number of planners that this planner dials in its own zone, in addition to the planners
+    /// that dial this one.
     pub partners: usize,
     /// How many planners of a zone (the lowest slots that are alive) each dial a planner of another
     /// zone.
--- a/gossip/src/freshness.rs
+++ b/gossip/src/freshness.rs
@@ -1,9 +1,9 @@
-//! What a reader knows of a slot or a zone. An idle planner still publishes, so it is fresh, not
-//! stale.
+//! How recent a planner's information about a slot or a zone is. An idle planner still publishes,
+//! so its slot is fresh, not stale.
 use crate::payload::Metrics;
 
-/// What a reader knows of a slot. Ages are in microseconds by the reader's own clock and never
-/// below the true ages.
+/// How recent a planner's information about a slot is. Ages are in microseconds by that planner's
+/// own clock and never below the true ages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness<'a> {
     /// The voters have announced no holder of the slot.
@@ -13,7 +13,7 @@
     Stale {
         /// The holder's token.
         token: u64,
-        /// The age of its last summary, in microseconds; `None` if there is no summary.
+        /// The age of the holder's last summary, in microseconds; `None` if there is no summary.
         age_us: Option<i64>,
     },
     /// The holder is in another zone, of which only zone summaries are passed on.
@@ -27,7 +27,7 @@
     Fresh {
         /// The holder's token.
         token: u64,
-        /// The number of its summary.
+        /// The number of the holder's summary.
         number: u64,
         /// The age of the summary, in microseconds.
         age_us: i64,
@@ -61,7 +61,7 @@
 pub struct ZoneSummary<'a> {
     /// The slot that made the summary.
     pub reporter: usize,
-    /// The token under which it made the summary.
+    /// The token under which that slot made the summary.
     pub token: u64,
     /// The number of the summary.
     pub number: u64,
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -190,7 +190,8 @@
         self.summaries[subject].as_ref().map_or(0, |summary| summary.number)
     }
 
-    /// Returns what this planner knows of a slot at this moment.
+    /// Returns how recent this planner's information about a slot is, with the metrics of a fresh
+    /// summary.
     pub fn freshness(&self, now_us: i64, slot: usize) -> Freshness<'_> {
         let Some(holder) = self.slots.get(slot).filter(|holder| holder.token > 0) else {
             return Freshness::Unassigned;
--- a/gossip/src/membership.rs
+++ b/gossip/src/membership.rs
@@ -7,7 +7,7 @@
 /// The slot, token and zone of this planner, and the slots and zones of its installation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Membership {
-    /// The number of slots.
+    /// The number of planner slots of the installation.
     pub slots: usize,
     /// The slot that this planner holds.
     pub own_slot: usize,
--- a/gossip/src/payload.rs
+++ b/gossip/src/payload.rs
@@ -59,7 +59,7 @@
     fn rounded(&self, index: usize, metric: f32) -> f32;
 
     /// Returns whether a metric changed enough to be passed on again. `coarseness` is how many
-    /// times the least such change is doubled because bytes are short.
+    /// times the least such change is doubled because the byte budget is short.
     fn is_significant(&self, index: usize, before: f32, after: f32, coarseness: u32) -> bool;
 
     /// Returns whether changes of a metric are passed on before changes of other metrics.
--- a/gossip/src/stored_summary.rs
+++ b/gossip/src/stored_summary.rs
@@ -48,14 +48,14 @@
         is_due(kind).then(|| StoredSummary { number, made_at_us, metrics: Metrics(bits.into()), changed })
     }
 
-    /// Returns whether an urgent metric changed after this number.
+    /// Returns whether an urgent metric changed after the summary numbered `base`.
     pub fn is_urgent(&self, base: u64, payload: &impl Payload) -> bool {
         let mut changed = self.changed.iter().enumerate();
         changed.any(|(index, number)| *number > base && payload.is_urgent(index))
     }
 
-    /// Returns the index and bits of each metric that changed after number `base`, which must be of
-    /// the same maker and token; 0 returns the whole summary.
+    /// Returns the index and bits of each metric that changed after the summary numbered `base`,
+    /// which the same slot must have made under the same token; 0 returns the whole summary.
     pub fn since(&self, base: u64) -> Vec<(usize, u32)> {
         let last = self.metrics.len().saturating_sub(1);
         // A whole summary omits metrics that are 0, except the last one, which gives the number of
--- a/lease/src/client.rs
+++ b/lease/src/client.rs
@@ -33,7 +33,7 @@
     ReleaseVotes {
         /// The lease's name.
         lease: L,
-        /// The token under which it was requested or held.
+        /// The token under which the lease was requested or held.
         token: u64,
     },
     /// The lease is held from now on.
@@ -82,10 +82,11 @@
     expires_at_us: i64,
     /// The newest metadata that a voter reported in this round.
     newest_metadata: LeaseMetadata,
-    /// Metadata: what is still to be stored, the number sent with the open round, and the last
-    /// number that a majority stored.
+    /// The holder's metadata that no majority has stored yet.
     metadata: Option<LeaseMetadata>,
+    /// The number of the metadata sent with the open round; 0 if none was sent.
     sent_number: u64,
+    /// The number of the last metadata that a majority stored; 0 if there is none.
     recorded_number: u64,
     next_request_us: i64,
     failed_rounds: u32,
@@ -120,7 +121,8 @@
         self.actions.pop_front()
     }
 
-    /// Returns the time at which `advance` next has work, in microseconds.
+    /// Returns the time at which `advance` next has work, in microseconds; `None` if no lease is
+    /// requested or held.
     pub fn next_wakeup_us(&self) -> Option<i64> {
         let wanted = self.leases.values().filter(|state| state.is_wanted);
         let due = |state: &LeaseState| match (state.is_held, state.round_open) {
--- a/lease/src/voter.rs
+++ b/lease/src/voter.rs
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Returns whether the voter grants votes. A voter may be restored only from what it stored
-    /// while this was true.
+    /// Returns whether the voter grants votes. A voter may be restored only from votes that it
+    /// stored while it granted votes.
     pub fn is_voting(&self, now_us: i64) -> bool {
         now_us >= self.votes_from_us && self.recovery.is_none()
     }
--- a/ledger/src/attempts.rs
+++ b/ledger/src/attempts.rs
@@ -217,6 +217,7 @@
                 // The acceptance was lost with a link: the task was placed and has ended since.
                 self.accepted(id, actions);
             }
+            // The placement module's reason codes for ends: 5 evicted, 6 preempted, 7 drained.
             let (outcome, reason_code, event) = match how {
                 AttemptEnd::Done => (AttemptOutcome::Ended, 0, LifecycleEvent::Ended),
                 AttemptEnd::Stopped => (AttemptOutcome::Cancelled, 0, LifecycleEvent::Stopped),
--- a/ledger/src/types.rs
+++ b/ledger/src/types.rs
@@ -236,7 +236,7 @@
         request_id: u64,
         /// Connection of the client; 0 for none.
         client: u64,
-        /// The final answer.
+        /// The final answer to the request.
         outcome: RequestOutcome,
     },
     /// Report to the client how a placed task went on.
@@ -247,7 +247,7 @@
         request_id: u64,
         /// Connection of the client; 0 for none.
         client: u64,
-        /// The event.
+        /// What happened to the task.
         event: LifecycleEvent,
     },
     /// Count an attempt on a machine from now on: it may run there.
