--- a/invariants/src/launches.rs
+++ b/invariants/src/launches.rs
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Records a frame that a machine sent to a planner. It may not have been delivered yet.
+    /// Records a frame that a machine sent to a planner, whether or not it has been delivered yet.
     pub fn machine_sent(&mut self, at_us: i64, machine: &str, planner: &Incarnation, body: &Body) {
         match body {
             Body::Inventory(inventory) => {
--- a/invariants/src/rolling_restart.rs
+++ b/invariants/src/rolling_restart.rs
@@ -10,7 +10,7 @@
     at_once: usize,
     /// When the rolling restart began, in microseconds.
     since: i64,
-    /// The machines of the zone.
+    /// The names of all machines of the zone that is restarted.
     machines: Vec<String>,
     /// Machines that are draining now.
     drained: HashSet<String>,
--- a/planner/src/host_adapter.rs
+++ b/planner/src/host_adapter.rs
@@ -97,7 +97,7 @@
 }
 
 impl ConstraintAnswers {
-    /// Whether the module made no query about constraints.
+    /// Returns whether there is no answer, because the module made no query about constraints.
     pub fn is_empty(&self) -> bool {
         self.allows.is_empty() && self.preferences.is_empty() && self.groups.is_empty()
     }
@@ -152,7 +152,8 @@
         self.answers.take()
     }
 
-    /// Stores a constraints' answer for the recording, if there is one, and returns the answer.
+    /// Stores an answer of the constraints if the planner writes a recording, and returns the
+    /// answer.
     fn record_answer<T: Copy>(
         &self,
         answer: T,
--- a/planner/src/machine_availability.rs
+++ b/planner/src/machine_availability.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether frames can be sent over the link.
+    /// Returns whether frames can be sent over the link.
     pub fn is_up(self) -> bool {
         matches!(self, LinkState::AwaitingInventory | LinkState::Healthy | LinkState::Suspect)
     }
@@ -69,8 +69,8 @@
 }
 
 impl MachineAvailability {
-    /// Whether the list, the machine and its link allow new work, regardless of its zone and of the
-    /// subset.
+    /// Returns whether the list, the machine and its link allow new work, regardless of the
+    /// machine's zone and of the subset.
     pub fn is_responsive(&self) -> bool {
         self.listed == Some(Readiness::Ready) && !self.draining && self.link == LinkState::Healthy
     }
@@ -100,14 +100,14 @@
         newer && !first
     }
 
-    /// Whether the machine is off the list and its link is down, so that its attempts count as
-    /// lost.
+    /// Returns whether the machine is off the list and its link is down, so that its attempts count
+    /// as lost.
     pub fn is_lost(&self) -> bool {
         self.readiness() == Readiness::Gone && !self.link.is_up()
     }
 
-    /// Whether the planner should connect to the machine: it is listed. That includes draining
-    /// machines, because their tasks still run.
+    /// Returns whether the list contains the machine as ready or draining, so that the planner may
+    /// connect to it. Tasks of draining machines still run.
     pub fn is_wanted(&self) -> bool {
         !matches!(self.listed, None | Some(Readiness::Gone))
     }
--- a/planner/src/placement_constraints.rs
+++ b/planner/src/placement_constraints.rs
@@ -45,7 +45,7 @@
         PlacementConstraints { state: ConstraintState::new(constraints), task_groups: Vec::new() }
     }
 
-    /// Records that the placement module was given a task, with its index there.
+    /// Records that the placement module was given a task under this index.
     pub fn task_opened(&mut self, task: usize, attributes: &TaskAttributes) {
         if task >= self.task_groups.len() {
             self.task_groups.resize(task + 1, None);
--- a/planner/src/recording.rs
+++ b/planner/src/recording.rs
@@ -238,7 +238,7 @@
     },
     /// A line is neither an event nor a call.
     #[error(
-        "line {line}: found {error}; expected what the module was told, or a call, which begins with \"> \""
+        "line {line}: found {error}; expected an event of the module, or a call, which begins with \"> \""
     )]
     Line {
         /// The line number, from 1.
--- a/planner/src/rolling_restart.rs
+++ b/planner/src/rolling_restart.rs
@@ -213,8 +213,11 @@
                     let write = LeaseCommand::WriteMetadata { lease, token, metadata };
                     if is_too_long || self.config.lease_commands.try_send(write).is_err() {
                         let machines = progress.machines.len();
-                        let why = "cannot store the rolling restart progress; no longer coordinating";
-                        tracing::error!(machines, is_too_long, why);
+                        tracing::error!(
+                            machines,
+                            is_too_long,
+                            "cannot store the rolling restart progress; no longer coordinating"
+                        );
                         self.coordination = None;
                         return None;
                     }
--- a/planner/src/state.rs
+++ b/planner/src/state.rs
@@ -86,7 +86,7 @@
     Dial {
         /// The machine's index, or `REGISTRY`.
         peer: usize,
-        /// The number of the new link, by which its events are told from those of earlier links.
+        /// The number of the new link, which distinguishes its events from those of earlier links.
         link: u64,
         /// The peer's name.
         name: Rc<str>,
@@ -485,7 +485,7 @@
         &self.tenancy
     }
 
-    /// Whether the planner is subscribed to changes of the machine list.
+    /// Returns whether the planner is subscribed to changes of the machine list.
     pub(crate) fn is_watching(&self) -> bool {
         self.watching
     }
--- a/planner/src/state/machines.rs
+++ b/planner/src/state/machines.rs
@@ -5,7 +5,7 @@
 const NOTE_RUNNING: i64 = 1;
 
 impl PlannerState {
-    /// Whether this is the number of a machine's newest link.
+    /// Returns whether `link` is the number of the machine's newest link.
     fn is_current(&self, machine: usize, link: u64) -> bool {
         self.machine(machine).is_some_and(|record| record.link == link)
     }
--- a/planner/src/state/subset.rs
+++ b/planner/src/state/subset.rs
@@ -275,8 +275,8 @@
         }
     }
 
-    /// Whether constraints allow a task on a machine now. Unlike `Host::allows`, the query is not
-    /// recorded.
+    /// Returns whether constraints allow a task on a machine now. Unlike `Host::allows`, the query
+    /// is not recorded.
     fn constraints_allow(&self, task: usize, machine: usize) -> bool {
         let constraints = self.placement.host.constraints.as_ref();
         let group = constraints.and_then(|constraints| Some((constraints, constraints.group(task)?)));
--- a/planner/src/tenant_access.rs
+++ b/planner/src/tenant_access.rs
@@ -436,8 +436,8 @@
         }
     }
 
-    /// Whether a login may see the tasks of the tenant with this index, or, with `None`, tasks
-    /// without a tenant.
+    /// Returns whether a login may see the tasks of the tenant with this index, or, with `None`,
+    /// tasks without a tenant.
     pub fn can_see(&self, now: i64, login: &str, tenant: Option<usize>) -> bool {
         match self {
             TenantAccess::Listed(_) => true,
--- a/planner/tests/recordings.rs
+++ b/planner/tests/recordings.rs
@@ -100,7 +100,7 @@
         ("", "found the end of the file; expected # basaltpitch recording 1"),
         ("hello\n", "line 1: found \"hello\"; expected \"# basaltpitch recording 1\""),
         ("# basaltpitch recording 1\n{}\n", "line 2: found missing field `seed`"),
-        (&broken, "expected what the module was told, or a call"),
+        (&broken, "expected an event of the module, or a call"),
     ];
     for (text, want) in wrong {
         let said = replay(text.as_bytes()).unwrap_err().to_string();
