--- a/invariants/src/placement.rs
+++ b/invariants/src/placement.rs
@@ -121,12 +121,8 @@
                 let named = listed(kinds, &location.kind)
                     && listed(zones, &location.zone)
                     && (labels.is_empty() || labels.iter().any(|label| location.labels.contains(label)));
-                (named != *inside).then(|| {
-                    format!(
-                        "the machine, of kind {} in zone {}, is not among those allowed",
-                        location.kind, location.zone
-                    )
-                })
+                (named != *inside)
+                    .then(|| format!("kind {} in zone {} is not allowed", location.kind, location.zone))
             }
             PlacementRequirement::Together { with, within } if bound && !with.matches(launch) => {
                 let beside = placed.iter().any(|other| with.matches(other.task) && near(other, within));
--- a/invariants/src/warm_up.rs
+++ b/invariants/src/warm_up.rs
@@ -24,8 +24,7 @@
     /// Reports that a machine failed under the load that it got while warming up.
     pub fn machine_overloaded(&mut self, at_us: i64, machine: &str) {
         let planner = (String::from("all planners"), 0);
-        let text = "the machine failed under the load that it got while warming up";
-        self.report(4, at_us, &planner, machine, text.into());
+        self.report(4, at_us, &planner, machine, "failed under the load that it got while warming up".into());
     }
 
     /// Counts a launch on a machine that is warming up, and reports more than the limit in a
