--- a/planner/src/lease_client/actor.rs
+++ b/planner/src/lease_client/actor.rs
@@ -37,9 +37,15 @@
     /// Whether the process may acquire a slot; false after the loss of a slot, until its planner
     /// has stopped.
     pub seeks_slot: bool,
+    /// The leases that the process acquires beside a slot.
     pub leases: Vec<Rc<str>>,
+    /// The leases whose metadata is reported, as a majority of voters stores it, while the process
+    /// holds one of `leases`.
     pub followed: Vec<Rc<str>>,
+    /// The prefix of all slots' names; `None` if the holders of other slots are not reported.
     pub slot_prefix: Option<Rc<str>>,
+    /// The leases whose metadata is reported, as one voter stores it, while the process holds a
+    /// slot.
     pub announced: Vec<Rc<str>>,
     /// Number of polls since the slot was acquired, by which the voter to request records from is
     /// chosen.
--- a/planner/src/lease_client/records.rs
+++ b/planner/src/lease_client/records.rs
@@ -40,9 +40,9 @@
             }
         }
         let Some(prefix) = self.slot_prefix.as_ref().filter(|_| self.slot.is_some()) else { return };
-        // Every voter of a holder's majority knows that it renewed, so one voter is asked at a
-        // time, and another each time because a voter may be cut off or behind. After the slot was
-        // acquired, the first poll asks all voters.
+        // Each voter of the majority that granted a renewal stores it, so every second poll asks
+        // only one voter, in rotation because a voter may be cut off or behind. The first poll
+        // after the slot was acquired asks all voters.
         self.polls += 1;
         if self.polls == 1 || self.polls.is_multiple_of(2) {
             let linked: Vec<usize> =
--- a/planner/src/peer_links.rs
+++ b/planner/src/peer_links.rs
@@ -314,8 +314,8 @@
         let peer = LinkedPeer { slot, token: peer.epoch, outbound: dialed.is_some() };
         let linked = self.gossip.link_up(now_us, link, peer);
         if let (Err(_), Some(slot)) = (&linked, dialed) {
-            // An immediate redial would be rejected in the same way, so gossip waits before the
-            // next.
+            // An immediate redial would be rejected in the same way, so gossip waits before it
+            // dials the slot again.
             self.gossip.dial_failed(now_us, slot);
         }
         linked
--- a/planner/src/peer_links/status.rs
+++ b/planner/src/peer_links/status.rs
@@ -23,8 +23,8 @@
     /// Bytes of all gossip requests and replies sent so far.
     #[serde(rename = "bytes_told")]
     bytes_sent: u64,
-    /// How many times the least change that is passed on is doubled, because the byte budget is
-    /// short.
+    /// Number of doublings of the least change of a metric that is passed on. It rises when
+    /// the byte budget is short or summaries arrive late.
     #[serde(rename = "coarser")]
     coarseness: u32,
 }
--- a/planner/src/service/connections.rs
+++ b/planner/src/service/connections.rs
@@ -8,8 +8,8 @@
 
 /// Limit on the commands that wait for one link.
 const COMMAND_CAPACITY: usize = 4096;
-/// Limit on the commands that wait for one link to another planner, which has few requests in
-/// flight at a time.
+/// Limit on the commands that wait for one link to another planner; such a link has few gossip
+/// requests in flight at a time.
 const PLANNER_COMMAND_CAPACITY: usize = 16;
 
 impl PlannerService {
@@ -31,7 +31,7 @@
 
     /// Connects to a machine or the registry.
     pub(super) fn dial(&mut self, peer: usize, link: u64, name: &str, address: &str) {
-        tracing::debug!(peer = name, address, link, "dial");
+        tracing::debug!(peer = name, address, link, "connecting to a machine or the registry");
         let (commands, inbox) = mpsc::channel(COMMAND_CAPACITY);
         self.peer_links.insert(peer, PeerLink { link, commands });
         self.connect(LinkOrigin::Peer { peer, link }, link, address, inbox, self.peer_events.clone());
--- a/planner/src/service/lease_events.rs
+++ b/planner/src/service/lease_events.rs
@@ -1,14 +1,14 @@
 //! Handles events of the leases that a planner acquires beside its slot, and the voters' records of
-//! slots and of the zones' lease.
+//! slots and of the failover coordinator's lease.
 use super::PlannerService;
 use crate::lease_client::{LeaseEvent, LeaseRecord};
 use crate::zone_monitor;
 use std::rc::Rc;
 
 impl PlannerService {
-    /// Dispatches an event of a lease: those of the zones' lease and of slots to the links to other
-    /// planners, the list of held slots to the planner's state, all others to the rolling-restart
-    /// coordinator.
+    /// Dispatches an event of a lease: events of the failover coordinator's lease and the voters'
+    /// records to the links to other planners, the list of held slots to the planner's state, and
+    /// all other events to the rolling-restart coordinator.
     pub(super) fn lease_event(&mut self, event: LeaseEvent) {
         let now_us = self.clock.now();
         let is_zone_lease = match &event {
--- a/planner/src/service/link_events.rs
+++ b/planner/src/service/link_events.rs
@@ -72,7 +72,7 @@
                     restarts.on_machine_list(now_us, list);
                 }
                 if let Err(e) = self.state.registry_frame(now_us, body) {
-                    tracing::error!(error = %e, "registry");
+                    tracing::error!(error = %e, "invalid frame from the registry; keeping the last machine list");
                 }
             }
             LinkEvent::Session(_) => {}
@@ -116,7 +116,7 @@
                 }
             }
             LinkEvent::Session(SessionEvent::Health(state)) => {
-                tracing::info!(machine = self.state.machine_name(machine), state = ?state, "link");
+                tracing::info!(machine = self.state.machine_name(machine), state = ?state, "the health of the link to the machine changed");
                 let suspect = state != LinkHealth::Healthy;
                 self.state.machine_suspect(now_us, machine, link, suspect);
             }
--- a/planner/src/service/mod.rs
+++ b/planner/src/service/mod.rs
@@ -106,9 +106,11 @@
     /// Command channels of the connections of clients, operators and other planners, by connection
     /// number.
     connections: HashMap<u64, mpsc::Sender<LinkCommand>>,
-    /// Receives the events of machines and the registry, none of which may be dropped.
+    /// Sender of the channel for events of machines and the registry. None of them may be lost; a
+    /// link waits while the channel is full.
     peer_events: mpsc::Sender<LinkMessage>,
-    /// Receives the events of connections and of links to other planners, which may be dropped.
+    /// Sender of the channel for events of connections and of links to other planners. These may be
+    /// lost, because the peer can connect again and repeat its request.
     connection_events: mpsc::Sender<LinkMessage>,
     directory_syncs: Option<DirectorySyncs>,
     snapshot_writer: Option<SyncSender<TenantSnapshot>>,
--- a/planner/src/state/actions.rs
+++ b/planner/src/state/actions.rs
@@ -146,7 +146,12 @@
             kind: idempotency_text(record.idempotency).to_owned(),
         });
         let machine_name = &**self.machine_ids.ids.id(machine);
-        tracing::debug!(task = &**key, launch = attempt.number, machine = machine_name, "launch");
+        tracing::debug!(
+            task = &**key,
+            launch = attempt.number,
+            machine = machine_name,
+            "launching an attempt on the machine"
+        );
         self.outputs.push_back(Output::Machine { machine, body, mark: Some(attempt.number) });
         self.placement.host.timers.set(now + timeout_us, TimerKind::AttemptTimeout(attempt));
     }
@@ -187,7 +192,7 @@
             kind = answer.kind,
             machine = answer.machine,
             reason = answer.reason,
-            "answer"
+            "answering the request"
         );
         if client != 0 {
             self.outputs.push_back(Output::Client { conn: client, body: Body::Answer(answer) });
