--- a/agent/src/attempt_table.rs
+++ b/agent/src/attempt_table.rs
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Returns what is sent first on a new link of the planner: the unacknowledged outcomes, then
-    /// every attempt that has not ended.
+    /// Returns the inventory to send first on a new link of the planner: the unacknowledged
+    /// outcomes, then every attempt that has not ended.
     pub fn inventory(&self, planner: &P) -> Inventory<D> {
         let (mut endings, mut active) = (Vec::new(), Vec::new());
         for (&id, (state, payload)) in self.planners.get(planner).iter().flat_map(|held| &held.attempts) {
--- a/agent/src/link_health.rs
+++ b/agent/src/link_health.rs
@@ -105,8 +105,8 @@
         self.state
     }
 
-    /// Returns the next time at which `update_state` can return another state, if no frame is received
-    /// before.
+    /// Returns the next time at which `update_state` can return another state, if no frame is
+    /// received before.
     pub fn next_change_at(&self) -> i64 {
         match self.state {
             LinkHealth::Healthy => self.last_frame_us + self.suspect_after_us(),
