--- a/constraints/src/conflict.rs
+++ b/constraints/src/conflict.rs
@@ -1,8 +1,8 @@
 //! Finds out whether any machine of the known fleet could ever run a task and, if none could, which
 //! constraints conflict: a minimal set, of which none can be left out. Running tasks are ignored,
 //! as they end: a task that is kept out by other tasks, by full machines or by draining machines
-//! waits. The search is bounded by a number of steps, and its result says if that number was
-//! exhausted.
+//! waits. The search is bounded by a number of steps. Once they are exhausted, it reports no
+//! conflict, or a set that may contain constraints that could be left out.
 use crate::{Constraint, MachineAttributes, Rule, Scope, TaskAttributes, TopologyLevel};
 use std::collections::BTreeSet;
 
@@ -196,8 +196,8 @@
         return None;
     }
     // Removes each constraint that the conflict does not need. Removing constraints never makes
-    // fewer machines possible, so one that is necessary now stays necessary, and a single pass is
-    // enough.
+    // fewer machines possible, so a constraint that is necessary now stays necessary, and a single
+    // pass is enough.
     for c in set.clone() {
         set.remove(&c);
         match search.possible(&set, task) {
--- a/constraints/src/parse.rs
+++ b/constraints/src/parse.rs
@@ -294,7 +294,7 @@
                 if path[begin..].iter().min() == Some(&i) && begin == 0 {
                     let names: Vec<&str> = path.iter().map(|&d| dependencies[d].0.name.as_str()).collect();
                     let message = format!(
-                        "{}: found a cycle of affinities ({}); expected one whose tasks may be placed first",
+                        "{}: found a cycle of affinities ({}); expected at least one of them to allow its tasks to be placed first",
                         first.name,
                         names.join(", ")
                     );
--- a/constraints/src/state/machines.rs
+++ b/constraints/src/state/machines.rs
@@ -16,9 +16,8 @@
         }
         let before = known.as_ref().map(|known| known.domains);
         let groups = known.as_ref().map(|known| known.groups.clone()).unwrap_or_default();
-        // A machine that becomes reachable or unreachable changes the counts of its attempts, as
-        // one that moves to other domains does: they are subtracted in the old domains and added in
-        // the new.
+        // If the machine becomes reachable or unreachable, or moves to other domains, its attempts
+        // are subtracted from the counts of the old domains and added to those of the new.
         let reachability_changed = known.as_ref().is_some_and(|known| known.state == MachineState::Far)
             != (state == MachineState::Far);
         let zone = self.domain(TopologyLevel::Zone, (attributes.zone.clone(), 0));
--- a/constraints/src/state/mod.rs
+++ b/constraints/src/state/mod.rs
@@ -21,7 +21,8 @@
 
 /// Number of unused groups that are kept, as tasks of a service often return.
 const MAX_IDLE_GROUPS: usize = 256;
-/// Number of task attributes in the cache of groups; the cache is cleared when it is full.
+/// Maximum number of entries in the cache of groups, one per distinct set of task attributes; the
+/// cache is cleared when it is full.
 const MAX_CACHED_TASKS: usize = 100_000;
 
 /// Whether a machine accepts tasks, and whether the attempts counted on it satisfy affinity.
@@ -60,8 +61,10 @@
 #[derive(Clone, Debug)]
 struct DomainCounts {
     scope: Scope,
+    /// The service whose tasks are counted; `None` counts the tasks of all services.
     service: Option<u64>,
     level: TopologyLevel,
+    /// By domain: the attempts on all machines, whatever the health of their links.
     by_domain: Vec<u32>,
     /// By domain: the attempts on machines whose link is healthy.
     reachable: Vec<u32>,
@@ -74,19 +77,16 @@
 /// A rule with its scopes resolved to indices of `DomainCounts`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum BoundRule {
-    Selector {
-        selector: MachineSelector,
-        inside: bool,
-    },
-    /// `may_be_first`: the group's tasks are in the affinity's scope themselves, so that one may be
-    /// placed while none of them runs.
-    With {
-        counts: usize,
-        may_be_first: bool,
-    },
-    Apart {
-        counts: usize,
-    },
+    /// Allows the selected machines if `inside` is set, otherwise the machines not selected.
+    Selector { selector: MachineSelector, inside: bool },
+    /// Allows the domains that run a counted task on a machine whose link is healthy.
+    /// `may_be_first`: the group's tasks are in the affinity's scope themselves, so that a first
+    /// task may be placed while no counted task runs.
+    With { counts: usize, may_be_first: bool },
+    /// Allows the domains that run no counted task.
+    Apart { counts: usize },
+    /// Limits the counted tasks of a domain to `max`, and to `skew` more than the eligible domain
+    /// with the fewest tasks runs.
     Spread {
         counts: usize,
         max: Option<u32>,
@@ -150,10 +150,13 @@
     groups: Vec<TaskGroup>,
     group_of: FnvHashMap<GroupKey, usize>,
     free_groups: Vec<usize>,
+    /// Unused groups, the group that has been unused for longest first.
     idle: VecDeque<usize>,
+    /// Cache of the group of each task.
     group_of_task: FnvHashMap<TaskAttributes, usize>,
     /// Whether some constraint refers to task keys. If none does, the cache of groups ignores keys.
     by_key: bool,
+    /// By attempt: its group and its machine.
     attempts: FnvHashMap<AttemptKey, (usize, usize)>,
 }
 
--- a/constraints/src/state/queries.rs
+++ b/constraints/src/state/queries.rs
@@ -16,8 +16,9 @@
         })
     }
 
-    /// Scores how well a machine meets a group's preferences; higher is better. A preference that
-    /// ranks higher outweighs all below it. Only the 64 highest ones count: one bit each.
+    /// Scores how well a machine meets a group's preferences; higher is better. A preference
+    /// outweighs all preferences of lower rank together. Only the 64 preferences of highest rank
+    /// count, with one bit of the score each.
     pub fn preference_score(&self, group: usize, machine: usize) -> u64 {
         let soft = &self.groups[group].soft;
         soft.iter()
--- a/constraints/tests/reading.rs
+++ b/constraints/tests/reading.rs
@@ -158,7 +158,7 @@
 ]
 "#,
         expect![[r#"
-            clauses.rec:2:2: a: found a cycle of affinities (a, b); expected one whose tasks may be placed first
+            clauses.rec:2:2: a: found a cycle of affinities (a, b); expected at least one of them to allow its tasks to be placed first
               clauses.rec:3:2: b
         "#]],
     );
