--- a/tenants/src/sync_schedule.rs
+++ b/tenants/src/sync_schedule.rs
@@ -19,7 +19,7 @@
     pub initial_backoff_us: i64,
     /// Maximum backoff, in microseconds.
     pub max_backoff_us: i64,
-    /// How many times as long as another working server a server must take to be replaced by it.
+    /// Factor by which a server must be slower than another working server to be replaced by it.
     pub max_slowdown: i64,
 }
 
--- a/tenants/src/tenant_directory.rs
+++ b/tenants/src/tenant_directory.rs
@@ -143,7 +143,8 @@
         self.scheduler.first_page_received();
     }
 
-    /// Returns the cookie for the running synchronization; `None` if it must be a full one.
+    /// Returns the cookie for the running synchronization; `None` if it must be a full one or its
+    /// server sent no cookie.
     pub fn cookie(&self) -> Option<Vec<u8>> {
         self.running.filter(|_| !self.needs_full_sync()).and_then(|s| self.servers[s].1.clone())
     }
