--- a/ldap/src/entry.rs
+++ b/ldap/src/entry.rs
@@ -231,8 +231,9 @@
 
 /// Converts an entry as received from the server.
 ///
-/// # Errors Names the first attribute that is too large, missing, binary instead of text, or has
-/// several values where one is expected.
+/// # Errors
+/// Names the first attribute that is too large, missing, binary instead of text, or has several
+/// values where one is expected.
 pub fn read_entry(names: &AttributeNames, raw: RawEntry) -> Result<Entry, InvalidEntry> {
     let reader = EntryReader::new(&raw)?;
     let EntryStamp { id, stamp, .. } = reader.stamp(names)?;
--- a/ldap/src/lib.rs
+++ b/ldap/src/lib.rs
@@ -58,8 +58,9 @@
     pub timeout: Duration,
 }
 
-/// Entries received from a server by the last sync, by id: a hash of distinguished name and
-/// modification time. Empty: none.
+/// Entries received from a server by the last sync: by entry id, a hash of the distinguished name
+/// and the modification time. Empty if no
+/// earlier sync is known.
 pub type SeenEntries = HashMap<u128, u64>;
 
 /// State left by an earlier sync of the same server. If it is empty, everything is read.
@@ -174,7 +175,8 @@
 /// was received.
 ///
 /// # Errors
-/// If nothing was received.
+/// If a file cannot be read, the connection or the bind fails, or the search fails before an entry
+/// was received.
 pub async fn sync(
     source: &LdapSource,
     server: usize,
