--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -26,8 +26,9 @@
     /// Handles one input line. Returns true if the line completes a batch, so that the reply is
     /// ready.
     ///
-    /// # Errors When the line is not valid JSON, has no `type`, or contains a message that cannot
-    /// be handled.
+    /// # Errors
+    /// When the line is not valid JSON, has no `type`, or contains a message that cannot be
+    /// handled.
     pub fn read(&mut self, line: &str) -> Result<bool, LineError> {
         let message: Value = serde_json::from_str(line)?;
         let fields = Fields(&message);
