--- a/cli/src/ask.rs
+++ b/cli/src/ask.rs
@@ -77,8 +77,8 @@
 /// Connects to a planner or voter, sends one frame and returns the first frame received in reply.
 ///
 /// # Errors
-/// Connecting failed, the connection closed or nothing arrived `within` the timeout (`Failed`), or
-/// the link was ended with a reason (`InvalidInput`).
+/// Connecting failed, the connection closed or no frame arrived within `timeout` (`Failed`), or the
+/// link ended with a reason (`InvalidInput`).
 pub fn send_request(
     connection: &PlannerConnection,
     role: Role,
--- a/cli/src/council.rs
+++ b/cli/src/council.rs
@@ -24,8 +24,8 @@
     /// Name of this voter in the installation
     #[arg(long)]
     name: String,
-    /// Folder for the voter's votes. Without it every start waits for one lease duration and for
-    /// the votes of the other voters
+    /// Folder that the voter stores its votes in. Without a folder, every start waits for one lease
+    /// duration and for the records of the other voters
     #[arg(long)]
     state: Option<PathBuf>,
 }
@@ -36,7 +36,8 @@
     /// The installation's files
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Show who held each lease since when, the latest holder last, as the voters remember it
+    /// Show past and present holders of each lease, the latest last, with the time at which each
+    /// acquired it, as recorded by the voters
     #[arg(long, conflicts_with = "hand_on")]
     history: bool,
     /// Transfer this lease, such as a planner's slot, from its holder to another process
@@ -47,8 +48,8 @@
     to: Option<String>,
 }
 
-/// Returns the lease durations and the voters' addresses, `None` where the installation has no
-/// voters.
+/// Returns the lease duration and clock drift, and the voters' names and addresses; `None` where
+/// the installation has no voters.
 pub fn quorum_settings(installation: &Installation) -> Option<(LeaseConfig, Vec<VoterEndpoint>)> {
     let quorum = installation.all.get("council")?;
     let duration_us = |field: &str| quorum.duration_us(field).unwrap_or(0);
@@ -70,8 +71,8 @@
     (0..planners).map(|n| format!("{SLOT_PREFIX}{n}").into()).collect()
 }
 
-/// Returns the lease durations and the voters' addresses; an installation without voters is invalid
-/// input.
+/// Returns the lease duration and clock drift, and the voters' names and addresses; an installation
+/// without voters is invalid input.
 pub fn required_quorum_settings(
     installation: &Installation,
 ) -> Result<(LeaseConfig, Vec<VoterEndpoint>), Failure> {
@@ -293,6 +294,7 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     Err(Failure::Failed(format!(
-        "--hand-on {lease}: no new holder after waiting for three lease durations; it was held by {from}"
+        "--hand-on {lease}: no new holder within three times the lease duration plus clock drift; the last \
+         known holder is {from}"
     )))
 }
--- a/cli/src/measure.rs
+++ b/cli/src/measure.rs
@@ -30,7 +30,7 @@
     /// Number of simulated machines
     #[arg(long, default_value_t = 100)]
     machines: usize,
-    /// Duration of each load, in seconds
+    /// Duration of each load, in seconds; at most 3 for the load that is recorded and replayed
     #[arg(long, default_value_t = 5)]
     seconds: u64,
     /// Number of client connections that tasks are submitted on
@@ -48,7 +48,7 @@
     rounds: usize,
 }
 
-/// What a load cost the planner.
+/// The tasks that a planner placed under a load, and its CPU time meanwhile.
 #[derive(Clone, Copy, Debug, Default)]
 struct Load {
     /// Tasks placed.
@@ -469,7 +469,9 @@
         (load, results)
     }
 
-    /// Measures the maximum rate, the latency at half of it, and the comparisons.
+    /// Measures the maximum rate and the latency at half of it. With `people`, then compares
+    /// planners with and without a tenant directory; otherwise measures memory and compares the CPU
+    /// time per task with a replay. Prints the report.
     fn measure(&self, folder: &std::path::Path, json: bool) -> Result<(), Failure> {
         let zero = Instant::now();
         let file = folder.join("site.rec");
--- a/cli/src/measure_council.rs
+++ b/cli/src/measure_council.rs
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    /// Measures CPU time, memory and bytes a second with one number of planners.
+    /// Measures CPU use, memory and bytes per second in a run with `planner_count` planners.
     async fn measure(&self, folder: &Path, planner_count: usize) -> io::Result<Value> {
         let mut voter_addresses = free_addresses(3 + planner_count)?;
         let planner_addresses = voter_addresses.split_off(3);
--- a/cli/src/measure_scale.rs
+++ b/cli/src/measure_scale.rs
@@ -37,7 +37,7 @@
     Zone,
     /// All machines restart, a few at a time
     Roll,
-    /// One real planner in four, ten at most, is killed; as many spares run
+    /// One real planner in four, at least one and at most ten, is killed; as many spares run
     Kill,
 }
 
--- a/cli/src/measure_scale/believe.rs
+++ b/cli/src/measure_scale/believe.rs
@@ -35,8 +35,8 @@
 /// How long to wait until all machines are linked.
 const LINK_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Returns a row of the report: the figure of both kinds of process, and whether they differ by the
-/// bound at most.
+/// Returns a row of the report: the figures of a real and of a simulated process, and whether their
+/// relative difference is within the bound.
 fn row(what: &str, real: f64, simulated: f64, bound: f64) -> Value {
     let difference = if real == simulated { 0.0 } else { (simulated - real).abs() / real.abs().max(1e-9) };
     let rounded = |value: f64| (value * 100.0).round() / 100.0;
--- a/cli/src/measure_scale/run.rs
+++ b/cli/src/measure_scale/run.rs
@@ -70,7 +70,8 @@
     file: String,
     /// Seconds until killed planners' slots were held again; `None` without the fault `kill`.
     reacquired_after_s: Option<f64>,
-    /// Number of slots that changed their holder without a fault that kills planners.
+    /// Number of times that a slot changed its holder, without the takeovers that the fault `kill`
+    /// caused and waited for.
     moved_slots: usize,
 }
 
--- a/cli/src/measure_scale/run/start.rs
+++ b/cli/src/measure_scale/run/start.rs
@@ -48,7 +48,7 @@
     let mut machines = Vec::new();
     for first in (0..measure.machines).step_by(measure.machines_per_process()) {
         let count = measure.machines_per_process().min(measure.machines - first);
-        // Machines simulate the tasks that simulated planners would place, because these take
+        // Machines simulate the tasks that simulated planners would place, because these tasks take
         // capacity and change the machine list.
         let share = count as f64 / measure.machines as f64;
         let absent = (measure.rate - measure.real_rate()).max(0.0) * share;
--- a/cli/src/processes.rs
+++ b/cli/src/processes.rs
@@ -108,11 +108,12 @@
     Ok(Usage { cpu_s: (ticks(11) + ticks(12)) / 100.0, mib: pages * 4.0 / 1024.0, descriptors })
 }
 
-/// Reads from /proc the CPU time that the whole machine has used since boot, in seconds.
+/// Reads from /proc the CPU time that all processes of this host have used since boot, in seconds.
 pub fn machine_cpu_s() -> io::Result<f64> {
     let stat = std::fs::read_to_string("/proc/stat")?;
     let ticks: Vec<f64> = stat.lines().next().unwrap_or("").split_whitespace().flat_map(str::parse).collect();
-    // The first eight columns are all states; columns 4 and 5 are idle and waiting for I/O.
+    // The first eight columns cover all CPU states. Columns 4 and 5, idle and waiting for I/O, are
+    // not used CPU time.
     let idle = ticks.iter().skip(3).take(2).sum::<f64>();
     Ok((ticks.iter().take(8).sum::<f64>() - idle) / 100.0)
 }
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -135,8 +135,8 @@
         let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let started = since_epoch.map_or(1, |d| d.as_micros() as u64);
         if self.seat.is_some() {
-            // Fails at start rather than at the acquisition of a slot, when a spare is needed to
-            // take over.
+            // Faulty settings must fail the start of a spare, not its takeover of a slot, when the
+            // spare is needed.
             crate::named_constraints(&installation)?;
             crate::directory_settings(&installation)?;
             let bound = std::net::TcpListener::bind(&self.listen);
--- a/cli/src/tenants.rs
+++ b/cli/src/tenants.rs
@@ -25,7 +25,7 @@
         /// Name or id of the tenant
         tenant: String,
     },
-    /// List the people of a tenant, with the groups they belong to it through
+    /// List the people of a tenant, with the groups that make each a member
     Members {
         /// Name or id of the tenant
         tenant: String,
--- a/cli/tests/node_cold.rs
+++ b/cli/tests/node_cold.rs
@@ -38,7 +38,8 @@
 
 /// 20 planners send attempts to a machine that has just started, and a third of the planners are
 /// restarted meanwhile. No window exceeds the limit by more than random variation (two standard
-/// deviations and 2), and the machine does receive at least one window's worth.
+/// deviations plus 2 attempts), and the machine receives at least as many attempts in total as the
+/// limit of one window.
 #[test]
 fn twenty_planners_respect_one_machines_slow_start_limit() {
     let (machine, address): (TcpListener, String) = listener();
--- a/cli/tests/node_connections.rs
+++ b/cli/tests/node_connections.rs
@@ -25,8 +25,8 @@
     assert_eq!(client.next_of_kind("ready").unwrap()["sid"], id(2));
 }
 
-/// When descriptors run out, the planner closes idle connections. Guards against closing one whose
-/// next request waits unread in the kernel.
+/// When descriptors run out, the planner closes idle connections. Guards against closing a
+/// connection whose next request waits unread in the kernel.
 #[test]
 fn serves_a_request_that_races_with_closing_an_idle_connection() {
     let (machine, machine_address) = listener();
--- a/cli/tests/node_exit.rs
+++ b/cli/tests/node_exit.rs
@@ -96,8 +96,8 @@
     assert!(node.exits_successfully());
 }
 
-/// Guards against lost answers: those that a slow client had not read 250 ms after the period for
-/// new requests were dropped when the process exited.
+/// Guards against lost answers: the answers that a slow client had not read 250 ms after the period
+/// for new requests were dropped when the process exited.
 #[test]
 fn slow_client_receives_all_answers_before_exit() {
     const REQUESTS: u64 = 300;
@@ -234,7 +234,7 @@
 
 /// A client keeps sending requests after SIGTERM; each must be refused until the earliest kill.
 /// Guards against an exit 3.5 s after the signal, when no request was open for a moment: the next
-/// one got no answer.
+/// request got no answer.
 #[test]
 fn refuses_requests_of_an_active_client_until_the_kill() {
     let (_machine, machine_address) = listener();
