--- a/testbed/src/client.rs
+++ b/testbed/src/client.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Time past its limit after which a client gives a request up, in microseconds.
+/// Time from the end of a request's limit until the client gives up the request, in microseconds.
 const ANSWER_GRACE_US: i64 = 2_000_000;
 /// Time from one attempt to connect to the next, in microseconds.
 const CONNECT_EVERY_US: i64 = 100_000;
@@ -35,7 +35,7 @@
     pub submit: Submit,
     /// The tenant's name as the scenario's file has it. A scenario may rename the tenant meanwhile.
     pub tenant: String,
-    /// Time in which the request must be answered, in microseconds.
+    /// Time within which the request must be answered, in microseconds.
     pub limit_us: i64,
     /// Whether the task may run twice.
     pub repeatable: bool,
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Connects if there is no connection, gives overdue requests up, and submits the tasks whose
+    /// Connects if there is no connection, gives up overdue requests, and submits the tasks whose
     /// wait is over.
     async fn tick(&mut self, events: &mpsc::Sender<(u64, LinkEvent)>) {
         let now = self.now();
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Gives a request up and tells the planner so.
+    /// Gives up a request, and sends its withdrawal to the planner if there is a connection.
     fn withdraw(&mut self, key: &str) {
         let Some(task) = self.tasks.get(key) else { return };
         let body = wire::Withdraw { key: key.to_owned(), ask: task.plan.submit.ask };
@@ -273,7 +273,8 @@
         let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&address)).await else {
             self.failures += 1;
             if self.failures >= self.setup.context.behaviour.client_connect_attempts {
-                // The planner does not accept connections, so the next attempt goes to another one.
+                // The planner does not accept connections, so the next attempt goes to the next
+                // planner.
                 (self.planner, self.failures) = ((self.planner + 1) % self.setup.addresses.borrow().len(), 0);
             }
             return;
--- a/testbed/src/directory_scenario.rs
+++ b/testbed/src/directory_scenario.rs
@@ -42,7 +42,8 @@
     people: RefCell<Vec<String>>,
     /// Changes to tenants so far.
     changes: Cell<u32>,
-    /// What clients call a tenant now, by its name in the scenario's file, where the two differ.
+    /// The name or id under which clients submit tasks for a tenant now, by the tenant's name in
+    /// the scenario's file; only tenants for which the two differ.
     current_names: RefCell<HashMap<String, String>>,
     /// Age up to which a planner's knowledge of the directory counts as fresh, in microseconds.
     fresh_us: i64,
@@ -185,7 +186,8 @@
         change(&mut self.tenants.borrow_mut(), self.changes.get());
     }
 
-    /// Returns what clients call a tenant now, given its name in the scenario's file.
+    /// Returns the name or id under which clients submit tasks for a tenant now, given the tenant's
+    /// name in the scenario's file.
     pub fn current_name(&self, name: &str) -> String {
         self.current_names.borrow().get(name).cloned().unwrap_or_else(|| name.to_owned())
     }
--- a/testbed/src/drill.rs
+++ b/testbed/src/drill.rs
@@ -97,7 +97,8 @@
 }
 
 impl Drill {
-    /// Starts all peers, and waits until every planner has a link to every machine.
+    /// Starts all peers, and waits up to 10 seconds until every planner has a link to every
+    /// machine.
     async fn start(
         config: DrillConfig,
         scenario: ResolvedValue,
@@ -208,7 +209,8 @@
         }
     }
 
-    /// Stops all planner processes. Returns the report on slots if the scenario has slots.
+    /// Stops all planner processes, and the voters if the scenario has slots; then returns the
+    /// report on slots.
     async fn stop(&self) -> io::Result<Option<SlotReport>> {
         match &self.planners {
             PlannerBackend::Fixed(processes) => processes.stop().await.map(|()| None),
--- a/testbed/src/drill/arrivals.rs
+++ b/testbed/src/drill/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals of tasks. Arrival times do not depend on what became of earlier tasks (an open load).
+//! Arrivals of tasks. Arrival times do not depend on the answers to earlier tasks (an open load).
 use crate::client::SubmitPlan;
 use crate::fault_scenario::LoadModifiers;
 use basaltpitch_agent::wire::Submit;
--- a/testbed/src/process_harness.rs
+++ b/testbed/src/process_harness.rs
@@ -26,11 +26,11 @@
 pub use self::report::{SlotReport, TakeoverTimes};
 pub use self::setup::{free_addresses, HarnessSetup};
 
-/// Time in which a process must exit after its signal.
+/// Time within which a process must exit after its signal.
 const END_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval at which the harness checks that all slots have planners after the start.
 const START_CHECK_EVERY: Duration = Duration::from_millis(50);
-/// Number of these checks before the start fails.
+/// Number of checks after which the start fails.
 const START_CHECKS: u32 = 600;
 
 /// The line that `serve` prints whenever it acquires a slot.
@@ -97,10 +97,10 @@
     /// Processes that compete for the slots: as many as there are slots, and the spares.
     planners: Vec<HarnessProcess>,
     voters: Vec<HarnessProcess>,
-    /// Slots whose planners are cut off from the other planners, and whether they still receive
-    /// from them.
+    /// Slots whose planners are cut off from the other planners, and whether the isolated planners
+    /// still receive what the others send.
     isolated: RefCell<Option<(BTreeSet<usize>, bool)>>,
-    /// Processes that `kill` stopped and `start` restarts, by slot.
+    /// Processes that `kill` has killed and `start` will restart, by slot.
     killed: RefCell<BTreeMap<usize, usize>>,
     /// Times that slots were without a planner, in microseconds, by the kind of fault.
     gaps: RefCell<BTreeMap<String, Histogram<u64>>>,
@@ -258,8 +258,8 @@
         self.run([name].into_iter().chain(files).chain(options.iter().copied())).await
     }
 
-    /// Runs the binary with these arguments, and returns its output. `None`: it failed or printed
-    /// no JSON.
+    /// Runs the binary with these arguments, and returns its output; `None` if the binary could not
+    /// be run or printed no JSON.
     async fn run<'a>(&self, args: impl Iterator<Item = &'a str>) -> Option<serde_json::Value> {
         let mut command = Command::new(&self.config.binary);
         command.args(args).args(["-o", "json"]).kill_on_drop(true);
--- a/testbed/src/process_harness/report.rs
+++ b/testbed/src/process_harness/report.rs
@@ -15,10 +15,11 @@
     /// Times from a fault to the successor's acquisition of the slot, by the kind of fault.
     #[serde(rename = "by_trouble")]
     pub by_fault: Vec<TakeoverTimes>,
-    /// Times from a holder's death to its successor's first launch; `None` if there was none.
+    /// Times from the kill or termination of a holder to its successor's first launch; `None` if no
+    /// such successor launched an attempt.
     pub first_launch: Option<TakeoverTimes>,
     /// Time from the start of the rolling restart to the last machine's restart, in seconds; `None`
-    /// without one.
+    /// without a rolling restart.
     #[serde(rename = "roll_s")]
     pub rolling_restart_s: Option<f64>,
     /// Errors, such as an epoch that did not rise, a slot without a planner at the end, or a
--- a/testbed/src/registry.rs
+++ b/testbed/src/registry.rs
@@ -240,8 +240,8 @@
         machine.send(MachineCommand::RollingDrain { on: drain.on, started_us: drain.started_us });
     }
 
-    /// Records the machines' current state, and sends watchers what changed as of the registry's
-    /// delay.
+    /// Records the machines' current state, and sends each watcher the entries that changed in the
+    /// delayed state that the registry shows.
     fn record(&mut self) {
         let now = self.context.clock.now();
         let mut entries = Entries::new();
--- a/testbed/src/scale/machines.rs
+++ b/testbed/src/scale/machines.rs
@@ -397,7 +397,7 @@
     }
 
     /// Handles a timer that is due. Timers of an earlier incarnation of the machine are ignored,
-    /// except those of random restarts and of absent planners' tasks.
+    /// except those of random restarts and of the arrival of absent planners' tasks.
     fn fire(&mut self, machine: usize, incarnation: u64, timer: MachineTimer) {
         match timer {
             MachineTimer::DrawnRestart => return self.drawn_restart(machine),
--- a/testbed/src/scale/registry.rs
+++ b/testbed/src/scale/registry.rs
@@ -46,7 +46,7 @@
     changed: u64,
     /// Number of the last change other than a change of a ready machine's capacity alone.
     changed_beyond_capacity: u64,
-    /// Number of the connection that sent the entry; 0: it was there at the start.
+    /// Number of the connection that sent the entry; 0: the list contained the entry at the start.
     source: u64,
 }
 
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Sends each watcher what changed.
+    /// Sends each watcher the entries that changed since the watcher's last update.
     fn update_watchers(&mut self) {
         let watching = self.connections.iter().filter(|(_, connection)| connection.watches);
         let watching: Vec<u64> = watching.map(|(number, _)| *number).collect();
--- a/testbed/src/settings.rs
+++ b/testbed/src/settings.rs
@@ -50,7 +50,7 @@
     invariant_config(&site.map_err(|e| e.1).expect("a valid installation").all)
 }
 
-/// Returns the setting `name`.
+/// Returns the setting `name`, which is empty if it is not set.
 fn name_of(settings: &ResolvedValue) -> String {
     settings.text("name").unwrap_or("").to_owned()
 }
