--- a/invariants/src/fencing.rs
+++ b/invariants/src/fencing.rs
@@ -14,8 +14,8 @@
     greeted: HashMap<(String, String), NewestEpoch>,
     /// By planner's name: the newest epoch that launched a task.
     acted: HashMap<String, NewestEpoch>,
-    /// Times from the death of a planner's process to its successor's first launch, in
-    /// microseconds.
+    /// Times from the recorded kill of a planner's process to its successor's first launch,
+    /// in microseconds.
     takeover_times_us: Vec<i64>,
 }
 
@@ -44,8 +44,8 @@
 }
 
 impl InvariantChecker {
-    /// Returns the times from the death of a planner's process to its successor's first launch, in
-    /// microseconds.
+    /// Returns the times from the recorded kill of a planner's process to its successor's first
+    /// launch, in microseconds.
     pub fn takeover_times_us(&self) -> &[i64] {
         &self.epochs.takeover_times_us
     }
--- a/invariants/src/launches.rs
+++ b/invariants/src/launches.rs
@@ -34,8 +34,8 @@
 }
 
 impl SentLaunch {
-    /// Returns whether the launch counts as running: an accepted one until it has finished, any
-    /// other until the planner can know of its end or its timeout expires.
+    /// Returns whether the launch counts as running: an accepted launch until it has finished, any
+    /// other launch until the planner can know of its end or its timeout expires.
     pub(crate) fn is_active(&self, at_us: i64) -> bool {
         !self.finished && (self.accepted || (self.end.is_none() && at_us < self.at_us + self.time_out_us))
     }
@@ -130,8 +130,8 @@
         self.by_connection.entry(connection).or_default().push(index);
     }
 
-    /// Applies a machine's inventory: a launch that the machine read before and does not list was
-    /// never accepted, or has ended, and will not run.
+    /// Applies a machine's inventory: a launch that the machine read before it sent the inventory,
+    /// has not accepted and does not list will not run.
     fn inventory(&mut self, at_us: i64, machine: &str, planner: &Incarnation, inventory: &wire::Inventory) {
         let held = inventory.held.iter().filter_map(|held| Some(held.launch.as_ref()?.id?.number));
         let held: HashSet<u64> = held.collect();
@@ -161,9 +161,9 @@
         self.machine_frame_delivered(at_us, machine, planner, body);
     }
 
-    /// Records that a machine's frame was written to the planner's socket. From now on the planner
-    /// can know its content; what the planner does before is checked without it, however long ago
-    /// the machine sent the frame.
+    /// Records that a machine's frame was written to the planner's socket. The planner can know the
+    /// frame's content from now on. Its earlier actions are checked as those of a planner that does
+    /// not know the content, however long ago the machine sent the frame.
     pub fn machine_frame_delivered(&mut self, at_us: i64, machine: &str, planner: &Incarnation, body: &Body) {
         match body {
             Body::Drain(drain) => {
--- a/invariants/src/priority.rs
+++ b/invariants/src/priority.rs
@@ -37,7 +37,8 @@
     }
 
     /// Finds priority inversions. Each is the start of its window in microseconds, the declined
-    /// class of higher priority, and the placed class of lower priority.
+    /// class of higher priority, and the placed class of lower priority. A class counts as lower if
+    /// it needs at least as many cores and has less than half the priority weight per core.
     fn priority_inversions<'a>(
         &self,
         classes: &[(RequestClass<'a>, Vec<PlacementRecord>)],
--- a/invariants/src/report.rs
+++ b/invariants/src/report.rs
@@ -11,7 +11,8 @@
     /// The time of the violation, in microseconds.
     #[serde(rename = "at")]
     pub at_us: i64,
-    /// The planner that violated the invariant, by name and epoch, or another component.
+    /// The planner that violated the invariant, by name and epoch. The epoch is 0 for a violation
+    /// by all planners together, or by the coordinator of a rolling restart.
     pub planner: String,
     /// The task's key or the machine's name that the violation concerns.
     #[serde(rename = "about")]
