--- a/subsetting/src/growth.rs
+++ b/subsetting/src/growth.rs
@@ -44,7 +44,8 @@
 }
 
 impl TaskRequirement {
-    /// Returns whether every machine that fulfils `other` also fulfils this requirement.
+    /// Returns whether this requirement has the kind and zone of `other` and needs no more cores
+    /// and memory, so that every machine that fulfils `other` fulfils this requirement too.
     fn is_covered_by(&self, other: &TaskRequirement) -> bool {
         let same_place = self.kind == other.kind && self.zone == other.zone;
         same_place && self.cores <= other.cores && self.memory <= other.memory
--- a/subsetting/src/subset.rs
+++ b/subsetting/src/subset.rs
@@ -15,7 +15,7 @@
 /// Time for which a link that serves no other purpose is kept after its inventory: reports of ended
 /// tasks follow the inventory at once.
 pub const INVENTORY_SETTLE_US: i64 = 1_000_000;
-/// Time after which a newly added machine is linked, unless it does not answer.
+/// Time within which a newly added machine is linked, unless it does not answer.
 pub const LINK_SETUP_US: i64 = 5_000_000;
 /// Maximum difference between the clocks of two hosts.
 pub const MAX_CLOCK_SKEW_US: i64 = 5_000_000;
