--- a/zone_failover/src/coordinator.rs
+++ b/zone_failover/src/coordinator.rs
@@ -10,9 +10,9 @@
 
 /// The least number of recent attempts from which their outcome is judged.
 const MIN_ATTEMPTS: f64 = 3.0;
-/// The fraction of refused and failed attempts above which a recovery step goes back.
+/// The fraction of refused and failed attempts above which a recovery goes back a step.
 const MAX_FAILED_FRACTION: f64 = 0.5;
-/// The most times that a hold time is doubled.
+/// The maximum number of doublings of a hold time.
 const MAX_DOUBLINGS: u32 = 20;
 
 /// How long evidence must last before the coordinator acts on it.
@@ -27,7 +27,8 @@
     pub step_us: i64,
     /// How long a zone must stay healthy before its flaps are forgotten, in microseconds.
     pub flap_reset_us: i64,
-    /// The most that a doubled time can be, in microseconds.
+    /// The upper limit of a doubled time, in microseconds. A time that is longer before it is
+    /// doubled stays as it is.
     pub max_hold_us: i64,
 }
 
@@ -83,7 +84,8 @@
     pub phase: ZonePhase,
     /// How many times the zone failed again while it recovered.
     pub flaps: u32,
-    /// How many times the current recovery went back a step.
+    /// How many times the current recovery went back a step, or repeated its first step, because
+    /// too many attempts failed.
     #[serde(rename = "backs")]
     pub steps_back: u32,
 }
